--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -48,11 +48,27 @@
     out = nested()
     base = out["profiles"][0]
     out["profiles"] = [
-        base | {"name": "read", "semantics": "idempotent", "aim": 750, "hard_limit": 5000, "credit": 2,
-                "keep_order": False},
-        base | {"name": "write", "semantics": "deduplicated", "group": "cell", "window": 6000, "aim": 1000,
-                "hard_limit": 6000, "credit": 3, "keep_order": False},
-    ]  # fmt: skip
+        base
+        | {
+            "name": "read",
+            "semantics": "idempotent",
+            "aim": 750,
+            "hard_limit": 5000,
+            "credit": 2,
+            "keep_order": False,
+        },
+        base
+        | {
+            "name": "write",
+            "semantics": "deduplicated",
+            "group": "cell",
+            "window": 6000,
+            "aim": 1000,
+            "hard_limit": 6000,
+            "credit": 3,
+            "keep_order": False,
+        },
+    ]
     out["family_info"]["changes_data"] = [False, True]
     out["grades"][0] |= {"usual_rate": 1000, "floor_rate": 1000}
     out["siblings"] = 1
@@ -132,10 +148,14 @@
     async def start(self, tree: Path, folder: Path, store: str) -> Program:
         """A program of a checkout, with this [store] section or none."""
         config = {
-            "name": "n0", "listen": f"127.0.0.1:{free_port()}", "seed": "1",
+            "name": "n0",
+            "listen": f"127.0.0.1:{free_port()}",
+            "seed": "1",
             "discovery": f"127.0.0.1:{self.port}",
-            "settings": settings(), "known": self.listing, "limits": {"memory_mb": 192},
-        }  # fmt: skip
+            "settings": settings(),
+            "known": self.listing,
+            "limits": {"memory_mb": 192},
+        }
         (folder / "config.json").write_bytes(orjson.dumps(config))
         words = [sys.executable, "-O", "-m", "sabledyke"]
         if store:
@@ -358,8 +378,9 @@
         began, cpu, batches = time.perf_counter(), time.process_time(), 0
         for n in range(0, count, size):
             for i in range(n, n + size):
-                entry = Entry(i, i, "write", f"{1:016x}", f"{i:032x}", f"{i:016x}", 0, "box-0", 1.0, "0" * 64,
-                              "served")  # fmt: skip
+                entry = Entry(
+                    i, i, "write", f"{1:016x}", f"{i:032x}", f"{i:016x}", 0, "box-0", 1.0, "0" * 64, "served"
+                )
                 keeper.finished(i, f"1/1/{i:032x}", entry, None)
             batch = keeper.next_batch(n)
             assert batch is not None
@@ -387,8 +408,11 @@
     for variant in cpu:
         c, m = statistics.median(cpu[variant]), statistics.median(most[variant])
         wait, b = statistics.median(took[variant]), statistics.median(busy[variant])
-        print(f"  {variant:18s}{c:12.0f}{c / base:12.2f}{b:12.0f}{b / much:12.2f}{wait:12.1f}{m:12.0f}"
-              f"{m / full:12.2f}", flush=True)  # fmt: skip
+        print(
+            f"  {variant:18s}{c:12.0f}{c / base:12.2f}{b:12.0f}{b / much:12.2f}{wait:12.1f}{m:12.0f}"
+            f"{m / full:12.2f}",
+            flush=True,
+        )
 
 
 async def main() -> None:
@@ -407,9 +431,13 @@
         folder, field = Path(name), Field()
         await field.open()
         server = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "tests.standins.postgres", str(folder / "pg.sqlite3"), cwd=ROOT,
+            sys.executable,
+            "-m",
+            "tests.standins.postgres",
+            str(folder / "pg.sqlite3"),
+            cwd=ROOT,
             stdout=subprocess.PIPE,
-        )  # fmt: skip
+        )
         assert server.stdout is not None
         port = int(await server.stdout.readline())
         variants = {
--- a/benchmarks/store_libraries.py
+++ b/benchmarks/store_libraries.py
@@ -78,9 +78,13 @@
     engine = sa.create_engine(f"sqlite:///{path}")
     meta = sa.MetaData()
     table = sa.Table(
-        "writes", meta, sa.Column("name", sa.Text, primary_key=True), sa.Column("at", sa.Float),
-        sa.Column("shard", sa.Integer), sa.Column("zone", sa.Integer),
-    )  # fmt: skip
+        "writes",
+        meta,
+        sa.Column("name", sa.Text, primary_key=True),
+        sa.Column("at", sa.Float),
+        sa.Column("shard", sa.Integer),
+        sa.Column("zone", sa.Integer),
+    )
     with engine.connect() as db:
         for line in PRAGMAS:
             db.exec_driver_sql(line)
@@ -94,8 +98,11 @@
 
 
 CANDIDATES: dict[str, Callable[[str, int], None]] = {
-    "sqlite3": with_sqlite3, "apsw": with_apsw, "aiosqlite": with_aiosqlite, "sqlalchemy": with_sqlalchemy,
-}  # fmt: skip
+    "sqlite3": with_sqlite3,
+    "apsw": with_apsw,
+    "aiosqlite": with_aiosqlite,
+    "sqlalchemy": with_sqlalchemy,
+}
 IMPORTS = ("sqlite3", "apsw", "aiosqlite", "sqlalchemy", "alembic.command", "asyncpg", "psycopg", "pg8000")
 
 
--- a/sabledyke/board/board.py
+++ b/sabledyke/board/board.py
@@ -91,9 +91,14 @@
         return Pen(self, topic, Writer(name, life, uuid4().hex[:12]))
 
     async def append(
-        self, topic: str, writer: Writer, seq: int, drafts: Sequence[Draft], expects: Mapping[str, int],
+        self,
+        topic: str,
+        writer: Writer,
+        seq: int,
+        drafts: Sequence[Draft],
+        expects: Mapping[str, int],
         end: int | None,
-    ) -> tuple[int, ...]:  # fmt: skip
+    ) -> tuple[int, ...]:
         """See ``Pen.append``; a fault on the way is asked again with the same sequence,
         so it is taken once.
         """
--- a/sabledyke/board/compaction.py
+++ b/sabledyke/board/compaction.py
@@ -105,9 +105,14 @@
 
 
 def step(
-    topic: str, cells: Mapping[str, Cell], progress: Progress, page: Sequence[Message], whole: bool,
-    policy: Policy, now: float,
-) -> tuple[Progress, Commit]:  # fmt: skip
+    topic: str,
+    cells: Mapping[str, Cell],
+    progress: Progress,
+    page: Sequence[Message],
+    whole: bool,
+    policy: Policy,
+    now: float,
+) -> tuple[Progress, Commit]:
     """Clean one page; ``whole`` where nothing follows it below the limit.
 
     ``cells`` are the topic's head, the cleaner's cell, and the places of the page's keys as they stand now.
@@ -127,9 +132,11 @@
             drops += [message_key(topic, message.offset), place]
             checks[place] = version_of(cells, place)
             head = replace(
-                head, size=head.size - message.size, tombs=head.tombs - 1,
+                head,
+                size=head.size - message.size,
+                tombs=head.tombs - 1,
                 floor=max(head.floor, message.offset),
-            )  # fmt: skip
+            )
     if whole:
         marks = (
             *(m for m in progress.marks if m.upto > buried),
--- a/sabledyke/board/ledger.py
+++ b/sabledyke/board/ledger.py
@@ -63,9 +63,14 @@
 
 
 def append(
-    topic: str, found: Mapping[str, Cell], writer: Writer, seq: int, drafts: Sequence[Draft],
-    expects: Mapping[str, int], end: int | None,
-) -> Commit:  # fmt: skip
+    topic: str,
+    found: Mapping[str, Cell],
+    writer: Writer,
+    seq: int,
+    drafts: Sequence[Draft],
+    expects: Mapping[str, int],
+    end: int | None,
+) -> Commit:
     """The commit, or one without puts for a repeat; StaleWriter and Conflict where it may not be.
 
     ``expects`` are offsets of further keys that it rests on; ``end`` the topic's next offset, where the
@@ -97,9 +102,12 @@
         puts[place_key(topic, draft.key)] = pack(head.next, said_now.size, tomb)
         offsets.append(head.next)
         head = replace(
-            head, next=head.next + 1, size=head.size + said_now.size, dirty=head.dirty + old.size,
+            head,
+            next=head.next + 1,
+            size=head.size + said_now.size,
+            dirty=head.dirty + old.size,
             tombs=head.tombs + tomb - old.tomb,
-        )  # fmt: skip
+        )
     puts[head_key(topic)] = pack(head.next, head.floor, head.size, head.dirty, head.tombs)
     puts[me] = _pack(Said(writer.life, writer.nonce, seq, tuple(offsets)))
     return Commit(tuple(offsets), checks, puts)
--- a/sabledyke/board/section.py
+++ b/sabledyke/board/section.py
@@ -73,9 +73,7 @@
     for endpoint in said.etcd:
         address(endpoint)
     policy = Policy(lag=said.lag, tomb_ms=1000 * said.tomb_s, dirty=said.dirty, bytes_s=said.bytes_s)
-    section = Section(
-        said.path, said.etcd, said.prefix, policy, said.most_keys, said.clean_s, said.topics
-    )
+    section = Section(said.path, said.etcd, said.prefix, policy, said.most_keys, said.clean_s, said.topics)
     for topic in section.topics:
         if topic in OURS or len(topic) > 64 or not topic.replace("-", "").replace("_", "").isalnum():
             raise OperatorError(f"board.topics: {topic!r} is the fleet's, or not of letters, digits, - and _")
--- a/sabledyke/config.py
+++ b/sabledyke/config.py
@@ -18,8 +18,6 @@
 CLIENTS = 3  # clients hold one part in so many of the descriptors for requests
 
 
-
-
 @dataclass(slots=True, frozen=True)
 class Config:
     """Everything ``serve`` needs."""
--- a/sabledyke/core.py
+++ b/sabledyke/core.py
@@ -133,9 +133,13 @@
     """Feeds the module batches of events and carries out its actions."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, transport: Transport, lists: Lists,
+        self,
+        settings: api.Settings,
+        seed: int,
+        transport: Transport,
+        lists: Lists,
         wake: Callable[[], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.settings = settings
         self.scheduler = Scheduler(settings, seed)
         self.transport, self.lists, self._wake = transport, lists, wake
@@ -178,10 +182,23 @@
         usable = work.remaining if work.remaining > CUT else 0.0  # else no attempt could end in time
         self._open[rid] = _Open(work, kind, deadline, done, ran=work.ran)
         heapq.heappush(self._timers, (now + work.remaining - GUARD, -1, rid))
-        self._event(api.Request(
-            rid, work.class_, work.plan, work.key, usable, work.volume, work.units,
-            work.shard, work.hosts, work.repeated, work.write, work.ran, work.part,
-        ))  # fmt: skip
+        self._event(
+            api.Request(
+                rid,
+                work.class_,
+                work.plan,
+                work.key,
+                usable,
+                work.volume,
+                work.units,
+                work.shard,
+                work.hosts,
+                work.repeated,
+                work.write,
+                work.ran,
+                work.part,
+            )
+        )
         return rid
 
     def depart(self, rid: int) -> None:
@@ -204,10 +221,19 @@
             request.ran = request.ran or (sent, node)
         if end.outcome is Outcome.OK and not request.answered:
             self._answer(rid, Answer(Verdict.SERVED, end.body))
-        self._event(api.Attempted(
-            rid, node.node, number, end.outcome, request.answered, now - sent - end.waited, end.used_percent,
-            end.others_units, end.load,
-        ))  # fmt: skip
+        self._event(
+            api.Attempted(
+                rid,
+                node.node,
+                number,
+                end.outcome,
+                request.answered,
+                now - sent - end.waited,
+                end.used_percent,
+                end.others_units,
+                end.load,
+            )
+        )
         self._forget(rid)
 
     def listed(self, news: api.NodeList) -> list[api.NodeId]:
--- a/sabledyke/interface.py
+++ b/sabledyke/interface.py
@@ -137,14 +137,20 @@
     def __post_init__(self) -> None:
         """Raise a ValueError that names the first value no site can mean."""
         positive = {
-            "hosts": self.hosts, "classes": len(self.classes), "plans": len(self.plans),
-            "max_attempts": self.max_attempts, "mean_units": self.mean_units, "most_units": self.most_units,
-            "cold_share": self.cold_share, "warm_up": self.warm_up, "fall_window": self.fall_window,
+            "hosts": self.hosts,
+            "classes": len(self.classes),
+            "plans": len(self.plans),
+            "max_attempts": self.max_attempts,
+            "mean_units": self.mean_units,
+            "most_units": self.most_units,
+            "cold_share": self.cold_share,
+            "warm_up": self.warm_up,
+            "fall_window": self.fall_window,
             **{f"aim of {c.name}": c.aim for c in self.classes},
             **{f"deadline of {c.name}": c.deadline for c in self.classes},
             **{f"worth of {c.name}": c.worth for c in self.classes},
             **{f"weight of {p.name}": p.weight for p in self.plans},
-        }  # fmt: skip
+        }
         for name, value in positive.items():
             if not value > 0:
                 raise ValueError(f"setting {name} must be above 0, not {value}")
@@ -250,9 +256,7 @@
     data: bytes
 
 
-Event = (
-    NodeList | Request | TimerFired | Departed | Attempted | AnswerStarted | ProbeResult | PeerMessage
-)
+Event = NodeList | Request | TimerFired | Departed | Attempted | AnswerStarted | ProbeResult | PeerMessage
 
 
 @dataclass(slots=True, frozen=True)
@@ -336,6 +340,4 @@
     text: str
 
 
-Action = (
-    Send | Refuse | Fail | Cancel | SetTimer | Probe | WatchList | FetchList | CloseIdle | TellPeer | Log
-)
+Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | WatchList | FetchList | CloseIdle | TellPeer | Log
--- a/sabledyke/lab/cluster.py
+++ b/sabledyke/lab/cluster.py
@@ -22,13 +22,20 @@
 MOST = 64
 CATCH = 30.0  # seconds in which a process must be caught in, or outside of, a transaction
 SETTINGS: dict[str, Any] = {  # a small deployment; what an experiment is about stands in the operator's files
-    "siblings": 1, "discovery": "on_request", "ceilings": {"try_limit": 3},
-    "family_info": {"usual_units": 2, "units_top": 8, "fair_worth": 0.3, "spare_worth": 0.05, "young_limit":
-    20},
+    "siblings": 1,
+    "discovery": "on_request",
+    "ceilings": {"try_limit": 3},
+    "family_info": {
+        "usual_units": 2,
+        "units_top": 8,
+        "fair_worth": 0.3,
+        "spare_worth": 0.05,
+        "young_limit": 20,
+    },
     "invariants": {"cold_share": 0.25, "warm_up": 10000, "fall": 2000, "answer_slack": 8},
     "profiles": [{"name": "read", "aim": 200, "hard_limit": 1000, "credit": 2, "semantics": "idempotent"}],
     "grades": [{"name": "base", "usual_rate": 5}],
-}  # fmt: skip
+}
 
 
 @dataclass(slots=True)
@@ -63,10 +70,14 @@
         made.port = hold_port()
         settings = {**SETTINGS, "me": number, "siblings": len(self.instances), **more.pop("settings", {})}
         config = {
-            "name": made.name, "listen": f"127.0.0.1:{made.port.getsockname()[1]}",
-            "discovery": "127.0.0.1:1", "seed": f"{number:x}",
-            "limits": {"sockets": 128, "memory_mb": 64}, "settings": settings, **more,
-        }  # fmt: skip
+            "name": made.name,
+            "listen": f"127.0.0.1:{made.port.getsockname()[1]}",
+            "discovery": "127.0.0.1:1",
+            "seed": f"{number:x}",
+            "limits": {"sockets": 128, "memory_mb": 64},
+            "settings": settings,
+            **more,
+        }
         (made.folder / "config.json").write_bytes(orjson.dumps(config))
         (made.folder / "operator.toml").write_text(operator)
 
@@ -78,10 +89,19 @@
         path = os.pathsep.join(folder for folder in sys.path if folder)
         with open(made.folder / f"log.{made.starts}", "wb") as log:
             made.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-O", "-m", "sabledyke", "serve", "--operator", "operator.toml",
-                cwd=made.folder, stdin=asyncio.subprocess.DEVNULL, stdout=log, stderr=log,
+                sys.executable,
+                "-O",
+                "-m",
+                "sabledyke",
+                "serve",
+                "--operator",
+                "operator.toml",
+                cwd=made.folder,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
                 env={**plain, "GW_CONFIG": "config.json", "PYTHONPATH": path},
-            )  # fmt: skip
+            )
 
     def tell(self, number: int, what: signal.Signals) -> None:
         """Send it a signal, if it is there to take it."""
--- a/sabledyke/lab/drainmodel.py
+++ b/sabledyke/lab/drainmodel.py
@@ -92,8 +92,13 @@
 
 
 def check(
-    size: int, names: int, most: int, budget: Budget, rules: Rules = Rules(), bound: int = 400_000  # noqa: B008
-) -> Found[Model]:  # fmt: skip
+    size: int,
+    names: int,
+    most: int,
+    budget: Budget,
+    rules: Rules = Rules(),  # noqa: B008
+    bound: int = 400_000,
+) -> Found[Model]:
     """Explore all of it."""
 
     def follow(model: Model) -> Iterator[tuple[str, Model]]:
--- a/sabledyke/lab/etcd.py
+++ b/sabledyke/lab/etcd.py
@@ -103,10 +103,17 @@
             begin, end = (bisect_left(self._names, (_raw(at), "")) for at in (first, last))
             names = [n for _, n in self._names[begin:end]]
         kvs = [
-            {"key": n, "value": k.value, "create_revision": str(k.created), "mod_revision": str(k.modified),
-             "version": str(k.version), "lease": k.lease}
-            for n in names[: int(ask.get("limit", 0)) or None] for k in (self._keys[n],)
-        ]  # fmt: skip
+            {
+                "key": n,
+                "value": k.value,
+                "create_revision": str(k.created),
+                "mod_revision": str(k.modified),
+                "version": str(k.version),
+                "lease": k.lease,
+            }
+            for n in names[: int(ask.get("limit", 0)) or None]
+            for k in (self._keys[n],)
+        ]
         return self._headed({"kvs": kvs, "count": str(len(kvs))} if kvs else {})
 
     def _txn(self, ask: dict[str, Any]) -> dict[str, Any]:
--- a/sabledyke/lab/experiment.py
+++ b/sabledyke/lab/experiment.py
@@ -101,9 +101,19 @@
     """A fault, as the file has it."""
 
     what: Literal[
-        "pause", "kill", "term", "part", "part_to", "part_from", "slow", "cut", "restart_authority",
-        "hold_acts", "late", "lock",
-    ]  # fmt: skip
+        "pause",
+        "kill",
+        "term",
+        "part",
+        "part_to",
+        "part_from",
+        "slow",
+        "cut",
+        "restart_authority",
+        "hold_acts",
+        "late",
+        "lock",
+    ]
     who: int | str = "holder"
     at_s: Seconds = 0.0
     for_s: Seconds = 0.0
@@ -139,10 +149,21 @@
     for row in said.clock:
         offsets[row.who], rates[row.who] = row.offset_ms, row.rate
     return Experiment(
-        said.name, said.instances, said.length_s, said.authority, said.ttl_ms, said.renew_ms, said.margin_ms,
-        said.drift, said.act_ms, said.every_s, said.fenced, tuple(offsets), tuple(rates),
+        said.name,
+        said.instances,
+        said.length_s,
+        said.authority,
+        said.ttl_ms,
+        said.renew_ms,
+        said.margin_ms,
+        said.drift,
+        said.act_ms,
+        said.every_s,
+        said.fenced,
+        tuple(offsets),
+        tuple(rates),
         tuple(Fault(f.at_s, f.what, f.who, f.for_s) for f in said.fault),
-    )  # fmt: skip
+    )
 
 
 class Run:
--- a/sabledyke/lab/leasemodel.py
+++ b/sabledyke/lab/leasemodel.py
@@ -123,8 +123,9 @@
         elif not world.processes[message.who].paused:
             yield f"{message.who} hears {message.what}", _tidy(_hear(setup, rest, message))
         if budget.losses:
-            yield f"{message.who}'s {message.what} is lost", _tidy(
-                rest._replace(budget=budget._replace(losses=budget.losses - 1))
+            yield (
+                f"{message.who}'s {message.what} is lost",
+                _tidy(rest._replace(budget=budget._replace(losses=budget.losses - 1))),
             )
     for i, process in enumerate(world.processes):
         if process.paused:
@@ -223,10 +224,22 @@
         return max(at - by, -FAR)
 
     return State(
-        state.me, state.phase, state.token, to(state.until) if state.until > -inf else -inf, state.acting,
-        state.stamp, state.free, to(state.since), state.ttl, state.out, state.number, to(state.asked),
-        to(state.due) if state.due > -inf else -inf, state.rests, state.misses,
-    )  # fmt: skip
+        state.me,
+        state.phase,
+        state.token,
+        to(state.until) if state.until > -inf else -inf,
+        state.acting,
+        state.stamp,
+        state.free,
+        to(state.since),
+        state.ttl,
+        state.out,
+        state.number,
+        to(state.asked),
+        to(state.due) if state.due > -inf else -inf,
+        state.rests,
+        state.misses,
+    )
 
 
 def _on_their_way(world: World) -> tuple[Message, ...]:
@@ -280,22 +293,32 @@
         acts = holding and state.until > 0
         return Process(
             State(
-                state.me, state.phase, tokens[state.token] if holding else 0,
-                _ticks(state.until, rate) if acts else min(state.until, -FAR), acts,
-                rank(state.stamp) if state.stamp else None, state.free,
-                _plain(max(state.since, -TIMES.ttl)) if state.stamp else 0.0, 0.0,
+                state.me,
+                state.phase,
+                tokens[state.token] if holding else 0,
+                _ticks(state.until, rate) if acts else min(state.until, -FAR),
+                acts,
+                rank(state.stamp) if state.stamp else None,
+                state.free,
+                _plain(max(state.since, -TIMES.ttl)) if state.stamp else 0.0,
+                0.0,
                 told(out) if out is not None else None,  # type: ignore[arg-type]
-                0, _plain(state.asked) if out is not None else 0.0,
+                0,
+                _plain(state.asked) if out is not None else 0.0,
                 0.0 if out is not None else _ticks(max(state.due, 0.0), rate),
             ),
-            rate, process.paused,
-        )  # fmt: skip
+            rate,
+            process.paused,
+        )
 
     made = World(
-        tuple(kept(p) for p in world.processes), rank(world.stamp), world.by,
+        tuple(kept(p) for p in world.processes),
+        rank(world.stamp),
+        world.by,
         _plain(world.left) if world.by else 0.0,
-        tuple(Message(m.who, m.life, m.current, told(m.what)) for m in flying), world.budget,
-    )  # fmt: skip
+        tuple(Message(m.who, m.life, m.current, told(m.what)) for m in flying),
+        world.budget,
+    )
     return _alike(made)
 
 
@@ -321,9 +344,21 @@
     told = tuple((m.current, m.life.count("+"), *_plainly(m.what)) for m in world.flying if m.who == i)
     mine = world.by.count("+") if world.by.rstrip("+") == str(i) else -1
     return (
-        paused, s.me.count("+"), s.phase.value, s.token, s.until, s.acting, s.stamp or (-1, -1), s.free,
-        s.since, s.asked, s.due, _plainly(s.out), told, mine,
-    )  # fmt: skip
+        paused,
+        s.me.count("+"),
+        s.phase.value,
+        s.token,
+        s.until,
+        s.acting,
+        s.stamp or (-1, -1),
+        s.free,
+        s.since,
+        s.asked,
+        s.due,
+        _plainly(s.out),
+        told,
+        mine,
+    )
 
 
 def _plainly(what: Ask | Reply | None) -> tuple[str, tuple[int, ...]]:
@@ -349,9 +384,7 @@
         return f"{place[int(plain)]}{name[len(plain):]}" if name else ""
 
     processes = (world.processes[old] for old in order)
-    flying = [
-        Message(place[m.who], life(m.life), m.current, _told(m.what, life)) for m in world.flying
-    ]
+    flying = [Message(place[m.who], life(m.life), m.current, _told(m.what, life)) for m in world.flying]
     return world._replace(
         processes=tuple(p._replace(state=changed(p.state, me=life(p.state.me))) for p in processes),
         by=life(world.by),
--- a/sabledyke/lab/release.py
+++ b/sabledyke/lab/release.py
@@ -470,7 +470,7 @@
 
 async def play(
     setting: Setting, folder: Path, story: Callable[[Fleet], Awaitable[None]], seed: int = 1
-) -> Fleet:  # fmt: skip
+) -> Fleet:
     """Run a story in a fleet of its own."""
     async with Fleet(setting, folder, seed) as fleet:
         await story(fleet)
--- a/sabledyke/lab/sums.py
+++ b/sabledyke/lab/sums.py
@@ -94,9 +94,17 @@
     """Play it, and judge it."""
     report, random, told = Report(), Random(seed), _Play()
     setting = Setting(
-        what.instances, what.backend, clients=1, limit=what.limit, shares=what.shares, beat=what.beat_ms,
-        ttl=3000, silent=8000, every=200, between=any("part" in f.what for f in what.fault),
-    )  # fmt: skip
+        what.instances,
+        what.backend,
+        clients=1,
+        limit=what.limit,
+        shares=what.shares,
+        beat=what.beat_ms,
+        ttl=3000,
+        silent=8000,
+        every=200,
+        between=any("part" in f.what for f in what.fault),
+    )
 
     async def story(fleet: Fleet) -> None:
         ports = [one.port.getsockname()[1] for one in fleet.cluster.instances if one.port is not None]
@@ -157,9 +165,13 @@
 
 
 def _judge(
-    what: Experiment, fleet: Fleet, told: _Play, span: tuple[float, float], counts: dict[int, Count],
+    what: Experiment,
+    fleet: Fleet,
+    told: _Play,
+    span: tuple[float, float],
+    counts: dict[int, Count],
     report: Report,
-) -> None:  # fmt: skip
+) -> None:
     slack = max(LARGEST, SLACK * what.limit)
     for volume, name in {LEANING: "leaning", SPREAD: "spread"}.items():
         times, ends = fleet.boxes.units.get(f"{volume:016x}", []), counts[volume].ends
@@ -180,7 +192,6 @@
         if ends["cut"] or ends["wrong"]:
             report.wrong.append(f"{name}: {ends['cut']} answers were cut off and {ends['wrong']} wrong")
 
-
     for began, ended, came in told.hung:
         tried = sum(t > (began + ended) / 2 for t in came) / (ended - began) * 2
         times = fleet.boxes.units.get(f"{SPREAD:016x}", [])
--- a/sabledyke/lab/traffic.py
+++ b/sabledyke/lab/traffic.py
@@ -32,18 +32,30 @@
 YOUNG, TIP, COLD, FALL = 20, 2.0, 0.25, 2.0  # PROTOCOL's rule on cold boxes; seconds
 CAPACITY = 30.0  # units a second that a warm box is taken to bear, where that rule is judged
 SETTINGS: dict[str, Any] = {  # what a fleet with traffic needs beside the cluster's own
-    "kinds": ["m"], "zones": ["z"],
+    "kinds": ["m"],
+    "zones": ["z"],
     "ceilings": {"try_limit": 3, "retry_after": True, "max_retry_after": 300, "cancel": True},
     "family_info": {
-        "usual_units": 1, "units_top": 4, "fair_worth": 0.3, "spare_worth": 0.1, "young_limit": 20,
+        "usual_units": 1,
+        "units_top": 4,
+        "fair_worth": 0.3,
+        "spare_worth": 0.1,
+        "young_limit": 20,
         "changes_data": [False, True],
     },
     "profiles": [
         {"name": "read", "aim": AIM, "hard_limit": DEADLINE, "credit": 2, "semantics": "idempotent"},
-        {"name": "write", "aim": AIM, "hard_limit": DEADLINE, "credit": 2, "semantics": "deduplicated",
-         "group": "cell", "window": WINDOW},
+        {
+            "name": "write",
+            "aim": AIM,
+            "hard_limit": DEADLINE,
+            "credit": 2,
+            "semantics": "deduplicated",
+            "group": "cell",
+            "window": WINDOW,
+        },
     ],
-}  # fmt: skip
+}
 
 
 class _Serves(RequestHandler):
@@ -230,9 +242,15 @@
     """
 
     def __init__(
-        self, name: str, doors: Callable[[int], Sequence[int]], volumes: Sequence[int], every: float,
-        count: Count, tier: str = "base", hosts: int = 1,
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        doors: Callable[[int], Sequence[int]],
+        volumes: Sequence[int],
+        every: float,
+        count: Count,
+        tier: str = "base",
+        hosts: int = 1,
+    ) -> None:
         self._tier, self._hosts = tier, hosts
         self._name, self._doors, self._volumes, self._every, self.count = name, doors, volumes, every, count
         self._random, self._number = Random(name), 0
@@ -286,17 +304,23 @@
 
     async def _exchange(
         self, line: tuple[asyncio.StreamReader, asyncio.StreamWriter], volume: int, token: str, tries: int
-    ) -> str:  # fmt: skip
+    ) -> str:
         """How it ended; ``crossed`` where the connection ended before a byte of the answer."""
         (reader, writer), got = line, b""
         path, ident = f"/api/{volume:016x}/{self._number:016x}", f"{self._name}-{self._number}-{tries}"
         lines = [
-            f"{'PUT' if token else 'GET'} {path} HTTP/1.1", "Host: x", f"Req-Id: {ident}",
-            f"Req-Kind: {'write' if token else 'read'}", f"Tier: {self._tier}",
+            f"{'PUT' if token else 'GET'} {path} HTTP/1.1",
+            "Host: x",
+            f"Req-Id: {ident}",
+            f"Req-Kind: {'write' if token else 'read'}",
+            f"Tier: {self._tier}",
             f"Req-Deadline: {DEADLINE / 1000:.3f}",
-            f"IO-Info: units=1,shard={volume % SHARDS},hosts={self._hosts}", "Content-Length: 0",
-            *([f"Idempotency-Key: {token}"] if token else []), "", "",
-        ]  # fmt: skip
+            f"IO-Info: units=1,shard={volume % SHARDS},hosts={self._hosts}",
+            "Content-Length: 0",
+            *([f"Idempotency-Key: {token}"] if token else []),
+            "",
+            "",
+        ]
         try:
             writer.write("\r\n".join(lines).encode())
             async with asyncio.timeout(GIVES_UP):
--- a/sabledyke/lease/calls.py
+++ b/sabledyke/lease/calls.py
@@ -14,9 +14,13 @@
 ) -> HTTPResponse:
     """The answer with status 200, or Tornado's HTTPError; ``patience`` in seconds is for all of it."""
     future = client.fetch(
-        url, method="POST", body=body, headers=dict(headers or {}), connect_timeout=patience,
+        url,
+        method="POST",
+        body=body,
+        headers=dict(headers or {}),
+        connect_timeout=patience,
         request_timeout=patience,
-    )  # fmt: skip
+    )
     future.add_done_callback(_heard)
     return await asyncio.shield(future)  # given up, it ends by its own time-out, with nobody to tell
 
--- a/sabledyke/lease/duties.py
+++ b/sabledyke/lease/duties.py
@@ -32,8 +32,6 @@
 Act = Callable[[Keeper], Awaitable[None]]
 
 
-
-
 async def pass_fence(target: Target, duty: str, token: int) -> None:
     """Show the record's database this token; Refused where it has seen a later one."""
     session = await connect(target, create=False)
--- a/sabledyke/lease/holder.py
+++ b/sabledyke/lease/holder.py
@@ -222,7 +222,13 @@
     elif not times.counts:
         due = max(now, min(due, since + _wait(state, times)))
     state = replace(
-        state, phase=Phase.WATCHING, until=-inf, acting=False, stamp=sight.stamp, free=sight.free,
-        since=since, due=due,
-    )  # fmt: skip
+        state,
+        phase=Phase.WATCHING,
+        until=-inf,
+        acting=False,
+        stamp=sight.stamp,
+        free=sight.free,
+        since=since,
+        due=due,
+    )
     return state, [], news
--- a/sabledyke/lease/keeper.py
+++ b/sabledyke/lease/keeper.py
@@ -32,8 +32,6 @@
     return lambda: boottime() * rate + offset
 
 
-
-
 class Keeper:
     """One instance's hold on one lease."""
 
--- a/sabledyke/lease/part.py
+++ b/sabledyke/lease/part.py
@@ -29,6 +29,7 @@
 
     return EtcdAuthority(section.etcd, section.prefix, section.times.ttl, section.times.renew / CALLS)
 
+
 CALLS = 4  # calls to etcd that fit into the time for one ask
 
 
@@ -70,8 +71,10 @@
         """See ``parts.Part``."""
         new = operator.lease
         if new is None or (new.path, new.etcd, new.prefix) != (
-            self._section.path, self._section.etcd, self._section.prefix
-        ):  # fmt: skip
+            self._section.path,
+            self._section.etcd,
+            self._section.prefix,
+        ):
             raise ConfigError("the lease authority differs, which takes a restart")
 
     def retold(self, operator: Operator) -> None:
--- a/sabledyke/lease/section.py
+++ b/sabledyke/lease/section.py
@@ -109,9 +109,7 @@
         address(endpoint)
     times = Times(ttl=said.ttl_ms, renew=said.renew_ms, margin=said.margin_ms, drift=said.drift)
     duties = tuple(_duty(row, f"lease.duty[{i}]", record) for i, row in enumerate(said.duty))
-    section = Section(
-        said.path, said.etcd, said.prefix, times, duties, said.clock.offset_ms, said.clock.rate
-    )
+    section = Section(said.path, said.etcd, said.prefix, times, duties, said.clock.offset_ms, said.clock.rate)
     _check(section)
     return section
 
--- a/sabledyke/lease/table.py
+++ b/sabledyke/lease/table.py
@@ -49,9 +49,7 @@
     " WHERE leases.token = $5::bigint AND leases.beat = $6::bigint RETURNING token"
 )
 MINE = "WHERE duty = $1::text AND holder = $2::text AND token = $3::bigint"
-RENEW = (
-    f"UPDATE leases SET beat = beat + 1, ttl = $4::bigint, seen = $5::bigint {MINE} RETURNING recall"
-)
+RENEW = f"UPDATE leases SET beat = beat + 1, ttl = $4::bigint, seen = $5::bigint {MINE} RETURNING recall"
 FREED = "UPDATE leases SET beat = beat + 1, holder = '', recall = 0"
 RELEASE = f"{FREED} {MINE} RETURNING token"
 RECALL = "UPDATE leases SET recall = 1 WHERE duty = $1::text AND holder <> '' RETURNING holder, token"
--- a/sabledyke/lease/terms.py
+++ b/sabledyke/lease/terms.py
@@ -116,8 +116,6 @@
     done: int  # when the duty was last done, in Unix ms; 0 for never
 
 
-
-
 class Authority(Protocol):
     """Who keeps the leases: it does each ask as one step, or not at all."""
 
--- a/sabledyke/net/httpfront.py
+++ b/sabledyke/net/httpfront.py
@@ -21,9 +21,14 @@
     """A connection: a request at a time, each answered before the next is looked at."""
 
     def __init__(
-        self, front: Front, stream: streams.Stream, reader: Reader, ids: Ids, submit: Submit,
+        self,
+        front: Front,
+        stream: streams.Stream,
+        reader: Reader,
+        ids: Ids,
+        submit: Submit,
         depart: Callable[[int], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__(stream)
         self._front, self._reader, self._ids, self._submit, self._depart = front, reader, ids, submit, depart
         self._parser = Parser()
--- a/sabledyke/net/listener.py
+++ b/sabledyke/net/listener.py
@@ -14,10 +14,20 @@
 # The connection that was to be accepted has failed, or the call was interrupted: the next one may be well.
 # Linux hands on errors of the network that wait on the new connection (accept(2), "Error handling").
 NEXT_ONE = {
-    errno.ECONNABORTED, errno.EINTR, errno.EPERM, errno.EPROTO, errno.ENOPROTOOPT, errno.EOPNOTSUPP,
-    errno.ENETDOWN, errno.ENETUNREACH, errno.EHOSTDOWN, errno.EHOSTUNREACH, errno.ENONET, errno.ETIMEDOUT,
+    errno.ECONNABORTED,
+    errno.EINTR,
+    errno.EPERM,
+    errno.EPROTO,
+    errno.ENOPROTOOPT,
+    errno.EOPNOTSUPP,
+    errno.ENETDOWN,
+    errno.ENETUNREACH,
+    errno.EHOSTDOWN,
+    errno.EHOSTUNREACH,
+    errno.ENONET,
+    errno.ETIMEDOUT,
     errno.ECONNRESET,
-}  # fmt: skip
+}
 ACCEPT_AGAIN = 0.05  # seconds until the next try, where the system has no descriptor or memory for one more
 LAST_TRIES = 40  # such tries of a listener that closes
 
--- a/sabledyke/net/nvmefront.py
+++ b/sabledyke/net/nvmefront.py
@@ -18,9 +18,13 @@
     """One queue of a host."""
 
     def __init__(
-        self, front: Front, stream: streams.Stream, translator: Translator, submit: Submit,
+        self,
+        front: Front,
+        stream: streams.Stream,
+        translator: Translator,
+        submit: Submit,
         depart: Callable[[int], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__(stream)
         self._front, self._translator, self._submit, self._depart = front, translator, submit, depart
         self.target = Target(translator.subsystem)
--- a/sabledyke/net/nvmelink.py
+++ b/sabledyke/net/nvmelink.py
@@ -26,7 +26,7 @@
     connect,
     property_get,
     property_set,
-)  # fmt: skip
+)
 
 KEEP_ALIVE = 15000  # ms without a command after which a box may end the association
 ENABLE = 1 | 6 << 16 | 4 << 20  # CC: enabled, entries of 64 and 16 bytes
@@ -185,9 +185,14 @@
     """Opens I/O queues."""
 
     def __init__(
-        self, settings: api.Settings, translator: Translator, boxes: dict[api.NodeId, str], host_nqn: str,
-        connect: Connect = plain, slack: float = 0.0,
-    ) -> None:  # fmt: skip
+        self,
+        settings: api.Settings,
+        translator: Translator,
+        boxes: dict[api.NodeId, str],
+        host_nqn: str,
+        connect: Connect = plain,
+        slack: float = 0.0,
+    ) -> None:
         self._connect, self._slack = connect, slack  # ms that the way may take beyond a connection
         self.settings, self._translator, self._boxes = settings, translator, boxes
         self._host = uuid.uuid4().bytes, host_nqn
@@ -200,9 +205,11 @@
             if known is not None:
                 known.close()
             known = self._associations[node] = _Association(
-                address, self._boxes[node], self._host,
+                address,
+                self._boxes[node],
+                self._host,
                 lambda where, ms: self._connect(node, where, self.settings.connect_timeout, ms),
-            )  # fmt: skip
+            )
         within = min(patience, self.settings.connect_timeout + self._slack)
         async with asyncio.timeout(within / 1000):
             channel = await known.queue(within)
--- a/sabledyke/net/nvmepart.py
+++ b/sabledyke/net/nvmepart.py
@@ -28,8 +28,12 @@
         self.dialer = NvmeDialer(
             settings, translator, self._boxes, section.host_nqn, host.connect, host.slack
         )
-        self._front = Front("NVMe", section.connections, lambda front, stream: NvmeClient(
-            front, stream, translator, host.submit, host.depart), host.room)  # fmt: skip
+        self._front = Front(
+            "NVMe",
+            section.connections,
+            lambda front, stream: NvmeClient(front, stream, translator, host.submit, host.depart),
+            host.room,
+        )
 
     def dialers(self) -> dict[api.NodeId, Dial]:
         """See ``parts.Part``."""
--- a/sabledyke/net/pool.py
+++ b/sabledyke/net/pool.py
@@ -91,9 +91,7 @@
 class Pool:
     """The core's transport: keeps at most ``most`` connections and opens them with ``dial``."""
 
-    def __init__(
-        self, settings: api.Settings, report: Report, most: int, dial: Dial, permit: Permit
-    ) -> None:
+    def __init__(self, settings: api.Settings, report: Report, most: int, dial: Dial, permit: Permit) -> None:
         self.settings, self._report, self.most, self._dial = settings, report, most, dial
         self._permit = permit
         self._addresses: dict[api.NodeId, Address] = {}
--- a/sabledyke/net/server.py
+++ b/sabledyke/net/server.py
@@ -65,10 +65,13 @@
     """One scheduler."""
 
     def __init__(
-        self, config: Config, operator: Operator | None = None, times: Times = Times(),  # noqa: B008
+        self,
+        config: Config,
+        operator: Operator | None = None,
+        times: Times = Times(),  # noqa: B008
         reread: Callable[[Config], Config] = lambda config: config,
         reread_operator: Callable[[api.Settings], Operator | None] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.config, self.operator, self._times, self._reread = config, operator, times, reread
         self._reread_operator = reread_operator
         self._loop = asyncio.get_running_loop()
@@ -101,8 +104,12 @@
             transport = part.transport(transport)
         self.core = Core(settings, config.seed, transport, self.watch, self._wake)
         ids = Ids()
-        http = Front("HTTP", 0, lambda front, stream: HttpClient(
-            front, stream, self._reader, ids, self._submit, self._depart), self._room)  # fmt: skip
+        http = Front(
+            "HTTP",
+            0,
+            lambda front, stream: HttpClient(front, stream, self._reader, ids, self._submit, self._depart),
+            self._room,
+        )
         more = [front for part in self.parts for front in part.fronts()]
         self.fronts = [http, *(front for front, _ in more)]
         for front in self.fronts:
@@ -118,18 +125,26 @@
         if operator is None:
             return []
         host = Host(
-            self.config, self._room, lambda node: self.core.nodes[node],
-            lambda work, done: self._submit(work, done), self._depart, self._reach,
+            self.config,
+            self._room,
+            lambda node: self.core.nodes[node],
+            lambda work, done: self._submit(work, done),
+            self._depart,
+            self._reach,
             lambda node: self.pool.warm(node),
-            lambda: self.takes_clients, self._stop.is_set, self.reload, lambda: self.leave(planned=True),
+            lambda: self.takes_clients,
+            self._stop.is_set,
+            self.reload,
+            lambda: self.leave(planned=True),
             lambda: self.core.figures.told,
             lambda node: self.core.busy(node),
             lambda entries: self._learn(api.NodeList(api.ListKind.DELTA, 0, tuple(entries)), {}),
-        )  # fmt: skip
+        )
         made = [
             getattr(importlib.import_module(module), name)(host, operator)
-            for module, name, asked in PARTS if asked(operator)
-        ]  # fmt: skip
+            for module, name, asked in PARTS
+            if asked(operator)
+        ]
         return [part for part in made if part is not None]
 
     def _share_out(self, config: Config) -> None:
@@ -287,9 +302,7 @@
     async def finish(self) -> None:
         """Serve on for as long as the kill leaves time, answer all that was taken, and close."""
         longest = max(c.deadline for c in self.config.settings.classes) / 1000
-        plan = Departure(
-            self._loop.time(), longest, self.config.seed, self._times, planned=self._planned
-        )
+        plan = Departure(self._loop.time(), longest, self.config.seed, self._times, planned=self._planned)
         self._departure, last = plan, Phase.OPEN
         for front in self.fronts:
             front.departure = plan
--- a/sabledyke/net/streams.py
+++ b/sabledyke/net/streams.py
@@ -191,6 +191,18 @@
 
 
 __all__ = [
-    "READ", "IOStream", "Inbox", "Room", "Stream", "StreamClosedError", "StreamLink", "abort", "connect",
-    "departed", "half_close", "permits", "quiet", "stop_reading",
-]  # fmt: skip
+    "READ",
+    "IOStream",
+    "Inbox",
+    "Room",
+    "Stream",
+    "StreamClosedError",
+    "StreamLink",
+    "abort",
+    "connect",
+    "departed",
+    "half_close",
+    "permits",
+    "quiet",
+    "stop_reading",
+]
--- a/sabledyke/net/watch.py
+++ b/sabledyke/net/watch.py
@@ -24,9 +24,13 @@
     """Discovery as the core asks it."""
 
     def __init__(
-        self, address: tuple[str, int], settings: api.Settings, since: int | None,
-        report: Callable[[Listing | None], None], seed: int = 0,
-    ) -> None:  # fmt: skip
+        self,
+        address: tuple[str, int],
+        settings: api.Settings,
+        since: int | None,
+        report: Callable[[Listing | None], None],
+        seed: int = 0,
+    ) -> None:
         self._address, self._settings, self._report = address, settings, report
         self._versions = Versions(since)
         self._task: asyncio.Task[None] | None = None
--- a/sabledyke/protocol/blocks.py
+++ b/sabledyke/protocol/blocks.py
@@ -22,7 +22,7 @@
     Subsystem,
     retry_delay,
     transfer,
-)  # fmt: skip
+)
 
 RETRY = 100.0  # ms of delay that a refused command is told where the module gave no advice
 _PREFIX = 4  # bytes before an HTTP object in its blocks: its length + 1, 0 where none was written
@@ -69,12 +69,21 @@
         size = command.blocks * BLOCK
         token = (f"{command.cdw2:016x}" if command.cdw2 else secrets.token_hex(8)) if write else ""
         return Work(
-            class_=v.write_class if write else v.read_class, plan=v.plan, volume=v.volume, key=command.slba,
+            class_=v.write_class if write else v.read_class,
+            plan=v.plan,
+            volume=v.volume,
+            key=command.slba,
             units=max(1.0, min(self.settings.most_units, -(-size // v.unit_bytes))),
-            shard=v.stripe[command.slba // v.stripe_blocks % len(v.stripe)], hosts=v.hosts,
-            remaining=v.write_deadline if write else v.read_deadline, repeated=False, write=write,
-            ident=secrets.token_hex(8), token=token, body=data, length=0 if write else size,
-        )  # fmt: skip
+            shard=v.stripe[command.slba // v.stripe_blocks % len(v.stripe)],
+            hosts=v.hosts,
+            remaining=v.write_deadline if write else v.read_deadline,
+            repeated=False,
+            write=write,
+            ident=secrets.token_hex(8),
+            token=token,
+            body=data,
+            length=0 if write else size,
+        )
 
     def completion(self, command: Command, answer: Answer) -> tuple[Completion, bytes]:
         """The final answer as a host reads it: refused work may be tried again, failed work may not."""
--- a/sabledyke/protocol/discovery.py
+++ b/sabledyke/protocol/discovery.py
@@ -16,8 +16,6 @@
 _STATES = {"ready": api.NodeState.READY, "draining": api.NodeState.DRAINING, "gone": api.NodeState.GONE}
 
 
-
-
 @dataclass(slots=True, frozen=True)
 class Listing:
     """A list and where its nodes are to be dialled."""
--- a/sabledyke/protocol/gateway.py
+++ b/sabledyke/protocol/gateway.py
@@ -17,8 +17,14 @@
 _METHODS = ("GET", "PUT")  # a read and a write
 MOST_USE = 1e9  # units, percent of a rate or a report's figure: more than any box can mean
 MOST_IDS = 16384  # ids that are remembered at a time
-_REPORT = {"concurrent": "inflight", "mean_ms": "latency_ms", "depth": "queue", "load_share": "util",
-           "tps": "qps", "err_ps": "eps"}  # fmt: skip
+_REPORT = {
+    "concurrent": "inflight",
+    "mean_ms": "latency_ms",
+    "depth": "queue",
+    "load_share": "util",
+    "tps": "qps",
+    "err_ps": "eps",
+}
 
 
 class Reader:
@@ -60,12 +66,22 @@
         units, hosts = min(units, self._settings.most_units), min(hosts, self._settings.hosts)
         remaining = min(remaining, self._settings.classes[class_].deadline)
         return Work(
-            class_=class_, plan=self._plans[tier], volume=int(parts[-2], 16),
-            key=int(parts[-1], 16), units=units, shard=shard, hosts=hosts, remaining=remaining,
-            repeated=headers.get("req-retry") == "1", write=message.method != "GET", ident=ident,
-            token=headers.get("idempotency-key", ""), method=message.method, target=message.target,
+            class_=class_,
+            plan=self._plans[tier],
+            volume=int(parts[-2], 16),
+            key=int(parts[-1], 16),
+            units=units,
+            shard=shard,
+            hosts=hosts,
+            remaining=remaining,
+            repeated=headers.get("req-retry") == "1",
+            write=message.method != "GET",
+            ident=ident,
+            token=headers.get("idempotency-key", ""),
+            method=message.method,
+            target=message.target,
             body=message.body,
-        )  # fmt: skip
+        )
 
     def ended(self, message: Message) -> Ended:
         """What a box's answer says of the attempt (PROTOCOL's table of outcomes)."""
@@ -78,9 +94,13 @@
             how, ran = Outcome.ERROR, True
         used, others = (_figure(name, headers.get(name)) for name in ("volume-load", "other-hosts"))
         return Ended(
-            how, ran, message.body, 0 if used is None else used + 1, others or 0,
+            how,
+            ran,
+            message.body,
+            0 if used is None else used + 1,
+            others or 0,
             self._load(headers.get("srv-load", "")),
-        )  # fmt: skip
+        )
 
     def _load(self, text: str) -> tuple[float, ...]:
         if not text or not self._fields:
--- a/sabledyke/protocol/http.py
+++ b/sabledyke/protocol/http.py
@@ -217,11 +217,18 @@
 
 
 REASONS = {
-    100: "Continue", 200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
-    500: "Internal Server Error", 503: "Service Unavailable",
-}  # fmt: skip
-
+    100: "Continue",
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 
 
 def encode_request(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes) -> bytes:
--- a/sabledyke/protocol/nvme.py
+++ b/sabledyke/protocol/nvme.py
@@ -37,11 +37,23 @@
 
 
 HEADERS = {
-    Pdu.IC_REQ: 128, Pdu.IC_RESP: 128, Pdu.H2C_TERM: 24, Pdu.C2H_TERM: 24, Pdu.COMMAND: 72,
-    Pdu.RESPONSE: 24, Pdu.H2C_DATA: 24, Pdu.C2H_DATA: 24, Pdu.R2T: 24,
-}  # fmt: skip
-_WITH_DATA = {Pdu.H2C_TERM: 128, Pdu.C2H_TERM: 128, Pdu.COMMAND: IN_CAPSULE, Pdu.H2C_DATA: MAX_DATA,
-              Pdu.C2H_DATA: MAX_DATA}  # fmt: skip
+    Pdu.IC_REQ: 128,
+    Pdu.IC_RESP: 128,
+    Pdu.H2C_TERM: 24,
+    Pdu.C2H_TERM: 24,
+    Pdu.COMMAND: 72,
+    Pdu.RESPONSE: 24,
+    Pdu.H2C_DATA: 24,
+    Pdu.C2H_DATA: 24,
+    Pdu.R2T: 24,
+}
+_WITH_DATA = {
+    Pdu.H2C_TERM: 128,
+    Pdu.C2H_TERM: 128,
+    Pdu.COMMAND: IN_CAPSULE,
+    Pdu.H2C_DATA: MAX_DATA,
+    Pdu.C2H_DATA: MAX_DATA,
+}
 
 
 class Op(IntEnum):
@@ -162,9 +174,17 @@
     def pack(self) -> bytes:
         """Its 64 bytes; flags say that an SGL is used."""
         return _SQE.pack(
-            self.opcode, 0x40, self.cid, self.nsid, self.cdw2, 0, self.sgl_address, self.sgl_length,
-            self.sgl_type, *self.cdw10,
-        )  # fmt: skip
+            self.opcode,
+            0x40,
+            self.cid,
+            self.nsid,
+            self.cdw2,
+            0,
+            self.sgl_address,
+            self.sgl_length,
+            self.sgl_type,
+            *self.cdw10,
+        )
 
     @classmethod
     def unpack(cls, data: bytes) -> Command:
@@ -393,8 +413,12 @@
             return self._end(command, Status.OK)
         ready = self.controller.enabled and not self.controller.config >> 14 & 3
         status = int(ready) | (2 << 2 if self.controller.config >> 14 & 3 else 0)  # ready; shutdown complete
-        values = {Prop.CAP: CAPABILITIES, Prop.VS: VERSION, Prop.CC: self.controller.config,
-                  Prop.CSTS: status}  # fmt: skip
+        values = {
+            Prop.CAP: CAPABILITIES,
+            Prop.VS: VERSION,
+            Prop.CC: self.controller.config,
+            Prop.CSTS: status,
+        }
         if offset not in values:
             return self._end(command, Status.INVALID_FIELD)
         return self._end(command, Status.OK, values[Prop(offset)])
@@ -630,5 +654,3 @@
     unit_access = 1 << 30 if opcode is Op.WRITE else 0
     words = (slba & 0xFFFFFFFF, slba >> 32, size // BLOCK - 1 | unit_access, 0, 0, 0)
     return Command(opcode, 0, nsid, key, sgl_length=size, cdw10=words)
-
-
--- a/sabledyke/recovery/departure.py
+++ b/sabledyke/recovery/departure.py
@@ -45,7 +45,13 @@
     """One scheduler's leaving; ``until`` is when all that it takes has to be answered."""
 
     def __init__(
-        self, told: float, longest: float, seed: int, times: Times = Times(), *, planned: bool = False  # noqa: B008
+        self,
+        told: float,
+        longest: float,
+        seed: int,
+        times: Times = Times(),  # noqa: B008
+        *,
+        planned: bool = False,
     ) -> None:
         self._times, self._random, self._planned = times, random.Random(seed), planned
         self._door = told + times.linger
--- a/sabledyke/rollout/part.py
+++ b/sabledyke/rollout/part.py
@@ -181,8 +181,11 @@
         me = self._me_as(state)
         known = seen.members.get(self._name)
         if known is None or (known.life, known.version, known.site, known.state) != (
-            me.life, me.version, me.site, me.state
-        ):  # fmt: skip
+            me.life,
+            me.version,
+            me.site,
+            me.state,
+        ):
             await write(self._pen, Move(state.value, (me,)))
             seen = await self._look()
         if (due := self._participant.due(seen)) is not None:
--- a/sabledyke/rollout/section.py
+++ b/sabledyke/rollout/section.py
@@ -93,9 +93,7 @@
         return None
     said = convert(data, RolloutTable, "rollout")
     patience = Patience(said.silent_ms, said.back_ms, said.soak_ms)
-    return Section(
-        said.site, said.version, said.wants, said.every_ms, said.beat_ms, said.valid_ms, patience
-    )
+    return Section(said.site, said.version, said.wants, said.every_ms, said.beat_ms, said.valid_ms, patience)
 
 
 def load_plan(path: str) -> Plan:
@@ -111,10 +109,20 @@
     said = convert(data, PlanTable, "plan")
     budget, retires = said.budget, bool(said.retire)
     plan = Plan(
-        said.name, said.members, budget.most, budget.per_site, budget.share, said.to, said.before,
-        said.canary, said.settings, () if retires else said.boxes, said.gone, said.retire,
+        said.name,
+        said.members,
+        budget.most,
+        budget.per_site,
+        budget.share,
+        said.to,
+        said.before,
+        said.canary,
+        said.settings,
+        () if retires else said.boxes,
+        said.gone,
+        said.retire,
         said.boxes if retires else (),
-    )  # fmt: skip
+    )
     if not plan.name:
         raise OperatorError("plan.name is missing")
     if plan.retire and (plan.members or plan.to):
--- a/sabledyke/rollout/terms.py
+++ b/sabledyke/rollout/terms.py
@@ -250,9 +250,13 @@
         if name == EPOCH:
             return self.epoch.offset if self.epoch else 0
         tables: Mapping[str, Mapping[str, Record]] = {
-            "member": self.members, "plan": self.plans, "ask": self.asks, "ticket": self.tickets,
-            "drain": self.drains, "clear": self.clears,
-        }  # fmt: skip
+            "member": self.members,
+            "plan": self.plans,
+            "ask": self.asks,
+            "ticket": self.tickets,
+            "drain": self.drains,
+            "clear": self.clears,
+        }
         found = tables[kind].get(rest)
         return found.offset if found is not None else 0
 
--- a/sabledyke/rules.py
+++ b/sabledyke/rules.py
@@ -242,11 +242,14 @@
             wait = self.now + 2 * TICK < job.soon and not self.spent(job)
             return self.limbo.append(job) if wait else self.refuse(job)
         # A new object goes where it is served soonest; a silent or cold node is the last choice.
-        node = min(ready, key=lambda n: (
-            (warm := self.warmth(n)) < MILD or n.dark < inf or self.bears(job, n)[1] <= job.luck,
-            (n.window + n.inflight + len(n.held)) * n.lat / n.window / (1.01 - n.failing) / warm,
-            self.random.random(),
-        ))  # fmt: skip
+        node = min(
+            ready,
+            key=lambda n: (
+                (warm := self.warmth(n)) < MILD or n.dark < inf or self.bears(job, n)[1] <= job.luck,
+                (n.window + n.inflight + len(n.held)) * n.lat / n.window / (1.01 - n.failing) / warm,
+                self.random.random(),
+            ),
+        )
         self.roll(node)
         node.asked += job.ask.units
         if not job.sent and not self.admit(job, node):
--- a/sabledyke/settings.py
+++ b/sabledyke/settings.py
@@ -82,18 +82,31 @@
         except ValueError as fault:
             raise SettingsError(f"setting {p}semantics or {p}group: {fault}") from None
         return api.RequestClass(
-            raw(p + "name"), num(p + "aim"), num(p + "hard_limit"), num(p + "credit"),
-            num(p + "late_worth", 0.0), repeat, group, num(p + "window", 0.0), flag(p + "stream", False),
-            flag(p + "keep_order", False), i < len(writes) and writes[i] == "true",
-        )  # fmt: skip
+            raw(p + "name"),
+            num(p + "aim"),
+            num(p + "hard_limit"),
+            num(p + "credit"),
+            num(p + "late_worth", 0.0),
+            repeat,
+            group,
+            num(p + "window", 0.0),
+            flag(p + "stream", False),
+            flag(p + "keep_order", False),
+            i < len(writes) and writes[i] == "true",
+        )
 
     def plan(i: int) -> api.Plan:
         p = f"grades.{i}."
         return api.Plan(
-            raw(p + "name"), num(p + "usual_rate"), num(p + "floor_rate", 0.0), num(p + "ceiling_rate", 0.0),
-            num(p + "limit_burst", 0.0), num(p + "slack", 0.0), num(p + "proportion", 1.0),
+            raw(p + "name"),
+            num(p + "usual_rate"),
+            num(p + "floor_rate", 0.0),
+            num(p + "ceiling_rate", 0.0),
+            num(p + "limit_burst", 0.0),
+            num(p + "slack", 0.0),
+            num(p + "proportion", 1.0),
             num(p + "worth_factor", 1.0),
-        )  # fmt: skip
+        )
 
     return api.Settings(
         me=int(num("me")),
--- a/sabledyke/sites/retire.py
+++ b/sabledyke/sites/retire.py
@@ -72,9 +72,11 @@
         held[home.member] = held.get(home.member, 0.0) + load
     for home in going[:BATCH]:
         load = total.get(home.name, 0.0)
-        to = plan.retire if plan.stage is Stage.BACK else destination(
-            home.name, load, home.site, map_, used, _closed(seen)
-        )  # fmt: skip
+        to = (
+            plan.retire
+            if plan.stage is Stage.BACK
+            else destination(home.name, load, home.site, map_, used, _closed(seen))
+        )
         ready = [m.name for m in seen.members.values() if m.site == to and m.state is State.READY]
         who = member(home.name, load, ready, held) if to is not None else None
         if to is None or who is None:
--- a/sabledyke/sites/section.py
+++ b/sabledyke/sites/section.py
@@ -40,9 +40,7 @@
             raise OperatorError(f"{where}.between must name two sites of sites.room, not {list(pair)}")
         one, other = pair
         if distance.get((one, other), ms) != ms:
-            raise OperatorError(
-                f"{where}: {one} and {other} are {distance[one, other]:g} ms apart elsewhere"
-            )
+            raise OperatorError(f"{where}: {one} and {other} are {distance[one, other]:g} ms apart elsewhere")
         distance[one, other] = distance[other, one] = ms
     for one, other in combinations(sorted(room), 2):
         if (one, other) not in distance:
--- a/sabledyke/store/faults.py
+++ b/sabledyke/store/faults.py
@@ -46,21 +46,39 @@
         self.kind, self.uncertain = kind, uncertain
 
 
-
-
 _STATES = {
-    "40001": Kind.CONFLICT, "40P01": Kind.CONFLICT, "53300": Kind.CROWDED, "53100": Kind.FULL,
-    "53200": Kind.FULL, "57P01": Kind.ENDING, "57P02": Kind.ENDING, "57P03": Kind.ENDING, "57014": Kind.STALL,
-    "55P03": Kind.STALL, "25006": Kind.READ_ONLY, "28P01": Kind.PASSWORD, "28000": Kind.PASSWORD,
-    "XX001": Kind.CORRUPT, "XX002": Kind.CORRUPT, "23514": Kind.FENCED, "3D000": Kind.LOST,
-    "42P01": Kind.SCHEMA, "42703": Kind.SCHEMA,
-}  # fmt: skip
+    "40001": Kind.CONFLICT,
+    "40P01": Kind.CONFLICT,
+    "53300": Kind.CROWDED,
+    "53100": Kind.FULL,
+    "53200": Kind.FULL,
+    "57P01": Kind.ENDING,
+    "57P02": Kind.ENDING,
+    "57P03": Kind.ENDING,
+    "57014": Kind.STALL,
+    "55P03": Kind.STALL,
+    "25006": Kind.READ_ONLY,
+    "28P01": Kind.PASSWORD,
+    "28000": Kind.PASSWORD,
+    "XX001": Kind.CORRUPT,
+    "XX002": Kind.CORRUPT,
+    "23514": Kind.FENCED,
+    "3D000": Kind.LOST,
+    "42P01": Kind.SCHEMA,
+    "42703": Kind.SCHEMA,
+}
 _CODES = {
-    sqlite3.SQLITE_BUSY: Kind.STALL, sqlite3.SQLITE_LOCKED: Kind.STALL, sqlite3.SQLITE_INTERRUPT: Kind.STALL,
-    sqlite3.SQLITE_READONLY: Kind.READ_ONLY, sqlite3.SQLITE_PERM: Kind.READ_ONLY,
-    sqlite3.SQLITE_FULL: Kind.FULL, sqlite3.SQLITE_CORRUPT: Kind.CORRUPT, sqlite3.SQLITE_NOTADB: Kind.CORRUPT,
-    sqlite3.SQLITE_CANTOPEN: Kind.LOST, sqlite3.SQLITE_IOERR: Kind.LOST,
-}  # fmt: skip
+    sqlite3.SQLITE_BUSY: Kind.STALL,
+    sqlite3.SQLITE_LOCKED: Kind.STALL,
+    sqlite3.SQLITE_INTERRUPT: Kind.STALL,
+    sqlite3.SQLITE_READONLY: Kind.READ_ONLY,
+    sqlite3.SQLITE_PERM: Kind.READ_ONLY,
+    sqlite3.SQLITE_FULL: Kind.FULL,
+    sqlite3.SQLITE_CORRUPT: Kind.CORRUPT,
+    sqlite3.SQLITE_NOTADB: Kind.CORRUPT,
+    sqlite3.SQLITE_CANTOPEN: Kind.LOST,
+    sqlite3.SQLITE_IOERR: Kind.LOST,
+}
 
 
 def of_state(sqlstate: str, text: str) -> StoreFault:
--- a/sabledyke/store/journal.py
+++ b/sabledyke/store/journal.py
@@ -16,10 +16,25 @@
 
 def link(head: str, instance: str, seq: int, life: int, entry: Entry) -> str:
     """The hash of an entry, in hex, after the chain's ``head`` ('' for the first)."""
-    return _hash(head, [
-        instance, seq, life, entry.at, entry.began, entry.class_, entry.volume, entry.key, entry.piece,
-        entry.shard, entry.box, float(entry.units), entry.digest, entry.outcome,
-    ])  # fmt: skip
+    return _hash(
+        head,
+        [
+            instance,
+            seq,
+            life,
+            entry.at,
+            entry.began,
+            entry.class_,
+            entry.volume,
+            entry.key,
+            entry.piece,
+            entry.shard,
+            entry.box,
+            float(entry.units),
+            entry.digest,
+            entry.outcome,
+        ],
+    )
 
 
 def _hash(head: str, fields: list[object]) -> str:
--- a/sabledyke/store/keeper.py
+++ b/sabledyke/store/keeper.py
@@ -34,7 +34,7 @@
     Intent,
     Position,
     Sent,
-)  # fmt: skip
+)
 
 DRIFTS = 64  # findings of drift that may wait for a batch
 FORGET_EVERY = 1000.0  # ms between batches that also drop what is too old
@@ -169,8 +169,14 @@
     @property
     def size(self) -> int:
         """Entries in all tables, for what watches their bounds."""
-        return (len(self._writes) + len(self._asking) + len(self._waiting) + len(self._entries)
-                + len(self._settles) + len(self._drifts))  # fmt: skip
+        return (
+            len(self._writes)
+            + len(self._asking)
+            + len(self._waiting)
+            + len(self._entries)
+            + len(self._settles)
+            + len(self._drifts)
+        )
 
     # Attempts.
 
--- a/sabledyke/store/postgres.py
+++ b/sabledyke/store/postgres.py
@@ -50,10 +50,17 @@
         """Connect; a StoreFault where that cannot be done in time."""
         try:
             connection = await asyncpg.connect(
-                host=where.host, port=where.port, user=where.user, password=where.password or None,
-                database=where.database, ssl=where.tls, timeout=where.connect, statement_cache_size=64,
-                server_settings={"application_name": "sabledyke"}, passfile="/dev/null",
-            )  # fmt: skip
+                host=where.host,
+                port=where.port,
+                user=where.user,
+                password=where.password or None,
+                database=where.database,
+                ssl=where.tls,
+                timeout=where.connect,
+                statement_cache_size=64,
+                server_settings={"application_name": "sabledyke"},
+                passfile="/dev/null",
+            )
         except asyncpg.PostgresError as fault:
             raise faults.of_state(fault.sqlstate or "", str(fault)) from None
         except TimeoutError:
--- a/sabledyke/store/recorder.py
+++ b/sabledyke/store/recorder.py
@@ -61,9 +61,12 @@
     """See the module's text; one for a server."""
 
     def __init__(
-        self, keeper: Keeper, opener: Opener, settings: api.Settings,
+        self,
+        keeper: Keeper,
+        opener: Opener,
+        settings: api.Settings,
         entry: Callable[[api.NodeId], api.NodeEntry],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.keeper, self.settings = keeper, settings
         self._opener, self._entry = opener, entry
         self.report: Report
@@ -143,11 +146,18 @@
         work, now = asked.work, clock.now()
         at = work.sent_to
         entry = Entry(
-            at=int(now), began=int(asked.began), class_=self.settings.classes[work.class_].name,
-            volume=f"{work.volume:016x}", key=token_of(work), piece=f"{work.key:016x}",
-            shard=at.shard if at else work.shard, box=api.name_of(at.node) if at else "", units=work.units,
-            digest=asked.digest, outcome=outcome,
-        )  # fmt: skip
+            at=int(now),
+            began=int(asked.began),
+            class_=self.settings.classes[work.class_].name,
+            volume=f"{work.volume:016x}",
+            key=token_of(work),
+            piece=f"{work.key:016x}",
+            shard=at.shard if at else work.shard,
+            box=api.name_of(at.node) if at else "",
+            units=work.units,
+            digest=asked.digest,
+            outcome=outcome,
+        )
         self._do(self.keeper.finished(now, asked.name, entry, ticket, asked.deadline))
         self._kick()
 
@@ -162,8 +172,11 @@
         done(answer)
 
     def _differs(self, found: Drift) -> None:
-        log.say("drift", f"{found.box} shows volume {found.volume} piece {found.piece} with digest"
-                f" {found.got[:12]}, where {found.wanted[:12]} was written")  # fmt: skip
+        log.say(
+            "drift",
+            f"{found.box} shows volume {found.volume} piece {found.piece} with digest"
+            f" {found.got[:12]}, where {found.wanted[:12]} was written",
+        )
         self.keeper.drifted(found)
         self._kick()
 
--- a/sabledyke/store/section.py
+++ b/sabledyke/store/section.py
@@ -107,9 +107,14 @@
     """The section, checked; None where it asks for nothing."""
     said = convert(data, StoreTable, "store")
     limits = Limits(
-        said.stall_ms, said.give_up_ms, said.first_wait_ms, said.longest_wait_ms, said.backlog, said.batch,
+        said.stall_ms,
+        said.give_up_ms,
+        said.first_wait_ms,
+        said.longest_wait_ms,
+        said.backlog,
+        said.batch,
         float(said.gather_ms),
-    )  # fmt: skip
+    )
     record = _target(said, "store", environ.get(PASSWORD, ""))
     boxes = tuple(_box(row, f"store.box[{i}]", environ) for i, row in enumerate(said.box))
     return Section(record, limits, said.keep_s * 1000.0, boxes) if record or boxes else None
@@ -147,9 +152,13 @@
     if file:
         password = read_password(file)
     return Target(
-        host=parts.hostname, port=port, database=unquote(parts.path.strip("/")) or unquote(parts.username),
-        user=unquote(parts.username), password=password, tls=tls,
-    )  # fmt: skip
+        host=parts.hostname,
+        port=port,
+        database=unquote(parts.path.strip("/")) or unquote(parts.username),
+        user=unquote(parts.username),
+        password=password,
+        tls=tls,
+    )
 
 
 def read_password(path: str) -> str:
--- a/sabledyke/store/sqllink.py
+++ b/sabledyke/store/sqllink.py
@@ -225,8 +225,11 @@
                 await asyncio.sleep(0.01)
             finally:
                 self._give()
-        log.say("box", f"{api.name_of(self._box.box.node)} lost a commit's answer: it {doubt.verdict.value}"
-                f" after {doubt.tries} questions")  # fmt: skip
+        log.say(
+            "box",
+            f"{api.name_of(self._box.box.node)} lost a commit's answer: it {doubt.verdict.value}"
+            f" after {doubt.tries} questions",
+        )
         match doubt.verdict:
             case Verdict.SERVED:
                 return Ended(Outcome.OK, True, doubt.result)
--- a/sabledyke/store/statements.py
+++ b/sabledyke/store/statements.py
@@ -101,17 +101,19 @@
 
 # Walks, a page at a time: an audit or a copy of millions of rows holds one page in memory.
 PAGE = 2000
-JOURNAL_COLUMNS = ("instance, seq, life, at, began, class, volume, token, piece, shard, box, units, digest,"
-                   " outcome, hash")  # fmt: skip
+JOURNAL_COLUMNS = (
+    "instance, seq, life, at, began, class, volume, token, piece, shard, box, units, digest," " outcome, hash"
+)
 JOURNAL_PAGE = (
     f"SELECT {JOURNAL_COLUMNS} FROM journal WHERE instance = $1::text AND seq > $2::bigint"
     f" ORDER BY seq LIMIT {PAGE}"
 )
 LIVES = "SELECT instance, life, batch, seq, head FROM lives ORDER BY instance"
 COUNT = {
-    "writes": "SELECT count(*) FROM writes", "journal": "SELECT count(*) FROM journal",
+    "writes": "SELECT count(*) FROM writes",
+    "journal": "SELECT count(*) FROM journal",
     "drift": "SELECT count(*) FROM drift",
-}  # fmt: skip
+}
 WRITES_PAGE = (
     "SELECT name, at, shard, zone, state, instance, life FROM writes WHERE name > $1::text"
     f" ORDER BY name LIMIT {PAGE}"
@@ -174,15 +176,35 @@
         out.append(Step(INTENT, rows))
     if batch.entries:
         first = batch.before.seq + 1
-        out.append(Step(JOURNAL, [
-            (instance, first + i, life, e.at, e.began, e.class_, e.volume, e.key, e.piece, e.shard, e.box,
-             e.units, e.digest, e.outcome, h)
-            for i, (e, h) in enumerate(zip(batch.entries, batch.hashes, strict=True))
-        ]))  # fmt: skip
+        out.append(
+            Step(
+                JOURNAL,
+                [
+                    (
+                        instance,
+                        first + i,
+                        life,
+                        e.at,
+                        e.began,
+                        e.class_,
+                        e.volume,
+                        e.key,
+                        e.piece,
+                        e.shard,
+                        e.box,
+                        e.units,
+                        e.digest,
+                        e.outcome,
+                        h,
+                    )
+                    for i, (e, h) in enumerate(zip(batch.entries, batch.hashes, strict=True))
+                ],
+            )
+        )
     if batch.drifts:
-        out.append(Step(DRIFT, [
-            (instance, d.at, d.volume, d.piece, d.box, d.wanted, d.got) for d in batch.drifts
-        ]))  # fmt: skip
+        out.append(
+            Step(DRIFT, [(instance, d.at, d.volume, d.piece, d.box, d.wanted, d.got) for d in batch.drifts])
+        )
     if batch.forget_before:
         out.append(Step(FORGET, [(batch.forget_before,)]))
     return out
--- a/sabledyke/tls/layer.py
+++ b/sabledyke/tls/layer.py
@@ -38,9 +38,13 @@
     use."""
 
     def __init__(
-        self, context: ssl.SSLContext, *, server: bool = False, name: str | None = None,
+        self,
+        context: ssl.SSLContext,
+        *,
+        server: bool = False,
+        name: str | None = None,
         session: ssl.SSLSession | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
         self._tls = context.wrap_bio(self._in, self._out, server, name, session)
         self.state = State.HANDSHAKE
@@ -145,7 +149,7 @@
     "SSLV3_ALERT_CERTIFICATE_EXPIRED": "it finds our certificate expired",
     "TLSV1_ALERT_UNKNOWN_CA": "it does not know who signed our certificate",
     "SSLV3_ALERT_HANDSHAKE_FAILURE": "it agrees to no way of encryption",
-}  # fmt: skip
+}
 
 
 def in_words(fault: ssl.SSLError) -> str:
--- a/sabledyke/tls/part.py
+++ b/sabledyke/tls/part.py
@@ -147,7 +147,10 @@
         """What a box bears, and how many schedulers come to it, by the settings in force."""
         s, section = config.settings, self._section
         return Terms(
-            siblings=s.hosts, cold_share=s.cold_share, warm_up=s.warm_up, part=section.part,
+            siblings=s.hosts,
+            cold_share=s.cold_share,
+            warm_up=s.warm_up,
+            part=section.part,
             cores=section.cores,
         )
 
--- a/sabledyke/tls/section.py
+++ b/sabledyke/tls/section.py
@@ -129,14 +129,20 @@
     """The section, checked but for the files' contents."""
     said = convert(data, TlsTable, "tls")
     return Section(
-        fronts=said.front.fronts, clients=said.front.client_certificates,
+        fronts=said.front.fronts,
+        clients=said.front.client_certificates,
         rights={row.name: row.rights() for row in said.front.client},
         paths=Paths(said.chain, said.key, said.roots, said.revoked),
-        name=said.name, boxes=tuple(b.encode() for b in said.boxes),
-        warm=said.warm, allow_12=said.allow_tls_1_2,
-        look=float(said.look_s), overlap=float(said.overlap_s),
-        handshake=said.handshake_ms, part=said.handshake_percent / 100, cores=float(said.box_cores),
-    )  # fmt: skip
+        name=said.name,
+        boxes=tuple(b.encode() for b in said.boxes),
+        warm=said.warm,
+        allow_12=said.allow_tls_1_2,
+        look=float(said.look_s),
+        overlap=float(said.overlap_s),
+        handshake=said.handshake_ms,
+        part=said.handshake_percent / 100,
+        cores=float(said.box_cores),
+    )
 
 
 def load(path: str) -> Section:
--- a/sabledyke/tls/stream.py
+++ b/sabledyke/tls/stream.py
@@ -88,8 +88,9 @@
         """What the layer itself has to say: alerts, key updates."""
         out = self.layer.out
         if out and not self._inner.closed():
-            asyncio.ensure_future(self._inner.write(out)).add_done_callback(lambda f: f.cancelled() or
-            f.exception())
+            asyncio.ensure_future(self._inner.write(out)).add_done_callback(
+                lambda f: f.cancelled() or f.exception()
+            )
 
     def _news(self) -> None:
         if not self._has_told and (session := self.layer.session) is not None:
--- a/sabledyke/typed.py
+++ b/sabledyke/typed.py
@@ -24,9 +24,13 @@
 Milliseconds = Annotated[float, Meta(gt=0)]
 _KINDS: dict[type, str] = {list: "array", dict: "object"}
 KINDS = {
-    "int": "a whole number", "float": "a number", "str": "a text", "bool": "true or false",
-    "array": "a list", "object": "a table",
-}  # fmt: skip
+    "int": "a whole number",
+    "float": "a number",
+    "str": "a text",
+    "bool": "true or false",
+    "array": "a list",
+    "object": "a table",
+}
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,19 +20,46 @@
 HELD = api.Plan("held", 5, 5, 0, 0, 0, 2, 1)
 CAPPED = api.Plan("capped", 5, 0, 10, 32, 8, 1, 1)
 SETTINGS = api.Settings(
-    me=0, hosts=2, zone=0, zones=("a", "b"), classes=(READ, WRITE), plans=(FREE, HELD, CAPPED),
-    asks_list=False, max_attempts=3, second_copies=True, may_cancel=True,
-    may_probe=True, max_retry_after=500, mean_units=2,
-    most_units=8, share_worth=0.3, spare_worth=0.05, cold_units=20, cold_share=0.25, warm_up=10000,
-    fall_window=2000, answer_slack=8, order_rest=300, budget_window=0, budget_free=0, budget_share=0,
-    tells_others=False, meter_period=0, report_fields=(),
-)  # fmt: skip
+    me=0,
+    hosts=2,
+    zone=0,
+    zones=("a", "b"),
+    classes=(READ, WRITE),
+    plans=(FREE, HELD, CAPPED),
+    asks_list=False,
+    max_attempts=3,
+    second_copies=True,
+    may_cancel=True,
+    may_probe=True,
+    max_retry_after=500,
+    mean_units=2,
+    most_units=8,
+    share_worth=0.3,
+    spare_worth=0.05,
+    cold_units=20,
+    cold_share=0.25,
+    warm_up=10000,
+    fall_window=2000,
+    answer_slack=8,
+    order_rest=300,
+    budget_window=0,
+    budget_free=0,
+    budget_share=0,
+    tells_others=False,
+    meter_period=0,
+    report_fields=(),
+)
 T = TypeVar("T")
 BRISK = Times(linger=0.1, longest=0.6, grace=0.4, margin=0.1, last=0.1, parting=0.2, haste=0.2)  # 0.9 s
 
 
-def node(n: int, shard: int | None = None, started: float = 0, zone: int = 0,
-         state: api.NodeState = api.NodeState.READY) -> api.NodeEntry:  # fmt: skip
+def node(
+    n: int,
+    shard: int | None = None,
+    started: float = 0,
+    zone: int = 0,
+    state: api.NodeState = api.NodeState.READY,
+) -> api.NodeEntry:
     return api.NodeEntry(
         bytes([10, 0, 0, n, 0, 80]), n if shard is None else shard, zone, 0, started, 1, state
     )
@@ -75,15 +102,31 @@
         self.now = end
         return self.log[start:]
 
-    def ask(self, shard: int = 1, plan: int = 0, class_: int = 0, units: float = 2, key: int = 0,
-            volume: int = 1, remaining: float | None = None, hosts: float = 1) -> int:  # fmt: skip
+    def ask(
+        self,
+        shard: int = 1,
+        plan: int = 0,
+        class_: int = 0,
+        units: float = 2,
+        key: int = 0,
+        volume: int = 1,
+        remaining: float | None = None,
+        hosts: float = 1,
+    ) -> int:
         self.ids += 1
         left = self.scheduler.s.classes[class_].deadline if remaining is None else remaining
         self.do(api.Request(self.ids, class_, plan, key, left, volume, units, shard, hosts, False, False))
         return self.ids
 
-    def end(self, rid: int, how: api.Outcome = api.Outcome.OK, took: float = 20, where: int = 1,
-            attempt: int | None = None, over: bool | None = None) -> list[api.Action]:  # fmt: skip
+    def end(
+        self,
+        rid: int,
+        how: api.Outcome = api.Outcome.OK,
+        took: float = 20,
+        where: int = 1,
+        attempt: int | None = None,
+        over: bool | None = None,
+    ) -> list[api.Action]:
         number = self.tries[rid] - 1 if attempt is None else attempt
         done = how is api.Outcome.OK if over is None else over
         return self.do(api.Attempted(rid, node(where).node, number, how, done, took, 0, 0, ()))
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -100,10 +100,18 @@
         self.indent: int | None = None  # lists may come indented
 
     def add(self, name: str, port: int, shard: int) -> None:
-        self.hosts.append({
-            "host": name, "dial": f"127.0.0.1:{port}", "site": "a", "class": "m", "block": shard,
-            "health": "ready", "share": 1.0, "born_ms": 0,
-        })  # fmt: skip
+        self.hosts.append(
+            {
+                "host": name,
+                "dial": f"127.0.0.1:{port}",
+                "site": "a",
+                "class": "m",
+                "block": shard,
+                "health": "ready",
+                "share": 1.0,
+                "born_ms": 0,
+            }
+        )
 
     def listing(self) -> dict[str, Any]:
         return {"seq": 1, "whole": True, "hosts": self.hosts}
@@ -180,9 +188,15 @@
         return {0x00: 1 << 37, 0x1C: 1}[words[1]] if kind == 4 else 0
 
     async def _io(
-        self, reader: Reader, writer: Writer, opcode: int, cid: int, nsid: int, key: int,
+        self,
+        reader: Reader,
+        writer: Writer,
+        opcode: int,
+        cid: int,
+        nsid: int,
+        key: int,
         words: tuple[int, ...],
-    ) -> int:  # fmt: skip
+    ) -> int:
         slba, count = words[0] | words[1] << 32, (words[2] & 0xFFFF) + 1
         if opcode == 2:
             data = b"".join(self.blocks.get((nsid, slba + i), bytes(512)) for i in range(count))
@@ -249,9 +263,17 @@
         return queue
 
     async def command(
-        self, queue: tuple[Reader, Writer], opcode: int, nsid: int = 0, *, key: int = 0, payload: bytes = b"",
-        inside: bytes = b"", size: int = 0, words: tuple[int, ...] = (),
-    ) -> tuple[int, bytes]:  # fmt: skip
+        self,
+        queue: tuple[Reader, Writer],
+        opcode: int,
+        nsid: int = 0,
+        *,
+        key: int = 0,
+        payload: bytes = b"",
+        inside: bytes = b"",
+        size: int = 0,
+        words: tuple[int, ...] = (),
+    ) -> tuple[int, bytes]:
         """Its status field without the phase bit, and what was read; Dword 0 is left in ``result``."""
         reader, writer = queue
         self._cid += 1
--- a/tests/standins/keys.py
+++ b/tests/standins/keys.py
@@ -23,13 +23,18 @@
         now = datetime.now(UTC)
         usage = x509.KeyUsage(True, False, False, False, False, True, True, False, False)
         made = (
-            x509.CertificateBuilder().subject_name(self._name).issuer_name(self._name)
-            .public_key(self._key.public_key()).serial_number(x509.random_serial_number())
-            .not_valid_before(now - DAY).not_valid_after(now + timedelta(days=days))
-            .add_extension(x509.BasicConstraints(True, None), True).add_extension(usage, True)
+            x509.CertificateBuilder()
+            .subject_name(self._name)
+            .issuer_name(self._name)
+            .public_key(self._key.public_key())
+            .serial_number(x509.random_serial_number())
+            .not_valid_before(now - DAY)
+            .not_valid_after(now + timedelta(days=days))
+            .add_extension(x509.BasicConstraints(True, None), True)
+            .add_extension(usage, True)
             .add_extension(x509.SubjectKeyIdentifier.from_public_key(self._key.public_key()), False)
             .sign(self._key, hashes.SHA256())
-        )  # fmt: skip
+        )
         self.root = made.public_bytes(Encoding.PEM)
         self._certificate = made
 
@@ -47,14 +52,17 @@
         made = (
             x509.CertificateBuilder()
             .subject_name(x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, names[0])]))
-            .issuer_name(self._name).public_key(key.public_key())
+            .issuer_name(self._name)
+            .public_key(key.public_key())
             .serial_number(x509.random_serial_number())
-            .not_valid_before(now + timedelta(days=begin)).not_valid_after(now + timedelta(days=days))
-            .add_extension(x509.SubjectAlternativeName(alternative), False).add_extension(uses, False)
+            .not_valid_before(now + timedelta(days=begin))
+            .not_valid_after(now + timedelta(days=days))
+            .add_extension(x509.SubjectAlternativeName(alternative), False)
+            .add_extension(uses, False)
             .add_extension(x509.BasicConstraints(False, None), True)
             .add_extension(x509.AuthorityKeyIdentifier.from_issuer_subject_key_identifier(known), False)
             .sign(self._key, hashes.SHA256())
-        )  # fmt: skip
+        )
         pem = key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
         return made.public_bytes(Encoding.PEM), pem
 
--- a/tests/standins/postgres.py
+++ b/tests/standins/postgres.py
@@ -252,8 +252,12 @@
             self._error(fault)
             await self._flush()
             return False
-        for name, value in (("server_version", "16.0"), ("client_encoding", "UTF8"),
-                            ("standard_conforming_strings", "on"), ("TimeZone", "UTC")):  # fmt: skip
+        for name, value in (
+            ("server_version", "16.0"),
+            ("client_encoding", "UTF8"),
+            ("standard_conforming_strings", "on"),
+            ("TimeZone", "UTC"),
+        ):
             self._say(b"S", f"{name}\0{value}\0".encode())
         self._say(b"K", struct.pack("!II", self.number, self._secret))
         self._ready()
@@ -435,9 +439,15 @@
 
 def _told(fault: sqlite3.Error) -> PgError:
     text = str(fault)
-    for words, state in (("no such table", "42P01"), ("no such column", "42703"), ("UNIQUE", "23505"),
-                         ("CHECK", "23514"), ("already exists", "42P07"), ("duplicate column", "42701"),
-                         ("readonly", "25006")):  # fmt: skip
+    for words, state in (
+        ("no such table", "42P01"),
+        ("no such column", "42703"),
+        ("UNIQUE", "23505"),
+        ("CHECK", "23514"),
+        ("already exists", "42P07"),
+        ("duplicate column", "42701"),
+        ("readonly", "25006"),
+    ):
         if words in text:
             return PgError(state, text)
     return PgError("XX000", text)
--- a/tests/test_attempt_recheck.py
+++ b/tests/test_attempt_recheck.py
@@ -68,9 +68,15 @@
 
 @pytest.mark.parametrize(
     ("meanwhile", "goes"),
-    [(leaves, False), (drains, False), (is_gone, False), (starts_anew, False), (has_no_time, False),
-     (is_late, True)],
-)  # fmt: skip
+    [
+        (leaves, False),
+        (drains, False),
+        (is_gone, False),
+        (starts_anew, False),
+        (has_no_time, False),
+        (is_late, True),
+    ],
+)
 def test_an_attempt_is_looked_at_again_in_the_turn_that_writes_it(meanwhile: Act, goes: bool) -> None:
     """A connection to a storage node comes up late: what was decided then may not hold any more."""
 
--- a/tests/test_lease_cluster.py
+++ b/tests/test_lease_cluster.py
@@ -44,10 +44,12 @@
     "cut": Case.of(*(Fault(0.5 + i / 2, "cut", "holder", 0.2) for i in range(6)), changes=False),
     "restart": Case.of(Fault(1.0, "restart_authority", 0, 0.5), changes=False),
 }
-ALL = {(backend, name): replace(case, experiment=replace(case.experiment, authority=backend))
-       for backend, cases in (("table", CASES | LOCK), ("etcd", CASES | BETWEEN))
-       for name, case in cases.items()}
-       # fmt: skip
+ALL = {
+    (backend, name): replace(case, experiment=replace(case.experiment, authority=backend))
+    for backend, cases in (("table", CASES | LOCK), ("etcd", CASES | BETWEEN))
+    for name, case in cases.items()
+}
+
 UNFENCED = replace(PLAIN, faults=LATE, fenced=False)
 
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -216,11 +216,15 @@
     )
     out = [
         subprocess.run(
-            [sys.executable, "-c", code], cwd=ROOT, env={**os.environ, "PYTHONHASHSEED": seed},
-            capture_output=True, text=True, check=True,
+            [sys.executable, "-c", code],
+            cwd=ROOT,
+            env={**os.environ, "PYTHONHASHSEED": seed},
+            capture_output=True,
+            text=True,
+            check=True,
         ).stdout
         for seed in ("1", "2")
-    ]  # fmt: skip
+    ]
     assert out[0] == out[1] and "Send" in out[0]
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -27,9 +27,13 @@
 
 KEYED = replace(WRITE, aim=900, repeat=api.Repeat.DEDUPLICATED, group=api.Group.CELL, repeat_window=1500)
 DEPLOYMENT = replace(
-    SETTINGS, classes=(replace(READ, aim=900), KEYED), plans=(replace(HELD, name="gold"), HELD),
-    asks_list=True, hosts=1, kinds=("m",),
-)  # fmt: skip
+    SETTINGS,
+    classes=(replace(READ, aim=900), KEYED),
+    plans=(replace(HELD, name="gold"), HELD),
+    asks_list=True,
+    hosts=1,
+    kinds=("m",),
+)
 NVME = f"""
 [nvme]
 listen = "127.0.0.1:1"
@@ -128,9 +132,12 @@
 
 def test_bad_bytes_harm_only_their_sender() -> None:
     async def story(rig: Rig) -> None:
-        for text, status in (("no http\n\n", 400), (GET.format("zz", "i", ""), 400),
-                             (PUT.format(1, "i", "Content-Length: 99999\n"), 413),
-                             ("GET / HTTP/1.1\nX: " + "x" * 20000 + "\n\n", 431)):  # fmt: skip
+        for text, status in (
+            ("no http\n\n", 400),
+            (GET.format("zz", "i", ""), 400),
+            (PUT.format(1, "i", "Content-Length: 99999\n"), 413),
+            ("GET / HTTP/1.1\nX: " + "x" * 20000 + "\n\n", 431),
+        ):
             assert (await ask(rig.port, text))[0] == status
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.nvme_port)
         writer.write(bytes([77]) * 200)
@@ -140,10 +147,15 @@
     play(story)
 
 
-@pytest.mark.parametrize(("answer", "status", "tries"), [
-    (http(500), 500, 3), (http(503, b"", "Srv-Declined: 1"), 503, 3), (b"garbage\r\n\r\n", 500, 3),
-    (None, 500, 3),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("answer", "status", "tries"),
+    [
+        (http(500), 500, 3),
+        (http(503, b"", "Srv-Declined: 1"), 503, 3),
+        (b"garbage\r\n\r\n", 500, 3),
+        (None, 500, 3),
+    ],
+)
 def test_a_failed_write_stays_within_its_attempts(answer: bytes | None, status: int, tries: int) -> None:
     async def story(rig: Rig) -> None:
         async def say(_: object) -> bytes | None:
@@ -631,8 +643,16 @@
     return {"seq": version, "whole": whole, "hosts": [host | of]}
 
 
-HOST = {"host": "plain", "dial": "127.0.0.1:1", "site": "a", "class": "m", "block": 0, "health": "ready",
-        "share": 1.0, "born_ms": 0}  # fmt: skip
+HOST = {
+    "host": "plain",
+    "dial": "127.0.0.1:1",
+    "site": "a",
+    "class": "m",
+    "block": 0,
+    "health": "ready",
+    "share": 1.0,
+    "born_ms": 0,
+}
 DRAINS = change(HOST, 2, health="draining")
 GONE = change(HOST, 3, health="gone")
 
@@ -645,24 +665,35 @@
         (True, [DRAINS, DRAINS, GONE], ["READY", "DRAINING", "GONE"]),  # repeated: set aside, and said once
         # Silent from the first byte on, after a change, in the middle of an answer: asked anew, and no more.
         (True, [bytearray(), DRAINS, bytearray(), GONE], ["READY", "DRAINING", "GONE"]),
-        (True, [DRAINS, bytearray(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"), GONE],
-         ["READY", "DRAINING", "GONE"]),
+        (
+            True,
+            [DRAINS, bytearray(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"), GONE],
+            ["READY", "DRAINING", "GONE"],
+        ),
         (True, [DRAINS, b'{"seq": 3, "whole": false, "hosts": [', GONE], ["READY", "DRAINING", None, "GONE"]),
         # Older than what is held, or out of order: set aside, and the whole list is asked for.
         (True, [GONE, DRAINS, change(HOST, 4, True)], ["READY", "GONE", None, "READY"]),
         # An older whole list is taken once a second call brings one too: it counts from the start.
         (True, [GONE, change(HOST, 1, True), change(HOST, 1, True)], ["READY", "GONE", None, "READY"]),
-        (True, [change(HOST, 2, born_ms=5.0), change(HOST, 3, born_ms="nan"), GONE],
-         ["READY", "READY", None, "GONE"]),
+        (
+            True,
+            [change(HOST, 2, born_ms=5.0), change(HOST, 3, born_ms="nan"), GONE],
+            ["READY", "READY", None, "GONE"],
+        ),
         # One garbled entry hides no drain beside it, and nobody is taken for gone.
-        (True, [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINS["hosts"][0]]}, change(HOST, 2, True)],
-         ["READY", "DRAINING", None, "READY"]),
+        (
+            True,
+            [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINS["hosts"][0]]}, change(HOST, 2, True)],
+            ["READY", "DRAINING", None, "READY"],
+        ),
     ],
-)  # fmt: skip
+)
 def test_pushed_lists_are_watched_unasked_and_bad_news_undoes_no_drain(
-    pushed: bool, script: list[dict[str, Any] | bytes | None], states: list[str | None],
+    pushed: bool,
+    script: list[dict[str, Any] | bytes | None],
+    states: list[str | None],
     monkeypatch: pytest.MonkeyPatch,
-) -> None:  # fmt: skip
+) -> None:
     monkeypatch.setattr(watch, "PUSHED", replace(PUSHED, wait=0.05, spare=0.05))
 
     async def run() -> None:
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -65,9 +65,15 @@
 
 
 ANSWERS = {
-    resets: None, closes: None, stops_halfway: None, never_ends: None, closes_early: None,
-    without_length_closed: b"whole", without_length_reset: None, answers_twice: b"good",
-}  # fmt: skip
+    resets: None,
+    closes: None,
+    stops_halfway: None,
+    never_ends: None,
+    closes_early: None,
+    without_length_closed: b"whole",
+    without_length_reset: None,
+    answers_twice: b"good",
+}
 
 
 @pytest.mark.parametrize("keyed", [False, True])
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -237,8 +237,12 @@
         asked, go = held_back(rig)
         open_read = asyncio.create_task(ask(rig.port, GET.format(1, "before", INFO)))
         await asked.wait()
-        rig.config = replace(rig.config, settings=replace(DEPLOYMENT, classes=(*DEPLOYMENT.classes,
-                             replace(read, name="fresh")), max_attempts=2))  # fmt: skip
+        rig.config = replace(
+            rig.config,
+            settings=replace(
+                DEPLOYMENT, classes=(*DEPLOYMENT.classes, replace(read, name="fresh")), max_attempts=2
+            ),
+        )
         rig.server.reload()
         rig.http.answer = None
         named = GET.format(1, "{}", INFO).replace("Req-Kind: read", "Req-Kind: fresh")
--- a/tests/test_outside.py
+++ b/tests/test_outside.py
@@ -27,9 +27,10 @@
 ROOT = Path(__file__).parent.parent
 EXAMPLE = (ROOT / "deploy" / "operator.example.toml").read_text()
 SITE = replace(
-    SETTINGS, classes=(replace(READ, name="lettura"), replace(WRITE, name="scontrino")),
+    SETTINGS,
+    classes=(replace(READ, name="lettura"), replace(WRITE, name="scontrino")),
     plans=(replace(FREE, name="base"), replace(FREE, name="cassa-prima")),
-)  # fmt: skip
+)
 
 
 def nested() -> dict[str, Any]:
@@ -78,8 +79,15 @@
 
 def setup(tmp_path: Path, **changes: Any) -> dict[str, str]:
     known = {"seq": 41, "whole": True, "hosts": []}
-    data = {"name": "n3", "listen": "127.0.0.1:8080", "discovery": "127.0.0.1:8500", "seed": "8c1f",
-            "limits": {"sockets": 1024}, "known": known, "settings": nested()} | changes  # fmt: skip
+    data = {
+        "name": "n3",
+        "listen": "127.0.0.1:8080",
+        "discovery": "127.0.0.1:8500",
+        "seed": "8c1f",
+        "limits": {"sockets": 1024},
+        "known": known,
+        "settings": nested(),
+    } | changes
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(data))
     return {"GW_CONFIG": str(path), "GW_LISTEN": "127.0.0.1:9090"}
@@ -110,18 +118,29 @@
         assert (got.discovery[1], got.listen[1]) == (port, 9090)
 
 
-@pytest.mark.parametrize(("changes", "says"), [
-    ({"listen": 5, "discovery": None}, "discovery"), ({"settings": {}}, "setting me"),
-    ({"seed": "x"}, "seed"), ({"limits": {"sockets": 3}}, "limits.sockets"), ({"known": []}, "list"),
-    ({"settings": None}, "settings"),
-    ({"settings": nested() | {"siblings": 0}}, "hosts"), ({"discovery": "nowhere"}, "nowhere"),
-    ({"console": 8}, "console"), ({"console": "no-port"}, "no-port"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("changes", "says"),
+    [
+        ({"listen": 5, "discovery": None}, "discovery"),
+        ({"settings": {}}, "setting me"),
+        ({"seed": "x"}, "seed"),
+        ({"limits": {"sockets": 3}}, "limits.sockets"),
+        ({"known": []}, "list"),
+        ({"settings": None}, "settings"),
+        ({"settings": nested() | {"siblings": 0}}, "hosts"),
+        ({"discovery": "nowhere"}, "nowhere"),
+        ({"console": 8}, "console"),
+        ({"console": "no-port"}, "no-port"),
+    ],
+)
 def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, changes: dict[str, Any], says: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-O", "-m", "sabledyke"], cwd=ROOT, capture_output=True, text=True,
+        [sys.executable, "-O", "-m", "sabledyke"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
         env={**os.environ, **setup(tmp_path, **changes)},
-    )  # fmt: skip
+    )
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and not done.stdout
     assert done.stderr.startswith("sabledyke: ") and says in done.stderr
 
@@ -143,12 +162,20 @@
     assert got.volumes[0].plan == 1 and got.volumes[0].write_class == 1 and got.volumes[0].stripe == (0, 3)
 
 
-@pytest.mark.parametrize(("old", "new", "says"), [
-    ('"cassa-prima"', '"gold"', "grade"), ("namespace = 1", "namespace = 0", "namespace"),
-    ("[0, 3]", "[]", "stripe"), ("unit_bytes", "unit_byte", "unit_byte"), ("5000", "-1", "read_deadline_ms"),
-    ('listen = "127.0.0.1:4420"', 'listen = "x"', "address"), ("blocks = 2097152", 'blocks = "9"', "blocks"),
-    ("[store]", "[stores]", "stores"), ('nqn = "nqn.2026-12.example:magazzino-lodi"', "", "nqn"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("old", "new", "says"),
+    [
+        ('"cassa-prima"', '"gold"', "grade"),
+        ("namespace = 1", "namespace = 0", "namespace"),
+        ("[0, 3]", "[]", "stripe"),
+        ("unit_bytes", "unit_byte", "unit_byte"),
+        ("5000", "-1", "read_deadline_ms"),
+        ('listen = "127.0.0.1:4420"', 'listen = "x"', "address"),
+        ("blocks = 2097152", 'blocks = "9"', "blocks"),
+        ("[store]", "[stores]", "stores"),
+        ('nqn = "nqn.2026-12.example:magazzino-lodi"', "", "nqn"),
+    ],
+)
 def test_a_bad_operators_file_says_where(old: str, new: str, says: str) -> None:
     assert EXAMPLE.count(old)
     with pytest.raises((operator.OperatorError, ListError), match=says):
@@ -170,9 +197,12 @@
         port = free.getsockname()[1]
     environment = {**os.environ, **setup(tmp_path), "GW_LISTEN": f"127.0.0.1:{port}"}
     program = subprocess.Popen(
-        [sys.executable, "-O", "-m", "sabledyke"], cwd=ROOT, env=environment, text=True,
+        [sys.executable, "-O", "-m", "sabledyke"],
+        cwd=ROOT,
+        env=environment,
+        text=True,
         stderr=subprocess.PIPE,
-    )  # fmt: skip
+    )
     assert program.stderr is not None
     assert f"n3 serves at 127.0.0.1:{port}" in program.stderr.readline()
     with urllib.request.urlopen(f"http://127.0.0.1:{port}/_health", timeout=10) as answer:
@@ -192,14 +222,19 @@
     return settings
 
 
-@pytest.mark.parametrize("spoil", [
-    lambda p: _cut(p, b""), lambda p: _cut(p, (p / "config.json").read_bytes()[:-40]),
-    lambda p: setup(p, settings={k: v for k, v in nested().items() if k != "ceilings"}),
-    lambda p: setup(p, settings=_profile(hard_limit=0)), lambda p: setup(p, settings=_profile(hard_limit=-5)),
-    lambda p: setup(p, settings=_profile(hard_limit="soon")),
-    lambda p: setup(p, settings=nested() | {"ceilings": nested()["ceilings"] | {"try_limit": 0}}),
-    lambda p: setup(p, settings=nested() | {"ceilings": nested()["ceilings"] | {"try_limit": "x"}}),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "spoil",
+    [
+        lambda p: _cut(p, b""),
+        lambda p: _cut(p, (p / "config.json").read_bytes()[:-40]),
+        lambda p: setup(p, settings={k: v for k, v in nested().items() if k != "ceilings"}),
+        lambda p: setup(p, settings=_profile(hard_limit=0)),
+        lambda p: setup(p, settings=_profile(hard_limit=-5)),
+        lambda p: setup(p, settings=_profile(hard_limit="soon")),
+        lambda p: setup(p, settings=nested() | {"ceilings": nested()["ceilings"] | {"try_limit": 0}}),
+        lambda p: setup(p, settings=nested() | {"ceilings": nested()["ceilings"] | {"try_limit": "x"}}),
+    ],
+)
 def test_a_file_read_again_is_turned_down_whole(tmp_path: Path, spoil: Any) -> None:
     environ = setup(tmp_path)
     before = config.load(environ)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -22,7 +22,7 @@
     Parser,
     encode_request,
     encode_response,
-)  # fmt: skip
+)
 from tests.helpers import FIXED, SETTINGS, SIZES, pieces, spoilt
 
 REQUESTS = encode_request("PUT", "/api/1/2?x", [("Req-Id", "a"), ("X", "")], b"body") + encode_request(
@@ -31,11 +31,31 @@
 CHUNKS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0A\r\n0123456789\r\n"
 CHUNKS += b"0\r\nT: v\r\n\r\n"
 RESPONSES = b"HTTP/1.1 100 Continue\r\n\r\n" + CHUNKS + encode_response(503, [("Srv-Declined", "1")], b"no")
-LIST = orjson.dumps({"seq": 4, "whole": False, "hosts": [
-    {"host": "s1", "dial": "127.0.0.1:80", "site": "b", "class": "m", "block": 3, "health": "ready",
-     "share": 1, "born_ms": 12}]})  # fmt: skip
-HEADERS = {"req-id": "x", "req-kind": "read", "tier": "free", "req-deadline": "0.5",
-           "io-info": "units=2,shard=5,hosts=2"}  # fmt: skip
+LIST = orjson.dumps(
+    {
+        "seq": 4,
+        "whole": False,
+        "hosts": [
+            {
+                "host": "s1",
+                "dial": "127.0.0.1:80",
+                "site": "b",
+                "class": "m",
+                "block": 3,
+                "health": "ready",
+                "share": 1,
+                "born_ms": 12,
+            }
+        ],
+    }
+)
+HEADERS = {
+    "req-id": "x",
+    "req-kind": "read",
+    "tier": "free",
+    "req-deadline": "0.5",
+    "io-info": "units=2,shard=5,hosts=2",
+}
 JSON = st.recursive(st.none() | st.integers(-9, 9) | st.text(max_size=3), st.lists)
 NQN = "nqn.test"
 
@@ -194,9 +214,14 @@
         target.feed(nvme.pdu(nvme.Pdu.COMMAND, read.pack()))
 
 
-@pytest.mark.parametrize("head", [
-    b"HTTP/1.1 100 Continue\r\n\r\n" * 1500, b"HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
-], ids=["interim", "old and chunked"])  # fmt: skip  # one without a length ends with its connection
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"HTTP/1.1 100 Continue\r\n\r\n" * 1500,
+        b"HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+    ],
+    ids=["interim", "old and chunked"],
+)  # one without a length ends with its connection
 def test_an_answer_whose_end_cannot_be_told_is_an_error(head: bytes) -> None:
     with pytest.raises(HttpError):
         http(Parser(responses=True), [head])
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -219,9 +219,18 @@
     "boxes": 'boxes = ["b0", "b1"]',
 }
 WORDS = (
-    ("status",), ("halt", "good"), ("resume", "good"), ("resume", "good"), ("back", "nothing"),
-    ("forget", "n0"), ("forget", "n2"), ("forget", "n2"), ("back", "good"), ("halt", "boxes"), ("status",),
-)  # fmt: skip
+    ("status",),
+    ("halt", "good"),
+    ("resume", "good"),
+    ("resume", "good"),
+    ("back", "nothing"),
+    ("forget", "n0"),
+    ("forget", "n2"),
+    ("forget", "n2"),
+    ("back", "good"),
+    ("halt", "boxes"),
+    ("status",),
+)
 
 
 def test_what_operators_are_told_is_as_approved(
--- a/tests/test_store_keeper.py
+++ b/tests/test_store_keeper.py
@@ -58,8 +58,25 @@
     def audit(self) -> journal.Audit:
         walk = journal.Audit("n0")
         for seq, life, e, told in self.journal:
-            walk.row(("n0", seq, life, e.at, e.began, e.class_, e.volume, e.key, e.piece, e.shard, e.box,
-                      e.units, e.digest, e.outcome, told))  # fmt: skip
+            walk.row(
+                (
+                    "n0",
+                    seq,
+                    life,
+                    e.at,
+                    e.began,
+                    e.class_,
+                    e.volume,
+                    e.key,
+                    e.piece,
+                    e.shard,
+                    e.box,
+                    e.units,
+                    e.digest,
+                    e.outcome,
+                    told,
+                )
+            )
         walk.end(self.position)
         return walk
 
@@ -80,9 +97,10 @@
         self.keeper = Keeper("n0", LIMITS, self.random.randrange(99), 1e9)
         since = self.now - KEYED.repeat_window
         recent = [
-            (name, Found(sent, state)) for name, (sent, state, _) in self.database.writes.items()
+            (name, Found(sent, state))
+            for name, (sent, state, _) in self.database.writes.items()
             if state != NEVER and sent.at >= since
-        ]  # fmt: skip
+        ]
         self.keeper.opened(self.database.start(), recent, self.now + KEYED.repeat_window)
         self.attempts: dict[tuple[int, int], tuple[str, int, bool]] = {}  # waiting or out: name, cell, out
         self.tickets: dict[int, str] = {}
--- a/tests/test_store_record.py
+++ b/tests/test_store_record.py
@@ -280,8 +280,10 @@
 
     async def story(made: StoreRig) -> None:
         assert made.rows("SELECT name, state FROM writes ORDER BY name") == [
-            ("1/1/never", "never"), ("1/1/new", "sent"), ("1/1/old", "unknown"),
-        ]  # fmt: skip
+            ("1/1/never", "never"),
+            ("1/1/new", "sent"),
+            ("1/1/old", "unknown"),
+        ]
         assert (await made.put("old"))[0] == 500 and not made.boxes[0].sent  # past its window
         assert (await made.put("never", shard=1))[0] == 200 and (await made.put("new"))[0] == 200
         assert made.rows("SELECT version FROM schema_version") == [(2,)]
@@ -307,9 +309,13 @@
     assert capfd.readouterr().err.count("drift: box-0 shows volume") == 1
 
 
-@pytest.mark.parametrize(("pragma", "back"), [
-    ("max_page_count = 1", "max_page_count = 1000000"), ("query_only = 1", "query_only = 0"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("pragma", "back"),
+    [
+        ("max_page_count = 1", "max_page_count = 1000000"),
+        ("query_only = 1", "query_only = 0"),
+    ],
+)
 def test_a_full_or_read_only_disk_in_service_is_a_stall_and_loses_nothing(
     tmp_path: Path, pragma: str, back: str
 ) -> None:
@@ -336,11 +342,17 @@
     play(tmp_path, "sqlite", story)
 
 
-@pytest.mark.parametrize(("make", "says"), [
-    ("corrupt", "is corrupt"), ("newer", "a schema that this version does not know"),
-    ("folder", "cannot be reached"), ("half", "a restore into it was not finished"),
-    ("password", "refuses the name or password"), ("down", "cannot be reached"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("make", "says"),
+    [
+        ("corrupt", "is corrupt"),
+        ("newer", "a schema that this version does not know"),
+        ("folder", "cannot be reached"),
+        ("half", "a restore into it was not finished"),
+        ("password", "refuses the name or password"),
+        ("down", "cannot be reached"),
+    ],
+)
 def test_a_store_that_cannot_be_used_ends_the_start_in_one_line(tmp_path: Path, make: str, says: str) -> None:
     async def run() -> str:
         made = StoreRig(tmp_path, "sqlite" if make not in ("password", "down") else "postgresql")
--- a/tests/test_store_tools.py
+++ b/tests/test_store_tools.py
@@ -58,16 +58,19 @@
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-@pytest.mark.parametrize(("sql", "says"), [
-    ("SELECT 1", "the chain holds"),
-    ("UPDATE journal SET units = 2 WHERE seq = 7", "entry 7 was changed"),
-    ("UPDATE journal SET outcome = 'failed' WHERE seq = 30", "entry 30 was changed"),
-    ("DELETE FROM journal WHERE seq = 7", "entry 7 is missing"),
-    ("DELETE FROM journal WHERE seq IN (8, 9)", "entries 8 to 9 are missing"),
-    ("DELETE FROM journal WHERE seq > 28", "entries 29 to 30 are missing at the end"),
-    ("UPDATE lives SET seq = 29", "entries 30 to 30 were appended by no batch"),
-    ("DELETE FROM lives", "never started here"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("sql", "says"),
+    [
+        ("SELECT 1", "the chain holds"),
+        ("UPDATE journal SET units = 2 WHERE seq = 7", "entry 7 was changed"),
+        ("UPDATE journal SET outcome = 'failed' WHERE seq = 30", "entry 30 was changed"),
+        ("DELETE FROM journal WHERE seq = 7", "entry 7 is missing"),
+        ("DELETE FROM journal WHERE seq IN (8, 9)", "entries 8 to 9 are missing"),
+        ("DELETE FROM journal WHERE seq > 28", "entries 29 to 30 are missing at the end"),
+        ("UPDATE lives SET seq = 29", "entries 30 to 30 were appended by no batch"),
+        ("DELETE FROM lives", "never started here"),
+    ],
+)
 def test_an_audit_names_what_was_tampered_with(tmp_path: Path, backend: str, sql: str, says: str) -> None:
     async def check(made: StoreRig, said: list[str]) -> None:
         assert await tools.audit(made.target(), said.append)
@@ -134,10 +137,13 @@
 
     said = filled(tmp_path, backend, check)
     assert said[:6] == [
-        "served on record, and not in the journal: 1", "  1/9/lost",
-        "served in the journal, and never sent on record: 1", "  1/1/k0-2",
-        "in doubt: may have run, and nobody was told that it did: 1", "  1/9/open",
-    ]  # fmt: skip
+        "served on record, and not in the journal: 1",
+        "  1/9/lost",
+        "served in the journal, and never sent on record: 1",
+        "  1/1/k0-2",
+        "in doubt: may have run, and nobody was told that it did: 1",
+        "  1/9/open",
+    ]
 
 
 def test_the_commands_on_a_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -194,15 +200,24 @@
     assert got is not None and got.record is None and got.boxes[0].target.password == "p"
 
 
-@pytest.mark.parametrize(("text", "says"), [
-    ('path = "a"\nurl = "postgresql://u@h"', "both"), ('url = "mysql://u@h"', "must read"),
-    ('url = "postgresql://u:hush@h/d"', "holds a password"), ('url = "postgresql://h/d"', "must read"),
-    ('url = "postgresql://u@h:x"', "cannot be read"), ('url = "postgresql://u@h?x=1"', "sslmode"),
-    ('path = "a"\nbatch = 0', "batch"), ('path = "a"\nstall_ms = -1', "stall_ms"), ('pth = "a"', "pth"),
-    ('[[box]]\nhost = "a"', "neither"), ('path = "a"\nfirst_wait_ms = 300\nlongest_wait_ms = 100', "longer"),
-    ('[[box]]\nhost = "a"\npath = "x"\n[[box]]\nhost = "a"\npath = "y"', "same host"),
-    ('url = "postgresql://u@h"\npassword_file = "/nowhere/at/all"', "No such file"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        ('path = "a"\nurl = "postgresql://u@h"', "both"),
+        ('url = "mysql://u@h"', "must read"),
+        ('url = "postgresql://u:hush@h/d"', "holds a password"),
+        ('url = "postgresql://h/d"', "must read"),
+        ('url = "postgresql://u@h:x"', "cannot be read"),
+        ('url = "postgresql://u@h?x=1"', "sslmode"),
+        ('path = "a"\nbatch = 0', "batch"),
+        ('path = "a"\nstall_ms = -1', "stall_ms"),
+        ('pth = "a"', "pth"),
+        ('[[box]]\nhost = "a"', "neither"),
+        ('path = "a"\nfirst_wait_ms = 300\nlongest_wait_ms = 100', "longer"),
+        ('[[box]]\nhost = "a"\npath = "x"\n[[box]]\nhost = "a"\npath = "y"', "same host"),
+        ('url = "postgresql://u@h"\npassword_file = "/nowhere/at/all"', "No such file"),
+    ],
+)
 def test_a_bad_section_is_one_plain_line(text: str, says: str) -> None:
     with pytest.raises(OperatorError, match=says) as raised:
         read(text)
@@ -302,9 +317,13 @@
     """SIGKILL to the program itself, a restart, and the client's repeat."""
     settings = nested()
     settings["profiles"][0] |= {
-        "name": "write", "semantics": "deduplicated", "group": "cell", "window": 60000, "aim": 5000,
+        "name": "write",
+        "semantics": "deduplicated",
+        "group": "cell",
+        "window": 60000,
+        "aim": 5000,
         "hard_limit": 20000,
-    }  # fmt: skip
+    }
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
@@ -312,18 +331,40 @@
     (tmp_path / "operator.toml").write_text(f'[store]\npath = "{path}"\nstall_ms = 9000\n')
 
     async def start(box: KeyedBox) -> asyncio.subprocess.Process:
-        entry = {"host": "box-0", "dial": f"127.0.0.1:{box.port}", "site": "x", "class": "m", "block": 0,
-                 "health": "ready", "share": 1.0, "born_ms": 0}  # fmt: skip
-        config = {"name": "n0", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9", "seed": "1",
-                  "settings": settings, "known": {"seq": 1, "whole": True, "hosts": [entry]}}  # fmt: skip
+        entry = {
+            "host": "box-0",
+            "dial": f"127.0.0.1:{box.port}",
+            "site": "x",
+            "class": "m",
+            "block": 0,
+            "health": "ready",
+            "share": 1.0,
+            "born_ms": 0,
+        }
+        config = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{port}",
+            "discovery": "127.0.0.1:9",
+            "seed": "1",
+            "settings": settings,
+            "known": {"seq": 1, "whole": True, "hosts": [entry]},
+        }
         (tmp_path / "config.json").write_bytes(orjson.dumps(config))
         environment = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json")}
         for name in ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY"):
             environment.pop(name, None)
         program = await asyncio.create_subprocess_exec(
-            sys.executable, "-O", "-m", "sabledyke", "serve", "--operator", str(tmp_path / "operator.toml"),
-            cwd=ROOT, env=environment, stderr=subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-O",
+            "-m",
+            "sabledyke",
+            "serve",
+            "--operator",
+            str(tmp_path / "operator.toml"),
+            cwd=ROOT,
+            env=environment,
+            stderr=subprocess.PIPE,
+        )
         assert program.stderr is not None
         while b"serves at" not in (line := await program.stderr.readline()):
             assert line, "it did not start"
@@ -332,9 +373,11 @@
     async def put(ident: str) -> int:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         plan = settings["grades"][0]["name"]
-        head = (f"PUT /api/1/1 HTTP/1.1\r\nReq-Id: {ident}\r\nReq-Kind: write\r\nTier: {plan}\r\n"
-                "Req-Deadline: 15\r\nIO-Info: units=1,shard=0,hosts=1\r\nIdempotency-Key: k\r\n"
-                "Content-Length: 1\r\n\r\nx")  # fmt: skip
+        head = (
+            f"PUT /api/1/1 HTTP/1.1\r\nReq-Id: {ident}\r\nReq-Kind: write\r\nTier: {plan}\r\n"
+            "Req-Deadline: 15\r\nIO-Info: units=1,shard=0,hosts=1\r\nIdempotency-Key: k\r\n"
+            "Content-Length: 1\r\n\r\nx"
+        )
         writer.write(head.encode())
         try:
             line = await reader.readline()
--- a/tests/test_sums.py
+++ b/tests/test_sums.py
@@ -28,9 +28,7 @@
     assert found.most <= 1 + 1e-9 and found.mean > 0.02
 
 
-@pytest.mark.parametrize(
-    "rule, seed", [("window", 0), ("gap", 90), ("hold", 2), ("sure", 2), ("rests", 44)]
-)
+@pytest.mark.parametrize("rule, seed", [("window", 0), ("gap", 90), ("hold", 2), ("sure", 2), ("rests", 44)])
 def test_without_each_of_its_rules_they_do(rule: str, seed: int) -> None:
     assert Model(seed, rules=Rules(**{rule: False})).run(60_000).most > 1.1
 
@@ -93,10 +91,19 @@
 
 
 def story(backend: str, *faults: dict[str, Any], **of: Any) -> sums.Experiment:
-    return sums.read({
-        "name": "x", "instances": 4, "backend": backend, "limit": 40.0, "length_s": 16.0, "moves_s": 8.0,
-        "beat_ms": 400, "fault": list(faults), **of,
-    })  # fmt: skip
+    return sums.read(
+        {
+            "name": "x",
+            "instances": 4,
+            "backend": backend,
+            "limit": 40.0,
+            "length_s": 16.0,
+            "moves_s": 8.0,
+            "beat_ms": 400,
+            "fault": list(faults),
+            **of,
+        }
+    )
 
 
 STORIES = {
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -80,9 +80,7 @@
         assert isinstance(part, TlsPart)
         return part
 
-    async def ask(
-        self, write: str = "", context: ssl.SSLContext | None = None, volume: int = 1
-    ) -> int:
+    async def ask(self, write: str = "", context: ssl.SSLContext | None = None, volume: int = 1) -> int:
         """One request; its status, 0 where the connection ended without an answer."""
         self.ids += 1
         more = f"{INFO}Idempotency-Key: {write}\nContent-Length: 1\n" if write else INFO
@@ -136,11 +134,20 @@
     play(tmp_path, box, story)
 
 
-@pytest.mark.parametrize(("what", "says"), [
-    ("expired", "certificate has expired"), ("name", "Hostname mismatch"), ("root", "local issuer"),
-    ("revoked", "certificate revoked"), ("old", "ended the connection"), ("plain", "it speaks no TLS"),
-    ("garbage", "it speaks no TLS"), ("silent", "does not end in time"), ("ends", "ended the connection"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("what", "says"),
+    [
+        ("expired", "certificate has expired"),
+        ("name", "Hostname mismatch"),
+        ("root", "local issuer"),
+        ("revoked", "certificate revoked"),
+        ("old", "ended the connection"),
+        ("plain", "it speaks no TLS"),
+        ("garbage", "it speaks no TLS"),
+        ("silent", "does not end in time"),
+        ("ends", "ended the connection"),
+    ],
+)
 def test_who_cannot_be_trusted_gets_nothing_and_is_told_of_once(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], what: str, says: str
 ) -> None:
@@ -329,8 +336,13 @@
         assert len(box.seen) == seen  # nothing of these reached a box
 
     play(
-        tmp_path, box, story, fronts=("HTTP",), clients=True, rights={"till-1": frozenset([1])},
-    )  # fmt: skip
+        tmp_path,
+        box,
+        story,
+        fronts=("HTTP",),
+        clients=True,
+        rights={"till-1": frozenset([1])},
+    )
 
 
 def test_handshakes_that_do_not_end_push_no_client_out(
@@ -373,8 +385,11 @@
 
     async def story(rig: TlsRig) -> None:
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(asyncio, "open_connection", lambda *a, **k: connect(
-                *a, ssl=context, server_hostname="scheduler"))  # fmt: skip
+            patch.setattr(
+                asyncio,
+                "open_connection",
+                lambda *a, **k: connect(*a, ssl=context, server_hostname="scheduler"),
+            )
             host = NvmeHost(rig.server.listeners[1].port, "nqn.2026-12.example:front")
             await host.open()
             assert await host.write(1, 0, bytes(512)) & 0x7FF == 0  # status code and type
@@ -385,9 +400,15 @@
 
     more = NVME + VOLUME.format(1, "gold", 0) + VOLUME.format(2, "gold", 0)
     play(
-        tmp_path, box, story, more, boxes=(b"plain",), fronts=("NVMe",), clients=True,
+        tmp_path,
+        box,
+        story,
+        more,
+        boxes=(b"plain",),
+        fronts=("NVMe",),
+        clients=True,
         rights={"till-1": frozenset([1])},
-    )  # fmt: skip
+    )
 
 
 class TlsNvmeBox(NvmeBox):
--- a/tests/test_tls_pure.py
+++ b/tests/test_tls_pure.py
@@ -125,19 +125,23 @@
     assert again.resumed and names_of(client.peer()) == {"box-0"}
 
 
-@pytest.mark.parametrize(("files", "says"), [
-    (Files(), "no trusted roots"), (Files(roots=b"nonsense"), "no certificate in PEM"),
-    (Files(CHAIN, b"", ROOT.root), "needs its key"),
-    (Files(CHAIN, KEY, ROOT.root, mode=0o644), "its owner alone"),
-    (Files(CHAIN, OTHER.issue("x")[1], ROOT.root), "does not belong"),
-    (Files(CHAIN, KEY, OTHER.root), "no trusted root has signed"),
-    (Files(CHAIN, b"junk", ROOT.root), "the key cannot"),
-    (Files(*ROOT.issue("x", days=-0.5), ROOT.root), "has expired"),
-    (Files(*ROOT.issue("x", begin=1), ROOT.root), "does not hold yet"),
-    (Files(CHAIN + OTHER.issue("y")[0], KEY, ROOT.root), "chain breaks"),
-    (Files(roots=ROOT.root, revoked=b"x"), "revocation lists"),
-    (Files(roots=ROOT.root, revoked=ROOT.revoke(days=-0.5)), "out of date"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("files", "says"),
+    [
+        (Files(), "no trusted roots"),
+        (Files(roots=b"nonsense"), "no certificate in PEM"),
+        (Files(CHAIN, b"", ROOT.root), "needs its key"),
+        (Files(CHAIN, KEY, ROOT.root, mode=0o644), "its owner alone"),
+        (Files(CHAIN, OTHER.issue("x")[1], ROOT.root), "does not belong"),
+        (Files(CHAIN, KEY, OTHER.root), "no trusted root has signed"),
+        (Files(CHAIN, b"junk", ROOT.root), "the key cannot"),
+        (Files(*ROOT.issue("x", days=-0.5), ROOT.root), "has expired"),
+        (Files(*ROOT.issue("x", begin=1), ROOT.root), "does not hold yet"),
+        (Files(CHAIN + OTHER.issue("y")[0], KEY, ROOT.root), "chain breaks"),
+        (Files(roots=ROOT.root, revoked=b"x"), "revocation lists"),
+        (Files(roots=ROOT.root, revoked=ROOT.revoke(days=-0.5)), "out of date"),
+    ],
+)
 def test_keys_that_do_not_fit_are_refused_in_one_line(files: Files, says: str) -> None:
     with pytest.raises(MaterialError, match=says) as raised:
         check(files, NOW)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -21,8 +21,9 @@
 
 def listen_to(
     story: Callable[[watch.Watch, Discovery, list[discovery.Listing | None]], Awaitable[None]],
-    script: list[Any], **changes: Any,
-) -> None:  # fmt: skip
+    script: list[Any],
+    **changes: Any,
+) -> None:
     """Play a story with a watch on a scripted discovery."""
 
     async def run() -> None:
