--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -24,7 +24,10 @@
 from sabledyke.board.terms import Draft, Message, Shelf, Writer
 from sabledyke.fleet import part as fleet_part
 from sabledyke.fleet import section as fleet_section
+from sabledyke.lab.etcd import Etcd
 from sabledyke.lease import section as lease_section
+from sabledyke.lease import terms as lease_terms
+from sabledyke.lease.etcd import EtcdAuthority
 from sabledyke.net.parts import Host
 from sabledyke.rollout import part as rollout_part
 from sabledyke.rollout import section as rollout_section
@@ -37,7 +40,7 @@
 LOAD_PREFIX = rollout_part.LOADS
 STATES, STAGES, PHASES = rollout_terms.State, rollout_terms.Stage, rollout_terms.Phase
 
-__all__ = ["EtcdShelf", "Shelf", "TableShelf"]
+__all__ = ["Etcd", "EtcdShelf", "Shelf", "TableShelf"]
 
 
 def values(record: object) -> list[Any]:
@@ -201,3 +204,31 @@
     now[0] = 2000.0
     await part._tell()
     await part._shelf.close()
+
+
+ME = "n1.aaaaaaaaaaaa"  # a holder of leases, as it is stored
+
+
+def etcd_authority(address: str) -> EtcdAuthority:
+    """Leases of 60 s (whole seconds, rounded up) in the etcd at this address."""
+    return EtcdAuthority([address], "sabledyke/", 59_500.0, 20_000.0)
+
+
+async def look(authority: lease_terms.Authority, duty: str) -> Any:
+    """Who holds the lease of a duty?"""
+    return await authority.ask(duty, ME, lease_terms.Look())
+
+
+async def take(authority: lease_terms.Authority, duty: str, stamp: tuple[int, int]) -> Any:
+    """Take it, if it still stands under this token and count of renewals."""
+    return await authority.ask(duty, ME, lease_terms.Take(stamp))
+
+
+async def renew(authority: lease_terms.Authority, duty: str, token: int) -> Any:
+    """Renew it."""
+    return await authority.ask(duty, ME, lease_terms.Renew(token))
+
+
+async def release(authority: lease_terms.Authority, duty: str, token: int) -> Any:
+    """Release it."""
+    return await authority.ask(duty, ME, lease_terms.Release(token))
--- /dev/null
+++ b/tests/compatibility/test_etcd.py
@@ -0,0 +1,160 @@
+"""Leases and the compacted log in etcd: keys, values and the calls to its JSON gateway, byte by byte."""
+
+from __future__ import annotations
+
+import asyncio
+import base64
+from collections.abc import Awaitable, Callable
+
+import orjson
+import pytest
+
+from tests.compatibility import program
+from tests.compatibility.files import DATA
+
+CELLS = {"fleet/h": b"[3,0,86,0,0]", "fleet/k/ask/n1": b"[1,51,false]", "fleet/k/ask/n2": b"[2,51,false]"}
+STORED = {  # while "nightly" is held and asked to be given up
+    "sabledyke/lease/nightly": "n1.aaaaaaaaaaaa",
+    "sabledyke/recall/nightly": "2",
+    "sabledyke/done/nightly": "1700000000123",
+}
+
+
+class RecordingEtcd(program.Etcd):
+    """The stand-in for etcd, which keeps what it was asked, and tells what it holds."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.asked: list[str] = []
+
+    async def answer(self, path: str, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
+        self.asked.append(f"{path} {body.decode()}")
+        return await super().answer(path, headers, body)
+
+    async def ask(self, path: str, **body: object) -> dict[str, object]:
+        """A call of the test's own, beside the program."""
+        status, said = await super().answer(path, {}, orjson.dumps(body))
+        assert status == 200
+        answer: dict[str, object] = orjson.loads(said)
+        return answer
+
+    async def held(self) -> dict[str, str]:
+        """All keys and values, as text."""
+        kvs = (await self.ask("/v3/kv/range", key=_encoded("a"), range_end=_encoded("~")))["kvs"]
+        assert isinstance(kvs, list)
+        return {_decoded(kv["key"]): _decoded(kv["value"]) for kv in kvs}
+
+    async def put(self, key: str, value: str, lease: str = "0") -> None:
+        """Put a value, as another version of the program would."""
+        put = {"request_put": {"key": _encoded(key), "value": _encoded(value), "lease": lease}}
+        assert (await self.ask("/v3/kv/txn", compare=[], success=[put], failure=[]))["succeeded"]
+
+
+def _encoded(text: str) -> str:
+    return base64.b64encode(text.encode()).decode()
+
+
+def _decoded(text: str) -> str:
+    return base64.b64decode(text).decode()
+
+
+def _play(story: Callable[[RecordingEtcd, str], Awaitable[None]]) -> list[str]:
+    """Play it with an etcd and its address; what the program asked of it."""
+
+    async def run() -> list[str]:
+        etcd = RecordingEtcd()
+        await etcd.open()
+        try:
+            await story(etcd, f"127.0.0.1:{etcd.port}")
+        finally:
+            await etcd.close()
+        return etcd.asked
+
+    return asyncio.run(run())
+
+
+async def _lease_story(etcd: RecordingEtcd, address: str) -> None:
+    authority = program.etcd_authority(address)
+    assert program.values(await program.look(authority, "nightly")) == [[0, 0], "", True, 0.0]
+    assert program.values(await program.take(authority, "nightly", (0, 0))) == [2]
+    assert program.values(await program.take(authority, "nightly", (0, 0))) == [
+        [2, 0],
+        "n1.aaaaaaaaaaaa",
+        False,
+        0.0,
+    ]
+    assert await authority.done("nightly", 2, 1700000000123)
+    assert await authority.last("nightly") == 1700000000123
+    assert program.values(await program.renew(authority, "nightly", 2)) == [False]
+    assert await authority.recall("nightly", at_once=False)
+    assert program.values(await program.renew(authority, "nightly", 2)) == [True]
+    assert await etcd.held() == STORED
+    (standing,) = await authority.standing()
+    duty, holder, token, _, recalled, done = program.values(standing)
+    assert (duty, holder, token, recalled, done) == ("nightly", "n1.aaaaaaaaaaaa", 2, True, 1700000000123)
+    assert program.values(await program.release(authority, "nightly", 2)) == [[0, 0], "", True, 0.0]
+    assert not await authority.recall("nightly", at_once=False)
+    assert program.values(await program.take(authority, "nightly", (0, 0))) == [6]
+    assert await authority.recall("nightly", at_once=True)
+    assert await etcd.held() == {"sabledyke/done/nightly": "1700000000123"}
+    await authority.close()
+
+
+async def _log_story(etcd: RecordingEtcd, address: str) -> None:
+    shelf = program.EtcdShelf([address], "sabledyke/", 20_000.0)
+    assert await shelf.commit({key: 0 for key in CELLS}, CELLS)
+    assert not await shelf.commit({"fleet/h": 0}, {"fleet/h": b"lost"})
+    found = await shelf.get(["fleet/h", "fleet/none"])
+    assert {key: program.values(cell) for key, cell in found.items()} == {"fleet/h": [2, b"[3,0,86,0,0]"]}
+    scanned = await shelf.scan("fleet/k/", "fleet/k/~", 100)
+    assert {key: program.values(cell) for key, cell in scanned} == {
+        key: [2, data] for key, data in CELLS.items() if key.startswith("fleet/k/")
+    }
+    assert await shelf.commit({"fleet/h": 2}, {"fleet/h": b"[4,0,86,0,0]"}, ["fleet/k/ask/n1"])
+    assert await etcd.held() == {
+        "sabledyke/board/fleet/h": "[4,0,86,0,0]",
+        "sabledyke/board/fleet/k/ask/n2": "[2,51,false]",
+    }
+    await shelf.close()
+
+
+@pytest.mark.parametrize(("name", "story"), [("etcd_lease", _lease_story), ("etcd_log", _log_story)])
+def test_calls_to_the_gateway_and_the_stored_values_are_the_same(
+    name: str, story: Callable[[RecordingEtcd, str], Awaitable[None]]
+) -> None:
+    assert _play(story) == (DATA / f"{name}_calls.txt").read_text().splitlines()
+
+
+def test_a_lease_that_another_version_stored_is_read() -> None:
+    async def story(etcd: RecordingEtcd, address: str) -> None:
+        lease = str((await etcd.ask("/v3/lease/grant", TTL="60"))["ID"])
+        for key, value in STORED.items():
+            await etcd.put(key, value, "0" if "done" in key else lease)
+        authority = program.etcd_authority(address)
+        (standing,) = await authority.standing()
+        duty, holder, token, left, recalled, done = program.values(standing)
+        assert (duty, holder, token, recalled, done) == ("nightly", "n1.aaaaaaaaaaaa", 2, True, 1700000000123)
+        assert 0 < left <= 60_000
+        assert program.values(await program.look(authority, "nightly")) == [[2, 0], holder, False, 0.0]
+        assert program.values(await program.renew(authority, "nightly", 2)) == [True]
+        await authority.close()
+
+    _play(story)
+
+
+def test_a_log_that_another_version_stored_is_read() -> None:
+    async def story(etcd: RecordingEtcd, address: str) -> None:
+        message = '["ask/n1","n1",1,1,false]\n{"name":"n1","plan":"p1","life":3,"number":5}'
+        await etcd.put("sabledyke/board/fleet/h", "[2,0,51,0,0]")
+        await etcd.put("sabledyke/board/fleet/k/ask/n1", "[1,51,false]")
+        await etcd.put("sabledyke/board/fleet/m/0000000000000001", message)
+        await etcd.put("sabledyke/board/fleet/w/n1", '[1,"aaaaaaaaaaaa",1,[1]]')
+        await etcd.put("sabledyke/board/beats/r/n1", "[3,120,4,86400123]")
+        shelf = program.EtcdShelf([address], "sabledyke/", 20_000.0)
+        values, offsets = await program.read_topic(shelf, "fleet")
+        assert values == {"ask/n1": message.partition("\n")[2].encode()} and offsets == {"ask/n1": 1}
+        assert await program.read_registers(shelf, "beats") == {"n1": b"[3,120,4,86400123]"}
+        assert await program.claim(shelf, "fleet", "n1", "bbbbbbbbbbbb") == ("n1", 2, "bbbbbbbbbbbb")
+        await shelf.close()
+
+    _play(story)
