--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -5,9 +5,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import astuple, is_dataclass
 from enum import Enum
+from io import BytesIO
 from types import SimpleNamespace
 from typing import Any, cast
 
@@ -25,22 +26,30 @@
 from sabledyke.fleet import part as fleet_part
 from sabledyke.fleet import section as fleet_section
 from sabledyke.lab.etcd import Etcd
+from sabledyke.lease import fence
 from sabledyke.lease import section as lease_section
 from sabledyke.lease import terms as lease_terms
 from sabledyke.lease.etcd import EtcdAuthority
+from sabledyke.lease.table import TableAuthority
 from sabledyke.net.parts import Host
 from sabledyke.rollout import part as rollout_part
 from sabledyke.rollout import section as rollout_section
 from sabledyke.rollout import terms as rollout_terms
 from sabledyke.sites import retire
 from sabledyke.sites import section as sites_section
+from sabledyke.store import journal, opening, statements, tools
+from sabledyke.store.connect import connect
+from sabledyke.store.faults import StoreFault
+from sabledyke.store.section import Target
+from sabledyke.store.session import Session
+from sabledyke.store.terms import Batch, Drift, Entry, Intent, Sent, Step
 
 FLEET_TOPIC, BEATS_TOPIC = rollout_terms.FLEET, rollout_terms.BEATS
 HOMES_TOPIC, SHARES_TOPIC = retire.HOMES, fleet_part.TOPIC
 LOAD_PREFIX = rollout_part.LOADS
 STATES, STAGES, PHASES = rollout_terms.State, rollout_terms.Stage, rollout_terms.Phase
 
-__all__ = ["Etcd", "EtcdShelf", "Shelf", "TableShelf"]
+__all__ = ["Etcd", "EtcdShelf", "Shelf", "StoreFault", "TableShelf"]
 
 
 def values(record: object) -> list[Any]:
@@ -232,3 +241,88 @@
 async def release(authority: lease_terms.Authority, duty: str, token: int) -> Any:
     """Release it."""
     return await authority.ask(duty, ME, lease_terms.Release(token))
+
+
+def table_authority(path: str) -> TableAuthority:
+    """Leases of 3 s in this SQLite file."""
+    return TableAuthority(Target(path=path), 3000.0)
+
+
+async def write_schema_1(path: str) -> None:
+    """A record as it was before there were versions: one table of writes."""
+    session = await connect(Target(path=path))
+    put = "INSERT INTO writes (name, at, shard, zone, state) VALUES ($1, $2, $3, $4, $5)"
+    rows = [
+        ("scontrino/3b4d60021/order-1", 1700000000100.5, 3, 1, "served"),
+        ("scontrino/3b4d60021/order-2", 1700000000200.0, 4, 2, "unknown"),
+        ("scontrino/3b4d60021/order-3", 1700000000300.0, 5, 0, "never"),
+        ("scontrino/3b4d60021/order-4", 1700000000400.0, 6, 1, "sent"),
+    ]
+    await session.transact([Step(line) for line in statements.MIGRATIONS[0]])
+    await session.transact([Step(put, rows)])
+    await session.close()
+
+
+async def open_record(path: str) -> Session:
+    """The store of record in this file, its schema up to date."""
+    session = await connect(Target(path=path))
+    await opening.migrate(session)
+    return session
+
+
+async def begin_life(session: Session, instance: str) -> list[Any]:
+    """Begin the next life of an instance: its number, its batches, the journal's last entry and its hash."""
+    return values(await opening.new_life(session, instance))
+
+
+async def write_batch(
+    session: Session,
+    instance: str,
+    intents: Sequence[Sequence[Any]] = (),
+    settled: Sequence[tuple[str, str]] = (),
+    entries: Sequence[Sequence[Any]] = (),
+    drifts: Sequence[Sequence[Any]] = (),
+) -> None:
+    """Write one batch, all of whose values are given in the order of their columns."""
+    before, made = await opening.read_position(session, instance), [Entry(*entry) for entry in entries]
+    after, hashes = journal.extend(before, instance, made)
+    sends = [Intent(name, Sent(*sent)) for name, sent in intents]
+    batch = Batch(before, after, sends, made, hashes, list(settled), [Drift(*drift) for drift in drifts])
+    results = await session.transact(statements.steps(batch, instance))
+    assert statements.taken(batch, results) == {name for name, _ in intents}
+
+
+async def pass_fence(session: Session, duty: str, token: int) -> None:
+    """Show the database a token; a StoreFault where it has seen a later one."""
+    await session.transact([Step(fence.TABLE), *fence.steps(duty, token)])
+
+
+async def look_up(session: Session, name: str) -> Any:
+    """A recorded write: when and where it was sent, and its state."""
+    (row,) = await session.query(statements.LOOK_UP, name)
+    sent, state = (statements.found(row).sent, statements.found(row).state)
+    return [values(sent), state]
+
+
+async def recent(session: Session) -> list[tuple[str, Any]]:
+    """Writes that a start reads, newest first."""
+    return await opening.recent(session, 0.0)
+
+
+async def migrate(path: str) -> str:
+    """What ``store migrate`` says last."""
+    said: list[str] = []
+    assert await tools.migrate(Target(path=path), said.append)
+    return said[-1]
+
+
+async def audit(path: str) -> bool:
+    """Does the journal pass its audit?"""
+    return await tools.audit(Target(path=path), lambda _: None)
+
+
+async def export(path: str) -> bytes:
+    """The journal as JSON lines."""
+    file = BytesIO()
+    await tools.export(Target(path=path), file, 0, lambda _: None)
+    return file.getvalue()
--- /dev/null
+++ b/tests/compatibility/test_store.py
@@ -0,0 +1,165 @@
+"""The store of record, schema 1 and 2, and the tables of leases and fences: files, rows and their columns."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable, Coroutine
+from pathlib import Path
+
+import orjson
+import pytest
+
+from tests.compatibility import program
+from tests.compatibility.files import DATA, dump, load
+
+INTENTS = [
+    ["scontrino/3b4d60021/order-1", [1700000000100.5, 3, 1]],
+    ["scontrino/3b4d60021/order-2", [1700000000200.0, 4, 2]],
+    ["scontrino/3b4d60021/order-3", [1700000000300.0, 5, 0]],
+    ["scontrino/3b4d60021/order-4", [1700000000400.0, 6, 1]],
+]
+SETTLED = [
+    ("scontrino/3b4d60021/order-1", "served"),
+    ("scontrino/3b4d60021/order-2", "unknown"),
+    ("scontrino/3b4d60021/order-3", "never"),
+]
+ENTRIES = [
+    [
+        1700000000500, 1700000000100, "scontrino", "00000003b4d60021", f"order-{number}", "0000000000000007",
+        3, "s-00000001", 1.5, "ab" * 32, outcome,
+    ]
+    for number, outcome in enumerate(("served", "refused", "failed", "departed", "unconfirmed"), 1)
+]  # fmt: skip
+DRIFT = [1700000000600, "00000003b4d60021", "0000000000000007", "s-00000001", "ab" * 32, "cd" * 32]
+WRITES = [  # by name: when, shard, zone, state
+    ("scontrino/3b4d60021/order-1", [1700000000100.5, 3, 1], "served"),
+    ("scontrino/3b4d60021/order-2", [1700000000200.0, 4, 2], "unknown"),
+    ("scontrino/3b4d60021/order-3", [1700000000300.0, 5, 0], "never"),
+    ("scontrino/3b4d60021/order-4", [1700000000400.0, 6, 1], "sent"),
+]
+
+
+Story = Callable[[], Coroutine[None, None, None]]
+
+
+def _play(story: Story) -> None:
+    asyncio.run(story())
+
+
+async def write_schema_2(path: str) -> None:
+    """Two lives of an instance, with rows in every table, and a fence."""
+    session = await program.open_record(path)
+    life, *_ = await program.begin_life(session, "n1")
+    assert life == 1
+    await program.write_batch(session, "n1", intents=INTENTS)
+    await program.write_batch(session, "n1", settled=SETTLED, entries=ENTRIES, drifts=[DRIFT])
+    assert (await program.begin_life(session, "n1"))[:3] == [2, 2, 5]
+    await program.pass_fence(session, "nightly", 7)
+    await session.close()
+
+
+async def write_leases(path: str) -> None:
+    """A lease that is held and recalled, and one that was released and whose duty was done."""
+    authority = program.table_authority(path)
+    await authority.open()
+    assert program.values(await program.take(authority, "coordinator", (0, 0))) == [1]
+    assert program.values(await program.renew(authority, "coordinator", 1)) == [False]
+    assert await authority.recall("coordinator", at_once=False)
+    assert program.values(await program.take(authority, "nightly", (0, 0))) == [1]
+    assert program.values(await program.release(authority, "nightly", 1)) == [[1, 1], "", True, 3000.0]
+    assert program.values(await program.take(authority, "nightly", (1, 1))) == [2]
+    assert await authority.done("nightly", 2, 1700000000123)
+    await program.release(authority, "nightly", 2)
+    await authority.close()
+
+
+@pytest.mark.parametrize(
+    ("name", "write"),
+    [
+        ("store_schema_1.sql", program.write_schema_1),
+        ("store_schema_2.sql", write_schema_2),
+        ("leases.sql", write_leases),
+    ],
+)
+def test_the_same_rows_are_written_to_the_same_tables(
+    name: str,
+    write: Callable[[str], Coroutine[None, None, None]],
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(time, "time", lambda: 1700000000.25)  # noted in leases, and never decided by
+    path = str(tmp_path / "store.sqlite3")
+    _play(lambda: write(path))
+    assert dump(path) == (DATA / name).read_text()
+
+
+@pytest.mark.parametrize("schema", [1, 2])
+def test_a_stored_record_is_migrated_and_read_in_full(schema: int, tmp_path: Path) -> None:
+    path = load(f"store_schema_{schema}.sql", tmp_path / "store.sqlite3")
+
+    async def story() -> None:
+        assert await program.migrate(path) == (f"schema 2{', was 1' if schema == 1 else ''}")
+        session = await program.open_record(path)
+        for name, sent, state in WRITES:
+            assert await program.look_up(session, name) == [sent, state]
+        recent = [name for name, *_ in reversed(WRITES) if not name.endswith("order-3")]
+        assert [name for name, _ in await program.recent(session)] == recent
+        assert (await program.begin_life(session, "n1"))[:3] == ([1, 0, 0] if schema == 1 else [3, 2, 5])
+        await session.close()
+
+    _play(story)
+    assert _schema(dump(path)) == _schema((DATA / "store_schema_2.sql").read_text())
+
+
+def _schema(text: str) -> list[str]:
+    """Lines that make tables and columns; fences are made only when the first one is passed."""
+    return [line for line in text.splitlines() if line.startswith("CREATE") and " fences " not in line]
+
+
+def test_a_stored_journal_passes_its_audit_and_is_exported(tmp_path: Path) -> None:
+    path = load("store_schema_2.sql", tmp_path / "store.sqlite3")
+
+    async def story() -> None:
+        assert await program.audit(path)
+        text = await program.export(path)
+        rows = [orjson.loads(line) for line in text.splitlines()]
+        assert [list(row.values())[3:-1] for row in rows] == ENTRIES
+        assert [list(row.values())[:3] for row in rows] == [["n1", seq, 1] for seq in range(1, 6)]
+        assert text == (DATA / "journal.jsonl").read_bytes()
+
+    _play(story)
+
+
+def test_a_stored_fence_refuses_an_older_token(tmp_path: Path) -> None:
+    path = load("store_schema_2.sql", tmp_path / "store.sqlite3")
+
+    async def story() -> None:
+        session = await program.open_record(path)
+        await program.pass_fence(session, "nightly", 7)
+        with pytest.raises(program.StoreFault):
+            await program.pass_fence(session, "nightly", 6)
+        await session.close()
+
+    _play(story)
+
+
+def test_stored_leases_are_read_in_full(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(time, "time", lambda: 1700000001.25)
+    path = load("leases.sql", tmp_path / "leases.sqlite3")
+
+    async def story() -> None:
+        authority = program.table_authority(path)
+        await authority.open()
+        assert [program.values(standing) for standing in await authority.standing()] == [
+            ["coordinator", program.ME, 1, 2000.0, True, 0],
+            ["nightly", "", 2, 2000.0, False, 1700000000123],
+        ]
+        seen = program.values(await program.look(authority, "coordinator"))
+        assert seen == [[1, 1], program.ME, False, 3000.0]
+        assert program.values(await program.renew(authority, "coordinator", 1)) == [True]
+        assert await authority.last("nightly") == 1700000000123
+        assert program.values(await program.take(authority, "nightly", (2, 1))) == [3]
+        await authority.close()
+
+    _play(story)
