--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from sabledyke import config
 from sabledyke.board import compaction, ledger, register
 from sabledyke.board import section as board_section
 from sabledyke.board import terms as board_terms
@@ -23,6 +24,7 @@
 from sabledyke.board.follower import Follower
 from sabledyke.board.table import TableShelf
 from sabledyke.board.terms import Draft, Message, Shelf, Writer
+from sabledyke.errors import ConfigError, OperatorError
 from sabledyke.fleet import part as fleet_part
 from sabledyke.fleet import section as fleet_section
 from sabledyke.lab.etcd import Etcd
@@ -49,7 +51,7 @@
 LOAD_PREFIX = rollout_part.LOADS
 STATES, STAGES, PHASES = rollout_terms.State, rollout_terms.Stage, rollout_terms.Phase
 
-__all__ = ["Etcd", "EtcdShelf", "Shelf", "StoreFault", "TableShelf"]
+__all__ = ["ConfigError", "Etcd", "EtcdShelf", "OperatorError", "Shelf", "StoreFault", "TableShelf"]
 
 
 def values(record: object) -> list[Any]:
@@ -72,11 +74,11 @@
         for key, inner in value.items():
             yield from leaves(key)
             yield from leaves(inner)
-    elif isinstance(value, list | tuple | set | frozenset):
-        for inner in value:
+    elif isinstance(value, list | tuple | frozenset):
+        for inner in sorted(value) if isinstance(value, frozenset) else value:
             yield from leaves(inner)
     else:
-        yield value
+        yield value.decode() if isinstance(value, bytes) else value
 
 
 def message(key: str, value: bytes, offset: int) -> Message:
@@ -326,3 +328,8 @@
     file = BytesIO()
     await tools.export(Target(path=path), file, 0, lambda _: None)
     return file.getvalue()
+
+
+def read_config(environ: Mapping[str, str]) -> list[object]:
+    """All values of the configuration that the environment points to, in the order of their fields."""
+    return list(leaves(config.load(environ)))
--- /dev/null
+++ b/tests/compatibility/test_config.py
@@ -0,0 +1,109 @@
+"""The platform's configuration file: each key of it, and where its value arrives."""
+
+from __future__ import annotations
+
+import copy
+import re
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import orjson
+import pytest
+
+from tests.compatibility import program
+from tests.compatibility.files import DATA
+
+STORED = orjson.loads((DATA / "config.json").read_bytes())
+NEXT = {"idempotent": "at_most_once", "deduplicated": "idempotent", "zone": "all", "cell": "all"}
+NEXT |= {"ready": "draining", "draining": "ready", "on_request": "push"}
+UNREAD = {"limits.cores", "known.whole"}  # nothing is decided by them
+REQUIRED = set(
+    """
+    name listen discovery known.whole known.seq known.hosts.*.host known.hosts.*.block known.hosts.*.born_ms
+    known.hosts.*.share known.hosts.*.health known.hosts.*.dial settings.me settings.siblings
+    settings.discovery settings.profiles.*.name settings.profiles.*.aim settings.profiles.*.hard_limit
+    settings.profiles.*.credit settings.profiles.*.semantics settings.grades.*.name
+    settings.grades.*.usual_rate settings.ceilings.try_limit settings.family_info.usual_units
+    settings.family_info.units_top settings.family_info.fair_worth settings.family_info.spare_worth
+    settings.family_info.young_limit settings.invariants.cold_share settings.invariants.warm_up
+    settings.invariants.fall settings.invariants.answer_slack
+    """.split()
+)
+
+
+def _paths(value: Any, path: str = "") -> Iterator[str]:
+    """Where plain values stand."""
+    inner = (
+        enumerate(value) if isinstance(value, list) else value.items() if isinstance(value, dict) else None
+    )
+    if inner is None:
+        yield path
+        return
+    for key, found in inner:
+        yield from _paths(found, f"{path}.{key}" if path else str(key))
+
+
+def _at(data: Any, path: str) -> tuple[Any, Any]:
+    """What holds the value at a path, and by which key."""
+    *steps, last = [int(step) if step.isdigit() else step for step in path.split(".")]
+    for step in steps:
+        data = data[step]
+    return data, last
+
+
+def _changed(value: Any) -> Any:
+    if isinstance(value, bool):
+        return not value
+    if isinstance(value, int | float):
+        return value + 1 if isinstance(value, int) else value * 1.5
+    return NEXT.get(value) or (value.replace("1", "2", 1) if ":" in value else f"{value}0")
+
+
+def _read(data: Any, tmp_path: Path, **environ: str) -> list[Any]:
+    path = tmp_path / "config.json"
+    path.write_bytes(orjson.dumps(data))
+    return program.read_config({"GW_CONFIG": str(path)} | environ)
+
+
+def test_every_value_arrives(tmp_path: Path) -> None:
+    assert _read(STORED, tmp_path) == orjson.loads((DATA / "config_values.json").read_bytes())
+
+
+@pytest.mark.parametrize("path", _paths(STORED))
+def test_another_value_arrives_as_well(path: str, tmp_path: Path) -> None:
+    data = copy.deepcopy(STORED)
+    holder, key = _at(data, path)
+    holder[key] = _changed(holder[key])
+    assert (_read(data, tmp_path) == _read(STORED, tmp_path)) == (path in UNREAD)
+
+
+@pytest.mark.parametrize("path", [p for p in _paths(STORED) if not p.rpartition(".")[2].isdigit()])
+def test_a_key_that_is_missing_is_refused_or_has_a_default(path: str, tmp_path: Path) -> None:
+    data, pattern = copy.deepcopy(STORED), re.sub(r"\.\d+\.", ".*.", path)
+    holder, key = _at(data, path)
+    stored = holder.pop(key)
+    if pattern in REQUIRED:
+        with pytest.raises(program.ConfigError, match=r"\A.*\Z"):  # one line
+            _read(data, tmp_path)
+        return
+    same = path in UNREAD or stored is False  # which is the default where there is one
+    assert (_read(data, tmp_path) == _read(STORED, tmp_path)) == same
+
+
+@pytest.mark.parametrize(
+    ("variable", "value"),
+    [
+        ("GW_NAME", "n9"),
+        ("GW_LISTEN", "10.0.0.9:8089"),
+        ("GW_DISCOVERY", "10.2.0.9:8509"),
+        ("GW_CONSOLE", "127.0.0.9:9099"),
+    ],
+)
+def test_a_variable_of_the_environment_wins_over_the_file(variable: str, value: str, tmp_path: Path) -> None:
+    in_force = _read(STORED, tmp_path, **{variable: value})
+    host, _, port = value.partition(":")
+    assert host in in_force and (not port or int(port) in in_force)
+    key = variable.removeprefix("GW_").lower()
+    stored = _read({**STORED, key: value}, tmp_path)
+    assert len(in_force) == len(stored) and sum(a != b for a, b in zip(in_force, stored, strict=True)) <= 1
--- a/tests/compatibility/test_log.py
+++ b/tests/compatibility/test_log.py
@@ -166,7 +166,7 @@
         for key, cell in await shelf.scan("", "~", 1000):
             kind = "/".join(key.split("/")[1:2])
             kinds.add(kind)
-            (data,) = [value for value in program.leaves(cell) if isinstance(value, bytes)]
+            _, data = program.values(cell)
             if kind != "r":
                 assert program.rewritten(key, data) == data, key
 
