--- /dev/null
+++ b/tests/compatibility/program/record.py
@@ -0,0 +1,89 @@
+"""The store of record as the program reads and writes it."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from io import BytesIO
+from typing import Any
+
+from sabledyke.store import journal, opening, statements, tools
+from sabledyke.store.connect import connect
+from sabledyke.store.section import Target
+from sabledyke.store.session import Session
+from sabledyke.store.terms import Batch, Drift, Entry, Intent, Sent, Step
+from tests.compatibility.program.values import values
+
+
+async def write_schema_1(path: str) -> None:
+    """A record as it was before there were versions: one table of writes."""
+    session = await connect(Target(path=path))
+    put = "INSERT INTO writes (name, at, shard, zone, state) VALUES ($1, $2, $3, $4, $5)"
+    rows = [
+        ("scontrino/3b4d60021/order-1", 1700000000100.5, 3, 1, "served"),
+        ("scontrino/3b4d60021/order-2", 1700000000200.0, 4, 2, "unknown"),
+        ("scontrino/3b4d60021/order-3", 1700000000300.0, 5, 0, "never"),
+        ("scontrino/3b4d60021/order-4", 1700000000400.0, 6, 1, "sent"),
+    ]
+    await session.transact([Step(line) for line in statements.MIGRATIONS[0]])
+    await session.transact([Step(put, rows)])
+    await session.close()
+
+
+async def open_record(path: str) -> Session:
+    """The store of record in this file, its schema up to date."""
+    session = await connect(Target(path=path))
+    await opening.migrate(session)
+    return session
+
+
+async def begin_life(session: Session, instance: str) -> list[Any]:
+    """Begin the next life of an instance: its number, its batches, the journal's last entry and its hash."""
+    return values(await opening.new_life(session, instance))
+
+
+async def write_batch(
+    session: Session,
+    instance: str,
+    intents: Sequence[Sequence[Any]] = (),
+    settled: Sequence[tuple[str, str]] = (),
+    entries: Sequence[Sequence[Any]] = (),
+    drifts: Sequence[Sequence[Any]] = (),
+) -> None:
+    """Write one batch, all of whose values are given in the order of their columns."""
+    before, made = await opening.read_position(session, instance), [Entry(*entry) for entry in entries]
+    after, hashes = journal.extend(before, instance, made)
+    sends = [Intent(name, Sent(*sent)) for name, sent in intents]
+    batch = Batch(before, after, sends, made, hashes, list(settled), [Drift(*drift) for drift in drifts])
+    results = await session.transact(statements.steps(batch, instance))
+    assert statements.taken(batch, results) == {name for name, _ in intents}
+
+
+async def look_up(session: Session, name: str) -> Any:
+    """A recorded write: when and where it was sent, and its state."""
+    (row,) = await session.query(statements.LOOK_UP, name)
+    sent, state = (statements.found(row).sent, statements.found(row).state)
+    return [values(sent), state]
+
+
+async def recent(session: Session) -> list[tuple[str, Any]]:
+    """Writes that a start reads, newest first."""
+    return await opening.recent(session, 0.0)
+
+
+async def migrate(path: str) -> str:
+    """What ``store migrate`` says last."""
+    said: list[str] = []
+    assert await tools.migrate(Target(path=path), said.append)
+    return said[-1]
+
+
+async def audit(path: str) -> bool:
+    """Does the journal pass its audit?"""
+    return await tools.audit(Target(path=path), lambda _: None)
+
+
+async def export(path: str) -> bytes:
+    """The journal as JSON lines."""
+    file = BytesIO()
+    await tools.export(Target(path=path), file, 0, lambda _: None)
+    return file.getvalue()
--- /dev/null
+++ b/tests/compatibility/program/settings.py
@@ -0,0 +1,70 @@
+"""Files of settings as the program reads them."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from typing import Any, get_args
+
+import msgspec
+
+from sabledyke import config, operator, typed
+from sabledyke.board import section as board_section
+from sabledyke.errors import ConfigError, OperatorError
+from sabledyke.fleet import section as fleet_section
+from sabledyke.lease import section as lease_section
+from sabledyke.rollout import section as rollout_section
+from sabledyke.sites import section as sites_section
+from sabledyke.store import section as store_section
+from sabledyke.tls import section as tls_section
+from tests.compatibility.program.values import leaves
+
+__all__ = ["ConfigError", "OperatorError"]
+
+
+def read_config(environ: Mapping[str, str]) -> list[object]:
+    """All values of the configuration that the environment points to, in the order of their fields."""
+    return list(leaves(config.load(environ)))
+
+
+def read_operator(text: str, config_path: str) -> list[object]:
+    """All values of an operator's file, in the order of their fields, under this configuration."""
+    return list(leaves(operator.read(text, config.load({"GW_CONFIG": config_path}).settings)))
+
+
+def read_plan(text: str) -> list[object]:
+    """All values of a plan's file."""
+    return list(leaves(rollout_section.plan_of(typed.parsed(text))))
+
+
+def operator_keys() -> set[str]:
+    """Sections and keys that the program takes in an operator's file."""
+    tables: dict[str, type[msgspec.Struct]] = {
+        "store": store_section.StoreTable,
+        "tls": tls_section.TlsTable,
+        "lease": lease_section.LeaseTable,
+        "board": board_section.BoardTable,
+        "rollout": rollout_section.RolloutTable,
+        "sites": sites_section.SitesTable,
+        "fleet": fleet_section.FleetTable,
+    }
+    keys = set(_keys(operator.File))
+    return keys.union(*(_keys(table, f"{name}.") for name, table in tables.items()))
+
+
+def plan_keys() -> set[str]:
+    """Keys that the program takes in a plan's file."""
+    return set(_keys(rollout_section.PlanTable))
+
+
+def _keys(table: type[msgspec.Struct], path: str = "") -> Iterator[str]:
+    for field in msgspec.structs.fields(table):
+        yield path + field.encode_name
+        for inner in _tables(field.type):
+            yield from _keys(inner, f"{path}{field.encode_name}.")
+
+
+def _tables(kind: Any) -> Iterator[type[msgspec.Struct]]:
+    if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
+        yield kind
+    for inner in get_args(kind):
+        yield from _tables(inner)
--- a/tests/compatibility/test_config.py
+++ b/tests/compatibility/test_config.py
@@ -11,8 +11,8 @@
 import orjson
 import pytest
 
-from tests.compatibility import program
 from tests.compatibility.files import DATA
+from tests.compatibility.program import settings
 
 STORED = orjson.loads((DATA / "config.json").read_bytes())
 NEXT = {"idempotent": "at_most_once", "deduplicated": "idempotent", "zone": "all", "cell": "all"}
@@ -63,7 +63,7 @@
 def _read(data: Any, tmp_path: Path, **environ: str) -> list[Any]:
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(data))
-    return program.read_config({"GW_CONFIG": str(path)} | environ)
+    return settings.read_config({"GW_CONFIG": str(path)} | environ)
 
 
 def test_every_value_arrives(tmp_path: Path) -> None:
@@ -84,7 +84,7 @@
     holder, key = _at(data, path)
     stored = holder.pop(key)
     if pattern in REQUIRED:
-        with pytest.raises(program.ConfigError, match=r"\A.*\Z"):  # one line
+        with pytest.raises(settings.ConfigError, match=r"\A.*\Z"):  # one line
             _read(data, tmp_path)
         return
     same = path in UNREAD or stored is False  # which is the default where there is one
--- a/tests/compatibility/test_etcd.py
+++ b/tests/compatibility/test_etcd.py
@@ -9,8 +9,9 @@
 import orjson
 import pytest
 
-from tests.compatibility import program
 from tests.compatibility.files import DATA
+from tests.compatibility.program import lease, log
+from tests.compatibility.program.values import values
 
 CELLS = {"fleet/h": b"[3,0,86,0,0]", "fleet/k/ask/n1": b"[1,51,false]", "fleet/k/ask/n2": b"[2,51,false]"}
 STORED = {  # while "nightly" is held and asked to be given up
@@ -20,7 +21,7 @@
 }
 
 
-class RecordingEtcd(program.Etcd):
+class RecordingEtcd(lease.Etcd):
     """The stand-in for etcd, which keeps what it was asked, and tells what it holds."""
 
     def __init__(self) -> None:
@@ -74,10 +75,10 @@
 
 
 async def _lease_story(etcd: RecordingEtcd, address: str) -> None:
-    authority = program.etcd_authority(address)
-    assert program.values(await program.look(authority, "nightly")) == [[0, 0], "", True, 0.0]
-    assert program.values(await program.take(authority, "nightly", (0, 0))) == [2]
-    assert program.values(await program.take(authority, "nightly", (0, 0))) == [
+    authority = lease.etcd_authority(address)
+    assert values(await lease.look(authority, "nightly")) == [[0, 0], "", True, 0.0]
+    assert values(await lease.take(authority, "nightly", (0, 0))) == [2]
+    assert values(await lease.take(authority, "nightly", (0, 0))) == [
         [2, 0],
         "n1.aaaaaaaaaaaa",
         False,
@@ -85,29 +86,29 @@
     ]
     assert await authority.done("nightly", 2, 1700000000123)
     assert await authority.last("nightly") == 1700000000123
-    assert program.values(await program.renew(authority, "nightly", 2)) == [False]
+    assert values(await lease.renew(authority, "nightly", 2)) == [False]
     assert await authority.recall("nightly", at_once=False)
-    assert program.values(await program.renew(authority, "nightly", 2)) == [True]
+    assert values(await lease.renew(authority, "nightly", 2)) == [True]
     assert await etcd.held() == STORED
     (standing,) = await authority.standing()
-    duty, holder, token, _, recalled, done = program.values(standing)
+    duty, holder, token, _, recalled, done = values(standing)
     assert (duty, holder, token, recalled, done) == ("nightly", "n1.aaaaaaaaaaaa", 2, True, 1700000000123)
-    assert program.values(await program.release(authority, "nightly", 2)) == [[0, 0], "", True, 0.0]
+    assert values(await lease.release(authority, "nightly", 2)) == [[0, 0], "", True, 0.0]
     assert not await authority.recall("nightly", at_once=False)
-    assert program.values(await program.take(authority, "nightly", (0, 0))) == [6]
+    assert values(await lease.take(authority, "nightly", (0, 0))) == [6]
     assert await authority.recall("nightly", at_once=True)
     assert await etcd.held() == {"sabledyke/done/nightly": "1700000000123"}
     await authority.close()
 
 
 async def _log_story(etcd: RecordingEtcd, address: str) -> None:
-    shelf = program.EtcdShelf([address], "sabledyke/", 20_000.0)
+    shelf = log.EtcdShelf([address], "sabledyke/", 20_000.0)
     assert await shelf.commit({key: 0 for key in CELLS}, CELLS)
     assert not await shelf.commit({"fleet/h": 0}, {"fleet/h": b"lost"})
     found = await shelf.get(["fleet/h", "fleet/none"])
-    assert {key: program.values(cell) for key, cell in found.items()} == {"fleet/h": [2, b"[3,0,86,0,0]"]}
+    assert {key: values(cell) for key, cell in found.items()} == {"fleet/h": [2, b"[3,0,86,0,0]"]}
     scanned = await shelf.scan("fleet/k/", "fleet/k/~", 100)
-    assert {key: program.values(cell) for key, cell in scanned} == {
+    assert {key: values(cell) for key, cell in scanned} == {
         key: [2, data] for key, data in CELLS.items() if key.startswith("fleet/k/")
     }
     assert await shelf.commit({"fleet/h": 2}, {"fleet/h": b"[4,0,86,0,0]"}, ["fleet/k/ask/n1"])
@@ -127,16 +128,16 @@
 
 def test_a_lease_that_another_version_stored_is_read() -> None:
     async def story(etcd: RecordingEtcd, address: str) -> None:
-        lease = str((await etcd.ask("/v3/lease/grant", TTL="60"))["ID"])
+        granted = str((await etcd.ask("/v3/lease/grant", TTL="60"))["ID"])
         for key, value in STORED.items():
-            await etcd.put(key, value, "0" if "done" in key else lease)
-        authority = program.etcd_authority(address)
+            await etcd.put(key, value, "0" if "done" in key else granted)
+        authority = lease.etcd_authority(address)
         (standing,) = await authority.standing()
-        duty, holder, token, left, recalled, done = program.values(standing)
+        duty, holder, token, left, recalled, done = values(standing)
         assert (duty, holder, token, recalled, done) == ("nightly", "n1.aaaaaaaaaaaa", 2, True, 1700000000123)
         assert 0 < left <= 60_000
-        assert program.values(await program.look(authority, "nightly")) == [[2, 0], holder, False, 0.0]
-        assert program.values(await program.renew(authority, "nightly", 2)) == [True]
+        assert values(await lease.look(authority, "nightly")) == [[2, 0], holder, False, 0.0]
+        assert values(await lease.renew(authority, "nightly", 2)) == [True]
         await authority.close()
 
     _play(story)
@@ -150,11 +151,11 @@
         await etcd.put("sabledyke/board/fleet/m/0000000000000001", message)
         await etcd.put("sabledyke/board/fleet/w/n1", '[1,"aaaaaaaaaaaa",1,[1]]')
         await etcd.put("sabledyke/board/beats/r/n1", "[3,120,4,86400123]")
-        shelf = program.EtcdShelf([address], "sabledyke/", 20_000.0)
-        values, offsets = await program.read_topic(shelf, "fleet")
+        shelf = log.EtcdShelf([address], "sabledyke/", 20_000.0)
+        values, offsets = await log.read_topic(shelf, "fleet")
         assert values == {"ask/n1": message.partition("\n")[2].encode()} and offsets == {"ask/n1": 1}
-        assert await program.read_registers(shelf, "beats") == {"n1": b"[3,120,4,86400123]"}
-        assert await program.claim(shelf, "fleet", "n1", "bbbbbbbbbbbb") == ("n1", 2, "bbbbbbbbbbbb")
+        assert await log.read_registers(shelf, "beats") == {"n1": b"[3,120,4,86400123]"}
+        assert await log.claim(shelf, "fleet", "n1", "bbbbbbbbbbbb") == ("n1", 2, "bbbbbbbbbbbb")
         await shelf.close()
 
     _play(story)
--- a/tests/compatibility/test_log.py
+++ b/tests/compatibility/test_log.py
@@ -14,8 +14,9 @@
 import orjson
 import pytest
 
-from tests.compatibility import program
 from tests.compatibility.files import DATA, dump, load
+from tests.compatibility.program import log
+from tests.compatibility.program.values import values
 
 RECORDS = {
     "member/n1": b'{"name":"n1","life":3,"version":"1.4","site":"lodi","state":"leaving"}',
@@ -53,9 +54,9 @@
 
 @pytest.mark.parametrize("key", RECORDS)
 def test_a_record_of_the_fleet_is_read_in_full_and_written_to_the_same_bytes(key: str) -> None:
-    record = program.read_record(key, RECORDS[key], 77)
-    assert program.values(record) == [*orjson.loads(RECORDS[key]).values(), 77]
-    assert program.write_record(record) == (key, RECORDS[key])
+    record = log.read_record(key, RECORDS[key], 77)
+    assert values(record) == [*orjson.loads(RECORDS[key]).values(), 77]
+    assert log.write_record(record) == (key, RECORDS[key])
 
 
 @pytest.mark.parametrize(("key", "number"), FIELDS)
@@ -67,42 +68,42 @@
     shorter = orjson.dumps({field: value for field, value in stored.items() if field != name})
     if number < required:
         with pytest.raises(TypeError):
-            program.read_record(key, shorter)
+            log.read_record(key, shorter)
         return
     expected = orjson.dumps({**stored, name: defaults[number - required]})
     assert expected != RECORDS[key]
-    assert program.write_record(program.read_record(key, shorter))[1] == expected
+    assert log.write_record(log.read_record(key, shorter))[1] == expected
 
 
 @pytest.mark.parametrize("key", RECORDS)
 def test_a_field_of_a_later_version_is_dropped(key: str) -> None:
     longer = orjson.dumps({**orjson.loads(RECORDS[key]), "of_a_later_version": 1})
-    assert program.write_record(program.read_record(key, longer))[1] == RECORDS[key]
+    assert log.write_record(log.read_record(key, longer))[1] == RECORDS[key]
 
 
 def test_a_record_of_a_later_version_is_passed_over() -> None:
-    assert program.read_record("unheard/n1", b'{"name":"n1"}') is None
+    assert log.read_record("unheard/n1", b'{"name":"n1"}') is None
 
 
 @pytest.mark.parametrize(
     ("key", "old", "words", "kind"),
     [
-        ("member/n1", b"leaving", "ready leaving out warming silent retired", program.STATES),
-        ("plan/p1", b"halted", "running halted back done undone", program.STAGES),
-        ("drain/s-1", b"warming", "leaving drained warming", program.PHASES),
+        ("member/n1", b"leaving", "ready leaving out warming silent retired", log.STATES),
+        ("plan/p1", b"halted", "running halted back done undone", log.STAGES),
+        ("drain/s-1", b"warming", "leaving drained warming", log.PHASES),
     ],
 )
 def test_the_stored_words_of_each_enumeration(key: str, old: bytes, words: str, kind: type[Enum]) -> None:
     assert [member.value for member in kind] == words.split()
     for word in words.split():
         value = RECORDS[key].replace(b'"' + old + b'"', b'"' + word.encode() + b'"')
-        assert program.write_record(program.read_record(key, value)) == (key, value)
+        assert log.write_record(log.read_record(key, value)) == (key, value)
 
 
 def test_homes_are_read_in_full_and_written_to_the_same_bytes() -> None:
-    homes = program.read_homes(HOMES)
-    assert {key: program.write_home(home) for key, home in homes.items()} == HOMES
-    assert program.values(homes["00000003b4d60021"]) == [
+    homes = log.read_homes(HOMES)
+    assert {key: log.write_home(home) for key, home in homes.items()} == HOMES
+    assert values(homes["00000003b4d60021"]) == [
         "00000003b4d60021",
         "milano",
         "n2",
@@ -114,41 +115,41 @@
 
 
 def test_registers_are_read_in_full() -> None:
-    assert program.read_beats(BEATS) == {"n1": (3, 120, 4, 86400123)}
-    assert program.read_demands(SHARES["n1"]) == (6, {0x3B4D60021: 12.5, 0x3B4D60022: 0.25})
+    assert log.read_beats(BEATS) == {"n1": (3, 120, 4, 86400123)}
+    assert log.read_demands(SHARES["n1"]) == (6, {0x3B4D60021: 12.5, 0x3B4D60022: 0.25})
 
 
 def test_topics_have_their_stored_names() -> None:
-    names = program.FLEET_TOPIC, program.BEATS_TOPIC, program.HOMES_TOPIC, program.SHARES_TOPIC
-    assert (*names, program.LOAD_PREFIX) == ("fleet", "beats", "homes", "shares", "load/")
+    names = log.FLEET_TOPIC, log.BEATS_TOPIC, log.HOMES_TOPIC, log.SHARES_TOPIC
+    assert (*names, log.LOAD_PREFIX) == ("fleet", "beats", "homes", "shares", "load/")
 
 
 def test_a_member_writes_its_record_and_its_registers(tmp_path: Path) -> None:
     path = str(tmp_path / "log.sqlite3")
 
-    async def story(shelf: program.Shelf) -> None:
-        await program.member_writes(path, {"00000003b4d60021": 12.5})
-        await program.sharer_writes(path, 0x3B4D60021)
-        fleet, _ = await program.read_topic(shelf, "fleet")
+    async def story(shelf: log.Shelf) -> None:
+        await log.member_writes(path, {"00000003b4d60021": 12.5})
+        await log.sharer_writes(path, 0x3B4D60021)
+        fleet, _ = await log.read_topic(shelf, "fleet")
         assert fleet == {
             "member/n1": b'{"name":"n1","life":1,"version":"1.4","site":"lodi","state":"warming"}'
         }
-        beats = await program.read_registers(shelf, "beats")
+        beats = await log.read_registers(shelf, "beats")
         assert set(beats) == {"n1", "load/n1"} and beats["n1"].startswith(b"[1,120,3,")
         assert beats["load/n1"] == b'{"00000003b4d60021":12.5}'
-        assert await program.read_registers(shelf, "shares") == {"n1": b'[1,{"3b4d60021":1.5}]'}
+        assert await log.read_registers(shelf, "shares") == {"n1": b'[1,{"3b4d60021":1.5}]'}
 
     _on_table(path, story)
 
 
 def test_a_stored_log_is_read_in_full(tmp_path: Path) -> None:
-    async def story(shelf: program.Shelf) -> None:
-        fleet, offsets = await program.read_topic(shelf, "fleet")
+    async def story(shelf: log.Shelf) -> None:
+        fleet, offsets = await log.read_topic(shelf, "fleet")
         assert fleet == RECORDS | LATER
         assert offsets == OFFSETS
-        assert (await program.read_topic(shelf, "homes"))[0] == HOMES
-        assert await program.read_registers(shelf, "beats") == BEATS
-        assert await program.read_registers(shelf, "shares") == SHARES
+        assert (await log.read_topic(shelf, "homes"))[0] == HOMES
+        assert await log.read_registers(shelf, "beats") == BEATS
+        assert await log.read_registers(shelf, "shares") == SHARES
 
     _on_table(load("log.sql", tmp_path / "log.sqlite3"), story)
 
@@ -162,13 +163,13 @@
 def test_each_cell_of_a_stored_log_is_written_again_to_the_same_bytes(tmp_path: Path) -> None:
     kinds = set()
 
-    async def story(shelf: program.Shelf) -> None:
+    async def story(shelf: log.Shelf) -> None:
         for key, cell in await shelf.scan("", "~", 1000):
             kind = "/".join(key.split("/")[1:2])
             kinds.add(kind)
-            _, data = program.values(cell)
+            _, data = values(cell)
             if kind != "r":
-                assert program.rewritten(key, data) == data, key
+                assert log.rewritten(key, data) == data, key
 
     _on_table(load("log.sql", tmp_path / "log.sqlite3"), story)
     assert kinds == {"h", "k", "w", "c", "m", "r"}
@@ -177,12 +178,12 @@
 def test_a_stored_log_goes_on(tmp_path: Path) -> None:
     """Its writers' next lives are counted on, its places and its head hold for what is appended."""
 
-    async def story(shelf: program.Shelf) -> None:
-        writer = await program.claim(shelf, "fleet", "n1", "cccccccccccc")
+    async def story(shelf: log.Shelf) -> None:
+        writer = await log.claim(shelf, "fleet", "n1", "cccccccccccc")
         assert writer == ("n1", 2, "cccccccccccc")
-        assert await program.append(shelf, "fleet", writer, ("member/n1", RECORDS["member/n1"])) == (17,)
-        await program.clean(shelf, "fleet", 8, 9000.0)
-        fleet, offsets = await program.read_topic(shelf, "fleet")
+        assert await log.append(shelf, "fleet", writer, ("member/n1", RECORDS["member/n1"])) == (17,)
+        await log.clean(shelf, "fleet", 8, 9000.0)
+        fleet, offsets = await log.read_topic(shelf, "fleet")
         assert fleet == RECORDS | LATER
         assert offsets == OFFSETS | {"member/n1": 17}
 
@@ -193,31 +194,31 @@
 LATER = {"member/n2": b'{"name":"n2","life":1}', "clear/n2": b'{"name":"n2","life":1,"drains":[41]}'}
 
 
-async def write_log(shelf: program.Shelf) -> None:
+async def write_log(shelf: log.Shelf) -> None:
     """A log with every kind of cell: superseded messages, tombstones, some of them compacted away."""
-    n1 = await program.claim(shelf, "fleet", "n1", "aaaaaaaaaaaa")
+    n1 = await log.claim(shelf, "fleet", "n1", "aaaaaaaaaaaa")
     coordinator = "coordinator", 7, "bbbbbbbbbbbb"
     for state in (b"warming", b"ready"):
         value = RECORDS["member/n1"].replace(b"leaving", state)
-        await program.append(shelf, "fleet", n1, ("member/n1", value))
-    await program.append(shelf, "fleet", n1, ("ask/n3", RECORDS["ask/n1"].replace(b"n1", b"n3")))
-    await program.append(shelf, "fleet", n1, ("ask/n3", None))
-    await program.append(shelf, "fleet", coordinator, *RECORDS.items())
-    await program.clean(shelf, "fleet", 7, 1000.0)
+        await log.append(shelf, "fleet", n1, ("member/n1", value))
+    await log.append(shelf, "fleet", n1, ("ask/n3", RECORDS["ask/n1"].replace(b"n1", b"n3")))
+    await log.append(shelf, "fleet", n1, ("ask/n3", None))
+    await log.append(shelf, "fleet", coordinator, *RECORDS.items())
+    await log.clean(shelf, "fleet", 7, 1000.0)
     ask = RECORDS["ask/n1"].replace(b"n1", b"n4")
-    await program.append(shelf, "fleet", n1, ("member/n2", b'{"name":"n2","life":0}'), ("ask/n4", ask))
-    await program.append(shelf, "fleet", n1, ("clear/n2", LATER["clear/n2"]))
-    await program.clean(shelf, "fleet", 7, 2000.0)
-    await program.append(shelf, "fleet", n1, ("member/n2", LATER["member/n2"]), ("ask/n4", None))
-    await program.append(shelf, "homes", coordinator, *HOMES.items())
+    await log.append(shelf, "fleet", n1, ("member/n2", b'{"name":"n2","life":0}'), ("ask/n4", ask))
+    await log.append(shelf, "fleet", n1, ("clear/n2", LATER["clear/n2"]))
+    await log.clean(shelf, "fleet", 7, 2000.0)
+    await log.append(shelf, "fleet", n1, ("member/n2", LATER["member/n2"]), ("ask/n4", None))
+    await log.append(shelf, "homes", coordinator, *HOMES.items())
     for topic, words in ("beats", BEATS), ("shares", SHARES):
-        writer = await program.claim(shelf, topic, "n1", "dddddddddddd")
-        await program.put_registers(shelf, topic, writer, words)
+        writer = await log.claim(shelf, topic, "n1", "dddddddddddd")
+        await log.put_registers(shelf, topic, writer, words)
 
 
-def _on_table(path: str, story: Callable[[program.Shelf], Awaitable[None]]) -> None:
+def _on_table(path: str, story: Callable[[log.Shelf], Awaitable[None]]) -> None:
     async def run() -> None:
-        shelf = program.TableShelf(path)
+        shelf = log.TableShelf(path)
         await shelf.open()
         try:
             await story(shelf)
--- /dev/null
+++ b/tests/compatibility/test_operator.py
@@ -0,0 +1,81 @@
+"""The operator's file and the files of plans: each section and key, and where its value arrives."""
+
+from __future__ import annotations
+
+import re
+from pathlib import Path
+
+import orjson
+import pytest
+
+from tests.compatibility.files import DATA
+from tests.compatibility.program import settings
+
+FILES = ["operator_sqlite", "operator_etcd", "plan_release", "plan_drain", "plan_retire"]
+LINES = [
+    (name, number)
+    for name in FILES
+    for number, line in enumerate((DATA / f"{name}.toml").read_text().splitlines())
+    if line
+]
+VALUES = orjson.loads((DATA / "operator_values.json").read_bytes())
+
+
+@pytest.fixture
+def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+    """Where the password is that the file names; other passwords stand in the environment."""
+    (tmp_path / "password").write_text("keeper's secret\n")
+    (tmp_path / "password").chmod(0o600)
+    monkeypatch.setenv("SABLEDYKE_STORE_PASSWORD", "secret of the environment")
+    monkeypatch.setenv("BOX_PASSWORD", "boxer's secret")
+    return tmp_path
+
+
+def _read(name: str, lines: list[str], folder: Path) -> list[object]:
+    text = "\n".join(lines).replace("FOLDER", str(folder))
+    if name.startswith("plan"):
+        return settings.read_plan(text)
+    return settings.read_operator(text, str(DATA / "config.json"))
+
+
+def _lines(name: str) -> list[str]:
+    return (DATA / f"{name}.toml").read_text().splitlines()
+
+
+@pytest.mark.parametrize("name", FILES)
+def test_every_value_arrives(name: str, folder: Path) -> None:
+    assert _read(name, _lines(name), folder) == VALUES[name]
+
+
+@pytest.mark.parametrize(("name", "number"), LINES)
+def test_a_name_that_is_misspelt_is_refused_in_one_line(name: str, number: int, folder: Path) -> None:
+    lines = _lines(name)
+    lines[number] = re.sub(r"\w+(?=\]| =)", r"\g<0>_x", lines[number], count=1)
+    with pytest.raises(settings.OperatorError, match=r"\A.*_x.*\Z"):
+        _read(name, lines, folder)
+
+
+@pytest.mark.parametrize(("name", "number"), [(n, i) for n, i in LINES if not _lines(n)[i].startswith("[")])
+def test_each_key_has_an_effect(name: str, number: int, folder: Path) -> None:
+    lines = _lines(name)
+    del lines[number]
+    try:
+        read = _read(name, lines, folder)
+    except settings.OperatorError as fault:
+        assert "\n" not in str(fault)
+    else:
+        assert read != VALUES[name]
+
+
+def test_the_files_here_have_every_section_and_key() -> None:
+    found = {"file": set[str](), "plan": set[str]()}
+    for name in FILES:
+        kind, path = ("plan" if name.startswith("plan") else "file"), ""
+        for line in _lines(name):
+            if line.startswith("["):
+                path = line.strip("[]") + "."
+                found[kind].add(path.strip("."))
+            elif line:
+                found[kind].add(path + line.partition(" =")[0])
+    assert found["file"] == settings.operator_keys()
+    assert found["plan"] == settings.plan_keys()
--- a/tests/compatibility/test_store.py
+++ b/tests/compatibility/test_store.py
@@ -10,8 +10,9 @@
 import orjson
 import pytest
 
-from tests.compatibility import program
 from tests.compatibility.files import DATA, dump, load
+from tests.compatibility.program import lease, record
+from tests.compatibility.program.values import values
 
 INTENTS = [
     ["scontrino/3b4d60021/order-1", [1700000000100.5, 3, 1]],
@@ -49,35 +50,35 @@
 
 async def write_schema_2(path: str) -> None:
     """Two lives of an instance, with rows in every table, and a fence."""
-    session = await program.open_record(path)
-    life, *_ = await program.begin_life(session, "n1")
+    session = await record.open_record(path)
+    life, *_ = await record.begin_life(session, "n1")
     assert life == 1
-    await program.write_batch(session, "n1", intents=INTENTS)
-    await program.write_batch(session, "n1", settled=SETTLED, entries=ENTRIES, drifts=[DRIFT])
-    assert (await program.begin_life(session, "n1"))[:3] == [2, 2, 5]
-    await program.pass_fence(session, "nightly", 7)
+    await record.write_batch(session, "n1", intents=INTENTS)
+    await record.write_batch(session, "n1", settled=SETTLED, entries=ENTRIES, drifts=[DRIFT])
+    assert (await record.begin_life(session, "n1"))[:3] == [2, 2, 5]
+    await lease.pass_fence(session, "nightly", 7)
     await session.close()
 
 
 async def write_leases(path: str) -> None:
     """A lease that is held and recalled, and one that was released and whose duty was done."""
-    authority = program.table_authority(path)
+    authority = lease.table_authority(path)
     await authority.open()
-    assert program.values(await program.take(authority, "coordinator", (0, 0))) == [1]
-    assert program.values(await program.renew(authority, "coordinator", 1)) == [False]
+    assert values(await lease.take(authority, "coordinator", (0, 0))) == [1]
+    assert values(await lease.renew(authority, "coordinator", 1)) == [False]
     assert await authority.recall("coordinator", at_once=False)
-    assert program.values(await program.take(authority, "nightly", (0, 0))) == [1]
-    assert program.values(await program.release(authority, "nightly", 1)) == [[1, 1], "", True, 3000.0]
-    assert program.values(await program.take(authority, "nightly", (1, 1))) == [2]
+    assert values(await lease.take(authority, "nightly", (0, 0))) == [1]
+    assert values(await lease.release(authority, "nightly", 1)) == [[1, 1], "", True, 3000.0]
+    assert values(await lease.take(authority, "nightly", (1, 1))) == [2]
     assert await authority.done("nightly", 2, 1700000000123)
-    await program.release(authority, "nightly", 2)
+    await lease.release(authority, "nightly", 2)
     await authority.close()
 
 
 @pytest.mark.parametrize(
     ("name", "write"),
     [
-        ("store_schema_1.sql", program.write_schema_1),
+        ("store_schema_1.sql", record.write_schema_1),
         ("store_schema_2.sql", write_schema_2),
         ("leases.sql", write_leases),
     ],
@@ -99,13 +100,13 @@
     path = load(f"store_schema_{schema}.sql", tmp_path / "store.sqlite3")
 
     async def story() -> None:
-        assert await program.migrate(path) == (f"schema 2{', was 1' if schema == 1 else ''}")
-        session = await program.open_record(path)
+        assert await record.migrate(path) == (f"schema 2{', was 1' if schema == 1 else ''}")
+        session = await record.open_record(path)
         for name, sent, state in WRITES:
-            assert await program.look_up(session, name) == [sent, state]
+            assert await record.look_up(session, name) == [sent, state]
         recent = [name for name, *_ in reversed(WRITES) if not name.endswith("order-3")]
-        assert [name for name, _ in await program.recent(session)] == recent
-        assert (await program.begin_life(session, "n1"))[:3] == ([1, 0, 0] if schema == 1 else [3, 2, 5])
+        assert [name for name, _ in await record.recent(session)] == recent
+        assert (await record.begin_life(session, "n1"))[:3] == ([1, 0, 0] if schema == 1 else [3, 2, 5])
         await session.close()
 
     _play(story)
@@ -121,8 +122,8 @@
     path = load("store_schema_2.sql", tmp_path / "store.sqlite3")
 
     async def story() -> None:
-        assert await program.audit(path)
-        text = await program.export(path)
+        assert await record.audit(path)
+        text = await record.export(path)
         rows = [orjson.loads(line) for line in text.splitlines()]
         assert [list(row.values())[3:-1] for row in rows] == ENTRIES
         assert [list(row.values())[:3] for row in rows] == [["n1", seq, 1] for seq in range(1, 6)]
@@ -135,10 +136,10 @@
     path = load("store_schema_2.sql", tmp_path / "store.sqlite3")
 
     async def story() -> None:
-        session = await program.open_record(path)
-        await program.pass_fence(session, "nightly", 7)
-        with pytest.raises(program.StoreFault):
-            await program.pass_fence(session, "nightly", 6)
+        session = await record.open_record(path)
+        await lease.pass_fence(session, "nightly", 7)
+        with pytest.raises(lease.StoreFault):
+            await lease.pass_fence(session, "nightly", 6)
         await session.close()
 
     _play(story)
@@ -149,17 +150,17 @@
     path = load("leases.sql", tmp_path / "leases.sqlite3")
 
     async def story() -> None:
-        authority = program.table_authority(path)
+        authority = lease.table_authority(path)
         await authority.open()
-        assert [program.values(standing) for standing in await authority.standing()] == [
-            ["coordinator", program.ME, 1, 2000.0, True, 0],
+        assert [values(standing) for standing in await authority.standing()] == [
+            ["coordinator", lease.ME, 1, 2000.0, True, 0],
             ["nightly", "", 2, 2000.0, False, 1700000000123],
         ]
-        seen = program.values(await program.look(authority, "coordinator"))
-        assert seen == [[1, 1], program.ME, False, 3000.0]
-        assert program.values(await program.renew(authority, "coordinator", 1)) == [True]
+        seen = values(await lease.look(authority, "coordinator"))
+        assert seen == [[1, 1], lease.ME, False, 3000.0]
+        assert values(await lease.renew(authority, "coordinator", 1)) == [True]
         assert await authority.last("nightly") == 1700000000123
-        assert program.values(await program.take(authority, "nightly", (2, 1))) == [3]
+        assert values(await lease.take(authority, "nightly", (2, 1))) == [3]
         await authority.close()
 
     _play(story)
