--- /dev/null
+++ b/tests/transcripts/support.py
@@ -0,0 +1,279 @@
+"""The real program as a process, between scripted peers on loopback that record the bytes they get.
+
+Nothing of the program is imported here, so that renames inside it cannot change what these tests see. A
+transcript is compared with its file in ``approved/``. To approve a change of bytes, run the tests with
+``APPROVE_TRANSCRIPTS=1`` and read the difference before it is committed.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import re
+import signal
+import socket
+import sys
+from collections.abc import Awaitable, Callable, Coroutine
+from pathlib import Path
+from typing import Any, TypeAlias
+
+ROOT = Path(__file__).parent.parent.parent
+APPROVED = Path(__file__).parent / "approved"
+PATIENCE_S = 60.0  # for a whole test; only a fault uses it up
+Response: TypeAlias = bytes | None  # None: the connection is cut off without an answer
+Respond: TypeAlias = Callable[[int, bytes], Awaitable[Response]]
+
+
+def check_approved(name: str, text: str) -> None:
+    """Compare a transcript with its approved file."""
+    path = APPROVED / name
+    if os.environ.get("APPROVE_TRANSCRIPTS") == "1":
+        path.write_text(text)
+    assert text == path.read_text(), f"{name} differs from its approved transcript"
+
+
+def readable(data: bytes) -> str:
+    """Bytes as text without loss: line feeds break lines, other control bytes are escaped."""
+    text = data.decode("latin-1").encode("unicode_escape").decode().replace("\\n", "\\n\n")
+    return text if not text or text.endswith("\n") else text + "\n"
+
+
+def settings(**ceilings: Any) -> dict[str, Any]:
+    """The platform's settings of a small deployment, with deadlines that a busy machine meets."""
+    profile = {"aim": 5000, "hard_limit": 20000, "credit": 1, "late_worth": 0.1}
+    read = {**profile, "name": "read", "semantics": "idempotent", "group": "all"}
+    write = {**profile, "name": "write", "semantics": "deduplicated", "group": "all", "window": 30000}
+    return {
+        "me": 0,
+        "siblings": 1,
+        "az": 0,
+        "zones": ["a", "b"],
+        "kinds": ["m"],
+        "profiles": [read, write, {**write, "name": "append", "semantics": "at_most_once"}],
+        "grades": [{"name": "gold", "usual_rate": 50, "floor_rate": 50}],
+        "discovery": "on_request",
+        "ceilings": {"try_limit": 3, "retry_after": True, "max_retry_after": 500, **ceilings},
+        "family_info": {
+            "usual_units": 2,
+            "units_top": 8,
+            "fair_worth": 0.3,
+            "spare_worth": 0.05,
+            "young_limit": 20,
+            "changes_data": [False, True, True],
+        },
+        "invariants": {"cold_share": 0.25, "warm_up": 10000, "fall": 2000, "answer_slack": 8},
+    }
+
+
+def response(status: int, body: bytes = b"", *headers: str) -> bytes:
+    """A peer's response, with its length."""
+    lines = [f"HTTP/1.1 {status} Whatever", f"Content-Length: {len(body)}", *headers]
+    return "\r\n".join([*lines, "", ""]).encode() + body
+
+
+class Peer:
+    """A scripted HTTP peer: keeps each request as it came, and answers with what ``respond`` returns."""
+
+    def __init__(self, name: str, respond: Respond) -> None:
+        self.name, self.respond, self.port = name, respond, 0
+        self.requests: list[bytes] = []
+        self.arrived = asyncio.Condition()
+        self._writers: set[asyncio.StreamWriter] = set()
+
+    async def open(self) -> None:
+        """Listen on a port of its own."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self.port = int(self._server.sockets[0].getsockname()[1])
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._writers.add(writer)
+        try:
+            while True:
+                head = await reader.readuntil(b"\r\n\r\n")
+                length = re.search(rb"(?i)content-length: *(\d+)", head)
+                request = head + await reader.readexactly(int(length[1]) if length else 0)
+                async with self.arrived:
+                    self.requests.append(request)
+                    number = len(self.requests) - 1
+                    self.arrived.notify_all()
+                answer = await self.respond(number, request)
+                if answer is None:
+                    break
+                writer.write(answer)
+        except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
+            pass
+        finally:
+            self._writers.discard(writer)
+            writer.transport.abort()
+
+    async def wait_for(self, count: int) -> None:
+        """Until so many requests have come in."""
+        async with self.arrived:
+            await self.arrived.wait_for(lambda: len(self.requests) >= count)
+
+    def close(self) -> None:
+        """Listen no more, and cut off what is open."""
+        self._server.close()
+        for writer in list(self._writers):
+            writer.transport.abort()
+
+
+def reserved_port() -> tuple[socket.socket, int]:
+    """A port that the program can listen on while nobody else is given it, as long as the socket is open."""
+    held = socket.socket()
+    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    held.bind(("127.0.0.1", 0))
+    return held, int(held.getsockname()[1])
+
+
+async def echo(_number: int, request: bytes) -> Response:
+    """Serve a request with its own body."""
+    return response(200, request.partition(b"\r\n\r\n")[2])
+
+
+class Deployment:
+    """One scheduler process, discovery, and storage nodes that hold shard 0 and up, one each."""
+
+    def __init__(
+        self,
+        folder: Path,
+        *nodes: Respond,
+        known: bool = True,
+        discovery: Respond | None = None,
+        config: dict[str, Any] | None = None,
+    ) -> None:
+        self.folder, self._known, self._settings = folder, known, config or settings()
+        self.nodes = [Peer(f"node{number}", respond) for number, respond in enumerate(nodes or (echo,))]
+        self.discovery = Peer("discovery", discovery or self._listing_once)
+        self.front = self.console = 0
+        self._held: list[socket.socket] = []
+
+    def listing(self, sequence: int = 1) -> dict[str, Any]:
+        """The whole endpoint list as discovery sends it."""
+        common = {"site": "a", "class": "m", "health": "ready", "share": 1.0, "born_ms": 0}
+        hosts = [
+            {"host": node.name, "dial": f"127.0.0.1:{node.port}", "block": number, **common}
+            for number, node in enumerate(self.nodes)
+        ]
+        return {"seq": sequence, "whole": True, "hosts": hosts}
+
+    def listing_response(self, sequence: int = 1) -> bytes:
+        """Discovery's answer with the whole endpoint list."""
+        return response(200, json.dumps(self.listing(sequence)).encode())
+
+    async def _listing_once(self, number: int, _request: bytes) -> Response:
+        if number:
+            await asyncio.Event().wait()
+        return self.listing_response()
+
+    async def __aenter__(self) -> Deployment:
+        for peer in (*self.nodes, self.discovery):
+            await peer.open()
+        (first, self.front), (second, self.console) = reserved_port(), reserved_port()
+        self._held = [first, second]
+        config = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.front}",
+            "console": f"127.0.0.1:{self.console}",
+            "discovery": f"127.0.0.1:{self.discovery.port}",
+            "seed": "1",
+            "limits": {"sockets": 256},
+            "settings": self._settings,
+            "known": self.listing() if self._known else None,
+        }
+        path = self.folder / "config.json"
+        path.write_text(json.dumps(config))
+        environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
+        self._log = (self.folder / "stderr.txt").open("w+")
+        self.process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "sabledyke",
+            cwd=ROOT,
+            stderr=self._log,
+            env=environment | {"GW_CONFIG": str(path)},
+        )
+        try:
+            await self._wait_until_open(self.console)
+        except BaseException:
+            await self.__aexit__()
+            raise
+        return self
+
+    async def _wait_until_open(self, port: int) -> None:
+        while self.process.returncode is None:
+            try:
+                _, writer = await asyncio.open_connection("127.0.0.1", port)
+            except ConnectionError:
+                await asyncio.sleep(0.01)  # it has not opened its listeners yet
+                continue
+            writer.close()
+            return
+        raise AssertionError((self.folder / "stderr.txt").read_text())
+
+    def terminate(self) -> None:
+        """Ask the program to end, once more to make haste."""
+        self.process.send_signal(signal.SIGTERM)
+
+    async def __aexit__(self, *_: object) -> None:
+        if self.process.returncode is None:
+            self.process.kill()
+        await self.process.wait()
+        for peer in (*self.nodes, self.discovery):
+            peer.close()
+        for held in self._held:
+            held.close()
+        self._log.close()
+
+    def normalised(self, data: bytes) -> bytes:
+        """Without what varies: ports by their owner's name, and the seconds that are left."""
+        for peer in (*self.nodes, self.discovery):
+            data = data.replace(f"127.0.0.1:{peer.port}".encode(), f"<{peer.name}>".encode())
+        return re.sub(rb"(Req-Deadline|Retry-After): \d+\.\d{3}\r", rb"\1: <seconds>\r", data)
+
+    def transcript(self, *parts: tuple[str, bytes]) -> str:
+        """Titles, each with what was sent or received under it."""
+        return "".join(f"== {title}\n{readable(self.normalised(data))}" for title, data in parts)
+
+
+async def exchange(port: int, *sent: bytes) -> bytes:
+    """What comes back on one connection until the program ends it."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    writer.writelines(sent)
+    received = await reader.read()
+    writer.close()
+    return received
+
+
+def play(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a scenario, with time enough for a busy machine."""
+
+    async def bounded() -> None:
+        async with asyncio.timeout(PATIENCE_S):
+            await scenario
+
+    asyncio.run(bounded())
+
+
+def request(
+    method: str = "GET",
+    path: str = "/api/1/2",
+    *extra: str,
+    ident: str = "id-1",
+    body: bytes = b"",
+    close: bool = False,
+) -> bytes:
+    """A client's request in the platform's form; a PUT is a write, all else a read."""
+    kind = "write" if method == "PUT" else "read"
+    lines = [
+        f"{method} {path} HTTP/1.1",
+        "Host: front",
+        f"Req-Id: {ident}",
+        f"Req-Kind: {kind}",
+        "Tier: gold",
+    ]
+    lines += ["Req-Deadline: 20.0", "IO-Info: units=1,shard=0,hosts=1", *extra]
+    lines += [f"Content-Length: {len(body)}"] if body else []
+    lines += ["Connection: close"] if close else []
+    return "\r\n".join([*lines, "", ""]).encode() + body
