--- a/tests/transcripts/support.py
+++ b/tests/transcripts/support.py
@@ -41,29 +41,9 @@
 
 def settings(**ceilings: Any) -> dict[str, Any]:
     """The platform's settings of a small deployment, with deadlines that a busy machine meets."""
-    profile = {"aim": 5000, "hard_limit": 20000, "credit": 1, "late_worth": 0.1}
-    read = {**profile, "name": "read", "semantics": "idempotent", "group": "all"}
-    write = {**profile, "name": "write", "semantics": "deduplicated", "group": "all", "window": 30000}
-    return {
-        "me": 0,
-        "siblings": 1,
-        "az": 0,
-        "zones": ["a", "b"],
-        "kinds": ["m"],
-        "profiles": [read, write, {**write, "name": "append", "semantics": "at_most_once"}],
-        "grades": [{"name": "gold", "usual_rate": 50, "floor_rate": 50}],
-        "discovery": "on_request",
-        "ceilings": {"try_limit": 3, "retry_after": True, "max_retry_after": 500, **ceilings},
-        "family_info": {
-            "usual_units": 2,
-            "units_top": 8,
-            "fair_worth": 0.3,
-            "spare_worth": 0.05,
-            "young_limit": 20,
-            "changes_data": [False, True, True],
-        },
-        "invariants": {"cold_share": 0.25, "warm_up": 10000, "fall": 2000, "answer_slack": 8},
-    }
+    loaded: dict[str, Any] = json.loads((APPROVED.parent / "settings.json").read_text())
+    loaded["ceilings"].update(ceilings)
+    return loaded
 
 
 def response(status: int, body: bytes = b"", *headers: str) -> bytes:
