--- /dev/null
+++ b/tests/transcripts/test_process_edge.py
@@ -0,0 +1,68 @@
+"""The edge of the process: exit status, output and error line of commands that are given bad input.
+
+The table is ``approved/process-edge.toml``. In a case ``config`` is the text of the platform's file, ``missing``
+or ``unset``; without it the file is a valid one, into which the JSON of ``change`` is merged (null removes a key).
+``operator`` is the text of the operator's file, or of another that the command names.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import subprocess
+import sys
+import tomllib
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from tests.transcripts.support import APPROVED, PATIENCE_S, ROOT, settings
+
+CASES: list[dict[str, Any]] = tomllib.loads((APPROVED / "process-edge.toml").read_text())["case"]
+
+
+def merged(base: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
+    """The base with a change merged in; an empty table replaces what was there."""
+    out = dict(base)
+    for key, value in change.items():
+        if value is None:
+            del out[key]
+        elif isinstance(value, dict) and value and isinstance(out.get(key), dict):
+            out[key] = merged(out[key], value)
+        else:
+            out[key] = value
+    return out
+
+
+def valid_config() -> dict[str, Any]:
+    """A configuration that can be used, at addresses where nobody listens."""
+    addresses = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:9"}
+    return {"name": "n0", **addresses, "seed": "1", "limits": {"sockets": 256}, "settings": settings()}
+
+
+def run(folder: Path, case: dict[str, Any]) -> tuple[int, str, str]:
+    """Run a command in a folder with its files: exit status, standard output and standard error."""
+    text = case.get("config", json.dumps(merged(valid_config(), json.loads(case.get("change", "{}")))))
+    if text not in ("missing", "unset"):
+        (folder / "config.json").write_text(text)
+    if "operator" in case:
+        (folder / "operator.toml").write_text(case["operator"])
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
+    environment |= {"PYTHONPATH": str(ROOT), "COLUMNS": "100"}
+    environment |= {} if text == "unset" else {"GW_CONFIG": "config.json"}
+    done = subprocess.run(
+        [sys.executable, "-m", "sabledyke", *case["arguments"]],
+        cwd=folder,
+        env=environment,
+        capture_output=True,
+        text=True,
+        timeout=PATIENCE_S,
+    )
+    return done.returncode, done.stdout, done.stderr
+
+
+@pytest.mark.parametrize("case", CASES, ids=[case["name"] for case in CASES])
+def test_a_command_ends_with_the_approved_status_and_text(tmp_path: Path, case: dict[str, Any]) -> None:
+    expected = case["status"], case.get("stdout", ""), case.get("stderr", "")
+    assert run(tmp_path, case) == expected
