--- a/tests/transcripts/test_nvme_pdus.py
+++ b/tests/transcripts/test_nvme_pdus.py
@@ -4,6 +4,7 @@
 
 import struct
 from collections.abc import Callable
+from functools import partial
 
 import pytest
 
@@ -115,9 +116,7 @@
     command("write by R2T", host.write(1, 16, block * 2, 0x1122334455667788), target.served)
     command("write in its capsule", host.write(1, 17, block, 0x99, inside=True), target.served)
     for delay in (1, 2, 3):
-        command(
-            f"rejected with CRD {delay}", host.read(1, 0, 512), lambda cid, at=delay: target.rejected(cid, at)
-        )
+        command(f"rejected with CRD {delay}", host.read(1, 0, 512), partial(target.rejected, delay=delay))
     command("write rejected", host.write(1, 0, block, 5), lambda cid: target.rejected(cid, 1))
     command("failed", host.read(1, 0, 512), target.failed)
     talk.say("Flush", host.admin(0x00, 1))
--- a/tests/transcripts/test_process_edge.py
+++ b/tests/transcripts/test_process_edge.py
@@ -1,8 +1,8 @@
 """The edge of the process: exit status, output and error line of commands that are given bad input.
 
-The table is ``approved/process-edge.toml``. In a case ``config`` is the text of the platform's file, ``missing``
-or ``unset``; without it the file is a valid one, into which the JSON of ``change`` is merged (null removes a key).
-``operator`` is the text of the operator's file, or of another that the command names.
+The table is ``approved/process-edge.toml``. In a case ``config`` is the text of the platform's file, or is
+``missing`` or ``unset``. Without it the file is valid, and the JSON of ``change`` is merged into it (null
+removes a key). ``operator`` is the text of the operator's file, or of another that the command names.
 """
 
 from __future__ import annotations
