--- a/tests/compatibility/program/lease.py
+++ b/tests/compatibility/program/lease.py
@@ -4,15 +4,15 @@
 
 from typing import Any
 
-from sabledyke.lab.etcd import Etcd
-from sabledyke.lease import fence
-from sabledyke.lease import terms as lease_terms
-from sabledyke.lease.etcd import EtcdAuthority
-from sabledyke.lease.table import TableAuthority
-from sabledyke.store.faults import StoreFault
+from sabledyke.lease import fencing
+from sabledyke.lease import types as lease_terms
+from sabledyke.lease.etcd_authority import EtcdAuthority
+from sabledyke.lease.sql_authority import TableAuthority
+from sabledyke.store.database_errors import StoreFault
 from sabledyke.store.section import Target
 from sabledyke.store.session import Session
-from sabledyke.store.terms import Step
+from sabledyke.store.types import Step
+from sabledyke.testbed.etcd_server import Etcd
 
 __all__ = ["Etcd", "StoreFault"]
 
@@ -51,4 +51,4 @@
 
 async def pass_fence(session: Session, duty: str, token: int) -> None:
     """Show the database a token; a StoreFault where it has seen a later one."""
-    await session.transact([Step(fence.TABLE), *fence.steps(duty, token)])
+    await session.transact([Step(fencing.TABLE), *fencing.steps(duty, token)])
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -6,32 +6,32 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from sabledyke.board import compaction, ledger, register
-from sabledyke.board import section as board_section
-from sabledyke.board import terms as board_terms
-from sabledyke.board.board import Board, Pen
-from sabledyke.board.compaction import Policy
-from sabledyke.board.etcd import EtcdShelf
-from sabledyke.board.follower import Follower
-from sabledyke.board.table import TableShelf
-from sabledyke.board.terms import Draft, Message, Shelf, Writer
-from sabledyke.fleet import part as fleet_part
-from sabledyke.fleet import section as fleet_section
-from sabledyke.fleet import shares
+from sabledyke.application.extensions import Host
+from sabledyke.compacted_log import append, compaction, registers
+from sabledyke.compacted_log import records as board_terms
+from sabledyke.compacted_log import section as board_section
+from sabledyke.compacted_log.client import Board, Pen
+from sabledyke.compacted_log.compaction import Policy
+from sabledyke.compacted_log.etcd_backend import EtcdShelf
+from sabledyke.compacted_log.reader import Follower
+from sabledyke.compacted_log.records import Draft, Message, Shelf, Writer
+from sabledyke.compacted_log.sqlite_backend import TableShelf
 from sabledyke.lease import section as lease_section
-from sabledyke.net.parts import Host
-from sabledyke.rollout import part as rollout_part
+from sabledyke.placement import evacuation, evacuation_driver
+from sabledyke.placement import section as sites_section
+from sabledyke.quota_sharing import allocation
+from sabledyke.quota_sharing import extension as fleet_part
+from sabledyke.quota_sharing import section as fleet_section
+from sabledyke.rollout import extension as rollout_part
+from sabledyke.rollout import records as rollout_terms
 from sabledyke.rollout import section as rollout_section
-from sabledyke.rollout import terms as rollout_terms
-from sabledyke.sites import keeper, retire
-from sabledyke.sites import section as sites_section
 from tests.compatibility.program.values import values
 
 __all__ = ["EtcdShelf", "Shelf", "TableShelf"]
 
 FLEET_TOPIC, BEATS_TOPIC = rollout_terms.FLEET, rollout_terms.BEATS
-HOMES_TOPIC, SHARES_TOPIC = retire.HOMES, shares.TOPIC
-LOAD_PREFIX = keeper.LOADS
+HOMES_TOPIC, SHARES_TOPIC = evacuation.HOMES, allocation.TOPIC
+LOAD_PREFIX = evacuation_driver.LOADS
 INCOMPLETE = TypeError  # what a reader raises where a field is missing that it insists on
 STATES, STAGES, PHASES = rollout_terms.State, rollout_terms.Stage, rollout_terms.Phase
 
@@ -53,12 +53,12 @@
 
 def read_homes(stored: Mapping[str, bytes]) -> Mapping[str, Any]:
     """Homes by volume, from their stored values."""
-    return retire.read({key: message(key, value, 77) for key, value in stored.items()})
+    return evacuation.read({key: message(key, value, 77) for key, value in stored.items()})
 
 
 def write_home(home: Any) -> bytes:
     """A home as it is stored."""
-    return retire.pack(home)
+    return evacuation.pack(home)
 
 
 def read_beats(registers: Mapping[str, bytes]) -> Mapping[str, tuple[int, ...]]:
@@ -71,7 +71,7 @@
     return fleet_part._word(board_terms.Cell(1, value))
 
 
-async def append(
+async def append_messages(
     shelf: Shelf, topic: str, writer: tuple[str, int, str], *drafts: tuple[str, bytes | None]
 ) -> Any:
     """Append to a topic by a new connection of this writer: its name, its life, and what tells it apart."""
@@ -85,7 +85,7 @@
 async def claim(shelf: Shelf, topic: str, name: str, nonce: str) -> tuple[str, int, str]:
     """Begin the next life of a writer."""
     key = board_terms.writer_key(topic, name)
-    writer, commit = ledger.claim(topic, (await shelf.get([key])).get(key), name, nonce)
+    writer, commit = append.claim(topic, (await shelf.get([key])).get(key), name, nonce)
     assert await shelf.commit(commit.checks, commit.puts)
     return writer.name, writer.life, writer.nonce
 
@@ -94,12 +94,12 @@
     shelf: Shelf, topic: str, writer: tuple[str, int, str], words: Mapping[str, bytes]
 ) -> None:
     """Write registers of this writer."""
-    await register.Register(shelf, topic, Writer(*writer)).put(words)
+    await registers.Register(shelf, topic, Writer(*writer)).put(words)
 
 
 async def read_registers(shelf: Shelf, topic: str) -> dict[str, bytes]:
     """All registers of a topic."""
-    return await register.read(shelf, topic)
+    return await registers.read(shelf, topic)
 
 
 async def read_topic(shelf: Shelf, topic: str) -> tuple[dict[str, bytes | None], dict[str, int]]:
@@ -127,7 +127,7 @@
         case "w":
             said = board_terms.said_of(cell)
             assert said is not None
-            return ledger._pack(said)
+            return append._pack(said)
         case "c":
             return compaction._pack(compaction.progress_of(cell))
         case "m":
--- a/tests/compatibility/program/record.py
+++ b/tests/compatibility/program/record.py
@@ -6,11 +6,11 @@
 from io import BytesIO
 from typing import Any
 
-from sabledyke.store import journal, opening, statements, tools
+from sabledyke.store import audit_journal, maintenance, startup, statements
 from sabledyke.store.connect import connect
 from sabledyke.store.section import Target
 from sabledyke.store.session import Session
-from sabledyke.store.terms import Batch, Drift, Entry, Intent, Sent, Step
+from sabledyke.store.types import Batch, Drift, Entry, Intent, Sent, Step
 from tests.compatibility.program.values import values
 
 
@@ -32,13 +32,13 @@
 async def open_record(path: str) -> Session:
     """The store of record in this file, its schema up to date."""
     session = await connect(Target(path=path))
-    await opening.migrate(session)
+    await startup.migrate(session)
     return session
 
 
 async def begin_life(session: Session, instance: str) -> list[Any]:
     """Begin the next life of an instance: its number, its batches, the journal's last entry and its hash."""
-    return values(await opening.new_life(session, instance))
+    return values(await startup.new_life(session, instance))
 
 
 async def write_batch(
@@ -50,8 +50,8 @@
     drifts: Sequence[Sequence[Any]] = (),
 ) -> None:
     """Write one batch, all of whose values are given in the order of their columns."""
-    before, made = await opening.read_position(session, instance), [Entry(*entry) for entry in entries]
-    after, hashes = journal.extend(before, instance, made)
+    before, made = await startup.read_position(session, instance), [Entry(*entry) for entry in entries]
+    after, hashes = audit_journal.extend(before, instance, made)
     sends = [Intent(name, Sent(*sent)) for name, sent in intents]
     batch = Batch(before, after, sends, made, hashes, list(settled), [Drift(*drift) for drift in drifts])
     results = await session.transact(statements.steps(batch, instance))
@@ -67,23 +67,23 @@
 
 async def recent(session: Session) -> list[tuple[str, Any]]:
     """Writes that a start reads, newest first."""
-    return await opening.recent(session, 0.0)
+    return await startup.recent(session, 0.0)
 
 
 async def migrate(path: str) -> str:
     """What ``store migrate`` says last."""
     said: list[str] = []
-    assert await tools.migrate(Target(path=path), said.append)
+    assert await maintenance.migrate(Target(path=path), said.append)
     return said[-1]
 
 
 async def audit(path: str) -> bool:
     """Does the journal pass its audit?"""
-    return await tools.audit(Target(path=path), lambda _: None)
+    return await maintenance.audit(Target(path=path), lambda _: None)
 
 
 async def export(path: str) -> bytes:
     """The journal as JSON lines."""
     file = BytesIO()
-    await tools.export(Target(path=path), file, 0, lambda _: None)
+    await maintenance.export(Target(path=path), file, 0, lambda _: None)
     return file.getvalue()
--- a/tests/compatibility/program/settings.py
+++ b/tests/compatibility/program/settings.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from sabledyke import config, operator, typed
-from sabledyke.board import section as board_section
+from sabledyke import config, operator_config, toml_tables
+from sabledyke.compacted_log import section as board_section
 from sabledyke.errors import ConfigError, OperatorError
-from sabledyke.fleet import section as fleet_section
 from sabledyke.lease import section as lease_section
+from sabledyke.placement import section as sites_section
+from sabledyke.quota_sharing import section as fleet_section
 from sabledyke.rollout import section as rollout_section
-from sabledyke.sites import section as sites_section
 from sabledyke.store import section as store_section
 from sabledyke.tls import section as tls_section
 from tests.compatibility.program.values import leaves
@@ -28,12 +28,12 @@
 
 def read_operator(text: str, config_path: str) -> list[object]:
     """All values of an operator's file, in the order of their fields, under this configuration."""
-    return list(leaves(operator.read(text, config.load({"GW_CONFIG": config_path}).settings)))
+    return list(leaves(operator_config.read(text, config.load({"GW_CONFIG": config_path}).settings)))
 
 
 def read_plan(text: str) -> list[object]:
     """All values of a plan's file."""
-    return list(leaves(rollout_section.plan_of(typed.parsed(text))))
+    return list(leaves(rollout_section.plan_of(toml_tables.parsed(text))))
 
 
 def operator_keys() -> set[str]:
@@ -47,7 +47,7 @@
         "sites": sites_section.SitesTable,
         "fleet": fleet_section.FleetTable,
     }
-    keys = set(_keys(operator.File))
+    keys = set(_keys(operator_config.File))
     return keys.union(*(_keys(table, f"{name}.") for name, table in tables.items()))
 
 
--- a/tests/compatibility/test_log.py
+++ b/tests/compatibility/test_log.py
@@ -181,7 +181,7 @@
     async def story(shelf: log.Shelf) -> None:
         writer = await log.claim(shelf, "fleet", "n1", "cccccccccccc")
         assert writer == ("n1", 2, "cccccccccccc")
-        assert await log.append(shelf, "fleet", writer, ("member/n1", RECORDS["member/n1"])) == (17,)
+        assert await log.append_messages(shelf, "fleet", writer, ("member/n1", RECORDS["member/n1"])) == (17,)
         await log.clean(shelf, "fleet", 8, 9000.0)
         fleet, offsets = await log.read_topic(shelf, "fleet")
         assert fleet == RECORDS | LATER
@@ -200,17 +200,17 @@
     coordinator = "coordinator", 7, "bbbbbbbbbbbb"
     for state in (b"warming", b"ready"):
         value = RECORDS["member/n1"].replace(b"leaving", state)
-        await log.append(shelf, "fleet", n1, ("member/n1", value))
-    await log.append(shelf, "fleet", n1, ("ask/n3", RECORDS["ask/n1"].replace(b"n1", b"n3")))
-    await log.append(shelf, "fleet", n1, ("ask/n3", None))
-    await log.append(shelf, "fleet", coordinator, *RECORDS.items())
+        await log.append_messages(shelf, "fleet", n1, ("member/n1", value))
+    await log.append_messages(shelf, "fleet", n1, ("ask/n3", RECORDS["ask/n1"].replace(b"n1", b"n3")))
+    await log.append_messages(shelf, "fleet", n1, ("ask/n3", None))
+    await log.append_messages(shelf, "fleet", coordinator, *RECORDS.items())
     await log.clean(shelf, "fleet", 7, 1000.0)
     ask = RECORDS["ask/n1"].replace(b"n1", b"n4")
-    await log.append(shelf, "fleet", n1, ("member/n2", b'{"name":"n2","life":0}'), ("ask/n4", ask))
-    await log.append(shelf, "fleet", n1, ("clear/n2", LATER["clear/n2"]))
+    await log.append_messages(shelf, "fleet", n1, ("member/n2", b'{"name":"n2","life":0}'), ("ask/n4", ask))
+    await log.append_messages(shelf, "fleet", n1, ("clear/n2", LATER["clear/n2"]))
     await log.clean(shelf, "fleet", 7, 2000.0)
-    await log.append(shelf, "fleet", n1, ("member/n2", LATER["member/n2"]), ("ask/n4", None))
-    await log.append(shelf, "homes", coordinator, *HOMES.items())
+    await log.append_messages(shelf, "fleet", n1, ("member/n2", LATER["member/n2"]), ("ask/n4", None))
+    await log.append_messages(shelf, "homes", coordinator, *HOMES.items())
     for topic, words in ("beats", BEATS), ("shares", SHARES):
         writer = await log.claim(shelf, topic, "n1", "dddddddddddd")
         await log.put_registers(shelf, topic, writer, words)
