--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -33,7 +33,7 @@
     place_key,
 )
 from sabledyke.compacted_log.sqlite_backend import TableShelf
-from sabledyke.errors import BoardFault
+from sabledyke.errors import CompactedLogError
 from sabledyke.lease.manager import boottime
 from sabledyke.rollout import node_drain, planner
 from sabledyke.rollout.planner import Patience, Watch
@@ -124,7 +124,7 @@
         try:
             await board.clean("t", SLOW, lambda: 1, boottime)
             return
-        except BoardFault:
+        except CompactedLogError:
             continue
 
 
--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -26,7 +26,7 @@
 sys.path.insert(0, str(ROOT))
 
 from benchmarks import store  # noqa: E402
-from sabledyke.policy import interface as api  # noqa: E402
+from sabledyke.policy.nodes import NodeEntry, NodeState  # noqa: E402
 from sabledyke.tls import contexts  # noqa: E402
 from sabledyke.tls.connector import Connector  # noqa: E402
 from sabledyke.tls.handshake_admission import Admission, Terms  # noqa: E402
@@ -40,7 +40,7 @@
 
 AUTHORITY = Authority()
 SERVER = server_context(*AUTHORITY.issue("box"))
-ENTRY = api.NodeEntry(b"box", 0, 0, 0, 0.0, 1.0, api.NodeState.READY)
+ENTRY = NodeEntry(b"box", 0, 0, 0, 0.0, 1.0, NodeState.READY)
 FREE = Terms(siblings=1, part=1.0, cores=1000.0)
 
 
--- a/sabledyke/__init__.py
+++ b/sabledyke/__init__.py
@@ -1,4 +1,81 @@
 """sabledyke: an I/O scheduler for storage nodes; here, its decisions, for those who embed them."""
 
-from sabledyke.policy.interface import *  # noqa: F403
-from sabledyke.policy.scheduler import Scheduler as Scheduler
+from sabledyke.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdle,
+    Fail,
+    FetchList,
+    Log,
+    Probe,
+    Reject,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    WatchList,
+)
+from sabledyke.policy.events import (
+    AnswerStarted,
+    AttemptCompleted,
+    ClientDisconnected,
+    Event,
+    Outcome,
+    PeerMessage,
+    ProbeResult,
+    Request,
+    TimerFired,
+)
+from sabledyke.policy.nodes import (
+    EndpointList,
+    ListKind,
+    NodeEntry,
+    NodeId,
+    NodeState,
+    node_name,
+)
+from sabledyke.policy.scheduler import (
+    Scheduler,
+)
+from sabledyke.policy.settings import (
+    DeduplicationScope,
+    Plan,
+    RepeatSafety,
+    RequestClass,
+    Settings,
+)
+
+__all__ = [
+    "Action",
+    "AnswerStarted",
+    "AttemptCompleted",
+    "CancelAttempt",
+    "ClientDisconnected",
+    "CloseIdle",
+    "DeduplicationScope",
+    "EndpointList",
+    "Event",
+    "Fail",
+    "FetchList",
+    "ListKind",
+    "Log",
+    "NodeEntry",
+    "NodeId",
+    "NodeState",
+    "Outcome",
+    "PeerMessage",
+    "Plan",
+    "Probe",
+    "ProbeResult",
+    "Reject",
+    "RepeatSafety",
+    "Request",
+    "RequestClass",
+    "Scheduler",
+    "SendToPeer",
+    "SetTimer",
+    "Settings",
+    "StartAttempt",
+    "TimerFired",
+    "WatchList",
+    "node_name",
+]
--- a/sabledyke/application/extensions.py
+++ b/sabledyke/application/extensions.py
@@ -13,7 +13,7 @@
 
 from sabledyke.core import Answer, Transport, Work
 from sabledyke.net.connection_pool import Connect, Dial, Report
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, NodeEntry, NodeId
 
 if TYPE_CHECKING:
     from sabledyke.config import Config
@@ -31,18 +31,18 @@
 
     config: Config
     room: streams.Room
-    entry: Callable[[api.NodeId], api.NodeEntry]  # a listed box
+    entry: Callable[[NodeId], NodeEntry]  # a listed box
     submit: Submit  # the way to the core, through all parts
     depart: Callable[[int], None]  # the client of a request is gone
     connect: Connect  # the way to a box's address, through all parts
-    warm: Callable[[api.NodeId], None]  # have a connection to a box ahead of need
+    warm: Callable[[NodeId], None]  # have a connection to a box ahead of need
     ready: Callable[[], bool] = lambda: False  # its listeners take clients
     leaving: Callable[[], bool] = lambda: False  # it was told to end
     reload: Callable[[], str] = lambda: ""  # take on the configuration as SIGHUP does: why not, or ""
     leave: Callable[[], None] = lambda: None  # have it end, as SIGTERM does
     answers: Callable[[], tuple[int, int]] = lambda: (0, 0)  # final answers, and those that served nobody
-    busy: Callable[[api.NodeId], bool] = lambda _: False  # an attempt of this scheduler's is out there
-    relist: Callable[[Sequence[api.NodeEntry]], None] = lambda _: None  # take boxes for what these say
+    busy: Callable[[NodeId], bool] = lambda _: False  # an attempt of this scheduler's is out there
+    relist: Callable[[Sequence[NodeEntry]], None] = lambda _: None  # take boxes for what these say
     slack: float = 0.0  # ms that this way may take beyond a connection, as parts before have set it
 
 
@@ -59,7 +59,7 @@
         """The transport of this part round another."""
         return inner
 
-    def dialers(self) -> dict[api.NodeId, Dial]:
+    def dialers(self) -> dict[NodeId, Dial]:
         """For which boxes this part opens the connections."""
         return {}
 
@@ -94,11 +94,11 @@
     def retold(self, operator: Operator) -> None:
         """A new operator's file is in force; all parts have found it good."""
 
-    def listing(self, news: api.NodeList) -> api.NodeList:
+    def listing(self, news: EndpointList) -> EndpointList:
         """What this part makes of news of the list, before the core learns of them."""
         return news
 
-    def listed(self, gone: Iterable[api.NodeId]) -> None:
+    def listed(self, gone: Iterable[NodeId]) -> None:
         """These boxes are gone from the list."""
 
     async def close(self) -> None:
--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -24,7 +24,8 @@
 from sabledyke.net.http_frontend import HttpClient
 from sabledyke.net.http_link import HttpDialer
 from sabledyke.net.listener import Listener
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeId
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.console import Call
 from sabledyke.protocol.discovery import Listing
 from sabledyke.protocol.gateway import Ids, Reader
@@ -70,7 +71,7 @@
         operator: Operator | None = None,
         times: Times = Times(),  # noqa: B008
         reread: Callable[[Config], Config] = lambda config: config,
-        reread_operator: Callable[[api.Settings], Operator | None] | None = None,
+        reread_operator: Callable[[Settings], Operator | None] | None = None,
     ) -> None:
         self.config, self.operator, self._times, self._reread = config, operator, times, reread
         self._reread_operator = reread_operator
@@ -88,7 +89,7 @@
         self._room = streams.Room(0)
         self._http = HttpDialer(settings, self._reader, self._room, self._reach)
         self.parts = self._set_up_parts(operator)
-        self._dialers: dict[api.NodeId, Dial] = {}
+        self._dialers: dict[NodeId, Dial] = {}
         report: Report = self._ended
         self._submit: Submit = self._take
         for part in self.parts:
@@ -138,7 +139,7 @@
             lambda: self.leave(planned=True),
             lambda: self.core.figures.told,
             lambda node: self.core.busy(node),
-            lambda entries: self._learn(api.NodeList(api.ListKind.DELTA, 0, tuple(entries)), {}),
+            lambda entries: self._learn(EndpointList(ListKind.DELTA, 0, tuple(entries)), {}),
         )
         made = [
             getattr(importlib.import_module(module), name)(host, operator)
@@ -152,9 +153,9 @@
         boxes = (config.sockets - SPARE) // BOXES
         self._room.size = int(config.memory * ANSWERS)
         for front in self.fronts:  # past its deadline a client has given up
-            front.reading = max(c.deadline for c in config.settings.classes) / 1000 + READING
+            front.reading = max(c.deadline_ms for c in config.settings.classes) / 1000 + READING
         others = sum(front.most for front in self.fronts[1:])
-        self.fronts[0].roomy = ROOMY * config.settings.most_open
+        self.fronts[0].roomy = ROOMY * config.settings.max_open_requests
         self.pool.most, self.fronts[0].most = boxes, config.sockets - SPARE - boxes - others
 
     async def run(self) -> None:
@@ -185,7 +186,7 @@
 
     def _begin(self) -> None:
         """Tell the core what is known of the boxes, and have the list asked for."""
-        self._listed(self.config.known or Listing(api.NodeList(api.ListKind.CACHED, 0, ()), {}))
+        self._listed(self.config.known or Listing(EndpointList(ListKind.CACHED, 0, ()), {}))
         self.watch.start()
         self._turn()
 
@@ -205,11 +206,11 @@
     def _open_doors(self) -> None:
         for front, listen in zip(self.fronts, self._listens, strict=True):
             self.listeners.append(Listener(listen, front.accept))
-            log.say("start", f"{self.config.name} serves at {listen[0]}:{self.listeners[-1].port}")
+            log.emit("start", f"{self.config.name} serves at {listen[0]}:{self.listeners[-1].port}")
         if self.console is not None and self.config.console is not None:
             self._console_listener = Listener(self.config.console, self.console.accept)
             where = f"{self.config.console[0]}:{self._console_listener.port}"
-            log.say("start", f"{self.config.name} takes operators' calls at {where}")
+            log.emit("start", f"{self.config.name} takes operators' calls at {where}")
 
     @property
     def console_port(self) -> int | None:
@@ -224,7 +225,7 @@
     def quiesce(self) -> None:
         """Send clients away: health says no, idle connections end now and busy ones with their answer."""
         if not self.fronts[0].quiesced:
-            log.say("drain", f"{self.config.name} sends clients away, {self.core.unanswered} in work")
+            log.emit("drain", f"{self.config.name} sends clients away, {self.core.unanswered} in work")
         for front in self.fronts:
             front.quiesced = True
             front.close_idle(self._loop.time())
@@ -232,14 +233,14 @@
     def resume(self) -> None:
         """Take clients again."""
         if self.fronts[0].quiesced:
-            log.say("drain", f"{self.config.name} takes clients again")
+            log.emit("drain", f"{self.config.name} takes clients again")
         for front in self.fronts:
             front.quiesced = False
 
     def figures(self) -> list[str]:
         """The figures in their line form."""
         core = self.core
-        classes = [c.name for c in core.settings.classes if c.name not in core.settings.retired]
+        classes = [c.name for c in core.settings.classes if c.name not in core.settings.retired_classes]
         avoiding = avoided(core.scheduler.nodes.values())
         return core.figures.lines(classes, core.unanswered, core.nodes.values(), avoiding)
 
@@ -271,7 +272,7 @@
                 self.listeners[0] = listener
         except (ConfigError, SettingsError, OSError) as fault:
             self.core.figures.reloaded(False)
-            log.say("reload", f"the new configuration is not used: {fault}")
+            log.emit("reload", f"the new configuration is not used: {fault}")
             return str(fault)
         self.core.figures.reloaded(True)
         self.config = new
@@ -285,23 +286,23 @@
         self._share_out(new)
         self.watch.adopt(new.discovery, new.settings)
         where = f"discovery at {new.discovery[0]}:{new.discovery[1]}"
-        log.say("reload", f"the new configuration is in force; {where}, {new.sockets} descriptors")
+        log.emit("reload", f"the new configuration is in force; {where}, {new.sockets} descriptors")
         return ""
 
     def leave(self, *, planned: bool = False) -> None:
         """Begin to end, by SIGTERM or by a plan of the fleet; told once more, make haste."""
         self._planned |= planned and not self._stop.is_set()
         if not self._stop.is_set():
-            log.say("stop", f"{self.config.name} was told to end; {self.core.unanswered} requests in work")
+            log.emit("stop", f"{self.config.name} was told to end; {self.core.unanswered} requests in work")
             self._stop.set()
         elif self._departure is not None:
-            log.say("stop", f"{self.config.name} was told again to end, and makes haste")
+            log.emit("stop", f"{self.config.name} was told again to end, and makes haste")
             self._departure.hasten(self._loop.time())
             self._end_by(self._departure)
 
     async def finish(self) -> None:
         """Serve on for as long as the kill leaves time, answer all that was taken, and close."""
-        longest = max(c.deadline for c in self.config.settings.classes) / 1000
+        longest = max(c.deadline_ms for c in self.config.settings.classes) / 1000
         plan = Departure(self._loop.time(), longest, self.config.seed, self._times, planned=self._planned)
         self._departure, last = plan, Phase.OPEN
         for front in self.fronts:
@@ -320,7 +321,7 @@
                 break
             if phase is not last:
                 held, owed = sum(len(front.clients) for front in self.fronts), self.core.unanswered
-                log.say("stop", f"{PHASES[phase]}; {held} connections, {owed} requests in work")
+                log.emit("stop", f"{PHASES[phase]}; {held} connections, {owed} requests in work")
                 last = phase
             if phase >= Phase.LAST or phase is Phase.PARTING and self._planned:
                 for front in self.fronts:
@@ -340,8 +341,8 @@
             await part.close()
         if self._timer is not None:
             self._timer.cancel()
-        broken = ", ".join(f"{name}: {n}" for name, n in invariants.broken.items()) or "none"
-        log.say("stop", f"{self.config.name} has answered all it took; invariants broken: {broken}")
+        broken = ", ".join(f"{name}: {n}" for name, n in invariants.violations.items()) or "none"
+        log.emit("stop", f"{self.config.name} has answered all it took; invariants broken: {broken}")
 
     async def _settle(self) -> None:
         """Read nothing more, and answer what was read last.
@@ -365,11 +366,11 @@
         self._wake()
 
     async def _reach(
-        self, node: api.NodeId, address: Address, connect_ms: float, patience: float
+        self, node: NodeId, address: Address, connect_ms: float, patience: float
     ) -> streams.Stream:
         return await self._connect(node, address, connect_ms, patience)
 
-    async def _dial(self, node: api.NodeId, address: Address, patience: float) -> Link:
+    async def _dial(self, node: NodeId, address: Address, patience: float) -> Link:
         return await self._dialers.get(node, self._http.dial)(node, address, patience)
 
     def _take(self, work: Work, done: Done) -> int:
@@ -384,14 +385,14 @@
     def _listed(self, listing: Listing | None) -> None:
         self._heard.set()
         if listing is None:
-            self.core.listed(api.NodeList(api.ListKind.FAILED, 0, ()))
+            self.core.listed(EndpointList(ListKind.FAILED, 0, ()))
         else:
             news = listing.news
             for part in self.parts:
                 news = part.listing(news)
             self._learn(news, listing.dials)
 
-    def _learn(self, news: api.NodeList, dials: dict[api.NodeId, Address]) -> None:
+    def _learn(self, news: EndpointList, dials: dict[NodeId, Address]) -> None:
         gone = self.core.listed(news)
         self.pool.learn(dials, gone)
         for part in self.parts:
@@ -423,9 +424,13 @@
     return part.submit(work, done, onward)
 
 
-def _check_like(old: api.Settings, new: api.Settings) -> None:
+def _check_like(old: Settings, new: Settings) -> None:
     """What open requests and the module's knowledge are counted by must keep its names and places."""
-    for what in ("plans", "zones", "kinds"):
-        names = [[getattr(x, "name", x) for x in getattr(s, what)] for s in (old, new)]
-        if names[0] != names[1]:
+    names = {
+        "plans": ([plan.name for plan in old.plans], [plan.name for plan in new.plans]),
+        "zones": (old.zones, new.zones),
+        "kinds": (old.node_kinds, new.node_kinds),
+    }
+    for what, (before, after) in names.items():
+        if before != after:
             raise ConfigError(f"the names of its {what} differ, which takes a restart")
--- a/sabledyke/cli/fleet.py
+++ b/sabledyke/cli/fleet.py
@@ -12,7 +12,7 @@
 from sabledyke.compacted_log import section as board_section
 from sabledyke.compacted_log.client import Board
 from sabledyke.compacted_log.reader import Follower
-from sabledyke.errors import Fault, PlanError
+from sabledyke.errors import PlanError, SabledykeError
 from sabledyke.placement.evacuation_driver import LOADS
 from sabledyke.quota_sharing.allocation import TOPIC
 from sabledyke.rollout import commands, node_drain, planner
@@ -29,8 +29,8 @@
     try:
         asyncio.run(_run(said))
         return 0
-    except (Fault, OSError) as fault:
-        print(f"sabledyke: {fault.line if isinstance(fault, Fault) else fault}", file=sys.stderr)
+    except (SabledykeError, OSError) as fault:
+        print(f"sabledyke: {fault.line if isinstance(fault, SabledykeError) else fault}", file=sys.stderr)
         return 2
 
 
--- a/sabledyke/cli/lease.py
+++ b/sabledyke/cli/lease.py
@@ -9,14 +9,14 @@
 
 from sabledyke.config import ConfigError
 from sabledyke.lease import extension, section
-from sabledyke.lease.types import AuthorityFault
+from sabledyke.lease.types import AuthorityError
 
 
 def main(said: Mapping[str, Any]) -> int:
     """Run one of them: 0 where it was done, 1 where nobody holds the lease, 2 where it could not be done."""
     try:
         return 0 if asyncio.run(_run(said)) else 1
-    except (ConfigError, AuthorityFault, OSError) as fault:
+    except (ConfigError, AuthorityError, OSError) as fault:
         print(f"sabledyke: {fault}", file=sys.stderr)
         return 2
 
--- a/sabledyke/compacted_log/append.py
+++ b/sabledyke/compacted_log/append.py
@@ -30,7 +30,7 @@
     version_of,
     writer_key,
 )
-from sabledyke.errors import BoardFull, Conflict, StaleWriter
+from sabledyke.errors import LogFullError, StaleWriterError, WriteConflictError
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,14 +52,14 @@
 def check(drafts: Sequence[Draft]) -> None:
     """A BoardFull where there are too many of them, or one is too large; before anything is asked."""
     if not 0 < len(drafts) <= BATCH:
-        raise BoardFull(f"an append has from 1 to {BATCH} messages, not {len(drafts)}")
+        raise LogFullError(f"an append has from 1 to {BATCH} messages, not {len(drafts)}")
     if len({d.key for d in drafts}) < len(drafts):
-        raise BoardFull("an append names a key twice")
+        raise LogFullError("an append names a key twice")
     for draft in drafts:
         if not draft.key or len(draft.key.encode()) > KEY_MOST:
-            raise BoardFull(f"a key has from 1 to {KEY_MOST} bytes: {draft.key[:40]!r}")
+            raise LogFullError(f"a key has from 1 to {KEY_MOST} bytes: {draft.key[:40]!r}")
         if draft.value is not None and len(draft.value) > VALUE_MOST:
-            raise BoardFull(f"{draft.key}: a value has at most {VALUE_MOST} bytes, not {len(draft.value)}")
+            raise LogFullError(f"{draft.key}: a value has at most {VALUE_MOST} bytes, not {len(draft.value)}")
 
 
 def append(
@@ -79,19 +79,19 @@
     said, me = said_of(found.get(writer_key(topic, writer.name))), writer_key(topic, writer.name)
     if said is not None:
         if said.life > writer.life or said.life == writer.life and said.nonce != writer.nonce:
-            raise StaleWriter(f"{writer.name}: life {writer.life} writes after life {said.life}")
+            raise StaleWriterError(f"{writer.name}: life {writer.life} writes after life {said.life}")
         if said.life == writer.life and seq <= said.seq:
             return Commit(said.offsets if seq == said.seq else ())
     cell = found.get(head_key(topic))
     head = head_of(cell)
     if end is not None and end != head.next:
-        raise Conflict(f"{topic} has gone on to {head.next - 1} since it was read up to {end - 1}")
+        raise WriteConflictError(f"{topic} has gone on to {head.next - 1} since it was read up to {end - 1}")
     checks = {head_key(topic): cell.version if cell else 0, me: version_of(found, me)}
     wanted = dict(expects) | {d.key: d.expects for d in drafts if d.expects is not None}
     for key, offset in wanted.items():
         at = place_of(found.get(place_key(topic, key))).offset
         if at != offset:
-            raise Conflict(f"{topic}: {key} stands at {at}, not at {offset}")
+            raise WriteConflictError(f"{topic}: {key} stands at {at}, not at {offset}")
         checks[place_key(topic, key)] = version_of(found, place_key(topic, key))
     puts, offsets = dict[str, bytes](), list[int]()
     for draft in drafts:
--- a/sabledyke/compacted_log/client.py
+++ b/sabledyke/compacted_log/client.py
@@ -30,7 +30,7 @@
     place_key,
     writer_key,
 )
-from sabledyke.errors import BoardFault, Conflict, StaleWriter
+from sabledyke.errors import CompactedLogError, StaleWriterError, WriteConflictError
 
 PATIENCE = 5.0  # seconds in which an append has to get through
 CROSSED = (0.002, 0.1)  # seconds before it is tried again: the first wait, doubled up to the last
@@ -59,7 +59,7 @@
             self._doubt = asked
             try:
                 offsets = await self._board.append(self.topic, self.writer, self._seq, drafts, rests, end)
-            except (Conflict, StaleWriter):
+            except (WriteConflictError, StaleWriterError):
                 self._doubt = None  # it was certainly not
                 raise
             self._doubt = None
@@ -75,16 +75,16 @@
     async def claim(self, topic: str, name: str) -> Pen:
         """Begin the next life of a writer."""
         nonce, key = uuid4().hex[:12], writer_key(topic, name)
-        fault: BoardFault | None = None
+        fault: CompactedLogError | None = None
         for wait in self._waits():
             try:
                 writer, commit = append.claim(topic, (await self.shelf.get([key])).get(key), name, nonce)
                 if not commit.puts or await self.shelf.commit(commit.checks, commit.puts):
                     return Pen(self, topic, writer)
-            except BoardFault as said:
+            except CompactedLogError as said:
                 fault = said
             await asyncio.sleep(wait)
-        raise fault or BoardFault(f"{topic}: no life for {name} within {PATIENCE:.0f} s")
+        raise fault or CompactedLogError(f"{topic}: no life for {name} within {PATIENCE:.0f} s")
 
     def pen(self, topic: str, name: str, life: int) -> Pen:
         """A writer whose life is given, as a lease's token is."""
@@ -103,7 +103,7 @@
         so it is taken once.
         """
         append.check(drafts)
-        fault: BoardFault | None = None
+        fault: CompactedLogError | None = None
         for wait in self._waits():
             try:
                 found = await self.shelf.get(append.needed(topic, writer, drafts, expects))
@@ -112,12 +112,12 @@
                     return commit.offsets
                 if end is not None:
                     continue  # somebody wrote: the next look says so, and what was decided is decided anew
-            except (Conflict, StaleWriter):
+            except (WriteConflictError, StaleWriterError):
                 raise
-            except BoardFault as said:
+            except CompactedLogError as said:
                 fault = said
             await asyncio.sleep(wait)
-        raise fault or BoardFault(f"{topic}: others wrote all the time for {PATIENCE:.0f} s")
+        raise fault or CompactedLogError(f"{topic}: others wrote all the time for {PATIENCE:.0f} s")
 
     def _waits(self) -> Iterator[float]:
         """Waits between tries, with jitter, until ``PATIENCE`` is over: the calls count as well."""
--- a/sabledyke/compacted_log/compaction.py
+++ b/sabledyke/compacted_log/compaction.py
@@ -33,7 +33,7 @@
     place_of,
     version_of,
 )
-from sabledyke.errors import StaleWriter
+from sabledyke.errors import StaleWriterError
 
 MARKS = 16  # passes remembered for their tombstones; the two oldest are joined
 STEP = (OPERATIONS - 4) // 2  # messages of one step: each may take two drops
@@ -81,7 +81,7 @@
 def taken_over(progress: Progress, token: int, now: float) -> Progress:
     """The same under this cleaner's token; StaleWriter where a later one has been at work."""
     if progress.token > token:
-        raise StaleWriter(f"cleaning under token {token}, after {progress.token}")
+        raise StaleWriterError(f"cleaning under token {token}, after {progress.token}")
     marks = tuple(m if m.token == token else Mark(m.upto, now, token) for m in progress.marks)
     return replace(progress, token=token, marks=marks)
 
--- a/sabledyke/compacted_log/etcd_backend.py
+++ b/sabledyke/compacted_log/etcd_backend.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from sabledyke.compacted_log.records import Cell
-from sabledyke.errors import AuthorityFault, BoardFault
+from sabledyke.errors import AuthorityError, CompactedLogError
 from sabledyke.lease.etcd_authority import Gateway, decoded, encoded
 
 
@@ -56,8 +56,8 @@
     async def _call(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
         try:
             return await self._gateway.call(path, body)
-        except AuthorityFault as fault:
-            raise BoardFault(str(fault)) from None
+        except AuthorityError as fault:
+            raise CompactedLogError(str(fault)) from None
 
     async def close(self) -> None:
         """See ``terms.Shelf``."""
--- a/sabledyke/compacted_log/reader.py
+++ b/sabledyke/compacted_log/reader.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from sabledyke.compacted_log.records import Head, Message
-from sabledyke.errors import BoardFull
+from sabledyke.errors import LogFullError
 
 MOST_KEYS = 100_000  # that one reader keeps
 
@@ -86,7 +86,7 @@
             self.position = message.offset + 1
             if message.value is not None:
                 if message.key not in self.state and len(self.state) >= self._most:
-                    raise BoardFull(f"a reader keeps {self._most} keys at most")
+                    raise LogFullError(f"a reader keeps {self._most} keys at most")
                 self.state[message.key] = message
                 self._old.pop(message.key, None)
                 news.append(Put(message))
--- a/sabledyke/compacted_log/registers.py
+++ b/sabledyke/compacted_log/registers.py
@@ -19,7 +19,7 @@
     version_of,
     writer_key,
 )
-from sabledyke.errors import BoardFull, StaleWriter
+from sabledyke.errors import LogFullError, StaleWriterError
 
 PAGE = 64  # cells of one read: at most 1 MiB
 MOST = 4096  # cells that are read of one topic
@@ -36,7 +36,7 @@
         """Write these; StaleWriter where a later life has begun. After a BoardFault they may be written."""
         for name, value in values.items():
             if len(value) > VALUE_MOST:
-                raise BoardFull(f"{name}: a value has at most {VALUE_MOST} bytes, not {len(value)}")
+                raise LogFullError(f"{name}: a value has at most {VALUE_MOST} bytes, not {len(value)}")
         me = writer_key(self._topic, self._writer.name)
         if not self._version:
             cells = await self._shelf.get([me])
@@ -48,9 +48,9 @@
         if not await self._shelf.commit({me: self._version}, puts):
             raise self._stale()
 
-    def _stale(self) -> StaleWriter:
+    def _stale(self) -> StaleWriterError:
         name, life = self._writer.name, self._writer.life
-        return StaleWriter(f"{name}: life {life} writes after a later one has begun")
+        return StaleWriterError(f"{name}: life {life} writes after a later one has begun")
 
 
 async def read(shelf: Shelf, topic: str) -> dict[str, bytes]:
--- a/sabledyke/compacted_log/sqlite_backend.py
+++ b/sabledyke/compacted_log/sqlite_backend.py
@@ -12,7 +12,7 @@
 from typing import TypeVar
 
 from sabledyke.compacted_log.records import Cell
-from sabledyke.errors import BoardFault, BoardSchema
+from sabledyke.errors import CompactedLogError, LogSchemaError
 from sabledyke.store.database_errors import PASSING, StoreFault
 from sabledyke.store.session import SqliteSession
 
@@ -47,10 +47,10 @@
         except StoreFault as fault:
             await self.close()
             if fault.kind in PASSING:  # locked, or made by others at the same moment
-                raise BoardFault(f"board {self.path}: {fault}") from None
-            raise BoardSchema(f"board {self.path}: {fault}") from None
+                raise CompactedLogError(f"board {self.path}: {fault}") from None
+            raise LogSchemaError(f"board {self.path}: {fault}") from None
         if schema > SCHEMA:
-            raise BoardSchema(f"board {self.path} has schema {schema}, and this version knows {SCHEMA}")
+            raise LogSchemaError(f"board {self.path} has schema {schema}, and this version knows {SCHEMA}")
 
     async def get(self, keys: Sequence[str]) -> dict[str, Cell]:
         """See ``terms.Shelf``."""
@@ -123,9 +123,9 @@
             if session is not None:
                 session.abort()
             self._session = None
-            raise BoardFault(f"board {self.path}: no answer within {self._patience:.1f} s") from None
+            raise CompactedLogError(f"board {self.path}: no answer within {self._patience:.1f} s") from None
         except StoreFault as fault:
-            raise BoardFault(f"board {self.path}: {fault}") from None
+            raise CompactedLogError(f"board {self.path}: {fault}") from None
 
     async def _connected(self) -> SqliteSession:
         async with self._connecting:
--- a/sabledyke/compacted_log/subscription.py
+++ b/sabledyke/compacted_log/subscription.py
@@ -14,7 +14,7 @@
 from sabledyke.compacted_log.client import Board
 from sabledyke.compacted_log.reader import Follower, News
 from sabledyke.compacted_log.records import PAGE
-from sabledyke.errors import BoardFault, BoardFull
+from sabledyke.errors import CompactedLogError, LogFullError
 
 FIRST = 1 / 16  # of ``every``: the first wait after a call without an answer, doubled up to the whole of it
 
@@ -31,9 +31,9 @@
     while True:
         try:
             news = await board.read(topic, reader, page)
-        except BoardFull:
+        except LogFullError:
             raise
-        except BoardFault:
+        except CompactedLogError:
             wait = min(every, every * FIRST * 2**misses)
             misses = min(misses + 1, 16)
         else:
--- a/sabledyke/config.py
+++ b/sabledyke/config.py
@@ -10,7 +10,7 @@
 import orjson
 
 from sabledyke.errors import ConfigError as ConfigError
-from sabledyke.policy import interface as api
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.discovery import ListError, Listing, address, read
 from sabledyke.settings import SettingsError, build, flatten
 
@@ -29,7 +29,7 @@
     sockets: int
     memory: int  # bytes
     known: Listing | None
-    settings: api.Settings
+    settings: Settings
     console: tuple[str, int] | None = None  # where operators call, if anywhere
     file: Mapping[str, object] = field(default_factory=dict)  # name and addresses, as the file has them ...
     words: Mapping[str, str] = field(default_factory=dict)  # ... and as they are in force
@@ -81,7 +81,7 @@
     if not isinstance(sockets, int) or sockets < 64:
         raise ConfigError(f"limits.sockets must be a whole number from 64 up, not {sockets!r}")
     # Guards against a module that counts on more open requests than the descriptors allow.
-    settings = replace(settings, most_open=min(settings.most_open, sockets / CLIENTS))
+    settings = replace(settings, max_open_requests=min(settings.max_open_requests, sockets / CLIENTS))
     words = {name: said(name) for name in ("name", "listen", "discovery")}
     # The console's listener stays where it was opened: a reload that moved it would leave operators nowhere.
     console = before.console if before else _console(environ.get(PREFIX + "CONSOLE") or data.get("console"))
--- a/sabledyke/core.py
+++ b/sabledyke/core.py
@@ -18,10 +18,23 @@
 from sabledyke import log
 from sabledyke.invariants import check
 from sabledyke.metrics import Figures
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdle,
+    Fail,
+    FetchList,
+    Log,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    WatchList,
+)
+from sabledyke.policy.events import AttemptCompleted, ClientDisconnected, Event, Outcome, Request, TimerFired
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeId, NodeState, node_name
 from sabledyke.policy.retry import may_repeat
 from sabledyke.policy.scheduler import Scheduler
+from sabledyke.policy.settings import RepeatSafety, RequestClass, Settings
 
 # The client must have its answer inside its deadline, which it counts from when it sent: the core answers
 # this long before, and attempts end earlier still, so that their time-outs reach the module first.
@@ -64,8 +77,8 @@
     target: str = ""
     body: bytes = b""
     length: int = 0  # bytes a read wants, where the front's wire says so
-    ran: tuple[float, api.NodeEntry] | None = None  # a former life sent it then, there
-    sent_to: api.NodeEntry | None = None  # where its last attempt went
+    ran: tuple[float, NodeEntry] | None = None  # a former life sent it then, there
+    sent_to: NodeEntry | None = None  # where its last attempt went
     part: float = 0.0  # see ``interface.Request``
     present: Callable[[], bool] = _always  # its client is still there, as its connection tells at this moment
 
@@ -95,13 +108,13 @@
 class Transport(Protocol):
     """Carries attempts to boxes; reports each once through ``Core.ended``, never from inside a call."""
 
-    def start(self, rid: int, number: int, node: api.NodeId, work: Work, timeout: float) -> None:
+    def start(self, rid: int, number: int, node: NodeId, work: Work, timeout: float) -> None:
         """Start an attempt that may take ``timeout`` milliseconds."""
 
     def cancel(self, rid: int, number: int) -> None:
         """Give up an attempt; an unknown one is ignored."""
 
-    def close_idle(self, node: api.NodeId) -> None:
+    def close_idle(self, node: NodeId) -> None:
         """Close idle connections to a node."""
 
 
@@ -120,13 +133,13 @@
     """A request taken and not yet forgotten."""
 
     work: Work
-    kind: api.RequestClass  # as it came: a new configuration moves neither its name nor its window
+    kind: RequestClass  # as it came: a new configuration moves neither its name nor its window
     deadline: float
     done: Callable[[Answer], None]
     answered: bool = False
     attempts: int = 0
-    out: dict[int, tuple[float, api.NodeEntry]] = field(default_factory=dict)
-    ran: tuple[float, api.NodeEntry] | None = None  # first send that may have run, and where
+    out: dict[int, tuple[float, NodeEntry]] = field(default_factory=dict)
+    ran: tuple[float, NodeEntry] | None = None  # first send that may have run, and where
 
 
 class Core:
@@ -134,7 +147,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         seed: int,
         transport: Transport,
         lists: Lists,
@@ -143,11 +156,11 @@
         self.settings = settings
         self.scheduler = Scheduler(settings, seed)
         self.transport, self.lists, self._wake = transport, lists, wake
-        self._events: list[api.Event] = []
+        self._events: list[Event] = []
         self._timers: list[tuple[float, int, int]] = []  # when, module's token or -1, request of a guard
         self._open: dict[int, _Open] = {}
         self._ids = 0
-        self.nodes: dict[api.NodeId, api.NodeEntry] = {}
+        self.nodes: dict[NodeId, NodeEntry] = {}
         self.figures = Figures()
         self._until = self._back = inf  # the end: by when all is answered, when somebody serves here again
 
@@ -156,7 +169,7 @@
         """Requests that are still owed an answer."""
         return sum(not r.answered for r in self._open.values())
 
-    def adopt(self, settings: api.Settings) -> None:
+    def adopt(self, settings: Settings) -> None:
         """Go by new settings from now on; what was taken stays, under the deadlines it came with."""
         self.settings = settings
         self.scheduler.adopt(settings)
@@ -183,7 +196,7 @@
         self._open[rid] = _Open(work, kind, deadline, done, ran=work.ran)
         heapq.heappush(self._timers, (now + work.remaining - GUARD, -1, rid))
         self._event(
-            api.Request(
+            Request(
                 rid,
                 work.class_,
                 work.plan,
@@ -206,7 +219,7 @@
         request = self._open.get(rid)
         if request is not None and not request.answered:
             request.answered = True
-            self._event(api.Departed(rid))
+            self._event(ClientDisconnected(rid))
             self._forget(rid)
 
     def ended(self, now: float, rid: int, number: int, end: Ended) -> None:
@@ -222,9 +235,9 @@
         if end.outcome is Outcome.OK and not request.answered:
             self._answer(rid, Answer(Verdict.SERVED, end.body))
         self._event(
-            api.Attempted(
+            AttemptCompleted(
                 rid,
-                node.node,
+                node.node_id,
                 number,
                 end.outcome,
                 request.answered,
@@ -236,15 +249,15 @@
         )
         self._forget(rid)
 
-    def listed(self, news: api.NodeList) -> list[api.NodeId]:
+    def listed(self, news: EndpointList) -> list[NodeId]:
         """News of the list of nodes; returns those that are gone, which are forgotten here.
 
         Guards against growing with every box there ever was: attempts keep the entry that they need.
         """
-        self.nodes.update((entry.node, entry) for entry in news.entries)
-        part = news.kind in (api.ListKind.DELTA, api.ListKind.FAILED)
-        named = self.nodes.keys() if part else {entry.node for entry in news.entries}
-        gone = [n for n, e in self.nodes.items() if e.state is api.NodeState.GONE or n not in named]
+        self.nodes.update((entry.node_id, entry) for entry in news.entries)
+        part = news.kind in (ListKind.DELTA, ListKind.FAILED)
+        named = self.nodes.keys() if part else {entry.node_id for entry in news.entries}
+        gone = [n for n, e in self.nodes.items() if e.state is NodeState.GONE or n not in named]
         for node in gone:
             del self.nodes[node]
         self._event(news)
@@ -263,18 +276,18 @@
         if now >= request.deadline - CUT or not request.work.present():
             return False
         decided, entry = request.out[number]
-        here = self.nodes.get(entry.node)
-        if here is not None and here.started != entry.started:
+        here = self.nodes.get(entry.node_id)
+        if here is not None and here.started_ms != entry.started_ms:
             return False
-        ready = here is not None and here.state is api.NodeState.READY
-        if not ready and now > decided + WRITE_GRACE * self.settings.drain_grace:
+        ready = here is not None and here.state is NodeState.READY
+        if not ready and now > decided + WRITE_GRACE * self.settings.drain_grace_ms:
             return False
         others = [sent for other, sent in request.out.items() if other != number]
         return self._may_run(now, request, entry, others)
 
-    def busy(self, node: api.NodeId) -> bool:
+    def busy(self, node: NodeId) -> bool:
         """Is an attempt out at this box?"""
-        return any(entry.node == node for r in self._open.values() for _, entry in r.out.values())
+        return any(entry.node_id == node for r in self._open.values() for _, entry in r.out.values())
 
     def due(self) -> float | None:
         """When ``turn`` must be called next, if no event comes before."""
@@ -286,7 +299,7 @@
         while self._timers and self._timers[0][0] <= now:
             _, token, rid = heapq.heappop(self._timers)
             if token >= 0:
-                self._events.append(api.TimerFired(token))
+                self._events.append(TimerFired(token))
             elif token == -2:
                 heapq.heappush(self._timers, (now + LAST_LOOK, -2, 0))
             elif rid in self._open and not self._open[rid].answered:
@@ -296,7 +309,7 @@
             try:
                 actions = self.scheduler.handle(now, events)
             except Exception:  # guards against a fault in a decision ending the program with all it took
-                log.say("fault", traceback.format_exc())
+                log.emit("fault", traceback.format_exc())
                 check(False, "the module decides without a fault")
                 actions = []
             for action in actions:
@@ -308,7 +321,7 @@
             request = self._open.get(rid)
             if request is not None and not request.answered:
                 self._answer(rid, Answer(Verdict.FAILED))
-                self._event(api.Departed(rid))
+                self._event(ClientDisconnected(rid))
                 self._forget(rid)
                 check(False, "every request is answered by the module in time", f"request {rid}")
 
@@ -316,47 +329,47 @@
         """The end: whoever is owed an answer gets it now."""
         for rid, request in [(i, r) for i, r in self._open.items() if not r.answered]:
             ran = request.ran is not None or bool(request.out)
-            harmless = not ran or request.kind.repeat is api.Repeat.IDEMPOTENT
+            harmless = not ran or request.kind.repeat_safety is RepeatSafety.IDEMPOTENT
             verdict = Verdict.REFUSED if harmless else Verdict.FAILED
             self._answer(rid, Answer(verdict, retry_after=self._advice(now, 0.0)))
-            self._event(api.Departed(rid))
+            self._event(ClientDisconnected(rid))
             self._forget(rid)
 
     def _advice(self, now: float, after: float) -> float:
         """Advice to who is refused: the module's, at the end not before somebody serves here again."""
         back = self._back - now if self._back < inf else 0.0
-        return min(max(after, back), self.settings.max_retry_after) if back > after else after
+        return min(max(after, back), self.settings.max_retry_after_ms) if back > after else after
 
-    def _event(self, event: api.Event) -> None:
+    def _event(self, event: Event) -> None:
         if not self._events:
             self._wake()
         self._events.append(event)
 
-    def _carry_out(self, now: float, action: api.Action) -> None:
+    def _carry_out(self, now: float, action: Action) -> None:
         match action:
-            case api.Send(rid, node, timeout):
+            case StartAttempt(rid, node, timeout):
                 self._send(now, rid, node, timeout)
-            case api.Refuse(rid, after):
+            case Reject(rid, after):
                 self._finish(rid, Answer(Verdict.REFUSED, retry_after=self._advice(now, after)))
-            case api.Fail(rid):
+            case Fail(rid):
                 self._finish(rid, Answer(Verdict.FAILED))
-            case api.Cancel(rid, number):
+            case CancelAttempt(rid, number):
                 if rid in self._open and number in self._open[rid].out:
                     self.transport.cancel(rid, number)
-            case api.SetTimer(token, delay):
+            case SetTimer(token, delay):
                 heapq.heappush(self._timers, (now + delay, token, 0))
-            case api.WatchList(on):
+            case WatchList(on):
                 self.lists.watch(on)
-            case api.FetchList():
+            case FetchList():
                 self.lists.fetch()
-            case api.CloseIdle(node):
+            case CloseIdle(node):
                 self.transport.close_idle(node)
-            case api.Log(text):
-                log.say("module", text)
+            case Log(text):
+                log.emit("module", text)
             case _:
                 check(False, "the module asks only for what is allowed here", repr(action))
 
-    def _send(self, now: float, rid: int, node: api.NodeId, timeout: float) -> None:
+    def _send(self, now: float, rid: int, node: NodeId, timeout: float) -> None:
         request = self._open.get(rid)
         if not check(request is not None and not request.answered, "no send after the end", f"{rid}"):
             return
@@ -364,20 +377,20 @@
         number, request.attempts = request.attempts, request.attempts + 1
         left = request.deadline - CUT - now
         entry = self.nodes.get(node)
-        if not check(entry is not None, "no send to a box that is not listed", api.name_of(node)):
-            entry = api.NodeEntry(node, -1, -1, -1, 0.0, 0.0, api.NodeState.GONE)
+        if not check(entry is not None, "no send to a box that is not listed", node_name(node)):
+            entry = NodeEntry(node, -1, -1, -1, 0.0, 0.0, NodeState.GONE)
         assert entry is not None
-        beyond = entry.state is api.NodeState.GONE
+        beyond = entry.state is NodeState.GONE
         repeats = self._may_run(now, request, entry, list(request.out.values()))
         beyond |= not check(repeats, "no repeat beyond its key", f"request {rid}")
         request.out[number], request.work.sent_to = (now, entry), entry
         if beyond or number >= self.settings.max_attempts or left <= 0:
-            self.ended(now, rid, number, Ended(Outcome.MOOT, False))
+            self.ended(now, rid, number, Ended(Outcome.EXPIRED, False))
             return
         self.transport.start(rid, number, node, request.work, min(timeout, left) if timeout else left)
 
     def _may_run(
-        self, now: float, request: _Open, here: api.NodeEntry, out: list[tuple[float, api.NodeEntry]]
+        self, now: float, request: _Open, here: NodeEntry, out: list[tuple[float, NodeEntry]]
     ) -> bool:
         """Rule 2, seen from here: a write is never sent again where and when its key does not hold.
 
--- a/sabledyke/errors.py
+++ b/sabledyke/errors.py
@@ -11,7 +11,7 @@
 from typing import ClassVar
 
 
-class Fault(Exception):
+class SabledykeError(Exception):
     """An error with a code of its own; the text says what happened."""
 
     code: ClassVar[str] = "fault"
@@ -28,9 +28,9 @@
         return {"code": self.code, "what": str(self), "remedy": self.remedy}
 
 
-def kinds(base: type[Fault] = Fault) -> Iterator[type[Fault]]:
+def error_types(base: type[SabledykeError] = SabledykeError) -> Iterator[type[SabledykeError]]:
     """Every type there is, as far as its module is loaded; each once."""
-    seen: dict[type[Fault], None] = {}
+    seen: dict[type[SabledykeError], None] = {}
     waiting = [base]
     while waiting:
         kind = waiting.pop()
@@ -40,7 +40,7 @@
     yield from seen
 
 
-class ConfigError(Fault):
+class ConfigError(SabledykeError):
     """The configuration cannot be used."""
 
     code, remedy = "config", "correct the file or the environment; check-config reads both without serving"
@@ -52,13 +52,13 @@
     code, remedy = "operator-file", "correct that key; check-config --operator FILE reads it without serving"
 
 
-class SettingsError(Fault):
+class SettingsError(SabledykeError):
     """A setting is missing or unreadable; the text names it."""
 
     code, remedy = "settings", "correct that setting in the platform's file"
 
 
-class ListError(Fault):
+class ListError(SabledykeError):
     """The text is no list of discovery's form."""
 
     code, remedy = "list", "look at discovery, or the agent; the last list stays in force"
@@ -70,7 +70,7 @@
     code, remedy = "store-open", "see that the database is there and may be written; store check says more"
 
 
-class AuthorityFault(Fault):
+class AuthorityError(SabledykeError):
     """The authority did not answer, or not with anything that can be used; what was asked may have been
     done.
     """
@@ -81,61 +81,61 @@
     )
 
 
-class Lost(Fault):
+class LeaseLostError(SabledykeError):
     """The lease is not held at this moment: the step must not be done."""
 
     code, remedy = "lease-lost", "nothing: another does it, or it is taken up again"
 
 
-class Refused(Fault):
+class FencedError(SabledykeError):
     """What takes the effect knows a later token."""
 
     code, remedy = "fenced", "nothing once; when it repeats, the authority went back in time"
 
 
-class BoardFault(Fault):
+class CompactedLogError(SabledykeError):
     """The board did not answer, or not with anything that can be used; what was asked may have been done."""
 
     code, remedy = "board", "look at the board's file or at etcd; drains and releases rest meanwhile"
 
 
-class Conflict(BoardFault):
+class WriteConflictError(CompactedLogError):
     """A key does not stand where the writer expected it: another wrote first."""
 
     code, remedy = "board-conflict", "look again, then ask again: another wrote first"
 
 
-class StaleWriter(BoardFault):
+class StaleWriterError(CompactedLogError):
     """A later life of this writer has written."""
 
     code, remedy = "board-stale-writer", "end this process: another runs under its name, or holds its lease"
 
 
-class BoardFull(BoardFault):
+class LogFullError(CompactedLogError):
     """More keys, or larger ones, than the board takes."""
 
     code, remedy = "board-full", "see who writes so many keys, or raise most_keys"
 
 
-class BoardSchema(ConfigError):
+class LogSchemaError(ConfigError):
     """The board's file was written by a newer version, or is none."""
 
     code, remedy = "board-schema", "start the version that wrote it, or name another file"
 
 
-class PlanError(Fault):
+class PlanError(SabledykeError):
     """A plan that cannot be: it names nobody, somebody twice, or asks for budgets beyond the fleet."""
 
     code, remedy = "plan", "correct the plan; nothing of it was begun"
 
 
-class WantsFault(Fault):
+class WantedVersionError(SabledykeError):
     """The file that tells a member's starter which version to start cannot be written: it does not go out."""
 
     code, remedy = "wants", "see that the file's folder has room and rights; the member then asks by itself"
 
 
-class StaleTicket(Fault):
+class StaleTicketError(SabledykeError):
     """A ticket that was granted for an earlier ask, under an older token, or too long ago: it is not used."""
 
     code, remedy = "ticket-stale", "nothing: the member asks again"
--- a/sabledyke/lease/etcd_authority.py
+++ b/sabledyke/lease/etcd_authority.py
@@ -20,7 +20,7 @@
 from sabledyke.lease.types import (
     NOBODY,
     Ask,
-    AuthorityFault,
+    AuthorityError,
     Granted,
     Look,
     Release,
@@ -40,7 +40,7 @@
 class Gateway:
     """Calls to one of the endpoints; after one that failed the next goes to the next endpoint.
 
-    ``patience`` in ms is for one call. An AuthorityFault where it got no answer that can be used. Connections
+    ``patience`` in ms is for one call. An AuthorityError where it got no answer that can be used. Connections
     are kept between calls: a new one for each costs three to four times the CPU, on both sides.
     """
 
@@ -58,17 +58,17 @@
                 text = await _bounded(answer)
             said = orjson.loads(text) if answer.status != 404 else {}
             if not isinstance(said, dict):
-                raise AuthorityFault(f"etcd: {path}: status {answer.status}, and no object")
+                raise AuthorityError(f"etcd: {path}: status {answer.status}, and no object")
             if answer.status == 404 or said.get("code") == NOT_FOUND:
                 return {}  # of a lease that is gone: an answer like others
             if answer.status == 200:
                 return said
-            raise AuthorityFault(f"etcd: {path}: status {answer.status}, {str(said.get('message'))[:100]}")
+            raise AuthorityError(f"etcd: {path}: status {answer.status}, {str(said.get('message'))[:100]}")
         except TimeoutError:
-            fault: Exception = AuthorityFault(f"etcd: {path}: no answer in time")
+            fault: Exception = AuthorityError(f"etcd: {path}: no answer in time")
         except (aiohttp.ClientError, OSError, orjson.JSONDecodeError) as told:
-            fault = AuthorityFault(f"etcd: {path}: {told}")
-        except AuthorityFault as told:
+            fault = AuthorityError(f"etcd: {path}: {told}")
+        except AuthorityError as told:
             fault = told
         self._endpoints.append(self._endpoints.pop(0))
         raise fault from None
@@ -84,7 +84,7 @@
     async for part in answer.content.iter_any():
         text += part
         if len(text) > MOST:
-            raise AuthorityFault(f"etcd: an answer over {MOST} bytes")
+            raise AuthorityError(f"etcd: an answer over {MOST} bytes")
     return bytes(text)
 
 
--- a/sabledyke/lease/extension.py
+++ b/sabledyke/lease/extension.py
@@ -56,7 +56,7 @@
             work = perform(duty, act_of(duty, self._record), keeper, self._authority)
             self._keepers.append(keeper)
             self._tasks += [loop.create_task(keeper.run()), loop.create_task(work)]
-        log.say("lease", f"{self._me} stands by at {section}")
+        log.emit("lease", f"{self._me} stands by at {section}")
 
     async def _end(self) -> None:
         for task in self._tasks[1::2]:  # what is being done first: it must not go on without its lease
--- a/sabledyke/lease/leader_tasks.py
+++ b/sabledyke/lease/leader_tasks.py
@@ -15,12 +15,12 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPError
 
 from sabledyke import log
-from sabledyke.errors import Refused as Refused
+from sabledyke.errors import FencedError as FencedError
 from sabledyke.lease import fencing
 from sabledyke.lease.http_calls import post
-from sabledyke.lease.manager import Keeper, Lost
+from sabledyke.lease.manager import Keeper, LeaseLostError
 from sabledyke.lease.section import Duty
-from sabledyke.lease.types import Authority, AuthorityFault
+from sabledyke.lease.types import Authority, AuthorityError
 from sabledyke.store import maintenance
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import Kind, StoreError, StoreFault
@@ -39,7 +39,7 @@
         await session.transact([*fencing.steps(duty, token)])
     except StoreFault as fault:
         if fault.kind is Kind.FENCED:
-            raise Refused(f"{duty}: the record has seen a token after {token}") from None
+            raise FencedError(f"{duty}: the record has seen a token after {token}") from None
         if fault.kind is not Kind.SCHEMA:
             raise
         await session.script([fencing.TABLE])  # the first duty on this record
@@ -69,7 +69,7 @@
     token = keeper.token()
     await pass_fence(record, duty.name, token)
     verdict = "all is well" if well else f"NOT well: {'; '.join(found[:4])}"
-    log.say("duty", f"{duty.name}: {verdict}", duty=duty.name, token=token, well=int(well))
+    log.emit("duty", f"{duty.name}: {verdict}", duty=duty.name, token=token, well=int(well))
 
 
 async def _backup(duty: Duty, record: Target, keeper: Keeper) -> None:
@@ -94,7 +94,7 @@
         keeper.token()
         old.unlink(missing_ok=True)
     said = made.name if well else f"{made.name}, whose record does not pass its audit"
-    log.say("duty", f"{duty.name}: {said}", duty=duty.name, token=token, well=int(well))
+    log.emit("duty", f"{duty.name}: {said}", duty=duty.name, token=token, well=int(well))
 
 
 async def _call(duty: Duty, keeper: Keeper) -> None:
@@ -110,7 +110,7 @@
         await post(client, f"http://{host}:{port}{path}", b"", PATIENCE, headers)
     except HTTPError as fault:
         if fault.code == 409:
-            raise Refused(f"{duty.name}: the called service has seen a token after {token}") from None
+            raise FencedError(f"{duty.name}: the called service has seen a token after {token}") from None
         raise
 
 
@@ -129,11 +129,11 @@
             token = keeper.token()
             await act(keeper)
             await authority.done(duty.name, token, int(time.time() * 1000))
-        except Lost:
+        except LeaseLostError:
             keeper.notice()
-        except Refused as refused:
-            log.say("duty", str(refused))
+        except FencedError as refused:
+            log.emit("duty", str(refused))
             keeper.fenced(token)
-        except (AuthorityFault, StoreFault, StoreError, HTTPError, OSError) as fault:
-            log.say("duty", f"{duty.name}: not done, it is tried again: {fault}", duty=duty.name)
+        except (AuthorityError, StoreFault, StoreError, HTTPError, OSError) as fault:
+            log.emit("duty", f"{duty.name}: not done, it is tried again: {fault}", duty=duty.name)
             await asyncio.sleep(AGAIN)
--- a/sabledyke/lease/manager.py
+++ b/sabledyke/lease/manager.py
@@ -13,10 +13,10 @@
 from random import Random
 
 from sabledyke import log
-from sabledyke.errors import Lost as Lost
+from sabledyke.errors import LeaseLostError as LeaseLostError
 from sabledyke.lease import holder
 from sabledyke.lease.holder import News, Phase, State
-from sabledyke.lease.types import Authority, AuthorityFault, Times
+from sabledyke.lease.types import Authority, AuthorityError, Times
 
 Clock = Callable[[], float]
 LONGEST = 0.25  # seconds between two looks at the clock: its rate may differ from the loop's
@@ -48,7 +48,7 @@
     def token(self) -> int:
         """The token to act under, now; Lost where it may not act. To be called before every step."""
         if not holder.may_act(self.state, self._clock()):
-            raise Lost(f"the lease {self.duty} is not held")
+            raise LeaseLostError(f"the lease {self.duty} is not held")
         return self.state.token
 
     def notice(self) -> None:
@@ -96,8 +96,8 @@
                 reply = await self._authority.ask(self.duty, self.me, send.ask)
             draw, now = self._random.random(), self._clock()
             self._do(holder.answered(self.state, self.times, now, send.number, reply, draw))
-        except (AuthorityFault, TimeoutError) as fault:
-            log.say("lease", f"{self.duty}: the authority did not answer: {fault or 'in time'}")
+        except (AuthorityError, TimeoutError) as fault:
+            log.emit("lease", f"{self.duty}: the authority did not answer: {fault or 'in time'}")
             self._do(holder.failed(self.state, self.times, self._clock(), send.number, self._random.random()))
         self._changed.set()
 
@@ -108,4 +108,4 @@
             self.held.clear()
         if news is not News.RENEWED:  # too often for a log; a status shows it
             text, token = f"{self.duty}: {news.value}, token {self.state.token}", self.state.token
-            log.say("lease", text, what=news.value, duty=self.duty, token=token, holder=self.me)
+            log.emit("lease", text, what=news.value, duty=self.duty, token=token, holder=self.me)
--- a/sabledyke/lease/sql_authority.py
+++ b/sabledyke/lease/sql_authority.py
@@ -16,7 +16,7 @@
 from sabledyke.lease.types import (
     NOBODY,
     Ask,
-    AuthorityFault,
+    AuthorityError,
     Granted,
     Look,
     Release,
@@ -107,7 +107,7 @@
             done = await self._do(lambda session: session.transact(steps))
         except StoreFault as fault:
             self._give_up()
-            raise AuthorityFault(str(fault)) from None
+            raise AuthorityError(str(fault)) from None
         if isinstance(ask, Take) and done[0]:
             return Granted(int(done[0][0][0]))
         if isinstance(ask, Renew) and done[0]:
@@ -152,7 +152,7 @@
             return (await self._do(lambda session: session.transact([Step(sql, [values])])))[0]
         except StoreFault as fault:
             self._give_up()
-            raise AuthorityFault(str(fault)) from None
+            raise AuthorityError(str(fault)) from None
 
     async def close(self) -> None:
         """See ``terms.Authority``."""
--- a/sabledyke/lease/types.py
+++ b/sabledyke/lease/types.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from sabledyke.errors import AuthorityFault as AuthorityFault
+from sabledyke.errors import AuthorityError as AuthorityError
 
 Stamp = tuple[int, int]  # token and beat of a lease's row: whoever renews or takes it changes them
 
@@ -122,7 +122,7 @@
     counts: bool  # see ``Times``
 
     async def ask(self, duty: str, me: str, ask: Ask) -> Reply:
-        """Do it; an AuthorityFault where it is not known to be done."""
+        """Do it; an AuthorityError where it is not known to be done."""
 
     async def done(self, duty: str, token: int, at: int) -> bool:
         """Note that the duty was done, in Unix ms; False where a later token is known: it does not count."""
--- a/sabledyke/log.py
+++ b/sabledyke/log.py
@@ -35,11 +35,11 @@
         return out
 
 
-Figure = str | int | float
-Writer = Callable[[str, str, dict[str, Figure]], None]
+Field = str | int | float
+Writer = Callable[[str, str, dict[str, Field]], None]
 
 
-def _plain(kind: str, text: str, _: dict[str, Figure]) -> None:
+def _plain(kind: str, text: str, _: dict[str, Field]) -> None:
     print(f"sabledyke {kind}: {text}", file=sys.stderr, flush=True)
 
 
@@ -47,13 +47,13 @@
 _write: Writer = _plain
 
 
-def use(writer: Writer) -> None:
+def set_writer(writer: Writer) -> None:
     """Have lines written so from now on: kind, text, and the figures that come with it."""
     global _write
     _write = writer
 
 
-def say(kind: str, text: str, **figures: Figure) -> None:
+def emit(kind: str, text: str, **figures: Field) -> None:
     """Write one line, unless its kind has said too much lately; ``figures`` are for structured logs."""
     for line in _limiter.lines(kind, text):
         _write(kind, line, figures)
--- a/sabledyke/metrics.py
+++ b/sabledyke/metrics.py
@@ -11,14 +11,14 @@
 from collections.abc import Iterable
 from math import inf
 
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeEntry, NodeState
 from sabledyke.policy.state import Node
 
 # What a final answer's verdict is counted as (see ``core.Verdict``).
 VERDICTS = {"served": "success", "refused": "overload", "failed": "error"}
 # Attempts whose last byte certainly never reached the box, or that were never sent at all.
-UNSENT = (Outcome.NO_CONNECTION, Outcome.MOOT)
+UNSENT = (Outcome.NO_CONNECTION, Outcome.EXPIRED)
 
 
 class Figures:
@@ -49,7 +49,7 @@
         return self.answers.total(), self.answers.total() - good
 
     def lines(
-        self, classes: Iterable[str], concurrent: int, listed: Iterable[api.NodeEntry], avoided: int
+        self, classes: Iterable[str], concurrent: int, listed: Iterable[NodeEntry], avoided: int
     ) -> list[str]:
         """All figures as ``svc.NAME:VALUE|c`` (counts) and ``|g`` (gauges), one a line.
 
@@ -59,7 +59,7 @@
         names = dict.fromkeys([*classes, *(c for _, c in self.answers)])
         out = [f"svc.{what}.{c}:{self.answers[what, c]}|c" for c in names for what in VERDICTS.values()]
         entries = list(listed)
-        disabled = sum(e.state is not api.NodeState.READY for e in entries) + avoided
+        disabled = sum(e.state is not NodeState.READY for e in entries) + avoided
         out += [
             f"svc.dispatches:{self.dispatches}|c",
             f"svc.concurrent:{concurrent}|g",
@@ -77,4 +77,4 @@
     Reads what the module keeps of each box and decides nothing. A box that answers with errors is not
     counted: the module still sends it work, only less of it.
     """
-    return sum(n.entry.state is api.NodeState.READY and n.dark < inf for n in nodes)
+    return sum(n.entry.state is NodeState.READY and n.dark < inf for n in nodes)
--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -8,10 +8,11 @@
 
 from sabledyke import log
 from sabledyke.core import Ended, Work
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 from sabledyke.net import streams
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeId, node_name
+from sabledyke.policy.settings import Settings
 
 Address = tuple[str, int]
 Report = Callable[[int, int, Ended], None]
@@ -19,7 +20,7 @@
 IDLE_PART = 0.6  # of the time after which boxes close idle connections: ours are closed by then
 
 
-class BadPeer(Fault):
+class BadPeer(SabledykeError):
     """A box does not speak its protocol; the text says where."""
 
     code, remedy = "box-garbled", "look at the box's version"
@@ -55,12 +56,12 @@
 
 
 # Node, address, and the milliseconds that the attempt has.
-Dial = Callable[[api.NodeId, Address, float], Awaitable[Link]]
+Dial = Callable[[NodeId, Address, float], Awaitable[Link]]
 # Node, address, milliseconds for the connection itself, and those that the attempt has.
-Connect = Callable[[api.NodeId, Address, float, float], Awaitable[streams.Stream]]
+Connect = Callable[[NodeId, Address, float, float], Awaitable[streams.Stream]]
 
 
-async def plain(_: api.NodeId, address: Address, connect_ms: float, __: float) -> streams.Stream:
+async def plain(_: NodeId, address: Address, connect_ms: float, __: float) -> streams.Stream:
     """The connection that no part has made another of."""
     return await streams.connect(address, connect_ms)
 
@@ -68,7 +69,7 @@
 class _PooledConnection:
     """A link and its place in the pool."""
 
-    def __init__(self, node: api.NodeId, address: Address, link: Link) -> None:
+    def __init__(self, node: NodeId, address: Address, link: Link) -> None:
         self.node, self.address, self.link = node, address, link
         self.expiry: asyncio.TimerHandle | None = None
 
@@ -76,7 +77,7 @@
 class _Attempt:
     """An attempt under way."""
 
-    def __init__(self, rid: int, number: int, node: api.NodeId, work: Work) -> None:
+    def __init__(self, rid: int, number: int, node: NodeId, work: Work) -> None:
         self.rid, self.number, self.node, self.work = rid, number, node, work
         self.connection: _PooledConnection | None = None
         self.until = 0.0  # the loop's time at which it expires
@@ -91,17 +92,17 @@
 class Pool:
     """The core's transport: keeps at most ``most`` connections and opens them with ``dial``."""
 
-    def __init__(self, settings: api.Settings, report: Report, most: int, dial: Dial, permit: Permit) -> None:
+    def __init__(self, settings: Settings, report: Report, most: int, dial: Dial, permit: Permit) -> None:
         self.settings, self._report, self.most, self._dial = settings, report, most, dial
         self._permit = permit
-        self._addresses: dict[api.NodeId, Address] = {}
-        self._idle: dict[api.NodeId, list[_PooledConnection]] = {}
+        self._addresses: dict[NodeId, Address] = {}
+        self._idle: dict[NodeId, list[_PooledConnection]] = {}
         self._attempts: dict[tuple[int, int], _Attempt] = {}
         self._count = 0
-        self._warming: dict[api.NodeId, asyncio.Task[None]] = {}  # one at a time for a box
+        self._warming: dict[NodeId, asyncio.Task[None]] = {}  # one at a time for a box
         self._closed = False
 
-    def learn(self, addresses: dict[api.NodeId, Address], gone: Iterable[api.NodeId] = ()) -> None:
+    def learn(self, addresses: dict[NodeId, Address], gone: Iterable[NodeId] = ()) -> None:
         """Learn where nodes listen and which are gone; connections to a former address are not used again."""
         for node in gone:
             if self._addresses.pop(node, None):
@@ -111,7 +112,7 @@
                 self.close_idle(node)
             self._addresses[node] = address
 
-    def start(self, rid: int, number: int, node: api.NodeId, work: Work, timeout: float) -> None:
+    def start(self, rid: int, number: int, node: NodeId, work: Work, timeout: float) -> None:
         """See ``core.Transport``."""
         attempt = _Attempt(rid, number, node, work)
         self._attempts[rid, number] = attempt
@@ -126,21 +127,21 @@
         if attempt is not None:
             self._end(attempt, Ended(Outcome.CANCELLED, _given_up(attempt)))
 
-    def close_idle(self, node: api.NodeId) -> None:
+    def close_idle(self, node: NodeId) -> None:
         """See ``core.Transport``."""
         for connection in self._idle.pop(node, []):
             self._discard(connection)
 
-    def warm(self, node: api.NodeId) -> None:
+    def warm(self, node: NodeId) -> None:
         """Open a connection ahead of need, where none rests and there is room; nothing is said on it."""
         if self._idle.get(node) or node not in self._addresses or self._count >= self.most or self._closed:
             return
         if node not in self._warming:
             self._warming[node] = asyncio.get_running_loop().create_task(self._warm(node))
 
-    async def _warm(self, node: api.NodeId) -> None:
+    async def _warm(self, node: NodeId) -> None:
         try:
-            self._keep(await self._open(node, 2 * self.settings.connect_timeout))
+            self._keep(await self._open(node, 2 * self.settings.connect_timeout_ms))
         except (streams.StreamClosedError, BadPeer, OSError):
             return  # whoever needs one will find out
         finally:
@@ -164,13 +165,13 @@
             left = (attempt.until - asyncio.get_running_loop().time()) * 1000
             if left <= 0 or not self._permit(attempt.rid, attempt.number):
                 self._keep(connection)
-                self._end(attempt, Ended(Outcome.MOOT, False))
+                self._end(attempt, Ended(Outcome.EXPIRED, False))
                 return
             attempt.connection = connection
             ended = await connection.link.exchange(attempt.work, left)
         except (streams.StreamClosedError, BadPeer, OSError) as fault:
             if isinstance(fault, BadPeer):
-                log.say("box", f"{api.name_of(attempt.node)} is not understood: {fault}")
+                log.emit("box", f"{node_name(attempt.node)} is not understood: {fault}")
             ran = attempt.may_have_run
             self._end(attempt, Ended(Outcome.RESET if ran else Outcome.NO_CONNECTION, ran))
             return
@@ -179,12 +180,12 @@
             self._keep(connection)
         self._end(attempt, ended)
 
-    async def _open(self, node: api.NodeId, patience: float) -> _PooledConnection:
+    async def _open(self, node: NodeId, patience: float) -> _PooledConnection:
         address = self._addresses.get(node)
         if self._count >= self.most:
             self._make_room()
         if address is None or self._count >= self.most:
-            log.say("pool", f"no connection to spare for {api.name_of(node)}")
+            log.emit("pool", f"no connection to spare for {node_name(node)}")
             raise streams.StreamClosedError
         self._count += 1
         try:
@@ -199,7 +200,7 @@
             node = max(self._idle, key=lambda n: len(self._idle[n]))
             self._drop_idle(self._idle[node][0])
 
-    def _reuse(self, node: api.NodeId) -> _PooledConnection | None:
+    def _reuse(self, node: NodeId) -> _PooledConnection | None:
         while self._idle.get(node):
             connection = self._idle[node][-1]
             if self._take(connection):
@@ -213,7 +214,7 @@
             self._discard(connection)
             return
         self._idle.setdefault(connection.node, []).append(connection)
-        after = self.settings.idle_timeout * IDLE_PART / 1000
+        after = self.settings.idle_timeout_ms * IDLE_PART / 1000
         connection.expiry = asyncio.get_running_loop().call_later(after, self._drop_idle, connection)
         connection.link.rest(lambda: self._drop_idle(connection))
 
--- a/sabledyke/net/console.py
+++ b/sabledyke/net/console.py
@@ -37,7 +37,7 @@
         """
         if len(self._open) >= MOST:
             if not self.told:
-                log.say("console", f"{MOST} console connections: the oldest is closed for each new one")
+                log.emit("console", f"{MOST} console connections: the oldest is closed for each new one")
             self.told += 1
             task, stream = self._open.popitem(last=False)
             stream.close()
@@ -63,7 +63,7 @@
             message = await _read(stream)
             call = route(message)
         except HttpError as fault:
-            log.say("console", f"a call was turned down: {fault}")
+            log.emit("console", f"a call was turned down: {fault}")
             return answer(fault.status)
         status, body = self._calls(call)
         return answer(status, body, head=message.method == "HEAD")
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -9,7 +9,7 @@
 from sabledyke import log
 from sabledyke.invariants import check
 from sabledyke.net import streams
-from sabledyke.policy import interface as api
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.discovery import ListError, Listing, parse, target
 from sabledyke.protocol.http import HttpError, Message, Parser, encode_request
 from sabledyke.protocol.versions import Verdict, Versions
@@ -26,7 +26,7 @@
     def __init__(
         self,
         address: tuple[str, int],
-        settings: api.Settings,
+        settings: Settings,
         since: int | None,
         report: Callable[[Listing | None], None],
         seed: int = 0,
@@ -42,7 +42,7 @@
     @property
     def pushed(self) -> bool:
         """Lists are pushed: an agent on this machine holds them, and what it holds counts as told."""
-        return not self._settings.asks_list
+        return not self._settings.polls_endpoint_list
 
     @property
     def _terms(self) -> Terms:
@@ -60,7 +60,7 @@
             self._resume = None
         self.watch(False)
 
-    def adopt(self, address: tuple[str, int], settings: api.Settings) -> None:
+    def adopt(self, address: tuple[str, int], settings: Settings) -> None:
         """Go by new settings; watch at a new address from now on, beginning with the whole list.
 
         Guards against waiting for the old address to break: what discovery tells counts as told by then. A
@@ -98,7 +98,7 @@
 
     async def _fetch(self) -> None:
         try:
-            stream = await streams.connect(self._address, self._settings.connect_timeout * 4)
+            stream = await streams.connect(self._address, self._settings.connect_timeout_ms * 4)
             try:
                 self._told(await self._call(stream, None))
             finally:
@@ -115,14 +115,14 @@
         try:
             while True:
                 if stream is None or not streams.quiet(stream):
-                    stream = await streams.connect(self._address, self._settings.connect_timeout * 4)
+                    stream = await streams.connect(self._address, self._settings.connect_timeout_ms * 4)
                 asked = asyncio.get_running_loop().time()
                 try:
                     answer = await self._call(stream, self._versions.since)
                 except TimeoutError:  # broken, though nothing says so: what it may miss is asked for anew
                     streams.abort(stream)
                     pause = self._silence.fell_silent(self._terms)
-                    log.say("discovery", f"a call fell silent: the next in {pause:.2f} s")
+                    log.emit("discovery", f"a call fell silent: the next in {pause:.2f} s")
                     await asyncio.sleep(pause)
                     continue
                 self._silence.answered()
@@ -182,15 +182,15 @@
         if verdict is Verdict.TAKEN:
             self._report(listing)
         elif listing.news.entries:
-            log.say("discovery", f"version {listing.news.version} came again, nothing of it is new")
+            log.emit("discovery", f"version {listing.news.version} came again, nothing of it is new")
         return verdict is Verdict.TAKEN
 
     def _failed(self, fault: Exception) -> None:
         reason = getattr(fault, "real_error", None) or fault  # what closed the stream says more
-        log.say("discovery", f"a call failed: {str(reason) or type(reason).__name__}")
+        log.emit("discovery", f"a call failed: {str(reason) or type(reason).__name__}")
         self._report(None)
 
 
 def _unexpected(fault: Exception) -> None:
-    log.say("fault", "".join(traceback.format_exception(fault)))
+    log.emit("fault", "".join(traceback.format_exception(fault)))
     check(False, "a call for the list ends as expected", repr(fault))
--- a/sabledyke/net/frontend.py
+++ b/sabledyke/net/frontend.py
@@ -141,7 +141,7 @@
         Guards against a crowd of handshakes that never end, or that cost clients their places.
         """
         if self.closing or len(self._at_the_gate) >= GATE:
-            log.say("front", f"{len(self._at_the_gate)} {self.name} handshakes: a new one is closed")
+            log.emit("front", f"{len(self._at_the_gate)} {self.name} handshakes: a new one is closed")
             sock.close()
             return
         stream = accepted(sock)
@@ -175,7 +175,7 @@
             return True
         spare = self._spare()
         which = "an idle one" if spare else "a new one"
-        log.say("front", f"{len(self.clients)} {self.name} clients: {which} is closed")
+        log.emit("front", f"{len(self.clients)} {self.name} clients: {which} is closed")
         if spare is not None:
             spare.close()
         return spare is not None
--- a/sabledyke/net/http_frontend.py
+++ b/sabledyke/net/http_frontend.py
@@ -203,7 +203,7 @@
 
     def _bad(self, fault: HttpError) -> None:
         """Bad bytes harm nobody but who sent them."""
-        log.say("front", f"a client sent a bad request: {fault}")
+        log.emit("front", f"a client sent a bad request: {fault}")
         if self._rid is None and not self._writing and not self.stream.closed():
             self._write(encode_response(fault.status, close=True), True)
         else:
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -7,7 +7,8 @@
 from sabledyke.core import Ended, Work
 from sabledyke.net import streams
 from sabledyke.net.connection_pool import Address, BadPeer, Connect, plain
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.gateway import Reader, to_box
 from sabledyke.protocol.http import MAX_BODY, HttpError, Message, Parser
 
@@ -68,11 +69,11 @@
     """Opens such connections."""
 
     def __init__(
-        self, settings: api.Settings, reader: Reader, room: streams.Room, connect: Connect = plain
+        self, settings: Settings, reader: Reader, room: streams.Room, connect: Connect = plain
     ) -> None:
         self.settings, self._reader, self._room, self._connect = settings, reader, room, connect
 
-    async def dial(self, node: api.NodeId, address: Address, patience: float) -> HttpLink:
+    async def dial(self, node: NodeId, address: Address, patience: float) -> HttpLink:
         """See ``pool.Dial``."""
-        stream = await self._connect(node, address, self.settings.connect_timeout, patience)
+        stream = await self._connect(node, address, self.settings.connect_timeout_ms, patience)
         return HttpLink(f"{address[0]}:{address[1]}", stream, self._reader, self._room)
--- a/sabledyke/net/listener.py
+++ b/sabledyke/net/listener.py
@@ -78,7 +78,7 @@
             except BlockingIOError:
                 return True
             except OSError as fault:
-                log.say("front", f"a connection was not accepted: {fault}")
+                log.emit("front", f"a connection was not accepted: {fault}")
                 if fault.errno in NEXT_ONE:
                     continue
                 return False
@@ -86,7 +86,7 @@
                 sock.setblocking(False)
                 self._accept(sock, address)
             except OSError as fault:
-                log.say("front", f"a connection broke as it was accepted: {fault}")
+                log.emit("front", f"a connection broke as it was accepted: {fault}")
                 sock.close()
         return True
 
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -10,7 +10,7 @@
 from sabledyke.net.frontend import Front
 from sabledyke.net.nvme_frontend import NvmeClient
 from sabledyke.net.nvme_link import NvmeDialer
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
 from sabledyke.protocol.blocks import Translator
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
             host.room,
         )
 
-    def dialers(self) -> dict[api.NodeId, Dial]:
+    def dialers(self) -> dict[NodeId, Dial]:
         """See ``parts.Part``."""
         return dict.fromkeys(self._boxes, self.dialer.dial)
 
@@ -47,7 +47,7 @@
         """See ``parts.Part``."""
         self.dialer.settings = self._translator.settings = config.settings
 
-    def listed(self, gone: Iterable[api.NodeId]) -> None:
+    def listed(self, gone: Iterable[NodeId]) -> None:
         """See ``parts.Part``."""
         for node in gone:
             self.dialer.forget(node)
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -79,7 +79,7 @@
         except streams.StreamClosedError:
             self.close()
         except NvmeError as fault:
-            log.say("front", f"an NVMe host broke the protocol: {fault}")
+            log.emit("front", f"an NVMe host broke the protocol: {fault}")
             if not self.stream.closed():
                 await self._say_last()
             self.close()
@@ -109,7 +109,7 @@
             self._expiry = asyncio.get_running_loop().call_later(after, self._silent)
 
     def _silent(self) -> None:
-        log.say("front", "an NVMe host kept silent past its keep-alive time")
+        log.emit("front", "an NVMe host kept silent past its keep-alive time")
         self.close()
 
     async def _flush(self) -> None:
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -10,8 +10,9 @@
 from sabledyke.core import Ended, Work
 from sabledyke.net import streams
 from sabledyke.net.connection_pool import Address, BadPeer, Connect, plain
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeId
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.blocks import NotHere, Translator
 from sabledyke.protocol.nvme import (
     DYNAMIC,
@@ -94,7 +95,7 @@
         try:
             command, payload = self._translator.to_box(work)
         except NotHere as fault:
-            log.say("box", str(fault))
+            log.emit("box", str(fault))
             self.reusable = True
             return Ended(Outcome.ERROR, False)
         done, data = await self._channel.run(command, payload)
@@ -186,9 +187,9 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         translator: Translator,
-        boxes: dict[api.NodeId, str],
+        boxes: dict[NodeId, str],
         host_nqn: str,
         connect: Connect = plain,
         slack: float = 0.0,
@@ -196,9 +197,9 @@
         self._connect, self._slack = connect, slack  # ms that the way may take beyond a connection
         self.settings, self._translator, self._boxes = settings, translator, boxes
         self._host = uuid.uuid4().bytes, host_nqn
-        self._associations: dict[api.NodeId, _Association] = {}
+        self._associations: dict[NodeId, _Association] = {}
 
-    async def dial(self, node: api.NodeId, address: Address, patience: float) -> NvmeLink:
+    async def dial(self, node: NodeId, address: Address, patience: float) -> NvmeLink:
         """See ``pool.Dial``."""
         known = self._associations.get(node)
         if known is None or known.address != address:
@@ -208,14 +209,14 @@
                 address,
                 self._boxes[node],
                 self._host,
-                lambda where, ms: self._connect(node, where, self.settings.connect_timeout, ms),
+                lambda where, ms: self._connect(node, where, self.settings.connect_timeout_ms, ms),
             )
-        within = min(patience, self.settings.connect_timeout + self._slack)
+        within = min(patience, self.settings.connect_timeout_ms + self._slack)
         async with asyncio.timeout(within / 1000):
             channel = await known.queue(within)
         return NvmeLink(channel, self._translator)
 
-    def forget(self, node: api.NodeId) -> None:
+    def forget(self, node: NodeId) -> None:
         """The box is gone from the list: leave it once what is out there has ended.
 
         Guards against keeping an association, and its descriptor, with every box there ever was.
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -9,7 +9,8 @@
 from msgspec import Meta
 
 from sabledyke.errors import OperatorError
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.blocks import MAX_DATA, Volume
 from sabledyke.protocol.discovery import address
 from sabledyke.protocol.nvme import BLOCK
@@ -38,7 +39,7 @@
     nqn: str = ""
     host_nqn: str = ""
     volumes: tuple[Volume, ...] = ()
-    boxes: tuple[tuple[api.NodeId, str], ...] = ()  # nodes that speak NVMe, and their subsystems
+    boxes: tuple[tuple[NodeId, str], ...] = ()  # nodes that speak NVMe, and their subsystems
     store: Section | None = None
     tls: TlsSection | None = None
     lease: LeaseSection | None = None
@@ -113,12 +114,12 @@
     fleet: dict[str, Any] = {}
 
 
-def load(path: str, settings: api.Settings) -> Operator:
+def load(path: str, settings: Settings) -> Operator:
     """The file at a path, under the deployment's settings."""
     return from_file(path, lambda text: read(text, settings))
 
 
-def read(text: str, settings: api.Settings) -> Operator:
+def read(text: str, settings: Settings) -> Operator:
     """The text of such a file."""
     said = convert(parsed(text), File, "file")
     nvme, store = said.nvme, section.read(said.store, os.environ)
@@ -192,7 +193,7 @@
     return tls.read(data)
 
 
-def _volume(row: VolumeRow, number: int, settings: api.Settings) -> Volume:
+def _volume(row: VolumeRow, number: int, settings: Settings) -> Volume:
     def place(key: str, names: list[str]) -> int:
         if (name := str(getattr(row, key))) not in names:
             where = f"file.nvme.volume[{number}].{key}"
@@ -212,8 +213,8 @@
         stripe_blocks=row.stripe_blocks,
         hosts=float(row.hosts),
         unit_bytes=row.unit_bytes,
-        read_deadline=row.read_deadline_ms or settings.classes[read_class].deadline,
-        write_deadline=row.write_deadline_ms or settings.classes[write_class].deadline,
+        read_deadline=row.read_deadline_ms or settings.classes[read_class].deadline_ms,
+        write_deadline=row.write_deadline_ms or settings.classes[write_class].deadline_ms,
         object_blocks=row.object_blocks,
     )
 
--- /dev/null
+++ b/sabledyke/policy/events.py
@@ -0,0 +1,132 @@
+"""What a driver reports to ``Scheduler.handle``.
+
+Times are milliseconds on the clock passed to ``handle``; sizes are units.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import IntEnum
+
+from sabledyke.policy.nodes import EndpointList, NodeEntry, NodeId
+
+
+class Outcome(IntEnum):
+    """How an attempt ended."""
+
+    OK = 1
+    ERROR = 2
+    REJECTED = 3
+    TIMEOUT = 4
+    NO_CONNECTION = 5
+    RESET = 6
+    CANCELLED = 7
+    EXPIRED = 8
+
+
+@dataclass(slots=True, frozen=True)
+class Request:
+    """A client's request.
+
+    Attributes:
+        class_index: Index into ``Settings.classes``.
+        plan_index: Index into ``Settings.plans``.
+        data_key: The piece of data that it reads or writes; 0 for none.
+        remaining_ms: For how long its client still waits.
+        shard: The shard that holds the data; -1 for a new object, which any node may take.
+        scheduler_count: Schedulers through which the volume's requests come.
+        repeated: The client has sent it before.
+        possible_execution: When and where an earlier incarnation sent it, so that it may have run already.
+        quota_share: This scheduler's share of the volume's limit and reservation, as shared out by demand;
+            0 for an even share.
+    """
+
+    id: int
+    class_index: int
+    plan_index: int
+    data_key: int
+    remaining_ms: float
+    volume: int
+    units: float
+    shard: int
+    scheduler_count: float
+    repeated: bool
+    write: bool
+    possible_execution: tuple[float, NodeEntry] | None = None
+    quota_share: float = 0.0
+
+
+@dataclass(slots=True, frozen=True)
+class TimerFired:
+    """A timer that was set with ``SetTimer`` came due."""
+
+    token: int
+
+
+@dataclass(slots=True, frozen=True)
+class ClientDisconnected:
+    """The client left, or its answer is overdue: the request is over."""
+
+    request_id: int
+
+
+@dataclass(slots=True, frozen=True)
+class AttemptCompleted:
+    """The one outcome of an attempt.
+
+    Attributes:
+        request_completed: The request already has its final answer.
+        used_percent: The volume's total service in the last finished period, in percent of its rate.
+        other_schedulers_units: What the node served the volume through other schedulers in the meantime.
+        load_report: The node's load, in the order of ``Settings.report_fields``.
+    """
+
+    request_id: int
+    node_id: NodeId
+    attempt: int
+    outcome: Outcome
+    request_completed: bool
+    elapsed_ms: float
+    used_percent: int
+    other_schedulers_units: int
+    load_report: tuple[float, ...]
+
+
+@dataclass(slots=True, frozen=True)
+class AnswerStarted:
+    """A streamed answer began to reach the client."""
+
+    request_id: int
+    node_id: NodeId
+    attempt: int
+    elapsed_ms: float
+
+
+@dataclass(slots=True, frozen=True)
+class ProbeResult:
+    """The outcome of a health check."""
+
+    node_id: NodeId
+    outcome: Outcome
+    elapsed_ms: float
+    load_report: tuple[float, ...]
+
+
+@dataclass(slots=True, frozen=True)
+class PeerMessage:
+    """Bytes from another scheduler."""
+
+    sender: int
+    data: bytes
+
+
+Event = (
+    EndpointList
+    | Request
+    | TimerFired
+    | ClientDisconnected
+    | AttemptCompleted
+    | AnswerStarted
+    | ProbeResult
+    | PeerMessage
+)
--- a/sabledyke/policy/retry.py
+++ b/sabledyke/policy/retry.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from sabledyke.policy.interface import Group, Repeat, RequestClass
+from sabledyke.policy.settings import DeduplicationScope, RepeatSafety, RequestClass
 
 # Milliseconds for which a scheduler may be held up between reading its clock and writing (STANDING, 'More
 # than these days'): what is decided inside a window must be written inside it.
@@ -15,9 +15,12 @@
 
 def window_over(kind: RequestClass, sent_at: float, now: float) -> bool:
     """Whether a request of this class, first sent then, may run nowhere any more."""
-    if kind.repeat is Repeat.IDEMPOTENT:
+    if kind.repeat_safety is RepeatSafety.IDEMPOTENT:
         return False
-    return kind.repeat is Repeat.AT_MOST_ONCE or now + HELD_UP >= sent_at + kind.repeat_window
+    return (
+        kind.repeat_safety is RepeatSafety.AT_MOST_ONCE
+        or now + HELD_UP >= sent_at + kind.deduplication_window_ms
+    )
 
 
 def may_repeat(
@@ -27,10 +30,10 @@
 
     Times in milliseconds on one clock. Guards against an effect that no box would recognise as a repeat.
     """
-    if kind.repeat is Repeat.IDEMPOTENT:
+    if kind.repeat_safety is RepeatSafety.IDEMPOTENT:
         return True
     if window_over(kind, sent_at, now):
         return False
-    if kind.group is Group.CELL:
+    if kind.deduplication_scope is DeduplicationScope.CELL:
         return here[0] == sent_to[0]
-    return kind.group is Group.ALL or here[1] == sent_to[1]
+    return kind.deduplication_scope is DeduplicationScope.ALL or here[1] == sent_to[1]
--- a/sabledyke/policy/scheduler.py
+++ b/sabledyke/policy/scheduler.py
@@ -12,11 +12,30 @@
 from dataclasses import replace
 from math import ceil, exp, inf
 
-from sabledyke.policy import interface as api
 from sabledyke.policy import slow_start
+from sabledyke.policy.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    Log,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    WatchList,
+)
 from sabledyke.policy.discovery_schedule import DiscoverySchedule
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import (
+    AnswerStarted,
+    AttemptCompleted,
+    ClientDisconnected,
+    Event,
+    Outcome,
+    Request,
+    TimerFired,
+)
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeState, node_name
 from sabledyke.policy.retry import may_repeat, window_over
+from sabledyke.policy.settings import DeduplicationScope, RepeatSafety, Settings
 from sabledyke.policy.state import Job, Node, Pace, Records, Volume
 
 PERIOD, HOST_PERIOD = 1 / 3, 2 / 75  # shortest aims: a period at least, and for each host: floors must fit it
@@ -39,58 +58,58 @@
 TICK = 10.0  # ms between looks at what is held or out
 LINGERS = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 WAKE, WATCH = 1, 2  # timer tokens
-TURN = {kind: turn for turn, kind in enumerate((api.NodeList, api.AnswerStarted, api.Attempted, api.Request))}
+TURN = {kind: turn for turn, kind in enumerate((EndpointList, AnswerStarted, AttemptCompleted, Request))}
 
 
 class Scheduler(Records):
     """One host's scheduler: ``handle`` takes a batch of events at a time and returns the actions."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__()
         self.s, self.random = settings, random.Random(seed)
         self.longest: defaultdict[int, float] = defaultdict(float)  # longest time a client gave, by class
         self.adopt(settings)
 
-    def adopt(self, settings: api.Settings) -> None:
+    def adopt(self, settings: Settings) -> None:
         """Go by these settings, whose classes and plans keep their places; what was learnt stays."""
         for volume in self.volumes.values():
             volume.plan = settings.plans[self.s.plans.index(volume.plan)]
         self.s = settings
         self.mean = settings.mean_units
-        self.aim = min(c.aim for c in settings.classes)
+        self.aim = min(c.latency_objective_ms for c in settings.classes)
         # Budgets are in requests a period: fixed seconds would starve where they are many and small.
-        self.period = max(PERIOD, HOST_PERIOD * settings.hosts) * self.aim
+        self.period = max(PERIOD, HOST_PERIOD * settings.scheduler_count) * self.aim
         self.silence = SILENCE * self.aim
-        self.discovery = DiscoverySchedule(settings.hosts)
-        self.best = max(c.worth for c in settings.classes) * max(p.worth_factor for p in settings.plans)
+        self.discovery = DiscoverySchedule(settings.scheduler_count)
+        self.best = max(c.value for c in settings.classes) * max(p.value_factor for p in settings.plans)
         for node in self.nodes.values():  # periods are counted in their own length
             node.period = int(self.now // self.period)
 
-    def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now: float, events: list[Event]) -> list[Action]:
         """Take a batch of events that came by ``now``, and return what is to be done."""
         if now < self.now:
             raise ValueError(f"time went back from {self.now} to {now}")
         self.now, self.late, self.out = now, max(0.0, now - self.alarm - TICK), []
         if self.born == -inf:
             self.born = now
-            if self.s.asks_list:
-                self.out.append(api.SetTimer(WATCH, self.discovery.first_call(self.random.random())))
+            if self.s.polls_endpoint_list:
+                self.out.append(SetTimer(WATCH, self.discovery.first_call(self.random.random())))
         # A host that stood still finds everything at once: news counts before anything is judged or sent.
         for event in sorted(events, key=lambda e: TURN.get(type(e), len(TURN))):
             match event:
-                case api.NodeList():
+                case EndpointList():
                     self.listed(event)
-                case api.AnswerStarted() if event.node in self.nodes:
-                    self.hear(self.nodes[event.node])
-                case api.Attempted():
+                case AnswerStarted() if event.node_id in self.nodes:
+                    self.hear(self.nodes[event.node_id])
+                case AttemptCompleted():
                     self.answered(event)
-                case api.Request():
+                case Request():
                     self.take(event)
-                case api.Departed() if event.id in self.jobs:
-                    self.finish(self.jobs[event.id])
-                case api.TimerFired() if event.token == WATCH:
-                    self.out.append(api.WatchList())
-                case api.TimerFired() if event.token == WAKE:
+                case ClientDisconnected() if event.request_id in self.jobs:
+                    self.finish(self.jobs[event.request_id])
+                case TimerFired() if event.token == WATCH:
+                    self.out.append(WatchList())
+                case TimerFired() if event.token == WAKE:
                     self.alarm = inf
         waiting, self.limbo = [j for j in self.limbo if not j.over], []
         for job in waiting:
@@ -102,32 +121,32 @@
         self.active = {node: None for node in self.active if node.held or node.flying}
         if self.alarm == inf and (self.limbo or self.active):
             self.alarm = now + TICK
-            self.out.append(api.SetTimer(WAKE, TICK))
+            self.out.append(SetTimer(WAKE, TICK))
         return self.out
 
-    def listed(self, news: api.NodeList) -> None:
+    def listed(self, news: EndpointList) -> None:
         """News of the list of nodes, or that a call for it failed."""
-        if news.kind is api.ListKind.FAILED:
-            self.out.append(api.SetTimer(WATCH, self.discovery.call_failed(self.random.random())))
+        if news.kind is ListKind.FAILED:
+            self.out.append(SetTimer(WATCH, self.discovery.call_failed(self.random.random())))
             return
         self.discovery.call_answered()
         for entry in news.entries:
-            node = self.nodes.get(entry.node)
-            if node is None or entry.started != node.entry.started:
+            node = self.nodes.get(entry.node_id)
+            if node is None or entry.started_ms != node.entry.started_ms:
                 fresh = self.make(entry)
                 if node is not None:  # restarted: what it was is void, but what it was sent still counts
                     fresh.sends, fresh.sessions = node.sends, node.sessions
                     fresh.held, node.held = node.held, []
-                self.nodes[entry.node], self.active[fresh] = fresh, None
+                self.nodes[entry.node_id], self.active[fresh] = fresh, None
             else:
                 if entry.state is not node.entry.state:  # told gone first, it has had its time to drain
-                    node.leaves = self.now if node.entry.state is api.NodeState.READY else -inf
+                    node.leaves = self.now if node.entry.state is NodeState.READY else -inf
                 node.entry = entry
-        self.ready, self.leaving, seen = {-1: []}, {}, {e.node for e in news.entries}
+        self.ready, self.leaving, seen = {-1: []}, {}, {e.node_id for e in news.entries}
         for node in self.nodes.values():
-            if news.kind is not api.ListKind.DELTA and node.entry.node not in seen:
-                node.entry = replace(node.entry, state=api.NodeState.GONE)
-            if node.entry.state is not api.NodeState.READY:
+            if news.kind is not ListKind.DELTA and node.entry.node_id not in seen:
+                node.entry = replace(node.entry, state=NodeState.GONE)
+            if node.entry.state is not NodeState.READY:
                 self.limbo += node.held
                 node.held = []
                 self.leaving.setdefault(node.entry.shard, []).append(node)
@@ -141,18 +160,18 @@
         Guards against a shard without service from the news that its box drains until that of the next box:
         a draining box was seen to serve on. Once it turns work away, or breaks it off, it is left.
         """
-        draining = node.entry.state is api.NodeState.DRAINING
-        return draining and self.now < node.leaves + PARTING * self.s.drain_grace
+        draining = node.entry.state is NodeState.DRAINING
+        return draining and self.now < node.leaves + PARTING * self.s.drain_grace_ms
 
-    def make(self, entry: api.NodeEntry) -> Node:
+    def make(self, entry: NodeEntry) -> Node:
         """A node met for the first time, or started anew: it begins with what its kind shows."""
-        window = max(1.0, WINDOW_START / self.s.hosts) * self.mean
+        window = max(1.0, WINDOW_START / self.s.scheduler_count) * self.mean
         like = self.kinds.setdefault(entry.kind, Pace(window, self.aim / 4, START * self.mean))
         # Guards against a fleet whose boxes are ever replaced: the budget of each would start anew. And, by a
         # guess of each host's own, against all of them taking the same one of the boxes that none has heard.
         lat, period = like.lat * (1 + GUESS * (self.random.random() - 0.5)), int(self.now // self.period)
         node = Node(entry, max(START * self.mean, like.budget), like.window, lat, period)
-        node.met, node.faded, node.young = self.now, self.now, entry.started or -inf
+        node.met, node.faded, node.young = self.now, self.now, entry.started_ms or -inf
         node.recent, node.loads = deque(maxlen=RECENT), deque(maxlen=int(LOOKBACK / self.period) + 1)
         return node
 
@@ -165,46 +184,60 @@
         warmth, like = self.warmth(node), self.kinds[node.entry.kind]
         if warmth >= 1:
             return 1.0, 1.0
-        sent = sum(u for at, u in node.sends if at >= self.now - self.s.fall_window)
-        if sent + job.ask.units <= slow_start.safe_units(self.s, warmth) / self.s.hosts:
+        sent = sum(u for at, u in node.sends if at >= self.now - self.s.overload_window_ms)
+        if sent + job.ask.units <= slow_start.safe_units(self.s, warmth) / self.s.scheduler_count:
             return 1.0, 1.0
         asked = len(self.taken) * self.mean / min(LOOKBACK, self.now - self.born + self.period)
-        expected = asked * self.s.fall_window * self.s.hosts / len(self.ready[-1])
+        expected = asked * self.s.overload_window_ms * self.s.scheduler_count / len(self.ready[-1])
         served = min(1.0, like.served / like.asked) if like.asked else 0.0
         young = slow_start.Young(warmth, sent, self.now - node.met, expected, served)
         return slow_start.chances(self.s, young, job.ask.units, job.worth / self.usual)
 
-    def take(self, ask: api.Request) -> None:
+    def take(self, ask: Request) -> None:
         """A request has come: what it is worth, by when, and whether its volume may ask now."""
         if ask.id in self.jobs:
             raise ValueError(f"request {ask.id} was given twice")
-        kind, now = self.s.classes[ask.class_], self.now
+        kind, now = self.s.classes[ask.class_index], self.now
         self.taken.append(now)
         for times in (self.taken, self.extra):
-            while times and times[0] < now - max(LOOKBACK, self.s.budget_window):
+            while times and times[0] < now - max(LOOKBACK, self.s.retry_budget_window_ms):
                 times.popleft()
-        self.longest[ask.class_] = max(self.longest[ask.class_], ask.remaining)
-        spent = kind.deadline - ask.remaining if ask.remaining < self.longest[ask.class_] - 1 else 0.0
-        name = ask.volume, ask.plan  # a client that names another plan spends nothing of this one's
-        volume, part = self.volumes.get(name), ask.part or 1 / max(1.0, ask.hosts)
+        self.longest[ask.class_index] = max(self.longest[ask.class_index], ask.remaining_ms)
+        spent = (
+            kind.deadline_ms - ask.remaining_ms
+            if ask.remaining_ms < self.longest[ask.class_index] - 1
+            else 0.0
+        )
+        name = ask.volume, ask.plan_index  # a client that names another plan spends nothing of this one's
+        volume, part = self.volumes.get(name), ask.quota_share or 1 / max(1.0, ask.scheduler_count)
         if volume is None:  # a former life, or its hosts while they were fewer, may have spent the limit
-            plan, life = self.s.plans[ask.plan], (now - self.born) / 1000
-            reserve = self.s.most_units + plan.reservation * part * life
+            plan, life = self.s.plans[ask.plan_index], (now - self.born) / 1000
+            reserve = self.s.max_units + plan.reservation * part * life
             volume = self.volumes[name] = Volume(plan, part, reserve, 0.0, now)
-        if part < volume.part and not ask.part:
-            self.out.append(api.Log(f"volume {ask.volume:x} comes through {ask.hosts:g} hosts from now on"))
-        volume.part = ask.part or min(part, volume.part)
+        if part < volume.part and not ask.quota_share:
+            self.out.append(
+                Log(f"volume {ask.volume:x} comes through {ask.scheduler_count:g} hosts from now on")
+            )
+        volume.part = ask.quota_share or min(part, volume.part)
         self.refill(volume)
         reserved = volume.reserve >= ask.units and volume.plan.reservation > 0
         volume.reserve -= ask.units * reserved
-        due = min(now + min(kind.aim, ask.remaining), self.until)
-        job = Job(ask, kind, volume, due, min(due, now - spent + kind.aim), reserved, self.random.random())
-        job.ran = ask.ran
-        job.worth = (1.0 if reserved else self.s.share_worth) * kind.worth * volume.plan.worth_factor
+        due = min(now + min(kind.latency_objective_ms, ask.remaining_ms), self.until)
+        job = Job(
+            ask,
+            kind,
+            volume,
+            due,
+            min(due, now - spent + kind.latency_objective_ms),
+            reserved,
+            self.random.random(),
+        )
+        job.ran = ask.possible_execution
+        job.worth = (1.0 if reserved else self.s.share_value) * kind.value * volume.plan.value_factor
         self.usual += (job.worth - self.usual) / len(self.taken)
         self.jobs[ask.id] = job
-        if kind.ordered and ask.key:
-            self.chains.setdefault(ask.key, deque()).append(job)
+        if kind.ordered and ask.data_key:
+            self.chains.setdefault(ask.data_key, deque()).append(job)
         if (wait := self.short_of_limit(job)) > max(0.0, job.soon - now):
             return self.refuse(job, wait)
         self.find_node(job)
@@ -218,7 +251,7 @@
         """Bring the stores of its reservation and its limit up to now."""
         plan, gone = volume.plan, (self.now - volume.at) / 1000 * volume.part
         volume.at = self.now
-        most = plan.reservation * volume.part + self.s.most_units
+        most = plan.reservation * volume.part + self.s.max_units
         volume.reserve = min(volume.reserve + plan.reservation * gone, most)
         volume.limit = min(volume.limit + plan.limit * gone, plan.limit_burst * volume.part)
 
@@ -262,7 +295,7 @@
 
         Guards against work that waits for room keeping worthier requests out: each takes a connection.
         """
-        if len(self.jobs) <= (most := CROWDED * self.s.most_open):
+        if len(self.jobs) <= (most := CROWDED * self.s.max_open_requests):
             return
         excess = sum(not j.over for j in self.jobs.values()) - most
         held = [j for n in self.active for j in n.held] + self.limbo
@@ -277,17 +310,17 @@
         """
         if self.now < self.tidied + TIDY:
             return
-        self.tidied, late = self.now, self.now - max(TIDY, self.s.fall_window)
+        self.tidied, late = self.now, self.now - max(TIDY, self.s.overload_window_ms)
         for name, volume in list(self.volumes.items()):
             if volume.at < late:
                 self.refill(volume)
-                most = volume.plan.reservation * volume.part + self.s.most_units
+                most = volume.plan.reservation * volume.part + self.s.max_units
                 if volume.reserve >= most and volume.limit >= volume.plan.limit_burst * volume.part:
                     del self.volumes[name]
         for node in list(self.nodes.values()):
             rests = not node.held and not node.flying and (not node.sends or node.sends[-1][0] < late)
-            if node.entry.state is api.NodeState.GONE and rests:
-                del self.nodes[node.entry.node]
+            if node.entry.state is NodeState.GONE and rests:
+                del self.nodes[node.entry.node_id]
 
     def admit(self, job: Job, node: Node) -> bool:
         """The admission test for a volume newly active at this node."""
@@ -346,14 +379,14 @@
             return self.may_repeat(job, node) and self.spare_attempt()
         if self.short_of_limit(job):
             return False
-        key = job.ask.key if job.kind.ordered else 0
+        key = job.ask.data_key if job.kind.ordered else 0
         return not key or self.chains[key][0] is job and self.now >= self.rests.get(key, -inf)
 
     def drain(self, node: Node) -> None:
         """Send held requests by due time while there is room; of what can't be met, shed the least worth."""
         self.roll(node)
         self.look_after(node)
-        if node.entry.state is not api.NodeState.READY and not self.still_takes(node):
+        if node.entry.state is not NodeState.READY and not self.still_takes(node):
             self.limbo += node.held
             node.held = []
         now, blocked, ahead, kept = self.now, -inf, 0.0, list[Job]()
@@ -390,13 +423,13 @@
         node.inflight += units
         node.used += units
         node.sends.append((now, units))
-        while node.sends[0][0] < now - self.s.fall_window:
+        while node.sends[0][0] < now - self.s.overload_window_ms:
             node.sends.popleft()
         node.tries += 1
         wait = min(self.silence * 2**node.tries / 2, TRIALS * self.aim)
         node.trial = now + wait * (0.5 + self.random.random())
         # What waits past its aim is worth little and stands before others: it is called off where that helps.
-        self.out.append(api.Send(job.ask.id, node.entry.node, max(1.0, job.soon - now)))
+        self.out.append(StartAttempt(job.ask.id, node.entry.node_id, max(1.0, job.soon - now)))
 
     def look_after(self, node: Node) -> None:
         """Overdue attempts: overtaken by a later one, or out for long where answers get lost.
@@ -414,10 +447,10 @@
             self.lossy += SMOOTH * (1 - self.lossy)
             job.ran = job.ran or (at, node.entry)
             again = not job.over and not job.waits and self.may_try_again(job, node)
-            if again and self.s.second_copies:
+            if again and self.s.hedging_allowed:
                 self.find_node(job)
-            elif again and self.s.may_cancel and self.spare_attempt():
-                self.out.append(api.Cancel(rid, number))
+            elif again and self.s.cancellation_allowed and self.spare_attempt():
+                self.out.append(CancelAttempt(rid, number))
         if node.flying and self.now - max(next(iter(node.flying.values()))[0], node.heard) > self.silence:
             self.darken(node)
 
@@ -425,8 +458,8 @@
         """A sign of life: it may be sent work again."""
         node.heard, node.tries = self.now, 0
         if node.dark < inf:
-            name = api.name_of(node.entry.node)
-            self.out.append(api.Log(f"node {name} back after {self.now - node.dark:.0f} ms"))
+            name = node_name(node.entry.node_id)
+            self.out.append(Log(f"node {name} back after {self.now - node.dark:.0f} ms"))
             node.dark = inf
 
     def darken(self, node: Node) -> None:
@@ -435,22 +468,22 @@
             node.dark, node.tries, node.trial = self.now, 1, self.now + self.silence
             self.limbo += [j for j in node.held if j.ask.shard < 0]  # what may go anywhere moves
             node.held = [j for j in node.held if j.ask.shard >= 0]
-            name = api.name_of(node.entry.node)
-            self.out.append(api.Log(f"node {name} silent, {len(node.flying)} attempts out"))
+            name = node_name(node.entry.node_id)
+            self.out.append(Log(f"node {name} silent, {len(node.flying)} attempts out"))
 
-    def answered(self, got: api.Attempted) -> None:
+    def answered(self, got: AttemptCompleted) -> None:
         """An attempt has ended: what it tells of its node, and what becomes of its request."""
-        job = self.jobs.get(got.id)
+        job = self.jobs.get(got.request_id)
         if job is None or got.attempt not in job.out:
             return
         node, how = job.out.pop(got.attempt), got.outcome
-        sent_at, units = node.flying.pop((got.id, got.attempt), (self.now, 0.0))
+        sent_at, units = node.flying.pop((got.request_id, got.attempt), (self.now, 0.0))
         node.inflight -= units
         self.roll(node)
         if how in (Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.RESET):
             node.leaves = -inf
-        if how in LINGERS and job.kind.ordered and job.ask.key:
-            self.rests[job.ask.key] = self.now + self.s.order_rest
+        if how in LINGERS and job.kind.ordered and job.ask.data_key:
+            self.rests[job.ask.data_key] = self.now + self.s.order_settle_ms
         if how in LINGERS or how is Outcome.ERROR:
             job.ran = job.ran or (sent_at, node.entry)
         if how in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
@@ -458,7 +491,7 @@
             self.hear(node)
         if how is Outcome.OK:
             # While this host stood still, the answer may have been waiting for it.
-            self.learn(node, max(min(node.lat, got.elapsed), got.elapsed - self.late), units)
+            self.learn(node, max(min(node.lat, got.elapsed_ms), got.elapsed_ms - self.late), units)
             node.overtaken = max(node.overtaken, sent_at)
             self.lossy -= SMOOTH * self.lossy
             node.answers += 1
@@ -467,10 +500,10 @@
         elif how is Outcome.NO_CONNECTION and sent_at > node.heard:
             self.darken(node)
         elif how in (Outcome.REJECTED, Outcome.TIMEOUT) and units:
-            self.learn(node, max(got.elapsed, self.aim), units)
+            self.learn(node, max(got.elapsed_ms, self.aim), units)
         elif how is Outcome.RESET and node.heard > sent_at:
             self.lossy += SMOOTH * (1 - self.lossy)
-        if got.over or job.over or how is Outcome.OK:
+        if got.request_completed or job.over or how is Outcome.OK:
             self.finish(job)
         elif not job.out and not job.waits:
             if how is not Outcome.TIMEOUT and self.may_try_again(job, node):
@@ -515,8 +548,8 @@
 
     def spare_attempt(self) -> bool:
         """Rule 6: does the budget of further attempts allow one now? Asked when it leaves, not queues."""
-        since = self.now - self.s.budget_window
-        most = self.s.budget_free + self.s.budget_share * sum(t > since for t in self.taken)
+        since = self.now - self.s.retry_budget_window_ms
+        most = self.s.retry_budget_free + self.s.retry_budget_ratio * sum(t > since for t in self.taken)
         return since == self.now or sum(t >= since for t in self.extra) + 1 <= most
 
     def refuse(self, job: Job, wait: float = inf) -> None:
@@ -528,19 +561,28 @@
         if job.out:  # an attempt is still out: its outcome decides
             return
         job.volume.reserve += job.ask.units * (job.reserved and not job.sent)
-        harmless = job.kind.repeat is api.Repeat.IDEMPOTENT or not job.ran
-        if job.kind.repeat is api.Repeat.DEDUPLICATED and job.kind.group is api.Group.ALL and job.ran:
+        harmless = job.kind.repeat_safety is RepeatSafety.IDEMPOTENT or not job.ran
+        if (
+            job.kind.repeat_safety is RepeatSafety.DEDUPLICATED
+            and job.kind.deduplication_scope is DeduplicationScope.ALL
+            and job.ran
+        ):
             harmless = not window_over(job.kind, job.ran[0], self.now)
-        advice = min(max(wait, RETURN * self.aim), self.s.max_retry_after)
-        self.out.append(api.Refuse(job.ask.id, advice) if harmless else api.Fail(job.ask.id))
+        advice = min(max(wait, RETURN * self.aim), self.s.max_retry_after_ms)
+        self.out.append(Reject(job.ask.id, advice) if harmless else Fail(job.ask.id))
         self.finish(job)
 
     def finish(self, job: Job) -> None:
         """The request is over: call off what is still out, and forget it once nothing is."""
-        if not job.over and self.s.may_cancel:
-            self.out.extend(api.Cancel(job.ask.id, number) for number in job.out)
+        if not job.over and self.s.cancellation_allowed:
+            self.out.extend(CancelAttempt(job.ask.id, number) for number in job.out)
         job.over = True
-        if not job.out and self.jobs.pop(job.ask.id, None) is not None and job.kind.ordered and job.ask.key:
-            self.chains[job.ask.key].remove(job)
-            if not self.chains[job.ask.key]:
-                del self.chains[job.ask.key]
+        if (
+            not job.out
+            and self.jobs.pop(job.ask.id, None) is not None
+            and job.kind.ordered
+            and job.ask.data_key
+        ):
+            self.chains[job.ask.data_key].remove(job)
+            if not self.chains[job.ask.data_key]:
+                del self.chains[job.ask.data_key]
--- a/sabledyke/policy/state.py
+++ b/sabledyke/policy/state.py
@@ -6,7 +6,10 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from sabledyke.policy.interface import Action, NodeEntry, NodeId, Plan, Request, RequestClass
+from sabledyke.policy.actions import Action
+from sabledyke.policy.events import Request
+from sabledyke.policy.nodes import NodeEntry, NodeId
+from sabledyke.policy.settings import Plan, RequestClass
 
 
 @dataclass(slots=True, eq=False)
--- a/sabledyke/protocol/blocks.py
+++ b/sabledyke/protocol/blocks.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 
 from sabledyke.core import Answer, Ended, Verdict, Work
-from sabledyke.errors import Fault
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.errors import SabledykeError
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.nvme import (
     BLOCK,
     MAX_DATA,
@@ -28,7 +28,7 @@
 _PREFIX = 4  # bytes before an HTTP object in its blocks: its length + 1, 0 where none was written
 
 
-class NotHere(Fault):
+class NotHere(SabledykeError):
     """The work has no place on a box that speaks NVMe; the text says why."""
 
     code, remedy = "nvme-volume", "correct nvme.volume in the operator's file"
@@ -56,7 +56,7 @@
 class Translator:
     """Between the core and both sides of NVMe, under an operator's file."""
 
-    def __init__(self, settings: api.Settings, nqn: str, volumes: tuple[Volume, ...]) -> None:
+    def __init__(self, settings: Settings, nqn: str, volumes: tuple[Volume, ...]) -> None:
         self.settings = settings
         self._spaces = {v.namespace: v for v in volumes}
         self._volumes = {v.volume: v for v in volumes}
@@ -73,7 +73,7 @@
             plan=v.plan,
             volume=v.volume,
             key=command.slba,
-            units=max(1.0, min(self.settings.most_units, -(-size // v.unit_bytes))),
+            units=max(1.0, min(self.settings.max_units, -(-size // v.unit_bytes))),
             shard=v.stripe[command.slba // v.stripe_blocks % len(v.stripe)],
             hosts=v.hosts,
             remaining=v.write_deadline if write else v.read_deadline,
--- a/sabledyke/protocol/discovery.py
+++ b/sabledyke/protocol/discovery.py
@@ -9,19 +9,20 @@
 import orjson
 
 from sabledyke.errors import ListError as ListError
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeId, NodeState
+from sabledyke.policy.settings import Settings
 
 PATH = "/catalog/members"
 _GARBLED = (KeyError, TypeError, ValueError, OverflowError, AttributeError)
-_STATES = {"ready": api.NodeState.READY, "draining": api.NodeState.DRAINING, "gone": api.NodeState.GONE}
+_STATES = {"ready": NodeState.READY, "draining": NodeState.DRAINING, "gone": NodeState.GONE}
 
 
 @dataclass(slots=True, frozen=True)
 class Listing:
     """A list and where its nodes are to be dialled."""
 
-    news: api.NodeList
-    dials: dict[api.NodeId, tuple[str, int]]
+    news: EndpointList
+    dials: dict[NodeId, tuple[str, int]]
     fault: str = ""  # what is wrong with entries that were left out
 
 
@@ -38,7 +39,7 @@
     return host.strip("[]"), int(port)
 
 
-def read(data: object, settings: api.Settings, *, cached: bool = False) -> Listing:
+def read(data: object, settings: Settings, *, cached: bool = False) -> Listing:
     """A list from JSON that is parsed already.
 
     One that is cached is read whole or not at all. Of one that was told, entries that cannot be read are left
@@ -48,25 +49,25 @@
     try:
         if not isinstance(data, dict):
             raise ListError("the list is no object")
-        kind = api.ListKind.FULL if data["whole"] else api.ListKind.DELTA
+        kind = ListKind.FULL if data["whole"] else ListKind.DELTA
         entries, dials, fault = [], {}, ""
         for host in data["hosts"]:
             try:
                 entry = _entry(host, settings)
-                if entry.state is not api.NodeState.GONE:
-                    dials[entry.node] = address(host["dial"])
+                if entry.state is not NodeState.GONE:
+                    dials[entry.node_id] = address(host["dial"])
                 entries.append(entry)
             except (*_GARBLED, ListError) as why:
                 if cached:
                     raise
-                fault, kind = f"an entry of the list lacks or garbles {why}", api.ListKind.DELTA
-        news = api.NodeList(api.ListKind.CACHED if cached else kind, int(data["seq"]), tuple(entries))
+                fault, kind = f"an entry of the list lacks or garbles {why}", ListKind.DELTA
+        news = EndpointList(ListKind.CACHED if cached else kind, int(data["seq"]), tuple(entries))
         return Listing(news, dials, fault)
     except _GARBLED as why:
         raise ListError(f"the list lacks or garbles {why}") from None
 
 
-def parse(text: bytes, settings: api.Settings) -> Listing:
+def parse(text: bytes, settings: Settings) -> Listing:
     """A list from the body of an answer."""
     try:
         return read(orjson.loads(text), settings)
@@ -74,17 +75,17 @@
         raise ListError(f"the list is no JSON: {fault}") from None
 
 
-def _entry(host: dict[str, Any], settings: api.Settings) -> api.NodeEntry:
+def _entry(host: dict[str, Any], settings: Settings) -> NodeEntry:
     zone, kind = host.get("site"), host.get("class")
     started = float(host["born_ms"])
     if not (isfinite(started) and started >= 0):  # what differs from itself would start anew
         raise ValueError(f"born_ms: {started}")
-    return api.NodeEntry(
-        node=host["host"].encode(),
+    return NodeEntry(
+        node_id=host["host"].encode(),
         shard=int(host["block"]),
         zone=settings.zones.index(zone) if zone in settings.zones else -1,
-        kind=settings.kinds.index(kind) if kind in settings.kinds else -1,
-        started=started,
+        kind=settings.node_kinds.index(kind) if kind in settings.node_kinds else -1,
+        started_ms=started,
         weight=float(host["share"]),
         state=_STATES[host["health"]],
     )
--- a/sabledyke/protocol/gateway.py
+++ b/sabledyke/protocol/gateway.py
@@ -7,8 +7,8 @@
 
 from sabledyke import log
 from sabledyke.core import Answer, Ended, Verdict, Work
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.http import HttpError, Message, encode_request, encode_response
 
 HEALTH = "/_health"
@@ -30,13 +30,15 @@
 class Reader:
     """Reads messages under one deployment's settings."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.adopt(settings)
 
-    def adopt(self, settings: api.Settings) -> None:
+    def adopt(self, settings: Settings) -> None:
         """Read under these settings from now on."""
         self._settings = settings
-        self._classes = {c.name: i for i, c in enumerate(settings.classes) if c.name not in settings.retired}
+        self._classes = {
+            c.name: i for i, c in enumerate(settings.classes) if c.name not in settings.retired_classes
+        }
         self._plans = {p.name: i for i, p in enumerate(settings.plans)}
         self._fields = [(name, _REPORT.get(name, name)) for name in settings.report_fields]
 
@@ -63,8 +65,8 @@
             raise HttpError("IO-Info or Req-Deadline out of range")
         # Guards against one client's figures bending what is learnt from all: beyond what the settings
         # have, they count for no more than that.
-        units, hosts = min(units, self._settings.most_units), min(hosts, self._settings.hosts)
-        remaining = min(remaining, self._settings.classes[class_].deadline)
+        units, hosts = min(units, self._settings.max_units), min(hosts, self._settings.scheduler_count)
+        remaining = min(remaining, self._settings.classes[class_].deadline_ms)
         return Work(
             class_=class_,
             plan=self._plans[tier],
@@ -113,7 +115,7 @@
             figures = (-1.0,)
         if all(0 <= figure <= MOST_USE for figure in figures):
             return figures
-        log.say("box", f"a load report is set aside: {text[:60]!r}")
+        log.emit("box", f"a load report is set aside: {text[:60]!r}")
         return ()
 
 
@@ -151,7 +153,7 @@
             return int(figure)
     except ValueError:
         pass
-    log.say("box", f"a figure of use is set aside: {name} {text[:20]!r}")
+    log.emit("box", f"a figure of use is set aside: {name} {text[:20]!r}")
     return None
 
 
--- a/sabledyke/protocol/http.py
+++ b/sabledyke/protocol/http.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024
 MAX_ANSWER = 1024 * 1024  # bytes in an answer's body: boxes were seen to send 350 KB
@@ -17,7 +17,7 @@
 _BAD_VALUE = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 
 
-class HttpError(Fault):
+class HttpError(SabledykeError):
     """The bytes are not a message of this protocol, or it is larger than allowed; what to answer a client."""
 
     code, remedy = "http", "tell whoever runs that peer"
--- a/sabledyke/protocol/nvme.py
+++ b/sabledyke/protocol/nvme.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 
 MAX_DATA = 64 * 1024  # of one command, and of one data PDU
 IN_CAPSULE = 8192  # data that may come inside a command's capsule
@@ -94,7 +94,7 @@
 DNR = 1 << 14
 
 
-class NvmeError(Fault):
+class NvmeError(SabledykeError):
     """The peer broke the protocol: the connection ends, with this fatal error status and field offset."""
 
     code, remedy = "nvme", "tell whoever runs that host or box"
--- a/sabledyke/protocol/versions.py
+++ b/sabledyke/protocol/versions.py
@@ -8,7 +8,7 @@
 
 from enum import Enum
 
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, ListKind
 
 
 class Verdict(Enum):
@@ -36,17 +36,17 @@
         """An answer could be read in part alone: the next call asks for the whole list."""
         self.since = None
 
-    def newer(self, news: api.NodeList) -> bool:
+    def newer(self, news: EndpointList) -> bool:
         """It says what is not held yet."""
         return self.held is None or news.version > self.held
 
-    def judge(self, news: api.NodeList) -> Verdict:
+    def judge(self, news: EndpointList) -> Verdict:
         """Take the answer or set it aside.
 
         An older whole list is taken when a second call for the whole list brings one too: the service was set
         up anew and counts from the start. Guards against going by a list that is never told again.
         """
-        whole, newer = news.kind is api.ListKind.FULL, self.newer(news)
+        whole, newer = news.kind is ListKind.FULL, self.newer(news)
         if not newer and (not whole or news.version == self.held and self.since is not None):
             if news.version == self.held or not news.entries:
                 self.since = self.held
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -21,7 +21,7 @@
 from sabledyke.compacted_log.section import Section as BoardSection
 from sabledyke.config import Config, ConfigError
 from sabledyke.core import Work
-from sabledyke.errors import BoardFault, StaleWriter
+from sabledyke.errors import CompactedLogError, StaleWriterError
 from sabledyke.lease.manager import boottime
 from sabledyke.quota_sharing.allocation import TOPIC, Demands, Shares
 from sabledyke.quota_sharing.demand import Meter
@@ -57,7 +57,7 @@
     async def open(self) -> None:
         """See ``parts.Part``: shares begin once the board answers, and the program does not wait for it."""
         self._task = asyncio.get_running_loop().create_task(self._run())
-        log.say("fleet", f"{self._name}: {self._section}")
+        log.emit("fleet", f"{self._name}: {self._section}")
 
     def adopt(self, config: Config) -> None:
         """See ``parts.Part``."""
@@ -96,11 +96,11 @@
                         await self._tell()
                     self._note()
                 await asyncio.sleep(rest)
-            except StaleWriter as fault:
-                log.say("fleet", str(fault), **fault.fields)
+            except StaleWriterError as fault:
+                log.emit("fleet", str(fault), **fault.fields)
                 return  # another runs under its name: it goes on with its floor
-            except BoardFault as fault:
-                log.say("fleet", f"shares: {fault}", **fault.fields)
+            except CompactedLogError as fault:
+                log.emit("fleet", f"shares: {fault}", **fault.fields)
                 self._note()
                 await asyncio.sleep(AGAIN)
             except Exception as fault:  # shares lapse by themselves; one that stays away is not to be silent
@@ -120,7 +120,7 @@
     def _mine(self, cell: Cell | None) -> None:
         said = said_of(cell)
         if said is None or said.nonce != self._nonce:
-            raise StaleWriter(f"{self._name}: another life of it shares")
+            raise StaleWriterError(f"{self._name}: another life of it shares")
 
     def _stand(self, cell: Cell | None) -> None:
         """Our own register, as a look found it; never an older one than is known to stand."""
@@ -161,7 +161,7 @@
         if shared is not self._shared:
             self._shared = shared
             what = "takes its shares by demand" if shared else "takes its floor alone"
-            log.say("fleet", f"{self._name} {what}", shared=str(shared).lower())
+            log.emit("fleet", f"{self._name} {what}", shared=str(shared).lower())
 
 
 def _word(cell: Cell) -> tuple[int, Demands]:
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -10,7 +10,7 @@
 from sabledyke.compacted_log.client import Board, Pen
 from sabledyke.compacted_log.reader import Follower
 from sabledyke.compacted_log.records import Draft
-from sabledyke.errors import BoardFault, Conflict
+from sabledyke.errors import CompactedLogError, WriteConflictError
 from sabledyke.rollout.planner import Move
 from sabledyke.rollout.records import FLEET, View, key, pack, view
 
@@ -43,8 +43,8 @@
             try:
                 await write(pen, move)
                 return move
-            except Conflict:
+            except WriteConflictError:
                 break  # the fleet has moved on: look again
-            except BoardFault:
+            except CompactedLogError:
                 if not left:
                     raise
--- a/sabledyke/rollout/configuration_switch.py
+++ b/sabledyke/rollout/configuration_switch.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from sabledyke.errors import WantsFault
+from sabledyke.errors import WantedVersionError
 
 
 def take_on(path: str, label: str, reload: Callable[[], str]) -> str:
@@ -52,4 +52,4 @@
     try:
         (prepare if ready else put)(path, f"{version}\n".encode())
     except OSError as fault:
-        raise WantsFault(f"{fault.filename}: {fault.strerror}") from None
+        raise WantedVersionError(f"{fault.filename}: {fault.strerror}") from None
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -27,14 +27,21 @@
 from sabledyke.compacted_log.section import Section as BoardSection
 from sabledyke.config import PREFIX, Config, ConfigError
 from sabledyke.core import Work
-from sabledyke.errors import AuthorityFault, BoardFault, Conflict, Lost, StaleWriter, WantsFault
+from sabledyke.errors import (
+    AuthorityError,
+    CompactedLogError,
+    LeaseLostError,
+    StaleWriterError,
+    WantedVersionError,
+    WriteConflictError,
+)
 from sabledyke.lease.extension import authority_of
 from sabledyke.lease.manager import Keeper, boottime
 from sabledyke.lease.section import Section as LeaseSection
 from sabledyke.placement.evacuation import HOMES
 from sabledyke.placement.evacuation_driver import LOADS, MOST_LOADS, SiteKeeper
 from sabledyke.placement.volume_placement import Map
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeId, NodeState, node_name
 from sabledyke.rollout import node_drain, planner
 from sabledyke.rollout.canary_analysis import Baseline, Count, bad_plans
 from sabledyke.rollout.commands import write
@@ -85,7 +92,7 @@
         self._participant: Participant | None = None
         self._closing: node_drain.Closing | None = None
         self._shut: frozenset[str] = frozenset()  # boxes that are sent nothing fresh by the board's word
-        self._list: dict[api.NodeId, api.NodeEntry] = {}  # boxes as discovery has them
+        self._list: dict[NodeId, NodeEntry] = {}  # boxes as discovery has them
         self._file = os.environ.get(f"{PREFIX}CONFIG", "")
         self.adopt(host.config)
         self._last = False  # it goes for good
@@ -103,11 +110,11 @@
             await asyncio.sleep(AGAIN)
         life = self._pen.writer.life
         self._participant = Participant(self._name, life, self._section.valid)
-        self._closing = node_drain.Closing(self._name, life, self._host.config.settings.drain_grace)
+        self._closing = node_drain.Closing(self._name, life, self._host.config.settings.drain_grace_ms)
         self.in_turn = self._participant.in_turn(seen)
         again = self._participant.unfinished(seen, self._section.version)
         if again is not None and self._wanted() not in (None, again.to):  # else its starter was told
-            log.say("fleet", f"{self._name} was to come back as {again.to}, and ends once more")
+            log.emit("fleet", f"{self._name} was to come back as {again.to}, and ends once more")
             self._go(again)
         loop, every = asyncio.get_running_loop(), self._section.every / 1000
         beat = self._section.beat / 1000
@@ -121,7 +128,7 @@
             loop.create_task(self._always(self._coordinate(), pace)),
             loop.create_task(self._always(self._clean, lambda: self._place.clean)),
         ]
-        log.say("fleet", f"{self._me} is a member, life {self._pen.writer.life}, {self._section}")
+        log.emit("fleet", f"{self._me} is a member, life {self._pen.writer.life}, {self._section}")
 
     async def _joined(self) -> View | None:
         """The board as this life finds it, once all others can know of it; None where it does not answer now.
@@ -137,11 +144,11 @@
             # It says that it lives before it looks for the first time: see ``boxes``.
             await write(self._pen, Move("warming", (self._me_as(State.WARMING),)))
             return await self._look()
-        except StaleWriter as fault:
+        except StaleWriterError as fault:
             raise ConfigError(f"board {self._place}: {fault}") from None
-        except BoardFault as fault:
+        except CompactedLogError as fault:
             said = f"{self._name} waits for the board, its doors are closed: {fault}"
-            log.say("fleet", said, **fault.fields)
+            log.emit("fleet", said, **fault.fields)
             return None
 
     async def _always(self, what: Callable[[], Awaitable[None]], pace: Callable[[], float]) -> None:
@@ -152,13 +159,13 @@
             began = time.monotonic()
             try:
                 await what()
-            except (Conflict, Lost):
+            except (WriteConflictError, LeaseLostError):
                 pass  # somebody wrote first, or the lease is another's: look again
-            except StaleWriter as fault:
-                log.say("fleet", str(fault), **fault.fields)
+            except StaleWriterError as fault:
+                log.emit("fleet", str(fault), **fault.fields)
                 await asyncio.sleep(1)
-            except (BoardFault, AuthorityFault, WantsFault) as fault:
-                log.say("fleet", str(fault), **fault.fields)
+            except (CompactedLogError, AuthorityError, WantedVersionError) as fault:
+                log.emit("fleet", str(fault), **fault.fields)
             except Exception as fault:
                 # Guards against a task that ends without a word: its member would beat, and never move.
                 invariants.check(False, "a turn in the fleet", repr(fault))
@@ -195,7 +202,7 @@
             done = replace(due, took=why or TAKEN)
             said = Move(f"settings {due.to}: {done.took}", (done,), expects=((key(due), due.offset),))
             await write(self._pen, said)
-            log.say("fleet", said.what, member=self._name)
+            log.emit("fleet", said.what, member=self._name)
             return
         if (ticket := self._participant.gone(seen)) is not None and state is not State.LEAVING:
             return self._go(ticket)  # what it said is written, though it was not heard to be
@@ -210,7 +217,7 @@
             if not plan.settings:  # who could not tell its starter does not ask
                 self._tell(GONE if plan.retire else planner.next_version(plan), ready=True)
         await write(self._pen, move)
-        log.say("fleet", move.what if move.what != GOES else f"{self._name} goes out", member=self._name)
+        log.emit("fleet", move.what if move.what != GOES else f"{self._name} goes out", member=self._name)
         if move.what == GOES and not seen.tickets[self._name].settings:
             self._go(seen.tickets[self._name])
 
@@ -223,18 +230,18 @@
         if some := [e for name in sorted(other) if (e := self._list.get(name.encode())) is not None]:
             self._host.relist([self._taken_for(entry) for entry in some])
 
-    def _taken_for(self, entry: api.NodeEntry) -> api.NodeEntry:
-        shut = entry.state is api.NodeState.READY and api.name_of(entry.node) in self._shut
-        return replace(entry, state=api.NodeState.DRAINING) if shut else entry
+    def _taken_for(self, entry: NodeEntry) -> NodeEntry:
+        shut = entry.state is NodeState.READY and node_name(entry.node_id) in self._shut
+        return replace(entry, state=NodeState.DRAINING) if shut else entry
 
-    def listing(self, news: api.NodeList) -> api.NodeList:
+    def listing(self, news: EndpointList) -> EndpointList:
         """See ``parts.Part``: boxes that are drained by a plan are draining, whatever discovery says."""
-        if news.kind is not api.ListKind.DELTA:
+        if news.kind is not ListKind.DELTA:
             self._list = {}
-        self._list.update((e.node, e) for e in news.entries)
+        self._list.update((e.node_id, e) for e in news.entries)
         for entry in news.entries:
-            if entry.state is api.NodeState.GONE:
-                del self._list[entry.node]
+            if entry.state is NodeState.GONE:
+                del self._list[entry.node_id]
         return replace(news, entries=tuple(self._taken_for(entry) for entry in news.entries))
 
     def _go(self, ticket: Ticket) -> None:
@@ -307,7 +314,7 @@
                     self._keeper.token()
                     done = await self._sites.turn(seen, token, signs, now, watch, patience)
                     if isinstance(done, str):
-                        log.say("fleet", done, token=token)
+                        log.emit("fleet", done, token=token)
                         continue
                     move = done
                 if move is None:
@@ -315,20 +322,20 @@
                 self._keeper.token()
                 try:
                     await write(pen, move)
-                except Conflict:
+                except WriteConflictError:
                     continue  # decided anew by what was said meanwhile, and at once: a fleet is never still
-                log.say("fleet", move.what, token=token)
+                log.emit("fleet", move.what, token=token)
 
         return turn
 
     def _boxes(self) -> dict[str, Box]:
-        some = ((api.name_of(e.node), e) for e in self._list.values())
-        ready = api.NodeState.READY
-        return {n: Box(n, e.zone, e.shard, e.state is ready, e.started) for n, e in some}
+        some = ((node_name(e.node_id), e) for e in self._list.values())
+        ready = NodeState.READY
+        return {n: Box(n, e.zone, e.shard, e.state is ready, e.started_ms) for n, e in some}
 
     def adopt(self, config: Config) -> None:
         """See ``parts.Part``: how long a box warms up is the deployment's."""
-        self._patience = replace(self._section.patience, warm=config.settings.warm_up)
+        self._patience = replace(self._section.patience, warm=config.settings.warm_up_ms)
 
     async def _clean(self) -> None:
         for topic in (FLEET, HOMES, *self._place.topics):
@@ -351,8 +358,8 @@
             async with asyncio.timeout(LAST_WORD):
                 state = State.RETIRED if self._last else State.OUT
                 await write(self._pen, Move("out", (self._me_as(state),)))
-        except (BoardFault, TimeoutError) as fault:
-            log.say("fleet", f"{self._name} could not say that it is out: {fault or 'no answer'}")
+        except (CompactedLogError, TimeoutError) as fault:
+            log.emit("fleet", f"{self._name} could not say that it is out: {fault or 'no answer'}")
         await self._keeper.stop()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._authority.close()
--- a/sabledyke/rollout/participant.py
+++ b/sabledyke/rollout/participant.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, replace
 
-from sabledyke.errors import StaleTicket
+from sabledyke.errors import StaleTicketError
 from sabledyke.rollout.planner import Move, near, wanted
 from sabledyke.rollout.records import EPOCH, Ask, Plan, Ticket, View, key
 
@@ -45,7 +45,7 @@
                 return None  # spent: by this life, which leaves, or a former one, which the coordinator sees
             try:
                 self._judge(ticket, seen, now)
-            except StaleTicket as fault:
+            except StaleTicketError as fault:
                 self.asked = None
                 return Move(str(fault), ends=(key(ticket),), expects=((key(ticket), ticket.offset),))
             rests = (key(ticket), f"plan/{ticket.plan}", EPOCH)
@@ -97,15 +97,17 @@
         """A StaleTicket where it may not be used: it is given back, and asked for anew."""
         asked, plan = self.asked, seen.plans.get(ticket.plan)
         if asked is None or ticket.number != asked.number or ticket.life != self.life:
-            raise StaleTicket(f"{self.name}: the ticket answers an earlier ask")
+            raise StaleTicketError(f"{self.name}: the ticket answers an earlier ask")
         if now - asked.at > self.valid:
-            raise StaleTicket(f"{self.name}: the ticket came {now - asked.at:.0f} ms after it was asked for")
+            raise StaleTicketError(
+                f"{self.name}: the ticket came {now - asked.at:.0f} ms after it was asked for"
+            )
         if seen.epoch is None or ticket.token != seen.epoch.token:
-            raise StaleTicket(
+            raise StaleTicketError(
                 f"{self.name}: the ticket is under token {ticket.token}, which is no longer in force"
             )
         if plan is None or self.name not in wanted(plan):
-            raise StaleTicket(f"{self.name}: plan {ticket.plan} does not go on")
+            raise StaleTicketError(f"{self.name}: plan {ticket.plan} does not go on")
 
 
 GOES = "goes out"
--- a/sabledyke/settings.py
+++ b/sabledyke/settings.py
@@ -1,146 +1,201 @@
-"""Builds the settings from paths and values: the one builder behind the wire's text and the JSON."""
+"""Builds the scheduler's settings from paths and values, for the simulator's text and the platform's JSON.
+
+The platform's names of settings are mapped to the field's terms here and nowhere else.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Mapping
 from dataclasses import replace
+from enum import Enum
 from math import inf
+from typing import TypeVar
 
 from sabledyke.errors import SettingsError as SettingsError
-from sabledyke.policy import interface as api
+from sabledyke.policy.settings import DeduplicationScope, Plan, RepeatSafety, RequestClass, Settings
+
+MAX_CLASSES = 64  # classes over the life of a process, retired ones included
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0
+DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
+
+# What the platform's messages call these two kinds of value.
+_SEMANTICS_KIND = "Repeat"
+_GROUP_KIND = "Group"
+
+_Choice = TypeVar("_Choice", bound=Enum)
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the wire's paths and values (WIRE: lists of objects are counted, plain ones joined)."""
+    """Yields nested JSON as the paths and values of the simulator's text.
+
+    Lists of objects are counted and numbered, lists of plain values joined with commas.
+    """
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from flatten(inner, f"{path}.{name}" if path else str(name))
-    elif isinstance(value, list) and any(isinstance(v, dict) for v in value):
+    elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count", str(len(value))
-        for i, inner in enumerate(value):
-            yield from flatten(inner, f"{path}.{i}")
+        for index, inner in enumerate(value):
+            yield from flatten(inner, f"{path}.{index}")
     elif isinstance(value, list):
-        yield path, ",".join(_plain(v) for v in value)
+        yield path, ",".join(_plain_text(item) for item in value)
     elif value is not None:
-        yield path, _plain(value)
+        yield path, _plain_text(value)
 
 
-MOST_CLASSES = 64  # classes over the life of a process, retired ones included
+def merge(old: Settings, new: Settings) -> Settings:
+    """Returns ``new`` with its classes at the positions that ``old`` gave them.
 
+    Open requests and counters refer to a class by its position, which therefore must not change. Classes that
+    ``new`` no longer names stay, marked as retired.
 
-def merge(old: api.Settings, new: api.Settings) -> api.Settings:
-    """``new`` with its classes where ``old`` had them; those it no longer names stay, retired.
-
-    Open requests and all that is counted by class hold a class by its place: the place must not move
-    under them. A SettingsError where there would be more than ``MOST_CLASSES``.
+    Raises:
+        SettingsError: There would be more than ``MAX_CLASSES`` classes.
+    """
+    added = {request_class.name: request_class for request_class in new.classes}
+    retained = tuple(added.pop(request_class.name, request_class) for request_class in old.classes)
+    classes = retained + tuple(added.values())
+    if len(classes) > MAX_CLASSES:
+        raise SettingsError(f"more than {MAX_CLASSES} classes since the start, which takes a restart")
+    current = {request_class.name for request_class in new.classes}
+    retired = frozenset(known.name for known in classes if known.name not in current)
+    return replace(new, classes=classes, retired_classes=retired)
+
+
+def build(values: Mapping[str, str]) -> Settings:
+    """Builds the settings from the platform's paths and values.
+
+    Raises:
+        SettingsError: A value is missing or unreadable; the text names its path.
+        ValueError: A value is outside its range.
     """
-    given = {c.name: c for c in new.classes}
-    kept = tuple(given.pop(c.name, c) for c in old.classes)
-    classes = kept + tuple(given.values())
-    if len(classes) > MOST_CLASSES:
-        raise SettingsError(f"more than {MOST_CLASSES} classes since the start, which takes a restart")
-    named = {c.name for c in new.classes}
-    return replace(new, classes=classes, retired=frozenset(c.name for c in classes if c.name not in named))
+    return _Builder(values).settings()
 
 
-def _plain(value: object) -> str:
+def _plain_text(value: object) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def build(conf: Mapping[str, str]) -> api.Settings:
-    """The settings as an object; a SettingsError names what is missing or unreadable."""
+class _Builder:
+    """Reads typed values by their platform path."""
+
+    def __init__(self, values: Mapping[str, str]) -> None:
+        self._values = values
+
+    def settings(self) -> Settings:
+        return Settings(
+            scheduler_index=int(self._number("me")),
+            scheduler_count=int(self._number("siblings")),
+            zone=int(self._number("az", 0.0)),
+            zones=self._words("zones"),
+            classes=self._request_classes(),
+            plans=self._plans(),
+            polls_endpoint_list=self._text("discovery") == "on_request",
+            max_attempts=int(self._number("ceilings.try_limit")),
+            hedging_allowed=self._flag("ceilings.second_copies", default=False),
+            cancellation_allowed=self._flag("ceilings.cancel", default=False),
+            probing_allowed=self._flag("ceilings.probes", default=False),
+            max_retry_after_ms=self._max_retry_after_ms(),
+            mean_units=self._number("family_info.usual_units"),
+            max_units=self._number("family_info.units_top"),
+            share_value=self._number("family_info.fair_worth"),
+            surplus_value=self._number("family_info.spare_worth"),
+            slow_start_units=self._number("family_info.young_limit"),
+            slow_start_fraction=self._number("invariants.cold_share"),
+            warm_up_ms=self._number("invariants.warm_up"),
+            overload_window_ms=self._number("invariants.fall"),
+            overload_multiple=self._number("invariants.tip_multiple", 0.0),
+            answer_slack_ms=self._number("invariants.answer_slack"),
+            order_settle_ms=self._number("invariants.order_settle", 0.0),
+            retry_budget_window_ms=self._number("invariants.look_back", 0.0),
+            retry_budget_free=self._number("invariants.spare_attempts", 0.0),
+            retry_budget_ratio=self._number("invariants.repeat_ratio", 0.0),
+            reports_other_usage=self._flag("family_info.says_others", default=False),
+            meter_period_ms=self._number("family_info.meter_period", 0.0),
+            report_fields=self._words("telemetry.fields"),
+            node_kinds=self._words("kinds"),
+            drain_grace_ms=self._number("invariants.stop_sending_within", 0.0),
+            max_open_requests=self._number("ceilings.open_cap", inf),
+            connect_timeout_ms=self._number("ceilings.connect_timeout", DEFAULT_CONNECT_TIMEOUT_MS),
+            idle_timeout_ms=self._number("ceilings.conn_idle", DEFAULT_IDLE_TIMEOUT_MS),
+        )
 
-    def raw(key: str) -> str:
-        if key not in conf:
-            raise SettingsError(f"setting {key} is missing")
-        return conf[key]
+    def _request_classes(self) -> tuple[RequestClass, ...]:
+        count = int(self._number("profiles.count"))
+        return tuple(self._request_class(index) for index in range(count))
 
-    def num(key: str, default: float | None = None) -> float:
-        if default is not None and key not in conf:
-            return default
+    def _plans(self) -> tuple[Plan, ...]:
+        count = int(self._number("grades.count"))
+        return tuple(self._plan(index) for index in range(count))
+
+    def _request_class(self, index: int) -> RequestClass:
+        prefix = f"profiles.{index}."
+        writes = self._words("family_info.changes_data")
+        semantics, group = f"{prefix}semantics", f"{prefix}group"
         try:
-            return float(raw(key))
-        except ValueError:
-            raise SettingsError(f"setting {key} is no number: {conf[key]!r}") from None
+            repeat_safety = _choice(RepeatSafety, self._text(semantics), _SEMANTICS_KIND)
+            scope = _choice(DeduplicationScope, self._values.get(group, "all"), _GROUP_KIND)
+        except ValueError as error:
+            raise SettingsError(f"setting {semantics} or {group}: {error}") from None
+        return RequestClass(
+            name=self._text(f"{prefix}name"),
+            latency_objective_ms=self._number(f"{prefix}aim"),
+            deadline_ms=self._number(f"{prefix}hard_limit"),
+            value=self._number(f"{prefix}credit"),
+            late_value=self._number(f"{prefix}late_worth", 0.0),
+            repeat_safety=repeat_safety,
+            deduplication_scope=scope,
+            deduplication_window_ms=self._number(f"{prefix}window", 0.0),
+            streamed=self._flag(f"{prefix}stream", default=False),
+            ordered=self._flag(f"{prefix}keep_order", default=False),
+            writes=index < len(writes) and writes[index] == "true",
+        )
 
-    def flag(key: str, default: bool | None = None) -> bool:
-        if default is not None and key not in conf:
-            return default
-        if raw(key) not in ("true", "false"):
-            raise SettingsError(f"setting {key} is neither true nor false: {conf[key]!r}")
-        return conf[key] == "true"
+    def _plan(self, index: int) -> Plan:
+        prefix = f"grades.{index}."
+        return Plan(
+            name=self._text(f"{prefix}name"),
+            usual_rate=self._number(f"{prefix}usual_rate"),
+            reservation=self._number(f"{prefix}floor_rate", 0.0),
+            limit=self._number(f"{prefix}ceiling_rate", 0.0),
+            limit_burst=self._number(f"{prefix}limit_burst", 0.0),
+            limit_slack=self._number(f"{prefix}slack", 0.0),
+            weight=self._number(f"{prefix}proportion", 1.0),
+            value_factor=self._number(f"{prefix}worth_factor", 1.0),
+        )
 
-    def words(key: str) -> tuple[str, ...]:
-        return tuple(w for w in conf.get(key, "").split(",") if w)
+    def _max_retry_after_ms(self) -> float:
+        if not self._flag("ceilings.retry_after", default=False):
+            return 0.0
+        return self._number("ceilings.max_retry_after", 0.0)
 
-    writes = words("family_info.changes_data")
+    def _text(self, path: str) -> str:
+        if path not in self._values:
+            raise SettingsError(f"setting {path} is missing")
+        return self._values[path]
 
-    def request_class(i: int) -> api.RequestClass:
-        p = f"profiles.{i}."
+    def _number(self, path: str, default: float | None = None) -> float:
+        if default is not None and path not in self._values:
+            return default
         try:
-            repeat, group = api.Repeat(raw(p + "semantics")), api.Group(conf.get(p + "group", "all"))
-        except ValueError as fault:
-            raise SettingsError(f"setting {p}semantics or {p}group: {fault}") from None
-        return api.RequestClass(
-            raw(p + "name"),
-            num(p + "aim"),
-            num(p + "hard_limit"),
-            num(p + "credit"),
-            num(p + "late_worth", 0.0),
-            repeat,
-            group,
-            num(p + "window", 0.0),
-            flag(p + "stream", False),
-            flag(p + "keep_order", False),
-            i < len(writes) and writes[i] == "true",
-        )
+            return float(self._text(path))
+        except ValueError:
+            raise SettingsError(f"setting {path} is no number: {self._values[path]!r}") from None
+
+    def _flag(self, path: str, *, default: bool) -> bool:
+        if path not in self._values:
+            return default
+        if self._values[path] not in ("true", "false"):
+            raise SettingsError(f"setting {path} is neither true nor false: {self._values[path]!r}")
+        return self._values[path] == "true"
+
+    def _words(self, path: str) -> tuple[str, ...]:
+        return tuple(word for word in self._values.get(path, "").split(",") if word)
 
-    def plan(i: int) -> api.Plan:
-        p = f"grades.{i}."
-        return api.Plan(
-            raw(p + "name"),
-            num(p + "usual_rate"),
-            num(p + "floor_rate", 0.0),
-            num(p + "ceiling_rate", 0.0),
-            num(p + "limit_burst", 0.0),
-            num(p + "slack", 0.0),
-            num(p + "proportion", 1.0),
-            num(p + "worth_factor", 1.0),
-        )
 
-    return api.Settings(
-        me=int(num("me")),
-        hosts=int(num("siblings")),
-        zone=int(num("az", 0.0)),
-        zones=words("zones"),
-        classes=tuple(request_class(i) for i in range(int(num("profiles.count")))),
-        plans=tuple(plan(i) for i in range(int(num("grades.count")))),
-        asks_list=raw("discovery") == "on_request",
-        max_attempts=int(num("ceilings.try_limit")),
-        second_copies=flag("ceilings.second_copies", False),
-        may_cancel=flag("ceilings.cancel", False),
-        may_probe=flag("ceilings.probes", False),
-        max_retry_after=num("ceilings.max_retry_after", 0.0) if flag("ceilings.retry_after", False) else 0.0,
-        mean_units=num("family_info.usual_units"),
-        most_units=num("family_info.units_top"),
-        share_worth=num("family_info.fair_worth"),
-        spare_worth=num("family_info.spare_worth"),
-        cold_units=num("family_info.young_limit"),
-        cold_share=num("invariants.cold_share"),
-        warm_up=num("invariants.warm_up"),
-        fall_window=num("invariants.fall"),
-        tip_multiple=num("invariants.tip_multiple", 0.0),
-        answer_slack=num("invariants.answer_slack"),
-        order_rest=num("invariants.order_settle", 0.0),
-        budget_window=num("invariants.look_back", 0.0),
-        budget_free=num("invariants.spare_attempts", 0.0),
-        budget_share=num("invariants.repeat_ratio", 0.0),
-        tells_others=flag("family_info.says_others", False),
-        meter_period=num("family_info.meter_period", 0.0),
-        report_fields=words("telemetry.fields"),
-        kinds=words("kinds"),
-        drain_grace=num("invariants.stop_sending_within", 0.0),
-        most_open=num("ceilings.open_cap", inf),
-        connect_timeout=num("ceilings.connect_timeout", 250.0),
-        idle_timeout=num("ceilings.conn_idle", 15000.0),
-    )
+def _choice(choices: type[_Choice], text: str, kind: str) -> _Choice:
+    """Returns the member with this value; a ValueError in the platform's words where there is none."""
+    try:
+        return choices(text)
+    except ValueError:
+        raise ValueError(f"{text!r} is not a valid {kind}") from None
--- a/sabledyke/simhost.py
+++ b/sabledyke/simhost.py
@@ -6,7 +6,7 @@
 from typing import BinaryIO
 
 from sabledyke import wire
-from sabledyke.policy.interface import Event
+from sabledyke.policy.events import Event
 from sabledyke.policy.scheduler import Scheduler
 
 
--- a/sabledyke/store/database_errors.py
+++ b/sabledyke/store/database_errors.py
@@ -9,7 +9,7 @@
 import sqlite3
 from enum import Enum
 
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 from sabledyke.errors import StoreError as StoreError
 
 
@@ -33,7 +33,7 @@
 PASSING = (Kind.STALL, Kind.CONFLICT, Kind.CROWDED, Kind.ENDING)  # asked again a moment later it may do
 
 
-class StoreFault(Fault):
+class StoreFault(SabledykeError):
     """A transaction or query did not succeed.
 
     ``uncertain``: its COMMIT was under way and nothing tells whether it took effect.
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -9,7 +9,7 @@
 from sabledyke.application.extensions import Done, Host, Part, Submit
 from sabledyke.core import Transport, Work
 from sabledyke.net.connection_pool import Dial, Report
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import StoreError, StoreFault
 from sabledyke.store.intent_manager import Keeper
@@ -63,7 +63,7 @@
             raise StoreError(f"store {self._target}: {fault}") from None
         position = self.recorder.keeper.position
         entries = f"{position.seq} entries in the journal"
-        log.say("store", f"{self._target} is open; life {position.life}, {entries}")
+        log.emit("store", f"{self._target} is open; life {position.life}, {entries}")
 
     def adopt(self, config: Config) -> None:
         """See ``parts.Part``."""
@@ -80,7 +80,7 @@
     def __init__(self, host: Host, section: Section) -> None:
         self.dialer = SqlDialer(host.config.settings, {b.node: b for b in section.boxes}, section.kept)
 
-    def dialers(self) -> dict[api.NodeId, Dial]:
+    def dialers(self) -> dict[NodeId, Dial]:
         """See ``parts.Part``."""
         return dict.fromkeys(self.dialer.boxes, self.dialer.dial)
 
@@ -88,7 +88,7 @@
         """See ``parts.Part``."""
         self.dialer.settings = config.settings
 
-    def listed(self, gone: Iterable[api.NodeId]) -> None:
+    def listed(self, gone: Iterable[NodeId]) -> None:
         """See ``parts.Part``."""
         for node in gone:
             self.dialer.forget(node)
--- a/sabledyke/store/intent_manager.py
+++ b/sabledyke/store/intent_manager.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass, replace
 from itertools import islice
 
-from sabledyke.policy.interface import RequestClass
 from sabledyke.policy.retry import may_repeat
+from sabledyke.policy.settings import RequestClass
 from sabledyke.store import audit_journal
 from sabledyke.store.database_errors import Kind, StoreFault
 from sabledyke.store.health import Health, Limits, State
@@ -197,7 +197,7 @@
                 write.out += 1
                 return [Go(attempt)]
         if write is None or write.durable:  # the first, or one that never ran and goes elsewhere now
-            self._writes[name] = _Write(sent, now + kind.repeat_window + kind.deadline)
+            self._writes[name] = _Write(sent, now + kind.deduplication_window_ms + kind.deadline_ms)
             self._asking[name] = Intent(name, sent)
             if self._settles.get(name) == NEVER:
                 del self._settles[name]
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -18,8 +18,9 @@
 from sabledyke.invariants import check
 from sabledyke.net import clock
 from sabledyke.net.connection_pool import Report
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeEntry, NodeId, NodeState, node_name
+from sabledyke.policy.settings import Settings
 from sabledyke.store import startup, statements
 from sabledyke.store.connect import CONNECT, PATIENCE, patiently
 from sabledyke.store.database_errors import Kind, StoreFault
@@ -39,7 +40,7 @@
 class _Held:
     """An attempt that waits for its intent."""
 
-    node: api.NodeId
+    node: NodeId
     work: Work
     name: str
     asked: float
@@ -64,8 +65,8 @@
         self,
         keeper: Keeper,
         opener: Opener,
-        settings: api.Settings,
-        entry: Callable[[api.NodeId], api.NodeEntry],
+        settings: Settings,
+        entry: Callable[[NodeId], NodeEntry],
     ) -> None:
         self.keeper, self.settings = keeper, settings
         self._opener, self._entry = opener, entry
@@ -93,7 +94,7 @@
             self._session = await self._opener(PATIENCE)
         await startup.migrate(self._session)
         position = await startup.new_life(self._session, self.keeper.instance)
-        longest = max(c.repeat_window for c in self.settings.classes)
+        longest = max(c.deduplication_window_ms for c in self.settings.classes)
         now = clock.now()
         recent = await startup.recent(self._session, now - longest)
         self.keeper.opened(position, recent, now + longest)
@@ -107,13 +108,13 @@
         if not work.write:
             return onward(work, lambda answer: self._was_read(work, now, answer, done))
         if name and not self.keeper.takes():
-            advice = self.keeper.health.advice(now, self.settings.max_retry_after)
+            advice = self.keeper.health.advice(now, self.settings.max_retry_after_ms)
             self._loop.call_soon(done, Answer(Verdict.REFUSED, retry_after=advice))
             return 0
         self.drift.writing((work.volume, work.key))
         first = self.keeper.earlier(name) if name else None
         if first is not None:
-            ran = api.NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, api.NodeState.GONE)
+            ran = NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, NodeState.GONE)
             work.ran = first.at, ran
         asked = _Asked(work, name, now, now + work.remaining - MARGIN, hashlib.sha256(work.body).hexdigest())
         rid = onward(work, lambda answer: self._finished(rid, asked, answer, done))
@@ -153,7 +154,7 @@
             key=token_of(work),
             piece=f"{work.key:016x}",
             shard=at.shard if at else work.shard,
-            box=api.name_of(at.node) if at else "",
+            box=node_name(at.node_id) if at else "",
             units=work.units,
             digest=asked.digest,
             outcome=outcome,
@@ -165,14 +166,14 @@
         piece = work.volume, work.key
         if answer.verdict is Verdict.SERVED and self.drift.wants(asked, piece):
             digest, at = hashlib.sha256(answer.body).hexdigest(), work.sent_to
-            box = api.name_of(at.node) if at else ""
+            box = node_name(at.node_id) if at else ""
             found = self.drift.read(clock.now(), asked, piece, digest, box)
             if found is not None:
                 self._differs(found)
         done(answer)
 
     def _differs(self, found: Drift) -> None:
-        log.say(
+        log.emit(
             "drift",
             f"{found.box} shows volume {found.volume} piece {found.piece} with digest"
             f" {found.got[:12]}, where {found.wanted[:12]} was written",
@@ -182,7 +183,7 @@
 
     # Between the core and the pool.
 
-    def start(self, rid: int, number: int, node: api.NodeId, work: Work, timeout: float) -> None:
+    def start(self, rid: int, number: int, node: NodeId, work: Work, timeout: float) -> None:
         """See ``core.Transport``."""
         name = name_of(work)
         if not name:
@@ -208,7 +209,7 @@
         else:
             self.inner.cancel(rid, number)
 
-    def close_idle(self, node: api.NodeId) -> None:
+    def close_idle(self, node: NodeId) -> None:
         """See ``core.Transport``."""
         self.inner.close_idle(node)
 
@@ -233,14 +234,14 @@
                     left = max(1.0, held.deadline - now)
                     self.inner.start(*attempt, held.node, held.work, left)
                 case Moot(attempt):
-                    self._end(attempt, Ended(Outcome.MOOT, False))
+                    self._end(attempt, Ended(Outcome.EXPIRED, False))
                 case Blocked(attempt):
                     self._end(attempt, Ended(Outcome.ERROR, True))
                 case Told(ticket, kept):
                     done, answer = self._tickets.pop(ticket)
                     done(answer if kept else Answer(Verdict.FAILED))
                 case Say(text):
-                    log.say("store", text)
+                    log.emit("store", text)
 
     def _end(self, attempt: Attempt, ended: Ended) -> None:
         held = self._held.pop(attempt, None)
@@ -270,7 +271,7 @@
             return
         if (fault := task.exception()) is not None:
             # Guards against a fault here ending the record for good, with all that waits for it.
-            log.say("fault", "".join(traceback.format_exception(fault)))
+            log.emit("fault", "".join(traceback.format_exception(fault)))
             told = StoreFault(Kind.BROKEN, repr(fault), uncertain=True)
             keeper, now = self.keeper, clock.now()
             self._do(keeper.failed(now, told) if keeper.flight is not None else keeper.unreachable(now, told))
@@ -357,7 +358,7 @@
         self._ending = True
         left = self.keeper.unwritten
         if left:
-            log.say("store", f"{left} entries of the journal could not be written before the end")
+            log.emit("store", f"{left} entries of the journal could not be written before the end")
         for timer in (self._gathering, self._ticking):
             if timer is not None:
                 timer.cancel()
--- a/sabledyke/store/section.py
+++ b/sabledyke/store/section.py
@@ -16,7 +16,7 @@
 from msgspec import Meta
 
 from sabledyke.errors import OperatorError
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
 from sabledyke.store.health import Limits
 from sabledyke.toml_tables import Table, convert, from_file, parsed
 
@@ -45,7 +45,7 @@
 class Box:
     """A listed node that is a database; for PostgreSQL, discovery says at which address it listens."""
 
-    node: api.NodeId
+    node: NodeId
     target: Target
     connections: int = 4
 
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -19,8 +19,9 @@
 from sabledyke.net import clock
 from sabledyke.net.connection_pool import Address
 from sabledyke.net.streams import StreamClosedError
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeId, node_name
+from sabledyke.policy.settings import Settings
 from sabledyke.store import statements
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import StoreFault
@@ -37,7 +38,7 @@
 class _SqlBox:
     """One database: its sessions, and how many there may be."""
 
-    def __init__(self, box: Box, target: Target, settings: api.Settings) -> None:
+    def __init__(self, box: Box, target: Target, settings: Settings) -> None:
         self.box, self.target, self.settings = box, target, settings
         self.permits = asyncio.Semaphore(box.connections)
         self.left = False  # it is gone from the list
@@ -53,7 +54,7 @@
             if not session.closed and now - since < IDLE_S:
                 return session
             session.abort()
-        session = await connect(self.target, connect_s=self.settings.connect_timeout / 1000)
+        session = await connect(self.target, connect_s=self.settings.connect_timeout_ms / 1000)
         if not self._ready:
             try:
                 await session.script(statements.BOX)
@@ -115,7 +116,7 @@
         try:
             self._session = await self._box.take()
         except StoreFault as fault:
-            log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
+            log.emit("box", f"{node_name(self._box.box.node)} {fault}")
             raise StreamClosedError from None
         return self._session
 
@@ -130,7 +131,7 @@
         try:
             rows = await session.query(statements.GET_PIECE, f"{work.volume:016x}", f"{work.key:016x}")
         except StoreFault as fault:
-            log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
+            log.emit("box", f"{node_name(self._box.box.node)} {fault}")
             if session.closed:
                 raise StreamClosedError from None
             return Ended(Outcome.ERROR, True)
@@ -159,7 +160,7 @@
         except StoreFault as fault:
             if not fault.uncertain:
                 self.may_have_run = False
-                log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
+                log.emit("box", f"{node_name(self._box.box.node)} {fault}")
                 if session.closed:
                     raise StreamClosedError from None
                 return Ended(Outcome.REJECTED, False)
@@ -225,9 +226,9 @@
                 await asyncio.sleep(0.01)
             finally:
                 self._give()
-        log.say(
+        log.emit(
             "box",
-            f"{api.name_of(self._box.box.node)} lost a commit's answer: it {doubt.verdict.value}"
+            f"{node_name(self._box.box.node)} lost a commit's answer: it {doubt.verdict.value}"
             f" after {doubt.tries} questions",
         )
         match doubt.verdict:
@@ -242,11 +243,11 @@
 class SqlDialer:
     """Opens such links."""
 
-    def __init__(self, settings: api.Settings, boxes: dict[api.NodeId, Box], kept: float) -> None:
+    def __init__(self, settings: Settings, boxes: dict[NodeId, Box], kept: float) -> None:
         self.settings, self.boxes, self._kept = settings, boxes, kept
-        self._open: dict[api.NodeId, _SqlBox] = {}
+        self._open: dict[NodeId, _SqlBox] = {}
 
-    async def dial(self, node: api.NodeId, address: Address, patience: float) -> SqlLink:
+    async def dial(self, node: NodeId, address: Address, patience: float) -> SqlLink:
         """See ``pool.Dial``."""
         box = self.boxes[node]
         target = box.target
@@ -260,7 +261,7 @@
         known.settings = self.settings
         return SqlLink(known, self._kept)
 
-    def forget(self, node: api.NodeId) -> None:
+    def forget(self, node: NodeId) -> None:
         """The box is gone from the list: its sessions are closed, those in use after it."""
         known = self._open.pop(node, None)
         if known is not None:
--- a/sabledyke/structured_log.py
+++ b/sabledyke/structured_log.py
@@ -30,8 +30,8 @@
         processors=[_times, structlog.processors.JSONRenderer(serializer=lambda e, **_: orjson.dumps(e))],
     ).bind(instance=instance, life=life)
 
-    def write(kind: str, text: str, figures: dict[str, log.Figure]) -> None:
+    def write(kind: str, text: str, figures: dict[str, log.Field]) -> None:
         logger.info(text, kind=kind, **figures)
 
-    log.use(write)
+    log.set_writer(write)
     return life
--- a/sabledyke/testbed/fleet_release.py
+++ b/sabledyke/testbed/fleet_release.py
@@ -25,7 +25,7 @@
 from sabledyke.compacted_log.reader import Follower
 from sabledyke.compacted_log.records import Message, Shelf
 from sabledyke.compacted_log.sqlite_backend import TableShelf
-from sabledyke.errors import BoardFault
+from sabledyke.errors import CompactedLogError
 from sabledyke.placement import evacuation
 from sabledyke.placement.volume_placement import Home
 from sabledyke.rollout import commands, planner
@@ -179,7 +179,7 @@
     async def _read_homes(self) -> None:
         """As clients do: where volumes are at home, from the board."""
         while True:
-            with contextlib.suppress(BoardFault):
+            with contextlib.suppress(CompactedLogError):
                 await self.board.catch_up(evacuation.HOMES, self._homes)
             await asyncio.sleep(0.1)
 
@@ -273,7 +273,7 @@
         """Whoever cares for the boxes: a drained one is replaced, once for each drain."""
         known, reader = set[int](), Follower()
         while True:
-            with contextlib.suppress(BoardFault):
+            with contextlib.suppress(CompactedLogError):
                 await self.board.catch_up(FLEET, reader)
             seen = view(reader.state, reader.position)
             for drain in seen.drains.values():
@@ -322,7 +322,7 @@
         """Wait until something holds on the board; a TimeoutError where it does not in time."""
         async with asyncio.timeout(seconds):
             while True:
-                with contextlib.suppress(BoardFault):  # it may stand still just now
+                with contextlib.suppress(CompactedLogError):  # it may stand still just now
                     if holds(seen := await self.look()):
                         return seen
                 await asyncio.sleep(AGAIN)
--- a/sabledyke/tls/connector.py
+++ b/sabledyke/tls/connector.py
@@ -12,7 +12,7 @@
 
 from sabledyke import log
 from sabledyke.net import clock, streams
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeEntry, NodeId, node_name
 from sabledyke.tls import contexts
 from sabledyke.tls.handshake_admission import Admission, Terms
 from sabledyke.tls.keyring import Generation
@@ -35,8 +35,8 @@
         self._context: ssl.SSLContext | None = None
         self._attempts = itertools.count()
         self._waiting: dict[int, asyncio.Future[bool]] = {}
-        self._timers: dict[api.NodeId, asyncio.TimerHandle] = {}
-        self._faults: dict[api.NodeId, str] = {}
+        self._timers: dict[NodeId, asyncio.TimerHandle] = {}
+        self._faults: dict[NodeId, str] = {}
         self.full = self.resumed = self.failed = self.refused = 0
 
     def adopt(self, generation: Generation) -> None:
@@ -46,19 +46,19 @@
         self.tickets.withdraw(generation.number)
 
     async def connect(
-        self, entry: api.NodeEntry, address: tuple[str, int], connect_ms: float, patience: float
+        self, entry: NodeEntry, address: tuple[str, int], connect_ms: float, patience: float
     ) -> TlsStream:
         """A verified stream; a StreamClosedError where there is none, or no room for its handshake in time.
 
         ``patience``: milliseconds that the attempt has for it.
         """
-        node, now = entry.node, clock.now()
+        node, now = entry.node_id, clock.now()
         deadline = now + min(patience, self._section.handshake)
-        ticket = self.tickets.take(now, node, entry.started, self._generation)
+        ticket = self.tickets.take(now, node, entry.started_ms, self._generation)
         if not await self._admitted(now, entry, deadline, resumes=ticket is not None):
             self.refused += 1
             if ticket is not None:  # it was not used: the next attempt may
-                self.tickets.put(now, node, entry.started, self._generation, ticket)
+                self.tickets.put(now, node, entry.started_ms, self._generation, ticket)
             raise streams.StreamClosedError
         good = False
         inner: streams.IOStream | None = None
@@ -83,12 +83,12 @@
             self._look(node)
 
     async def _shaken(
-        self, inner: streams.IOStream, entry: api.NodeEntry, ticket: ssl.SSLSession | None, deadline: float
+        self, inner: streams.IOStream, entry: NodeEntry, ticket: ssl.SSLSession | None, deadline: float
     ) -> TlsStream:
         assert self._context is not None
-        node, generation = entry.node, self._generation
+        node, generation = entry.node_id, self._generation
         site = self._zones[entry.zone] if 0 <= entry.zone < len(self._zones) else ""
-        name = self._section.name_of(api.name_of(node), site)
+        name = self._section.name_of(node_name(node), site)
         layer = Layer(self._context, name=name, session=ticket)
         await shake(inner, layer, max(1.0, deadline - clock.now()))
         self.resumed += layer.resumed
@@ -97,13 +97,13 @@
 
         def told(session: ssl.SSLSession) -> None:
             if generation == self._generation:
-                self.tickets.put(clock.now(), node, entry.started, generation, session)
+                self.tickets.put(clock.now(), node, entry.started_ms, generation, session)
 
         return TlsStream(inner, layer, told)
 
-    async def _admitted(self, now: float, entry: api.NodeEntry, deadline: float, *, resumes: bool) -> bool:
-        attempt, node = next(self._attempts), entry.node
-        go = self.admission.ask(now, node, entry.started, attempt, deadline, resumes)
+    async def _admitted(self, now: float, entry: NodeEntry, deadline: float, *, resumes: bool) -> bool:
+        attempt, node = next(self._attempts), entry.node_id
+        go = self.admission.ask(now, node, entry.started_ms, attempt, deadline, resumes)
         if go is not False:
             return bool(go)
         waiter = self._waiting[attempt] = asyncio.get_running_loop().create_future()
@@ -120,7 +120,7 @@
             if waiter.cancelled():
                 self.admission.withdrawn(node, attempt)
 
-    def _look(self, node: api.NodeId) -> None:
+    def _look(self, node: NodeId) -> None:
         """Let go who may, tell who is out of time, and look again when that may change."""
         timer = self._timers.pop(node, None)
         if timer is not None:
@@ -139,7 +139,7 @@
             loop = asyncio.get_running_loop()
             self._timers[node] = loop.call_later(max(1.0, at - now) / 1000, self._look, node)
 
-    def forget(self, node: api.NodeId) -> None:
+    def forget(self, node: NodeId) -> None:
         """The box is gone from the list."""
         for attempt in self.admission.forget(node):
             waiter = self._waiting.get(attempt)
@@ -156,9 +156,9 @@
         for timer in self._timers.values():
             timer.cancel()
 
-    def _tell(self, node: api.NodeId, text: str) -> None:
+    def _tell(self, node: NodeId, text: str) -> None:
         if self._faults.get(node) != text:
             self._faults[node] = text
             if len(self._faults) > MOST_TOLD:
                 del self._faults[next(iter(self._faults))]
-            log.say("tls", f"{api.name_of(node)}: {text}")
+            log.emit("tls", f"{node_name(node)}: {text}")
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -14,7 +14,7 @@
 from sabledyke.net import clock, streams
 from sabledyke.net.connection_pool import Connect
 from sabledyke.net.streams import Stream
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
 from sabledyke.tls import contexts
 from sabledyke.tls.connector import Connector
 from sabledyke.tls.handshake_admission import Terms
@@ -45,14 +45,14 @@
             section, self._terms(host.config), host.config.seed, host.config.settings.zones
         )
         self._for_clients: ssl.SSLContext | None = None
-        self._used: dict[api.NodeId, float] = {}  # when a connection to a box was last asked for
+        self._used: dict[NodeId, float] = {}  # when a connection to a box was last asked for
         self._timers: list[asyncio.TimerHandle] = []
 
     def connect(self, plain: Connect) -> Connect:
         """See ``parts.Part``: never plaintext where TLS is asked for."""
 
         async def connect(
-            node: api.NodeId, address: tuple[str, int], connect_ms: float, patience: float
+            node: NodeId, address: tuple[str, int], connect_ms: float, patience: float
         ) -> Stream:
             if self._section.boxes and node not in self._section.boxes:
                 return await plain(node, address, connect_ms, patience)
@@ -84,7 +84,7 @@
         try:
             await shake(inner, layer, CLIENT_MS)
         except (TlsError, TimeoutError, streams.StreamClosedError, ssl.SSLError) as fault:
-            log.say("tls", f"a client's handshake failed: {str(fault) or 'it does not end in time'}")
+            log.emit("tls", f"a client's handshake failed: {str(fault) or 'it does not end in time'}")
             return None
         made = TlsStream(inner, layer)
         if self._section.rights:
@@ -109,7 +109,7 @@
             raise ConfigError(f"tls: {fault}") from None
         self._adopt(self.keyring.generation)
         for line in news.lines:
-            log.say("tls", line)
+            log.emit("tls", line)
         if self._section.look:
             self._again(self._section.look, self._look)
         if self._section.warm:
@@ -131,12 +131,12 @@
         try:
             news = self.keyring.offer(clock.now(), self._section.paths.read())
         except OperatorError as fault:  # half a rotation: a file is missing for a moment
-            log.say("tls", f"new keys are not used: {fault}; the old ones stay in force")
+            log.emit("tls", f"new keys are not used: {fault}; the old ones stay in force")
             return
         if news.changed:
             self._adopt(self.keyring.generation)
         for line in news.lines:
-            log.say("tls", line)
+            log.emit("tls", line)
 
     def adopt(self, config: Config) -> None:
         """See ``parts.Part``: SIGHUP looks at the files too."""
@@ -147,14 +147,14 @@
         """What a box bears, and how many schedulers come to it, by the settings in force."""
         s, section = config.settings, self._section
         return Terms(
-            siblings=s.hosts,
-            cold_share=s.cold_share,
-            warm_up=s.warm_up,
+            siblings=s.scheduler_count,
+            cold_share=s.slow_start_fraction,
+            warm_up=s.warm_up_ms,
             part=section.part,
             cores=section.cores,
         )
 
-    def listed(self, gone: Iterable[api.NodeId]) -> None:
+    def listed(self, gone: Iterable[NodeId]) -> None:
         """See ``parts.Part``."""
         for node in gone:
             self.connector.forget(node)
--- a/sabledyke/tls/key_material.py
+++ b/sabledyke/tls/key_material.py
@@ -14,12 +14,12 @@
 from cryptography.exceptions import InvalidSignature, UnsupportedAlgorithm
 from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat, load_pem_private_key
 
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 
 MOST = 1024 * 1024  # bytes of one file
 
 
-class MaterialError(Fault):
+class MaterialError(SabledykeError):
     """The files cannot be used; the text is the one line that says why."""
 
     code, remedy = "tls-material", "replace the file that the line names, then tls check"
--- a/sabledyke/tls/tls_machine.py
+++ b/sabledyke/tls/tls_machine.py
@@ -12,7 +12,7 @@
 import ssl
 from enum import Enum
 
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 
 MOST_HANDSHAKE = 64 * 1024  # bytes that a peer may send before its handshake is done: chains are a few KB
 READ = 64 * 1024  # plaintext bytes taken at a time
@@ -27,7 +27,7 @@
     BROKEN = "broken"
 
 
-class TlsError(Fault):
+class TlsError(SabledykeError):
     """The bytes are no TLS, or the peer cannot be trusted; the text is in plain words."""
 
     code, remedy = "tls", "compare both sides' keys and names; tls check reads ours"
--- a/sabledyke/wire.py
+++ b/sabledyke/wire.py
@@ -6,12 +6,38 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from sabledyke.errors import Fault
-from sabledyke.policy import interface as api
+from sabledyke.errors import SabledykeError
+from sabledyke.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdle,
+    Fail,
+    FetchList,
+    Log,
+    Probe,
+    Reject,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    WatchList,
+)
+from sabledyke.policy.events import (
+    AnswerStarted,
+    AttemptCompleted,
+    ClientDisconnected,
+    Event,
+    Outcome,
+    PeerMessage,
+    ProbeResult,
+    Request,
+    TimerFired,
+)
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeState
+from sabledyke.policy.settings import Settings
 from sabledyke.settings import SettingsError, build
 
 
-class WireError(Fault):
+class WireError(SabledykeError):
     """The input is not a frame of this wire; the text says what is wrong."""
 
     code, remedy = "wire", "nothing in service: it is the simulator's"
@@ -42,17 +68,17 @@
 _HEAD = struct.Struct(">I6sHd")
 _MAIL = struct.Struct(">IH")
 _SEND = struct.Struct(">BI6sd")
-_STATES = {0: api.NodeState.READY, 1: api.NodeState.GONE, 2: api.NodeState.DRAINING}
-_KINDS = (api.ListKind.DELTA, api.ListKind.FULL, api.ListKind.CACHED, api.ListKind.FAILED)
+_STATES = {0: NodeState.READY, 1: NodeState.GONE, 2: NodeState.DRAINING}
+_KINDS = (ListKind.DELTA, ListKind.FULL, ListKind.CACHED, ListKind.FAILED)
 _MAX_FRAME = 1 << 30
-Item = tuple[int, api.Event | Started | Stopped]
+Item = tuple[int, Event | Started | Stopped]
 
 
 class Decoder:
     """Turns batches into (instance, event) pairs; keeps the numbered lists between batches."""
 
     def __init__(self) -> None:
-        self._rosters: dict[int, tuple[api.NodeEntry, ...]] = {}
+        self._rosters: dict[int, tuple[NodeEntry, ...]] = {}
 
     def batch(self, frame: bytes) -> tuple[float, list[Item]]:
         """Decode one whole frame, header included."""
@@ -94,35 +120,35 @@
         if at != len(data):
             raise WireError(f"{len(data) - at} bytes left over after the last record")
 
-    def _event(self, code: int, data: bytes, at: int) -> tuple[api.Event | Started | Stopped, int]:
+    def _event(self, code: int, data: bytes, at: int) -> tuple[Event | Started | Stopped, int]:
         if code == 18:
             rid, band, plan, key, left, volume, units, shard, hosts, marks = _REQUEST.unpack_from(data, at)
-            return api.Request(
+            return Request(
                 rid, band, plan, key, left, volume, units, int(shard), hosts, bool(marks & 2), bool(marks & 4)
             ), at + _REQUEST.size
         if code == 25:
             rid, used, node, how, over, others, number, lag, n = _REPLY.unpack_from(data, at)
             load, at = _floats(data, at + _REPLY.size, n)
-            return api.Attempted(rid, node, number, _outcome(how), bool(over), lag, used, others, load), at
+            return AttemptCompleted(rid, node, number, _outcome(how), bool(over), lag, used, others, load), at
         if code == 24:
-            return api.TimerFired(*_U32.unpack_from(data, at)), at + 4
+            return TimerFired(*_U32.unpack_from(data, at)), at + 4
         if code == 19:
-            return api.Departed(*_U32.unpack_from(data, at)), at + 4
+            return ClientDisconnected(*_U32.unpack_from(data, at)), at + 4
         if code == 22:
             number, version, mode = _FLEET.unpack_from(data, at)
             if mode >= len(_KINDS):
                 raise WireError(f"unknown kind of list {mode}")
             kind = _KINDS[mode]
-            if kind is not api.ListKind.FAILED and number not in self._rosters:
+            if kind is not ListKind.FAILED and number not in self._rosters:
                 raise WireError(f"list {number} was never defined")
-            entries = () if kind is api.ListKind.FAILED else self._rosters[number]
-            return api.NodeList(kind, version, entries), at + _FLEET.size
+            entries = () if kind is ListKind.FAILED else self._rosters[number]
+            return EndpointList(kind, version, entries), at + _FLEET.size
         if code == 27:
             node, how, lag, n = _PROBED.unpack_from(data, at)
             load, at = _floats(data, at + _PROBED.size, n)
-            return api.ProbeResult(node, _outcome(how), lag, load), at
+            return ProbeResult(node, _outcome(how), lag, load), at
         if code == 21:
-            return api.AnswerStarted(*_HEAD.unpack_from(data, at)), at + _HEAD.size
+            return AnswerStarted(*_HEAD.unpack_from(data, at)), at + _HEAD.size
         if code == 23:
             return Stopped(), at
         if code == 26:
@@ -132,7 +158,7 @@
         if code == 16:
             sender, n = _MAIL.unpack_from(data, at)
             blob, at = _take(data, at + _MAIL.size, n)
-            return api.PeerMessage(sender, blob), at
+            return PeerMessage(sender, blob), at
         raise WireError(f"unknown event code {code}")
 
 
@@ -146,44 +172,44 @@
     return struct.unpack_from(f">{n}f", data, at), at + 4 * n
 
 
-def _outcome(how: int) -> api.Outcome:
+def _outcome(how: int) -> Outcome:
     try:
-        return api.Outcome(how)
+        return Outcome(how)
     except ValueError:
         raise WireError(f"unknown outcome {how}") from None
 
 
-def _entry(fields: tuple[int, float, int, int, bytes, float, int]) -> api.NodeEntry:
+def _entry(fields: tuple[int, float, int, int, bytes, float, int]) -> NodeEntry:
     zone, started, kind, shard, node, weight, state = fields
     if state not in _STATES:
         raise WireError(f"unknown state of a node {state}")
-    return api.NodeEntry(node, shard, zone, kind, started, weight, _STATES[state])
+    return NodeEntry(node, shard, zone, kind, started, weight, _STATES[state])
 
 
-def encode(action: api.Action) -> bytes:
+def encode(action: Action) -> bytes:
     """One action as a record."""
     match action:
-        case api.Send(rid, node, timeout):
+        case StartAttempt(rid, node, timeout):
             return _SEND.pack(16, rid, node, timeout)
-        case api.SetTimer(token, delay):
+        case SetTimer(token, delay):
             return struct.pack(">BId", 23, token, delay)
-        case api.Refuse(rid, after):
+        case Reject(rid, after):
             return struct.pack(">BId", 24, rid, after)
-        case api.Fail(rid):
+        case Fail(rid):
             return struct.pack(">BI", 18, rid)
-        case api.Cancel(rid, attempt):
+        case CancelAttempt(rid, attempt):
             return struct.pack(">BIH", 28, rid, attempt)
-        case api.Probe(node):
+        case Probe(node):
             return struct.pack(">B6s", 17, node)
-        case api.WatchList(on):
+        case WatchList(on):
             return struct.pack(">BB", 25, on)
-        case api.FetchList():
+        case FetchList():
             return b"\x1a"
-        case api.CloseIdle(node):
+        case CloseIdle(node):
             return struct.pack(">B6s", 27, node)
-        case api.TellPeer(peer, blob):
+        case SendToPeer(peer, blob):
             return struct.pack(">BHH", 20, 0xFFFF if peer is None else peer, len(blob)) + blob
-        case api.Log(text):
+        case Log(text):
             return _text(21, text)
 
 
@@ -207,7 +233,7 @@
     return _U32.pack(len(records) + 4) + records
 
 
-def read_settings(text: str) -> api.Settings:
+def read_settings(text: str) -> Settings:
     """The settings text as an object; a WireError names what is missing or unreadable."""
     try:
         return build(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -139,7 +139,7 @@
     """What parts of the program ask of the server around them."""
 
     config = SimpleNamespace(
-        name="n1", seed=1, settings=SimpleNamespace(plans=(), drain_grace=0.0, warm_up=0.0)
+        name="n1", seed=1, settings=SimpleNamespace(plans=(), drain_grace_ms=0.0, warm_up_ms=0.0)
     )
 
     def answers(self) -> tuple[int, int]:
