--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,45 +8,58 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from sabledyke.policy import interface as api
+from sabledyke.policy.actions import Action, Fail, Reject, SetTimer, StartAttempt
+from sabledyke.policy.events import AttemptCompleted, Event, Outcome, Request, TimerFired
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeState
 from sabledyke.policy.scheduler import Scheduler
+from sabledyke.policy.settings import DeduplicationScope, Plan, RepeatSafety, RequestClass, Settings
 from sabledyke.shutdown.graceful_shutdown import Times
 
-READ = api.RequestClass(
-    "read", 200, 1000, 3, 0.1, api.Repeat.IDEMPOTENT, api.Group.ALL, 5000, False, False, False
+READ = RequestClass(
+    "read",
+    200,
+    1000,
+    3,
+    0.1,
+    RepeatSafety.IDEMPOTENT,
+    DeduplicationScope.ALL,
+    5000,
+    False,
+    False,
+    False,
 )
-WRITE = replace(READ, name="write", aim=400, deadline=2000, worth=2, writes=True)
-FREE = api.Plan("free", 5, 0, 0, 0, 0, 1, 1)
-HELD = api.Plan("held", 5, 5, 0, 0, 0, 2, 1)
-CAPPED = api.Plan("capped", 5, 0, 10, 32, 8, 1, 1)
-SETTINGS = api.Settings(
-    me=0,
-    hosts=2,
+WRITE = replace(READ, name="write", latency_objective_ms=400, deadline_ms=2000, value=2, writes=True)
+FREE = Plan("free", 5, 0, 0, 0, 0, 1, 1)
+HELD = Plan("held", 5, 5, 0, 0, 0, 2, 1)
+CAPPED = Plan("capped", 5, 0, 10, 32, 8, 1, 1)
+SETTINGS = Settings(
+    scheduler_index=0,
+    scheduler_count=2,
     zone=0,
     zones=("a", "b"),
     classes=(READ, WRITE),
     plans=(FREE, HELD, CAPPED),
-    asks_list=False,
+    polls_endpoint_list=False,
     max_attempts=3,
-    second_copies=True,
-    may_cancel=True,
-    may_probe=True,
-    max_retry_after=500,
+    hedging_allowed=True,
+    cancellation_allowed=True,
+    probing_allowed=True,
+    max_retry_after_ms=500,
     mean_units=2,
-    most_units=8,
-    share_worth=0.3,
-    spare_worth=0.05,
-    cold_units=20,
-    cold_share=0.25,
-    warm_up=10000,
-    fall_window=2000,
-    answer_slack=8,
-    order_rest=300,
-    budget_window=0,
-    budget_free=0,
-    budget_share=0,
-    tells_others=False,
-    meter_period=0,
+    max_units=8,
+    share_value=0.3,
+    surplus_value=0.05,
+    slow_start_units=20,
+    slow_start_fraction=0.25,
+    warm_up_ms=10000,
+    overload_window_ms=2000,
+    answer_slack_ms=8,
+    order_settle_ms=300,
+    retry_budget_window_ms=0,
+    retry_budget_free=0,
+    retry_budget_ratio=0,
+    reports_other_usage=False,
+    meter_period_ms=0,
     report_fields=(),
 )
 T = TypeVar("T")
@@ -58,47 +71,45 @@
     shard: int | None = None,
     started: float = 0,
     zone: int = 0,
-    state: api.NodeState = api.NodeState.READY,
-) -> api.NodeEntry:
-    return api.NodeEntry(
-        bytes([10, 0, 0, n, 0, 80]), n if shard is None else shard, zone, 0, started, 1, state
-    )
+    state: NodeState = NodeState.READY,
+) -> NodeEntry:
+    return NodeEntry(bytes([10, 0, 0, n, 0, 80]), n if shard is None else shard, zone, 0, started, 1, state)
 
 
-def listing(*entries: api.NodeEntry, kind: api.ListKind = api.ListKind.FULL) -> api.NodeList:
-    return api.NodeList(kind, 1, entries)
+def listing(*entries: NodeEntry, kind: ListKind = ListKind.FULL) -> EndpointList:
+    return EndpointList(kind, 1, entries)
 
 
 class Rig:
     """One scheduler, its clock, its timers and the outcomes a test hands it."""
 
-    def __init__(self, *entries: api.NodeEntry, **changes: Any) -> None:
+    def __init__(self, *entries: NodeEntry, **changes: Any) -> None:
         self.scheduler = Scheduler(replace(SETTINGS, **changes), 7)
         self.now, self.ids = 1000.0, 0
         self.timers: list[tuple[float, int]] = []
         self.sent: list[tuple[float, int, bytes]] = []
         self.tries: dict[int, int] = {}
-        self.log: list[api.Action] = []
-        self.do(listing(*(entries or (node(1),)), kind=api.ListKind.CACHED))
+        self.log: list[Action] = []
+        self.do(listing(*(entries or (node(1),)), kind=ListKind.CACHED))
 
-    def do(self, *events: api.Event) -> list[api.Action]:
+    def do(self, *events: Event) -> list[Action]:
         actions = self.scheduler.handle(self.now, list(events))
         for action in actions:
-            if isinstance(action, api.SetTimer):
-                self.timers.append((self.now + action.delay, action.token))
-            elif isinstance(action, api.Send):
-                self.sent.append((self.now, action.id, action.node))
-                self.tries[action.id] = self.tries.get(action.id, 0) + 1
+            if isinstance(action, SetTimer):
+                self.timers.append((self.now + action.delay_ms, action.token))
+            elif isinstance(action, StartAttempt):
+                self.sent.append((self.now, action.request_id, action.node_id))
+                self.tries[action.request_id] = self.tries.get(action.request_id, 0) + 1
         self.log += actions
         return actions
 
-    def wait(self, ms: float) -> list[api.Action]:
+    def wait(self, ms: float) -> list[Action]:
         end, start = self.now + ms, len(self.log)
         while self.timers and min(self.timers)[0] <= end:
             first = min(self.timers)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            self.do(api.TimerFired(first[1]))
+            self.do(TimerFired(first[1]))
         self.now = end
         return self.log[start:]
 
@@ -114,31 +125,31 @@
         hosts: float = 1,
     ) -> int:
         self.ids += 1
-        left = self.scheduler.s.classes[class_].deadline if remaining is None else remaining
-        self.do(api.Request(self.ids, class_, plan, key, left, volume, units, shard, hosts, False, False))
+        left = self.scheduler.s.classes[class_].deadline_ms if remaining is None else remaining
+        self.do(Request(self.ids, class_, plan, key, left, volume, units, shard, hosts, False, False))
         return self.ids
 
     def end(
         self,
         rid: int,
-        how: api.Outcome = api.Outcome.OK,
+        how: Outcome = Outcome.OK,
         took: float = 20,
         where: int = 1,
         attempt: int | None = None,
         over: bool | None = None,
-    ) -> list[api.Action]:
+    ) -> list[Action]:
         number = self.tries[rid] - 1 if attempt is None else attempt
-        done = how is api.Outcome.OK if over is None else over
-        return self.do(api.Attempted(rid, node(where).node, number, how, done, took, 0, 0, ()))
+        done = how is Outcome.OK if over is None else over
+        return self.do(AttemptCompleted(rid, node(where).node_id, number, how, done, took, 0, 0, ()))
 
     def sends(self, rid: int) -> int:
         return self.tries.get(rid, 0)
 
-    def answers(self, rid: int) -> list[api.Action]:
-        return [a for a in self.log if isinstance(a, api.Refuse | api.Fail) and a.id == rid]
+    def answers(self, rid: int) -> list[Action]:
+        return [a for a in self.log if isinstance(a, Reject | Fail) and a.request_id == rid]
 
 
-def of(actions: list[api.Action], kind: type[T]) -> list[T]:
+def of(actions: list[Action], kind: type[T]) -> list[T]:
     return [a for a in actions if isinstance(a, kind)]
 
 
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -182,7 +182,7 @@
 async def rig(tmp_path: Path, backend: str, extra: str = "") -> AsyncIterator[StoreRig]:
     """A deployment whose first server lives; at the end no invariant is broken and the journal holds."""
     made = StoreRig(tmp_path, backend, extra)
-    invariants.broken.clear()
+    invariants.violations.clear()
     log._limiter = log.Limiter()  # lines of other tests do not count
     async with asyncio.timeout(30):
         for service in (*made.boxes, made.discovery):
@@ -200,4 +200,4 @@
                 box.die()
             made.discovery.die()
             await made.postgres.end()
-    assert not invariants.broken
+    assert not invariants.violations
--- a/tests/test_attempt_recheck.py
+++ b/tests/test_attempt_recheck.py
@@ -12,7 +12,9 @@
 from sabledyke import invariants
 from sabledyke.core import Ended
 from sabledyke.net.connection_pool import Address
-from sabledyke.policy import interface as api
+from sabledyke.policy.actions import StartAttempt
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeId
 from sabledyke.protocol import discovery
 from tests import helpers
 from tests.crossings import Line, request, until
@@ -31,7 +33,7 @@
         rig.server.pool.close_idle(b"plain")
         rig.server._dialers[b"plain"] = self
 
-    async def __call__(self, node: api.NodeId, address: Address, patience: float) -> Any:
+    async def __call__(self, node: NodeId, address: Address, patience: float) -> Any:
         link = await self._dial(node, address, patience)
         self.asked.set()
         await self.go.wait()
@@ -43,12 +45,12 @@
 
 
 def drains(rig: Rig, line: Line) -> None:
-    rig.server.core.settings = replace(rig.server.core.settings, drain_grace=0.0)
+    rig.server.core.settings = replace(rig.server.core.settings, drain_grace_ms=0.0)
     rig.server._listed(discovery.read(DRAINS | {"hosts": [HOST | {"health": "draining"}]}, DEPLOYMENT))
 
 
 def is_gone(rig: Rig, line: Line) -> None:
-    rig.server.core.settings = replace(rig.server.core.settings, drain_grace=0.0)
+    rig.server.core.settings = replace(rig.server.core.settings, drain_grace_ms=0.0)
     rig.server._listed(discovery.read(GONE, DEPLOYMENT))
 
 
@@ -111,14 +113,14 @@
 
 def test_a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_written() -> None:
     """Lodi, short days, seed 2: a keyed write was sent again outside its window."""
-    once = replace(KEYED, repeat_window=500)
+    once = replace(KEYED, deduplication_window_ms=500)
     bench = Bench(lambda now, events: [])
     bench.core.settings = replace(helpers.SETTINGS, classes=(helpers.READ, once))
     rid = bench.ask(class_=1, write=True)
-    bench.core._carry_out(bench.now, api.Send(rid, helpers.node(1).node))
-    bench.core.ended(bench.now, rid, 0, Ended(api.Outcome.RESET, True))
+    bench.core._carry_out(bench.now, StartAttempt(rid, helpers.node(1).node_id))
+    bench.core.ended(bench.now, rid, 0, Ended(Outcome.RESET, True))
     bench.now += 300
-    bench.core._carry_out(bench.now, api.Send(rid, helpers.node(1).node))
+    bench.core._carry_out(bench.now, StartAttempt(rid, helpers.node(1).node_id))
     assert len(bench.started) == 2 and bench.core.may_go(bench.now, rid, 1)
     assert not bench.core.may_go(bench.now + 60, rid, 1)  # inside by 140 ms: a pause of 150 would pass it
     assert not bench.core.may_go(bench.now + 250, rid, 1)
@@ -127,16 +129,16 @@
 def test_a_request_in_work_keeps_the_window_that_it_came_with() -> None:
     """A new configuration takes its class's window away: what is decided and what is checked agree."""
     bench = Bench(lambda now, events: [])
-    keyed = replace(KEYED, repeat_window=2000)
+    keyed = replace(KEYED, deduplication_window_ms=2000)
     bench.core.settings = replace(helpers.SETTINGS, classes=(helpers.READ, keyed))
     rid = bench.ask(class_=1, write=True)
-    bench.core._carry_out(bench.now, api.Send(rid, helpers.node(1).node))
-    bench.core.ended(bench.now, rid, 0, Ended(api.Outcome.RESET, True))
-    shorter = replace(keyed, repeat_window=1)
+    bench.core._carry_out(bench.now, StartAttempt(rid, helpers.node(1).node_id))
+    bench.core.ended(bench.now, rid, 0, Ended(Outcome.RESET, True))
+    shorter = replace(keyed, deduplication_window_ms=1)
     bench.core.settings = replace(bench.core.settings, classes=(helpers.READ, shorter))
     bench.now += 300
-    bench.core._carry_out(bench.now, api.Send(rid, helpers.node(1).node))
-    assert len(bench.started) == 2 and bench.core.may_go(bench.now, rid, 1) and not invariants.broken
+    bench.core._carry_out(bench.now, StartAttempt(rid, helpers.node(1).node_id))
+    assert len(bench.started) == 2 and bench.core.may_go(bench.now, rid, 1) and not invariants.violations
 
 
 def test_a_request_with_hardly_any_time_left_is_refused_unsent() -> None:
@@ -160,6 +162,6 @@
             assert (await line.answer()).startswith(b"HTTP/1.1 503")
             assert not attempts
             line.close()
-        assert not invariants.broken
+        assert not invariants.violations
 
     play(story)
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -22,7 +22,14 @@
 from sabledyke.compacted_log.reader import Again, Caught, Follower, Gone, News, Put
 from sabledyke.compacted_log.records import BATCH, KEY_MOST, VALUE_MOST, Cell, Draft, Shelf, message_key
 from sabledyke.compacted_log.sqlite_backend import TableShelf
-from sabledyke.errors import BoardFault, BoardFull, BoardSchema, Conflict, OperatorError, StaleWriter
+from sabledyke.errors import (
+    CompactedLogError,
+    LogFullError,
+    LogSchemaError,
+    OperatorError,
+    StaleWriterError,
+    WriteConflictError,
+)
 from sabledyke.testbed.etcd_server import Etcd
 
 POLICY = Policy(lag=6, tomb_ms=50, dirty=0.3, bytes_s=1e12)
@@ -59,7 +66,7 @@
             raise Killed
         if self.lost:
             self.lost -= 1
-            raise BoardFault("the answer got lost")
+            raise CompactedLogError("the answer got lost")
         return made
 
     async def open(self) -> None:
@@ -135,7 +142,7 @@
                     made.shelf.lost = random.random() < 0.2
                     try:
                         given = await pen.append(drafts)
-                    except BoardFault:
+                    except CompactedLogError:
                         assert not client.PATIENCE
                         given = await pen.append(drafts)
                     for draft, offset in zip(drafts, given, strict=True):
@@ -180,31 +187,31 @@
         client = made.board
         pen = await client.claim("t", "w")
         (first,) = await pen.append([Draft("k", b"1", 0)])
-        with pytest.raises(Conflict):
+        with pytest.raises(WriteConflictError):
             await pen.append([Draft("k", b"2", 0)])
-        with pytest.raises(Conflict):  # it rests on another key, which has moved
+        with pytest.raises(WriteConflictError):  # it rests on another key, which has moved
             await pen.append([Draft("l", b"2")], {"k": first + 7})
         (second,) = await pen.append([Draft("k", b"2", first)], {"k": first}, first + 1)
-        with pytest.raises(Conflict):  # something was said since it looked
+        with pytest.raises(WriteConflictError):  # something was said since it looked
             await pen.append([Draft("k", b"3")], end=second)
         made.shelf.lost = 2  # written, not heard of, asked again: taken once
         (third,) = await pen.append([Draft("k", b"3")])
         assert [m.value for m in await client.page("t", third)] == [b"3"] and third == second + 1
         later = await client.claim("t", "w")
         for stale in (pen, Pen(client, "t", pen.writer)):
-            with pytest.raises(StaleWriter):
+            with pytest.raises(StaleWriterError):
                 await stale.append([Draft("k", b"4")])
         await later.append([Draft("k", b"5")])
         coordinators = [client.pen("t", "c", life) for life in (7, 9, 9)]
         await coordinators[0].append([Draft("x", b"")])
         await coordinators[1].append([Draft("x", b"")])
         for behind in (coordinators[0], coordinators[2]):  # an older token, and the same in another's hands
-            with pytest.raises(StaleWriter):
+            with pytest.raises(StaleWriterError):
                 await behind.append([Draft("x", b"")])
         large = [Draft("k" * (KEY_MOST + 1), b"")], [Draft("k", b"x" * (VALUE_MOST + 1))]
         many = [Draft("k", b""), Draft("k", b"")], [Draft(str(n), b"") for n in range(BATCH + 1)]
         for bad in ([], [Draft("", b"")], *large, *many):
-            with pytest.raises(BoardFull):
+            with pytest.raises(LogFullError):
                 await later.append(bad)
 
     on(backend, story)
@@ -223,12 +230,12 @@
         assert found == {n: n.encode() for n in names} | {"w0": b"again", "load/w0": b"7"}
         later = registers.Register(made.shelf, "t", (await made.board.claim("t", "w0")).writer)
         for _ in range(2):  # the older life is refused, whether or not the later one has written
-            with pytest.raises(StaleWriter):
+            with pytest.raises(StaleWriterError):
                 await cells[0].put({"w0": b"old"})
-            with pytest.raises(StaleWriter):  # also one that had not looked yet
+            with pytest.raises(StaleWriterError):  # also one that had not looked yet
                 await registers.Register(made.shelf, "t", pens[0].writer).put({"w0": b"old"})
             await later.put({"w0": b"new"})
-        with pytest.raises(BoardFull, match="a value has at most"):
+        with pytest.raises(LogFullError, match="a value has at most"):
             await later.put({"w0": b"x" * (VALUE_MOST + 1)})
         await registers.drop(made.shelf, "t", ["w1", "load/w0"])
         assert (await registers.read(made.shelf, "t")).keys() == set(names) - {"w1"}
@@ -263,7 +270,7 @@
         assert kept[-POLICY.lag :] == list(range(31 - POLICY.lag, 31)) and len(kept) <= POLICY.lag + 1
         for n in range(30):
             await pen.append([Draft("k", b"%d" % n)])
-        with pytest.raises(StaleWriter):
+        with pytest.raises(StaleWriterError):
             await made.clean(4)
         assert (await made.board.page("t", 1))[-1].offset == 60 and await made.join() == {"k": b"29"}
 
@@ -285,7 +292,7 @@
         assert (Again() in news) is again and Gone("b") in news and "b" not in reader.state
         assert set(reader.state) == {"a", "c", "z"} and reader.caught
         small = Follower(2)
-        with pytest.raises(BoardFull):
+        with pytest.raises(LogFullError):
             await made.board.catch_up("t", small)
 
     on("table", story)
@@ -295,11 +302,11 @@
     async def story(made: Setting) -> None:
         inner: Any = made.shelf.inner
         await inner._do(lambda db: db.execute("UPDATE board_about SET schema = 99").fetchall())
-        with pytest.raises(BoardSchema, match="schema 99"):
+        with pytest.raises(LogSchemaError, match="schema 99"):
             await TableShelf(made.path).open()
         spoilt = tmp_path / "spoilt"
         spoilt.write_bytes(b"no database" * 100)
-        with pytest.raises(BoardSchema, match="spoilt"):
+        with pytest.raises(LogSchemaError, match="spoilt"):
             await TableShelf(str(spoilt)).open()
 
     on("table", story)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,8 +10,10 @@
 
 from sabledyke import invariants
 from sabledyke.core import CUT, GUARD, Answer, Core, Ended, Verdict, Work
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.actions import Action, StartAttempt
+from sabledyke.policy.events import Event, Outcome, Request
+from sabledyke.policy.nodes import NodeId
+from sabledyke.policy.settings import DeduplicationScope, RepeatSafety
 from tests.helpers import SETTINGS, WRITE, listing, node
 
 OK = Ended(Outcome.OK, True, b"body")
@@ -20,8 +22,8 @@
 class Bench:
     """A core, and what it asked of its ports."""
 
-    def __init__(self, module: Callable[[float, list[api.Event]], list[api.Action]] | None = None) -> None:
-        self.started: list[tuple[int, int, api.NodeId, float]] = []
+    def __init__(self, module: Callable[[float, list[Event]], list[Action]] | None = None) -> None:
+        self.started: list[tuple[int, int, NodeId, float]] = []
         self.cancelled: list[tuple[int, int]] = []
         self.answers: list[Answer] = []
         self.watched: list[bool] = []
@@ -32,14 +34,14 @@
         self.core.listed(listing(node(1)))
         self.core.turn(self.now)
 
-    def start(self, rid: int, number: int, where: api.NodeId, work: Work, timeout: float) -> None:
+    def start(self, rid: int, number: int, where: NodeId, work: Work, timeout: float) -> None:
         self.started.append((rid, number, where, timeout))
 
     def cancel(self, rid: int, number: int) -> None:
         self.cancelled.append((rid, number))
         self.core.ended(self.now, rid, number, Ended(Outcome.CANCELLED, True))
 
-    def close_idle(self, where: api.NodeId) -> None:
+    def close_idle(self, where: NodeId) -> None:
         raise AssertionError("not asked for here")
 
     def watch(self, on: bool) -> None:
@@ -65,7 +67,7 @@
 def test_an_answer_goes_out_at_once_and_once() -> None:
     bench = Bench()
     rid = bench.ask()
-    assert bench.started == [(rid, 0, node(1).node, 200)]  # until the aim: later it earns little
+    assert bench.started == [(rid, 0, node(1).node_id, 200)]  # until the aim: later it earns little
     bench.core.ended(bench.now, rid, 0, OK)
     assert bench.answers == [Answer(Verdict.SERVED, b"body")]  # before the module's turn
     bench.wait(2000)
@@ -83,18 +85,18 @@
 
 
 def test_a_silent_module_costs_no_client_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(invariants, "broken", type(invariants.broken)())
+    monkeypatch.setattr(invariants, "violations", type(invariants.violations)())
     bench = Bench(lambda now, events: [])
     bench.ask(remaining=500.0)
     with pytest.raises(AssertionError):  # counted only, under -O
         bench.wait(500)
     assert bench.answers == [Answer(Verdict.FAILED)] and bench.now == 1500 - GUARD
-    assert sum(invariants.broken.values()) == 1
+    assert sum(invariants.violations.values()) == 1
 
 
 def test_attempts_end_before_the_deadline_and_none_starts_after() -> None:
-    def send(_: float, events: list[api.Event]) -> list[api.Action]:
-        return [api.Send(e.id, node(1).node) for e in events if isinstance(e, api.Request)]
+    def send(_: float, events: list[Event]) -> list[Action]:
+        return [StartAttempt(e.id, node(1).node_id) for e in events if isinstance(e, Request)]
 
     bench = Bench(send)
     bench.ask(remaining=500.0)
@@ -104,15 +106,20 @@
 
 
 def test_a_module_that_would_repeat_a_write_wrongly_is_held_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(invariants, "broken", type(invariants.broken)())
+    monkeypatch.setattr(invariants, "violations", type(invariants.violations)())
     bench = Bench(lambda now, events: [])
-    keyed = replace(WRITE, repeat=api.Repeat.DEDUPLICATED, group=api.Group.CELL, repeat_window=300)
+    keyed = replace(
+        WRITE,
+        repeat_safety=RepeatSafety.DEDUPLICATED,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_window_ms=300,
+    )
     bench.core.settings = replace(SETTINGS, classes=(keyed,))
     bench.core.listed(listing(node(1), node(2)))
     rid = bench.ask(write=True)
 
     def send(now: float, where: int) -> None:
-        bench.core._carry_out(now, api.Send(rid, node(where).node))
+        bench.core._carry_out(now, StartAttempt(rid, node(where).node_id))
 
     send(1000, 1)
     bench.core.ended(1010, rid, 0, Ended(Outcome.RESET, True))
@@ -124,21 +131,21 @@
 
 
 def test_a_fault_in_the_module_does_not_end_the_program(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(invariants, "broken", type(invariants.broken)())
+    monkeypatch.setattr(invariants, "violations", type(invariants.violations)())
 
-    def fault(now: float, events: list[api.Event]) -> list[api.Action]:
+    def fault(now: float, events: list[Event]) -> list[Action]:
         raise KeyError("a bug")
 
     with pytest.raises(AssertionError, match="without a fault"):
         Bench(fault)
-    assert sum(invariants.broken.values()) == 1
+    assert sum(invariants.violations.values()) == 1
 
 
 def test_more_attempts_than_allowed_are_moot() -> None:
     bench = Bench(lambda now, events: [])
     rid = bench.ask()
     for number in range(SETTINGS.max_attempts + 2):
-        bench.core._carry_out(bench.now, api.Send(rid, node(1).node))
+        bench.core._carry_out(bench.now, StartAttempt(rid, node(1).node_id))
         if number < SETTINGS.max_attempts:
             bench.core.ended(bench.now, rid, number, Ended(Outcome.REJECTED, False))
     assert [n for _, n, *_ in bench.started] == list(range(SETTINGS.max_attempts))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 from sabledyke.application import server
 from sabledyke.core import Ended
 from sabledyke.net import frontend, listener, streams
-from sabledyke.policy import interface as api
+from sabledyke.policy.events import Outcome
 from sabledyke.protocol.http import MAX_INPUT
 from sabledyke.shutdown.graceful_shutdown import Departure, Phase
 from tests.crossings import Line, Step, request, until
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("behind", [0, 1, 110])
 def test_a_client_that_goes_is_seen_also_behind_much_that_it_sent(behind: int) -> None:
     async def story(rig: Rig) -> None:
-        line, outcomes = await Line.open(rig), list[api.Outcome]()
+        line, outcomes = await Line.open(rig), list[Outcome]()
         report = rig.server.pool._report
 
         def note(rid: int, number: int, ended: Ended) -> None:
@@ -153,7 +153,7 @@
         line.close()
         asked = len(rig.http.seen)
         await until(lambda: outcomes)
-        assert outcomes == [api.Outcome.CANCELLED]  # and not by its time
+        assert outcomes == [Outcome.CANCELLED]  # and not by its time
         await until(lambda: line.client not in rig.server.fronts[0].clients)
         assert len(rig.http.seen) == asked and not rig.server.core.unanswered
 
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -15,7 +15,7 @@
 from sabledyke.application.server import Server
 from sabledyke.config import Config
 from sabledyke.core import Answer, Verdict
-from sabledyke.policy import interface as api
+from sabledyke.policy.settings import RepeatSafety
 from sabledyke.shutdown.graceful_shutdown import Departure, Phase, Times
 from tests.helpers import BRISK, FIXED, SETTINGS, WRITE, Rig
 from tests.standins import Discovery, Reader, Writer, ask, http, read_http
@@ -74,7 +74,7 @@
     changes: dict[str, object], sends: bool, verdict: Verdict
 ) -> None:
     bench = Bench(None if sends else lambda now, events: [])  # a module that keeps silent
-    once = replace(WRITE, repeat=api.Repeat.AT_MOST_ONCE)
+    once = replace(WRITE, repeat_safety=RepeatSafety.AT_MOST_ONCE)
     bench.core.settings = replace(SETTINGS, classes=(SETTINGS.classes[0], once))
     rid = bench.ask(**changes)
     assert bool(bench.started) is sends
@@ -83,15 +83,15 @@
     bench.wait(99)
     assert not bench.answers
     bench.wait(1)
-    assert bench.answers == [Answer(verdict, retry_after=SETTINGS.max_retry_after)]
+    assert bench.answers == [Answer(verdict, retry_after=SETTINGS.max_retry_after_ms)]
     bench.ask(ident="late")  # what still comes is answered within a look
     bench.wait(10)
     assert [a.verdict for a in bench.answers[1:]] == [Verdict.REFUSED] and not bench.core.unanswered
-    assert not invariants.broken and (not sends or bench.core._open[rid].out)
+    assert not invariants.violations and (not sends or bench.core._open[rid].out)
 
 
 def test_what_cannot_be_finished_is_refused_at_once_and_not_begun() -> None:
-    rig = Rig(hosts=1)
+    rig = Rig(scheduler_count=1)
     for _ in range(20):  # an answer takes 100 ms
         rig.end(rig.ask(), took=100)
         rig.wait(100)
@@ -268,7 +268,7 @@
         found, part = Discovery(), Part()
         await found.open()
         found.add("plain", 1, 0)
-        settings = replace(DEPLOYMENT, hosts=64)
+        settings = replace(DEPLOYMENT, scheduler_count=64)
         here = ("127.0.0.1", 1 if down else found.port)
         server = Server(Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, None, settings), None, SHORT)
         part.in_turn = in_turn
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -18,12 +18,12 @@
 from sabledyke.lease import extension, leader_tasks, section
 from sabledyke.lease.etcd_authority import EtcdAuthority
 from sabledyke.lease.fencing import Fence
-from sabledyke.lease.manager import Keeper, Lost
+from sabledyke.lease.manager import Keeper, LeaseLostError
 from sabledyke.lease.sql_authority import TableAuthority
 from sabledyke.lease.types import (
     Ask,
     Authority,
-    AuthorityFault,
+    AuthorityError,
     Granted,
     Look,
     Release,
@@ -148,7 +148,7 @@
         self.asked.append(ask)
         reply = self.replies.pop(0) if self.replies else None
         if reply is None:
-            raise AuthorityFault("scripted")
+            raise AuthorityError("scripted")
         return reply
 
 
@@ -163,13 +163,13 @@
             await asyncio.sleep(0)
         now[0] += 5000  # it stands still before the answer reaches it
         while len(script.asked) < 4:
-            with pytest.raises(Lost):
+            with pytest.raises(LeaseLostError):
                 keeper.token()
             await asyncio.sleep(0)
         await keeper.held.wait()
         assert keeper.token() == 7 and keeper.state.until <= now[0] + TIMES.acts
         now[0] += TIMES.acts
-        with pytest.raises(Lost):
+        with pytest.raises(LeaseLostError):
             keeper.token()
         await keeper.stop()
         await task
@@ -209,7 +209,7 @@
         act = leader_tasks.act_of(backup, record)
         for token in (4, 5, 7):
             await act(Held(token))  # type: ignore[arg-type]
-        with pytest.raises(leader_tasks.Refused):
+        with pytest.raises(leader_tasks.FencedError):
             await act(Held(6))  # type: ignore[arg-type]
         names = sorted(f.name.split(".")[1] for f in folder.iterdir())
         assert names == ["5", "7"]  # the newest two, and nothing half done
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Departed, Outcome, TimerFired
+from sabledyke.policy.actions import Reject
+from sabledyke.policy.events import ClientDisconnected, Outcome, TimerFired
 from sabledyke.policy.scheduler import CEILING, FLOOR, LOOKBACK, START, TAU
 from sabledyke.policy.state import Node
 from tests.helpers import SETTINGS, Rig, listing, node, of
@@ -21,7 +21,7 @@
 
 
 def the_node(rig: Rig) -> Node:
-    return rig.scheduler.nodes[node(1).node]
+    return rig.scheduler.nodes[node(1).node_id]
 
 
 def next_period(rig: Rig) -> None:
@@ -67,13 +67,13 @@
 
 @pytest.mark.parametrize("hosts", [3, 50, 270])
 def test_the_floors_of_all_hosts_together_stay_within_what_a_node_can_do(hosts: int) -> None:
-    scheduler = Rig(hosts=hosts).scheduler
+    scheduler = Rig(scheduler_count=hosts).scheduler
     assert hosts * FLOOR * scheduler.aim / scheduler.period <= 150  # requests an aim, if all had work
 
 
 def test_a_period_is_as_long_as_the_deployment_is_slow() -> None:
     """A budget is in requests: those of a deployment four times as quick must fit a quarter of the time."""
-    quick = tuple(replace(c, aim=c.aim / 4) for c in SETTINGS.classes)
+    quick = tuple(replace(c, latency_objective_ms=c.latency_objective_ms / 4) for c in SETTINGS.classes)
     assert Rig(classes=quick).scheduler.period == Rig().scheduler.period / 4
 
 
@@ -84,11 +84,11 @@
     for _ in range(50):
         next_period(rig)
     rig.do(listing(node(1), node(2)))
-    assert rig.scheduler.nodes[node(2).node].budget > (START + CEILING) / 2 * 2.0
+    assert rig.scheduler.nodes[node(2).node_id].budget > (START + CEILING) / 2 * 2.0
 
 
 def test_the_least_worth_makes_room_before_clients_run_out_of_connections() -> None:
-    rig = Rig(most_open=10)
+    rig = Rig(max_open_requests=10)
     the_node(rig).window, the_node(rig).lat = 0.5, 0.1
     first = rig.ask()
     low = [rig.ask(class_=1) for _ in range(6)]
@@ -185,7 +185,7 @@
     rig.end(rid)
     seen = len(rig.log)
     rig.end(rid)
-    rig.do(Departed(rid), TimerFired(77))
+    rig.do(ClientDisconnected(rid), TimerFired(77))
     assert len(rig.log) == seen
 
 
@@ -242,9 +242,9 @@
     before = len(rig.log)
     rid = rig.ask(remaining=5)  # due too soon to be met
     gone = rig.ask(shard=9, remaining=5)  # and of a shard that no node holds
-    refusals = {a.id: a for a in of(rig.log[before:], api.Refuse)}
-    assert gone in refusals and refusals[gone].retry_after == rig.scheduler.s.max_retry_after
-    assert rid in refusals and rig.scheduler.aim / 4 <= refusals[rid].retry_after <= 500
-    silent = Rig(node(1), max_retry_after=0)
+    refusals = {a.request_id: a for a in of(rig.log[before:], Reject)}
+    assert gone in refusals and refusals[gone].retry_after_ms == rig.scheduler.s.max_retry_after_ms
+    assert rid in refusals and rig.scheduler.aim / 4 <= refusals[rid].retry_after_ms <= 500
+    silent = Rig(node(1), max_retry_after_ms=0)
     silent.ask(shard=9, remaining=5)
-    assert [a.retry_after for a in of(silent.log, api.Refuse)] == [0]
+    assert [a.retry_after_ms for a in of(silent.log, Reject)] == [0]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -19,20 +19,27 @@
 from sabledyke.net import endpoint_watch, frontend, http_frontend, listener, nvme_frontend, streams
 from sabledyke.net.nvme_extension import NvmePart
 from sabledyke.net.nvme_frontend import NvmeClient
-from sabledyke.policy import interface as api
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.settings import DeduplicationScope, RepeatSafety
 from sabledyke.protocol import discovery
 from sabledyke.protocol.watch_timeout import ASKED, PUSHED, Silence
 from tests.helpers import BRISK, HELD, READ, SETTINGS, WRITE
 from tests.standins import NQN, Discovery, HttpBox, NvmeBox, NvmeHost, ask, http
 
-KEYED = replace(WRITE, aim=900, repeat=api.Repeat.DEDUPLICATED, group=api.Group.CELL, repeat_window=1500)
+KEYED = replace(
+    WRITE,
+    latency_objective_ms=900,
+    repeat_safety=RepeatSafety.DEDUPLICATED,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window_ms=1500,
+)
 DEPLOYMENT = replace(
     SETTINGS,
-    classes=(replace(READ, aim=900), KEYED),
+    classes=(replace(READ, latency_objective_ms=900), KEYED),
     plans=(replace(HELD, name="gold"), HELD),
-    asks_list=True,
-    hosts=1,
-    kinds=("m",),
+    polls_endpoint_list=True,
+    scheduler_count=1,
+    node_kinds=("m",),
 )
 NVME = f"""
 [nvme]
@@ -93,7 +100,7 @@
         await self.server.finish()
         for service in (self.http, self.nvme, self.discovery):
             service.die()
-        assert not invariants.broken
+        assert not invariants.violations
 
 
 def play(story: Callable[[Rig], Awaitable[None]], store: str = "", console: bool = False) -> None:
@@ -189,7 +196,7 @@
         _, client = await asyncio.open_connection("127.0.0.1", rig.port)
         client.write(GET.format(1, "i", INFO).replace("\n", "\r\n").encode())
         await ended.wait()
-        assert outcomes == [api.Outcome.CANCELLED] and not rig.server.core.unanswered
+        assert outcomes == [Outcome.CANCELLED] and not rig.server.core.unanswered
 
     play(story)
 
@@ -700,7 +707,7 @@
         agent, seen = Discovery(), list[discovery.Listing | None]()
         await agent.open()
         agent.hosts, agent.script, agent.indent = [HOST], list(script), 2
-        settings = replace(DEPLOYMENT, asks_list=not pushed)
+        settings = replace(DEPLOYMENT, polls_endpoint_list=not pushed)
         look = endpoint_watch.Watch(("127.0.0.1", agent.port), settings, None, seen.append)
         look.start()
         async with asyncio.timeout(10):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -18,7 +18,7 @@
 from sabledyke.net import http_frontend
 from sabledyke.net.console import MOST
 from sabledyke.protocol.http import HttpError, Parser
-from sabledyke.settings import MOST_CLASSES, SettingsError, merge
+from sabledyke.settings import MAX_CLASSES, SettingsError, merge
 from tests.helpers import BRISK
 from tests.standins import ask, http, read_http
 from tests.test_net import DEPLOYMENT, GET, INFO, PUT, Rig, held_back, play
@@ -44,7 +44,7 @@
         await new.finish()
         setattr(rig.server, "leave", lambda: None)  # noqa: B010 - the rig's own end: already over
         setattr(rig.server, "finish", _over)  # noqa: B010
-        assert not invariants.broken
+        assert not invariants.violations
 
     play(story)
 
@@ -217,16 +217,16 @@
 
 def test_merged_classes_keep_their_places_and_removed_ones_are_retired() -> None:
     read, write = DEPLOYMENT.classes
-    added = replace(DEPLOYMENT, classes=(replace(write, deadline=500), read, replace(read, name="new")))
+    added = replace(DEPLOYMENT, classes=(replace(write, deadline_ms=500), read, replace(read, name="new")))
     once = merge(DEPLOYMENT, added)
-    assert [c.name for c in once.classes] == ["read", "write", "new"] and not once.retired
-    assert once.classes[1].deadline == 500  # its effects change in its place
+    assert [c.name for c in once.classes] == ["read", "write", "new"] and not once.retired_classes
+    assert once.classes[1].deadline_ms == 500  # its effects change in its place
     removed = merge(once, replace(DEPLOYMENT, classes=(replace(read, name="new"),)))
     assert [c.name for c in removed.classes] == ["read", "write", "new"]
-    assert removed.retired == {"read", "write"}
+    assert removed.retired_classes == {"read", "write"}
     back = merge(removed, DEPLOYMENT)
-    assert [c.name for c in back.classes] == ["read", "write", "new"] and back.retired == {"new"}
-    many = replace(DEPLOYMENT, classes=tuple(replace(read, name=f"c{n}") for n in range(MOST_CLASSES)))
+    assert [c.name for c in back.classes] == ["read", "write", "new"] and back.retired_classes == {"new"}
+    many = replace(DEPLOYMENT, classes=tuple(replace(read, name=f"c{n}") for n in range(MAX_CLASSES)))
     with pytest.raises(SettingsError):
         merge(DEPLOYMENT, many)
 
--- a/tests/test_outside.py
+++ b/tests/test_outside.py
@@ -70,7 +70,7 @@
     for module in pkgutil.walk_packages(sabledyke.__path__, "sabledyke."):
         if module.name != "sabledyke.__main__":
             importlib.import_module(module.name)
-    kinds = list(errors.kinds())
+    kinds = list(errors.error_types())
     codes = [kind.code for kind in kinds]
     assert len(set(codes)) == len(codes) > 20
     page = (ROOT / "docs" / "ONCALL.md").read_text()
@@ -100,7 +100,9 @@
 
 def test_the_json_and_the_wire_build_the_same_settings(tmp_path: Path) -> None:
     got = config.load(setup(tmp_path))
-    assert got.settings == replace(wire.read_settings(CONF), most_open=1024 / 3)  # what clients may hold
+    assert got.settings == replace(
+        wire.read_settings(CONF), max_open_requests=1024 / 3
+    )  # what clients may hold
     assert (got.listen, got.discovery) == (("127.0.0.1", 9090), ("127.0.0.1", 8500))  # the environment wins
     assert got.seed == 0x8C1F and got.known is not None and got.known.news.version == 41
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -169,7 +169,7 @@
 @FIXED
 @given(st.one_of(spoilt(LIST), JSON.map(orjson.dumps)))
 def test_spoilt_lists_are_a_list_error_or_a_list(data: bytes) -> None:
-    settings = replace(SETTINGS, kinds=("m",))
+    settings = replace(SETTINGS, node_kinds=("m",))
     good = discovery.parse(LIST, settings)
     assert good.dials == {b"s1": ("127.0.0.1", 80)} and good.news.entries[0].zone == 1
     with contextlib.suppress(discovery.ListError):
@@ -242,8 +242,8 @@
     reader, ids = gateway.Reader(SETTINGS), gateway.Ids(2)
     info = {"io-info": "units=999999,hosts=999999,shard=1", "req-deadline": "999999999"}
     work = reader.work(Message("PUT", "/api/1/2", headers=HEADERS | info))
-    assert (work.units, work.hosts) == (SETTINGS.most_units, SETTINGS.hosts)
-    assert work.remaining == SETTINGS.classes[0].deadline
+    assert (work.units, work.hosts) == (SETTINGS.max_units, SETTINGS.scheduler_count)
+    assert work.remaining == SETTINGS.classes[0].deadline_ms
     for method, body, status in (("HEAD", b"", 405), ("GET", b"x", 400)):
         with pytest.raises(HttpError) as fault:
             reader.work(Message(method, "/api/1/2", headers=HEADERS, body=body))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -27,7 +27,7 @@
 from sabledyke.compacted_log.records import Draft, Message
 from sabledyke.compacted_log.sqlite_backend import TableShelf
 from sabledyke.compacted_log.subscription import follow
-from sabledyke.errors import BoardFault, OperatorError, PlanError
+from sabledyke.errors import CompactedLogError, OperatorError, PlanError
 from sabledyke.rollout import node_drain, planner, section
 from sabledyke.rollout.canary_analysis import Baseline, Count, bad_plans, worse
 from sabledyke.rollout.commands import write
@@ -852,7 +852,7 @@
         pen = await made.board.claim(topic, "shop")
         while said < 300:
             key, value = f"article-{random.randrange(30)}", None if random.random() < 0.2 else b"%d" % said
-            with contextlib.suppress(BoardFault):  # it stands still: the same again
+            with contextlib.suppress(CompactedLogError):  # it stands still: the same again
                 await pen.append([Draft(key, value)])
                 said += 1
                 model.pop(key, None)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,9 +6,11 @@
 
 import pytest
 
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.actions import Fail, Reject, WatchList
+from sabledyke.policy.events import AttemptCompleted, ClientDisconnected, Outcome, Request
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeState
 from sabledyke.policy.retry import HELD_UP
+from sabledyke.policy.settings import DeduplicationScope, Plan, RepeatSafety, RequestClass
 from tests.helpers import READ, WRITE, Rig, listing, node, of
 
 
@@ -32,29 +34,31 @@
     ids = [rig.ask() for _ in range(8)]
     held = [rid for rid in ids if not rig.sends(rid) and not rig.answers(rid)]
     assert held
-    rig.do(*[api.Departed(rid) for rid in held])
+    rig.do(*[ClientDisconnected(rid) for rid in held])
     for rid in ids:
         if rig.sends(rid):
             rig.end(rid)
     assert not any(rig.sends(rid) for rid in held)
 
 
-def kind(repeat: api.Repeat, group: api.Group) -> api.RequestClass:
-    return replace(READ, repeat=repeat, group=group, repeat_window=100 + HELD_UP)
+def kind(repeat: RepeatSafety, group: DeduplicationScope) -> RequestClass:
+    return replace(
+        READ, repeat_safety=repeat, deduplication_scope=group, deduplication_window_ms=100 + HELD_UP
+    )
 
 
 def test_at_most_once_is_not_repeated_and_not_refused_once_it_may_have_run() -> None:
-    rig = Rig(classes=(kind(api.Repeat.AT_MOST_ONCE, api.Group.ALL),))
+    rig = Rig(classes=(kind(RepeatSafety.AT_MOST_ONCE, DeduplicationScope.ALL),))
     rid = rig.ask()
     rig.end(rid, Outcome.ERROR)
     assert rig.sends(rid) == 1
-    assert isinstance(rig.answers(rid)[0], api.Fail)
+    assert isinstance(rig.answers(rid)[0], Fail)
 
 
 def test_at_most_once_may_go_again_when_it_never_ran() -> None:
-    rig = Rig(classes=(kind(api.Repeat.AT_MOST_ONCE, api.Group.ALL),))
+    rig = Rig(classes=(kind(RepeatSafety.AT_MOST_ONCE, DeduplicationScope.ALL),))
     rid = rig.ask()
-    rig.scheduler.nodes[node(1).node].learnt = rig.now
+    rig.scheduler.nodes[node(1).node_id].learnt = rig.now
     rig.end(rid, Outcome.REJECTED, 2)
     rig.wait(30)
     assert rig.sends(rid) == 2
@@ -63,16 +67,16 @@
 @pytest.mark.parametrize(
     ("group", "after", "again", "last"),
     [
-        (api.Group.ALL, 5, True, None),
-        (api.Group.ALL, 150, False, api.Fail),
-        (api.Group.CELL, 5, True, None),
-        (api.Group.CELL, 150, False, api.Fail),
+        (DeduplicationScope.ALL, 5, True, None),
+        (DeduplicationScope.ALL, 150, False, Fail),
+        (DeduplicationScope.CELL, 5, True, None),
+        (DeduplicationScope.CELL, 150, False, Fail),
     ],
 )
 def test_deduplicated_goes_again_only_inside_group_and_window(
-    group: api.Group, after: float, again: bool, last: type | None
+    group: DeduplicationScope, after: float, again: bool, last: type | None
 ) -> None:
-    rig = Rig(classes=(kind(api.Repeat.DEDUPLICATED, group),))
+    rig = Rig(classes=(kind(RepeatSafety.DEDUPLICATED, group),))
     rid = rig.ask()
     rig.wait(after)
     rig.end(rid, Outcome.ERROR, after)
@@ -83,20 +87,20 @@
 
 
 def test_deduplicated_new_object_stays_in_its_zone() -> None:
-    rig = Rig(node(1), node(2, zone=1), classes=(kind(api.Repeat.DEDUPLICATED, api.Group.ZONE),))
+    rig = Rig(node(1), node(2, zone=1), classes=(kind(RepeatSafety.DEDUPLICATED, DeduplicationScope.ZONE),))
     rid = rig.ask(shard=-1)
     first = rig.sent[-1][2]
-    rig.do(api.Attempted(rid, first, 0, Outcome.ERROR, False, 5, 0, 0, ()))
+    rig.do(AttemptCompleted(rid, first, 0, Outcome.ERROR, False, 5, 0, 0, ()))
     rig.wait(50)
     assert {where for _, r, where in rig.sent if r == rid} == {first}
 
 
-@pytest.mark.parametrize("state", [api.NodeState.DRAINING, api.NodeState.GONE])
-def test_drains_are_kept_at_once_even_for_held_work(state: api.NodeState) -> None:
+@pytest.mark.parametrize("state", [NodeState.DRAINING, NodeState.GONE])
+def test_drains_are_kept_at_once_even_for_held_work(state: NodeState) -> None:
     rig = Rig()
     ids = [rig.ask() for _ in range(8)]
     before = len(rig.sent)
-    rig.do(listing(node(1, state=state), kind=api.ListKind.DELTA))
+    rig.do(listing(node(1, state=state), kind=ListKind.DELTA))
     for rid in ids:
         if rig.sends(rid):
             rig.end(rid)
@@ -110,13 +114,13 @@
     rig.do(listing(node(2)))
     rid = rig.ask()
     assert not rig.sends(rid)
-    rig.do(listing(node(3, shard=1), kind=api.ListKind.DELTA))
-    assert rig.sends(rid) == 1 and rig.sent[-1][2] == node(3).node
+    rig.do(listing(node(3, shard=1), kind=ListKind.DELTA))
+    assert rig.sends(rid) == 1 and rig.sent[-1][2] == node(3).node_id
 
 
 def test_a_cold_node_gets_no_more_than_this_hosts_part() -> None:
     rig = Rig()
-    rig.do(listing(node(1, started=rig.now), kind=api.ListKind.DELTA))
+    rig.do(listing(node(1, started=rig.now), kind=ListKind.DELTA))
     start = rig.now
     for _ in range(100):
         rid = rig.ask()
@@ -130,18 +134,18 @@
     rig = Rig()
     for _ in range(5):
         rig.end(rig.ask())
-    rig.do(listing(node(1, started=rig.now), kind=api.ListKind.DELTA))
+    rig.do(listing(node(1, started=rig.now), kind=ListKind.DELTA))
     rid = rig.ask()
     rig.wait(100)
     assert rig.sends(rid) == 0
 
 
-def ordered() -> api.RequestClass:
+def ordered() -> RequestClass:
     return replace(WRITE, ordered=True)
 
 
 def test_order_one_at_a_time_and_rest_after_a_reset() -> None:
-    rig = Rig(classes=(ordered(),), order_rest=200)
+    rig = Rig(classes=(ordered(),), order_settle_ms=200)
     first, second = rig.ask(key=9), rig.ask(key=9)
     other = rig.ask(key=8)
     assert (rig.sends(first), rig.sends(second), rig.sends(other)) == (1, 0, 1)
@@ -155,7 +159,7 @@
 def test_order_waits_for_the_outcome_of_a_request_already_over() -> None:
     rig = Rig(classes=(ordered(),))
     first, second = rig.ask(key=9), rig.ask(key=9)
-    rig.do(api.Departed(first))
+    rig.do(ClientDisconnected(first))
     rig.wait(50)
     assert rig.sends(second) == 0
     rig.end(first, over=True)
@@ -164,7 +168,7 @@
 
 
 def test_further_attempts_stay_within_budget() -> None:
-    rig = Rig(budget_window=5000, budget_free=1, budget_share=0.1)
+    rig = Rig(retry_budget_window_ms=5000, retry_budget_free=1, retry_budget_ratio=0.1)
     for _ in range(20):
         rid = rig.ask()
         for _ in range(3):
@@ -175,7 +179,7 @@
 
 
 def test_limits_are_kept_and_what_is_beyond_is_refused_early() -> None:
-    rig = Rig(plans=(api.Plan("capped", 5, 0, 10, 32, 8, 1, 1),))
+    rig = Rig(plans=(Plan("capped", 5, 0, 10, 32, 8, 1, 1),))
     start = rig.now
     rig.wait(1000)
     for _ in range(200):
@@ -185,7 +189,7 @@
         rig.wait(10)
     spent = 2 * len(rig.sent)
     assert 0 < spent <= 10 / 2 * (rig.now - start) / 1000
-    assert any(isinstance(a, api.Refuse) for a in rig.log)
+    assert any(isinstance(a, Reject) for a in rig.log)
 
 
 def test_a_restarted_host_starts_with_an_empty_store() -> None:
@@ -194,27 +198,32 @@
 
 
 def test_watch_at_start_and_again_after_failure_with_backoff() -> None:
-    rig = Rig(asks_list=True)
+    rig = Rig(polls_endpoint_list=True)
     rig.wait(rig.scheduler.discovery.first_call_spread)
-    assert len(of(rig.log, api.WatchList)) == 1
+    assert len(of(rig.log, WatchList)) == 1
     waits = []
     for _ in range(4):
-        rig.do(api.NodeList(api.ListKind.FAILED, 0, ()))
-        before, asked = rig.now, len(of(rig.log, api.WatchList))
-        while len(of(rig.log, api.WatchList)) == asked:
+        rig.do(EndpointList(ListKind.FAILED, 0, ()))
+        before, asked = rig.now, len(of(rig.log, WatchList))
+        while len(of(rig.log, WatchList)) == asked:
             rig.wait(50)
         waits.append(rig.now - before)
     assert waits[-1] > 2 * waits[0]
 
 
 def test_a_write_that_a_former_life_sent_runs_only_as_its_key_allows() -> None:
-    keyed = replace(WRITE, repeat=api.Repeat.DEDUPLICATED, group=api.Group.CELL, repeat_window=500)
+    keyed = replace(
+        WRITE,
+        repeat_safety=RepeatSafety.DEDUPLICATED,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_window_ms=500,
+    )
     for age, shard, sent in ((100, 1, True), (500, 1, False), (100, 2, False)):
         rig = Rig(node(1), node(2), classes=(keyed,))
         ran = rig.now - age, node(1)
-        rig.do(api.Request(1, 0, 0, 0, 2000, 1, 2, shard, 1, False, True, ran))
+        rig.do(Request(1, 0, 0, 0, 2000, 1, 2, shard, 1, False, True, ran))
         assert (rig.sends(1) > 0) is sent
         if age == 500:  # nothing can change: it fails at once
-            assert rig.answers(1) == [api.Fail(1)]
+            assert rig.answers(1) == [Fail(1)]
         rig.wait(3000)
-        assert sent or rig.answers(1) == [api.Fail(1)]
+        assert sent or rig.answers(1) == [Fail(1)]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import ListKind
 from tests.helpers import SETTINGS, Rig, listing, node
 
 UNITS = 2.0  # of each request: one of mean work
@@ -38,7 +38,7 @@
             self._note()
             for over in [entry for entry in self._out if entry[0] <= rig.now]:
                 self._out.remove(over)
-                rig.end(over[1], took=TOOK, where=1 if over[2] == YOUNG.node else 2)
+                rig.end(over[1], took=TOOK, where=1 if over[2] == YOUNG.node_id else 2)
             if next_ask <= rig.now:
                 rig.ask(1 + (self._random.random() < 0.5), units=UNITS, volume=self._random.randrange(50))
                 next_ask = rig.now + self._random.expovariate(1 / self._each)
@@ -49,7 +49,7 @@
     def _note(self) -> None:
         for at, rid, where in self.rig.sent[self._seen :]:
             self._out.append((at + TOOK, rid, where))
-            self.sent += [at] if where == YOUNG.node else []
+            self.sent += [at] if where == YOUNG.node_id else []
         self._seen = len(self.rig.sent)
 
 
@@ -60,17 +60,19 @@
     hosts: int, cold_units: int, multiple: float
 ) -> None:
     """The node is asked for all that it can do once it is warm, from its first moment on."""
-    window, share, warm_up = SETTINGS.fall_window, SETTINGS.cold_share, SETTINGS.warm_up
+    window, share, warm_up = SETTINGS.overload_window_ms, SETTINGS.slow_start_fraction, SETTINGS.warm_up_ms
     first = cold_units / UNITS  # calls that the settings allow it right after its start
     asked = first / share / multiple  # in a window: what it can do once it is warm
     each = window * hosts / asked / 2  # the same again is asked of the warm node
     young = list[float]()
     for seed in range(hosts):
-        member = Member(seed, each, hosts=hosts, cold_units=cold_units, tip_multiple=multiple)
+        member = Member(
+            seed, each, scheduler_count=hosts, slow_start_units=cold_units, overload_multiple=multiple
+        )
         start = member.rig.now + 3 * window
         member.play(start)
         member.sent.clear()
-        member.rig.do(listing(node(1, started=start), kind=api.ListKind.DELTA))
+        member.rig.do(listing(node(1, started=start), kind=ListKind.DELTA))
         member.play(start + 3 * window)
         young += [at - start for at in member.sent]
     young.sort()
--- a/tests/test_store_keeper.py
+++ b/tests/test_store_keeper.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from sabledyke.policy.interface import Group, Repeat
 from sabledyke.policy.retry import HELD_UP
+from sabledyke.policy.settings import DeduplicationScope, RepeatSafety
 from sabledyke.store import audit_journal
 from sabledyke.store.database_errors import Kind, StoreFault
 from sabledyke.store.health import Health, Limits, State
@@ -27,7 +27,13 @@
 )
 from tests.helpers import WRITE
 
-KEYED = replace(WRITE, deadline=2000, repeat=Repeat.DEDUPLICATED, group=Group.CELL, repeat_window=1500)
+KEYED = replace(
+    WRITE,
+    deadline_ms=2000,
+    repeat_safety=RepeatSafety.DEDUPLICATED,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window_ms=1500,
+)
 LIMITS = Limits(stall=100, batch=4, backlog=200, first_wait=20, longest_wait=100)
 ENTRY = Entry(0, 0, "write", "1", "k", "1", 0, "box", 1.0, "d", "served")
 
@@ -106,13 +112,13 @@
     def live(self) -> None:
         """A start: nothing is left but the database."""
         self.keeper = Keeper("n0", LIMITS, self.random.randrange(99), 1e9)
-        since = self.now - KEYED.repeat_window
+        since = self.now - KEYED.deduplication_window_ms
         recent = [
             (name, Found(sent, state))
             for name, (sent, state, _) in self.database.writes.items()
             if state != NEVER and sent.at >= since
         ]
-        self.keeper.opened(self.database.start(), recent, self.now + KEYED.repeat_window)
+        self.keeper.opened(self.database.start(), recent, self.now + KEYED.deduplication_window_ms)
         self.attempts: dict[tuple[int, int], tuple[str, int, bool]] = {}  # waiting or out: name, cell, out
         self.tickets: dict[int, str] = {}
         self.rid = 0
@@ -215,7 +221,7 @@
         for at, where in ran[1:]:
             # A box ran a repeat inside the window and the cell of the first: there it drops it. The window
             # is counted from the first send, which came up to its attempt's time before the effect.
-            assert where == cell and at < first + KEYED.repeat_window + KEYED.deadline, name
+            assert where == cell and at < first + KEYED.deduplication_window_ms + KEYED.deadline_ms, name
     audit = world.database.audit()
     assert audit.ok, audit.faults
     told = {e.key for _, _, e, _ in world.database.journal if e.outcome == "served"}
@@ -269,7 +275,9 @@
     other = Found(Sent(900, 0, 0), UNKNOWN)
     effects = k.committed(1001, set(), {"x0": other, "x1": other})
     assert effects == [Go((1, 0)), Blocked((2, 0))] and k.earlier("x1") == other.sent
-    over = 900 + KEYED.repeat_window - HELD_UP  # what is decided by then is written inside the window
+    over = (
+        900 + KEYED.deduplication_window_ms - HELD_UP
+    )  # what is decided by then is written inside the window
     assert sends(k, over - 1, 3, 0, name="x1") == [Go((3, 0))]
     assert sends(k, over, 4, 0, name="x1") == [Blocked((4, 0))]
 
--- a/tests/test_store_link.py
+++ b/tests/test_store_link.py
@@ -34,7 +34,7 @@
         self.ids = 0
 
     async def __aenter__(self) -> LinkRig:
-        invariants.broken.clear()
+        invariants.violations.clear()
         log._limiter = log.Limiter()
         await self.postgres.open()
         await self.discovery.open()
@@ -58,7 +58,7 @@
         await self.server.finish()
         self.discovery.die()
         await self.postgres.end()
-        assert not invariants.broken
+        assert not invariants.violations
 
     async def put(self, key: str, body: bytes = b"x", piece: int = 1) -> tuple[int, bytes]:
         self.ids += 1
--- a/tests/test_store_tools.py
+++ b/tests/test_store_tools.py
@@ -291,7 +291,7 @@
         return most, int(rows)
 
     most, rows = asyncio.run(run())
-    windows = (KEYED.repeat_window + KEYED.deadline) / 50
+    windows = (KEYED.deduplication_window_ms + KEYED.deadline_ms) / 50
     assert most < windows + 40 and rows < 60_000 / 50 + statements.SLICE
 
 
--- a/tests/test_sums.py
+++ b/tests/test_sums.py
@@ -13,7 +13,8 @@
 
 from sabledyke import operator_config
 from sabledyke.errors import OperatorError
-from sabledyke.policy import interface as api
+from sabledyke.policy.actions import Log
+from sabledyke.policy.events import Request
 from sabledyke.quota_sharing.allocation import MOST_TOLD, Policy, Shares, Times
 from sabledyke.quota_sharing.demand import Meter
 from sabledyke.testbed import shared_limits
@@ -69,9 +70,9 @@
 def test_the_module_goes_by_the_part_that_it_is_told_and_else_by_hosts() -> None:
     rig, plan = Rig(), SETTINGS.plans.index(CAPPED)
     for number, (told, part) in enumerate([(0.0, 0.5), (0.9, 0.9), (0.05, 0.05), (0.0, 0.05)], 1):
-        rig.do(api.Request(number, 0, plan, 0, 1000.0, 1, 2.0, 1, 2, False, False, None, told))
+        rig.do(Request(number, 0, plan, 0, 1000.0, 1, 2.0, 1, 2, False, False, None, told))
         assert [volume.part for volume in rig.scheduler.volumes.values()] == [part]
-    assert not of(rig.log, api.Log)
+    assert not of(rig.log, Log)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -46,7 +46,7 @@
             part.rename(self.path / name)
 
     async def __aenter__(self) -> TlsRig:
-        invariants.broken.clear()
+        invariants.violations.clear()
         log._limiter = log.Limiter()
         await self.discovery.open()
         self.discovery.add("plain", self.box.port, 0)
@@ -71,7 +71,7 @@
         await self.server.finish()
         self.box.die()
         self.discovery.die()
-        assert not invariants.broken
+        assert not invariants.violations
         assert not self.server.pool._count  # no descriptor is lost
 
     @property
@@ -278,7 +278,7 @@
 def test_twenty_schedulers_do_not_push_a_returning_box_over(tmp_path: Path) -> None:
     """Each admits by its own share: together they begin no more than it bears, and all get through."""
     box = TlsBox(GOOD)
-    settings = replace(DEPLOYMENT, hosts=20, cold_share=0.2, warm_up=10_000)
+    settings = replace(DEPLOYMENT, scheduler_count=20, slow_start_fraction=0.2, warm_up_ms=10_000)
 
     async def run() -> None:
         async with asyncio.timeout(120):
@@ -292,11 +292,11 @@
                 await rig.__aenter__()
                 rig.server.watch.watch = lambda on: None  # type: ignore[method-assign] # its start is set by hand
                 born = time.time() * 1000
-                entry = replace(rig.server.core.nodes[b"plain"], started=born)
+                entry = replace(rig.server.core.nodes[b"plain"], started_ms=born)
                 rig.server.core.nodes[b"plain"] = entry
                 terms = rig.part.connector.admission.terms
                 rig.part.connector.admission.terms = replace(
-                    terms, siblings=settings.hosts, cold_share=0.2, warm_up=10_000
+                    terms, siblings=settings.scheduler_count, cold_share=0.2, warm_up=10_000
                 )
                 rigs.append(rig)
             await asyncio.gather(*(rig.ask() for rig in rigs for _ in range(10)))
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -11,7 +11,8 @@
 
 from sabledyke import invariants
 from sabledyke.net import endpoint_watch
-from sabledyke.policy import interface as api
+from sabledyke.policy.actions import SetTimer
+from sabledyke.policy.nodes import EndpointList, ListKind
 from sabledyke.protocol import discovery
 from tests import helpers
 from tests.crossings import until
@@ -63,9 +64,9 @@
         await until(lambda: len(seen) > 1)
         assert seen[1] is not None
 
-    listen_to(story, [DRAINS], asks_list=asks)
+    listen_to(story, [DRAINS], polls_endpoint_list=asks)
     assert "a fault of ours" in capfd.readouterr().err
-    invariants.broken.clear()
+    invariants.violations.clear()
 
 
 @pytest.mark.parametrize("asked_before", [False, True])
@@ -98,12 +99,12 @@
 @pytest.mark.parametrize("hosts", [3, 30, 200, 3200])
 def test_after_failed_calls_the_list_is_asked_for_before_a_drain_must_be_known(hosts: int) -> None:
     """Told 6 s after discovery can be reached, and 2 s of grace; a call takes up to 3 s, and 0.15 s go by."""
-    rig = helpers.Rig(asks_list=True, hosts=hosts)
+    rig = helpers.Rig(polls_endpoint_list=True, scheduler_count=hosts)
     for _ in range(60):
-        told = rig.do(api.NodeList(api.ListKind.FAILED, 0, ()))
-        (timer,) = helpers.of(told, api.SetTimer)
-        assert 0 < timer.delay <= 6000 + 2000 - 3000 - 150 - 350
-        rig.now += timer.delay
+        told = rig.do(EndpointList(ListKind.FAILED, 0, ()))
+        (timer,) = helpers.of(told, SetTimer)
+        assert 0 < timer.delay_ms <= 6000 + 2000 - 3000 - 150 - 350
+        rig.now += timer.delay_ms
     rig.scheduler.adopt(replace(rig.scheduler.s, mean_units=3))
-    (timer,) = helpers.of(rig.do(api.NodeList(api.ListKind.FAILED, 0, ())), api.SetTimer)
-    assert timer.delay <= rig.scheduler.discovery.first_call_spread  # new settings: the pauses begin anew
+    (timer,) = helpers.of(rig.do(EndpointList(ListKind.FAILED, 0, ())), SetTimer)
+    assert timer.delay_ms <= rig.scheduler.discovery.first_call_spread  # new settings: the pauses begin anew
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,32 @@
 import pytest
 
 from sabledyke import wire
-from sabledyke.policy import interface as api
+from sabledyke.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdle,
+    Fail,
+    FetchList,
+    Log,
+    Probe,
+    Reject,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    WatchList,
+)
+from sabledyke.policy.events import (
+    AnswerStarted,
+    AttemptCompleted,
+    ClientDisconnected,
+    Outcome,
+    PeerMessage,
+    ProbeResult,
+    Request,
+    TimerFired,
+)
+from sabledyke.policy.nodes import EndpointList, ListKind
+from sabledyke.policy.settings import DeduplicationScope
 from sabledyke.simhost import Host, read_frame
 
 ROOT = Path(__file__).parent.parent
@@ -85,13 +110,13 @@
     due, gone = struct.pack(">BI", 24, 6), struct.pack(">BI", 19, 9)
     records = [context(3), submit(9, -1), reply, probed, head, mail, due, gone, struct.pack(">B", 23)]
     assert decode(batch(5.0, *records)) == [
-        (3, api.Request(9, 0, 0, 0, 900.0, 77, 2.0, -1, 1.0, True, True)),
-        (3, api.Attempted(9, A, 2, api.Outcome.REJECTED, True, 12.5, 150, 4, (0.5, 3.0))),
-        (3, api.ProbeResult(A, api.Outcome.OK, 2.5, ())),
-        (3, api.AnswerStarted(9, A, 0, 4.0)),
-        (3, api.PeerMessage(2, b"hi")),
-        (3, api.TimerFired(6)),
-        (3, api.Departed(9)),
+        (3, Request(9, 0, 0, 0, 900.0, 77, 2.0, -1, 1.0, True, True)),
+        (3, AttemptCompleted(9, A, 2, Outcome.REJECTED, True, 12.5, 150, 4, (0.5, 3.0))),
+        (3, ProbeResult(A, Outcome.OK, 2.5, ())),
+        (3, AnswerStarted(9, A, 0, 4.0)),
+        (3, PeerMessage(2, b"hi")),
+        (3, TimerFired(6)),
+        (3, ClientDisconnected(9)),
         (3, wire.Stopped()),
     ]
 
@@ -100,28 +125,28 @@
     got = decode(
         batch(1, context(1), roster(4, A), fleet(4, 2), context(2), roster(4, B), fleet(4, 1), fleet(0, 3))
     )
-    lists = [e for _, e in got if isinstance(e, api.NodeList)]
-    assert [[n.node for n in e.entries] for e in lists] == [[A], [B], []]
-    assert [e.kind for e in lists] == [api.ListKind.CACHED, api.ListKind.FULL, api.ListKind.FAILED]
+    lists = [e for _, e in got if isinstance(e, EndpointList)]
+    assert [[n.node_id for n in e.entries] for e in lists] == [[A], [B], []]
+    assert [e.kind for e in lists] == [ListKind.CACHED, ListKind.FULL, ListKind.FAILED]
 
 
 @pytest.mark.parametrize(
     ("action", "size", "code"),
     [
-        (api.Send(1, A, 80.0), 19, 16),
-        (api.WatchList(), 2, 25),
-        (api.Refuse(1, 20.0), 13, 24),
-        (api.CloseIdle(A), 7, 27),
-        (api.TellPeer(None, b"abc"), 8, 20),
-        (api.Probe(A), 7, 17),
-        (api.Cancel(1, 0), 7, 28),
-        (api.Log("hello"), 8, 21),
-        (api.FetchList(), 1, 26),
-        (api.SetTimer(1, 5.0), 13, 23),
-        (api.Fail(1), 5, 18),
+        (StartAttempt(1, A, 80.0), 19, 16),
+        (WatchList(), 2, 25),
+        (Reject(1, 20.0), 13, 24),
+        (CloseIdle(A), 7, 27),
+        (SendToPeer(None, b"abc"), 8, 20),
+        (Probe(A), 7, 17),
+        (CancelAttempt(1, 0), 7, 28),
+        (Log("hello"), 8, 21),
+        (FetchList(), 1, 26),
+        (SetTimer(1, 5.0), 13, 23),
+        (Fail(1), 5, 18),
     ],
 )
-def test_every_action(action: api.Action, size: int, code: int) -> None:
+def test_every_action(action: Action, size: int, code: int) -> None:
     record = wire.encode(action)
     assert (len(record), record[0]) == (size, code)
 
@@ -129,9 +154,12 @@
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
     s = wire.read_settings(CONF)
     assert (
-        s.asks_list and s.classes[0].ordered and s.classes[0].writes and s.classes[0].group is api.Group.ZONE
+        s.polls_endpoint_list
+        and s.classes[0].ordered
+        and s.classes[0].writes
+        and s.classes[0].deduplication_scope is DeduplicationScope.ZONE
     )
-    assert s.budget_window == 0 and s.plans[0].limit == 0 and not s.second_copies
+    assert s.retry_budget_window_ms == 0 and s.plans[0].limit == 0 and not s.hedging_allowed
 
 
 @pytest.mark.parametrize(
@@ -194,8 +222,8 @@
             submit(5),
         )
     )
-    assert wire.encode(api.Send(6, A))[:-8] in reply
-    assert reply.count(wire.encode(api.Send(5, A))[:-8]) == 1
+    assert wire.encode(StartAttempt(6, A))[:-8] in reply
+    assert reply.count(wire.encode(StartAttempt(5, A))[:-8]) == 1
 
 
 def test_an_exception_in_the_module_becomes_bug_with_its_text() -> None:
