--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -363,29 +363,29 @@
     """Writes a second through the record's own batches, by their size."""
     from sabledyke.store import startup, statements
     from sabledyke.store.connect import connect
-    from sabledyke.store.health import Limits
-    from sabledyke.store.intent_manager import Keeper
+    from sabledyke.store.health import StoreLimits
+    from sabledyke.store.intent_manager import IntentManager
     from sabledyke.store.section import Target
-    from sabledyke.store.types import Entry
+    from sabledyke.store.types import JournalEntry
 
     print("the record's batches on SQLite (WAL, FULL): size, commits/s, writes/s, CPU us a write")
     for size in (1, 4, 16, 64, 256):
         session = await connect(Target(path=str(folder / f"batch-{size}.sqlite3")))
         await startup.migrate(session)
-        keeper = Keeper("n0", Limits(batch=size), 1, 1e9)
-        keeper.opened(await startup.new_life(session, "n0"), [], 0)
+        keeper = IntentManager("n0", StoreLimits(batch=size), 1, 1e9)
+        keeper.on_opened(await startup.begin_incarnation(session, "n0"), [], 0)
         count = max(200, size * 20)
         began, cpu, batches = time.perf_counter(), time.process_time(), 0
         for n in range(0, count, size):
             for i in range(n, n + size):
-                entry = Entry(
+                entry = JournalEntry(
                     i, i, "write", f"{1:016x}", f"{i:032x}", f"{i:016x}", 0, "box-0", 1.0, "0" * 64, "served"
                 )
-                keeper.finished(i, f"1/1/{i:032x}", entry, None)
+                keeper.on_write_completed(i, f"1/1/{i:032x}", entry, None)
             batch = keeper.next_batch(n)
             assert batch is not None
-            await session.transact(statements.steps(batch, "n0"))
-            keeper.committed(n, set(), {})
+            await session.transact(statements.batch_steps(batch, "n0"))
+            keeper.on_batch_committed(n, set(), {})
             batches += 1
         took, spent = time.perf_counter() - began, time.process_time() - cpu
         print(f"  {size:4d} {batches / took:8.0f} {count / took:8.0f} {spent / count * 1e6:8.1f}")
--- a/sabledyke/cli/store.py
+++ b/sabledyke/cli/store.py
@@ -9,7 +9,7 @@
 
 from sabledyke.config import ConfigError
 from sabledyke.store import maintenance, section
-from sabledyke.store.database_errors import StoreFault
+from sabledyke.store.database_errors import DatabaseError
 
 COMMANDS = ("check", "migrate", "audit", "reconcile", "backup", "restore", "export")
 
@@ -42,7 +42,7 @@
             case "restore":
                 return await maintenance.restore(target, said["FILE"], print)
         return await _export(target, said)
-    except StoreFault as fault:
+    except DatabaseError as fault:
         raise ConfigError(f"store {target}: {fault}") from None
 
 
--- a/sabledyke/compacted_log/sqlite_backend.py
+++ b/sabledyke/compacted_log/sqlite_backend.py
@@ -13,7 +13,7 @@
 
 from sabledyke.compacted_log.records import Cell
 from sabledyke.errors import BoardFault, BoardSchema
-from sabledyke.store.database_errors import PASSING, StoreFault
+from sabledyke.store.database_errors import TRANSIENT_KINDS, DatabaseError
 from sabledyke.store.session import SqliteSession
 
 SCHEMA = 1
@@ -44,9 +44,9 @@
             session = await self._connected()
             await session.script(TABLES)
             schema = await session.run(lambda db: db.execute("SELECT schema FROM board_about").fetchone()[0])
-        except StoreFault as fault:
+        except DatabaseError as fault:
             await self.close()
-            if fault.kind in PASSING:  # locked, or made by others at the same moment
+            if fault.kind in TRANSIENT_KINDS:  # locked, or made by others at the same moment
                 raise BoardFault(f"board {self.path}: {fault}") from None
             raise BoardSchema(f"board {self.path}: {fault}") from None
         if schema > SCHEMA:
@@ -124,7 +124,7 @@
                 session.abort()
             self._session = None
             raise BoardFault(f"board {self.path}: no answer within {self._patience:.1f} s") from None
-        except StoreFault as fault:
+        except DatabaseError as fault:
             raise BoardFault(f"board {self.path}: {fault}") from None
 
     async def _connected(self) -> SqliteSession:
--- a/sabledyke/lease/leader_tasks.py
+++ b/sabledyke/lease/leader_tasks.py
@@ -23,7 +23,7 @@
 from sabledyke.lease.types import Authority, AuthorityFault
 from sabledyke.store import maintenance
 from sabledyke.store.connect import connect
-from sabledyke.store.database_errors import Kind, StoreError, StoreFault
+from sabledyke.store.database_errors import DatabaseErrorKind, StoreError, DatabaseError
 from sabledyke.store.section import Target
 
 PATIENCE = 10.0  # seconds that a called service may take for one act
@@ -37,10 +37,10 @@
     session = await connect(target, create=False)
     try:
         await session.transact([*fencing.steps(duty, token)])
-    except StoreFault as fault:
-        if fault.kind is Kind.FENCED:
+    except DatabaseError as fault:
+        if fault.kind is DatabaseErrorKind.FENCED:
             raise Refused(f"{duty}: the record has seen a token after {token}") from None
-        if fault.kind is not Kind.SCHEMA:
+        if fault.kind is not DatabaseErrorKind.SCHEMA:
             raise
         await session.script([fencing.TABLE])  # the first duty on this record
         await session.transact([*fencing.steps(duty, token)])
@@ -60,7 +60,7 @@
 
 
 async def _look_through(
-    duty: Duty, record: Target, keeper: Keeper, work: Callable[[Target, maintenance.Say], Awaitable[bool]]
+    duty: Duty, record: Target, keeper: Keeper, work: Callable[[Target, maintenance.Report], Awaitable[bool]]
 ) -> None:
     """Audit or reconcile: its findings count only if nobody else has begun meanwhile."""
     found: list[str] = []
@@ -134,6 +134,6 @@
         except Refused as refused:
             log.say("duty", str(refused))
             keeper.fenced(token)
-        except (AuthorityFault, StoreFault, StoreError, HTTPError, OSError) as fault:
+        except (AuthorityFault, DatabaseError, StoreError, HTTPError, OSError) as fault:
             log.say("duty", f"{duty.name}: not done, it is tried again: {fault}", duty=duty.name)
             await asyncio.sleep(AGAIN)
--- a/sabledyke/lease/sql_authority.py
+++ b/sabledyke/lease/sql_authority.py
@@ -28,7 +28,7 @@
     Take,
 )
 from sabledyke.store.connect import connect
-from sabledyke.store.database_errors import PASSING, Kind, StoreError, StoreFault
+from sabledyke.store.database_errors import TRANSIENT_KINDS, DatabaseErrorKind, StoreError, DatabaseError
 from sabledyke.store.section import Target
 from sabledyke.store.session import Session
 from sabledyke.store.types import Row, Step, Value
@@ -86,9 +86,9 @@
         """
         try:
             await (await self._connected()).script([TABLE])
-        except StoreFault as fault:
+        except DatabaseError as fault:
             self._give_up()
-            if fault.kind not in PASSING:
+            if fault.kind not in TRANSIENT_KINDS:
                 raise StoreError(f"lease {self.target}: {fault}") from None
 
     async def ask(self, duty: str, me: str, ask: Ask) -> Reply:
@@ -105,7 +105,7 @@
                 steps = [Step(RELEASE, [(duty, me, token)]), look]
         try:
             done = await self._do(lambda session: session.transact(steps))
-        except StoreFault as fault:
+        except DatabaseError as fault:
             self._give_up()
             raise AuthorityFault(str(fault)) from None
         if isinstance(ask, Take) and done[0]:
@@ -139,8 +139,8 @@
         session = await self._connected()
         try:
             return await what(session)
-        except StoreFault as fault:
-            if fault.kind is not Kind.SCHEMA:
+        except DatabaseError as fault:
+            if fault.kind is not DatabaseErrorKind.SCHEMA:
                 raise
         await session.script([TABLE])  # it could not be made at the start
         return await what(session)
@@ -150,7 +150,7 @@
             if sql.startswith("SELECT"):
                 return await self._do(lambda session: session.query(sql, *values))
             return (await self._do(lambda session: session.transact([Step(sql, [values])])))[0]
-        except StoreFault as fault:
+        except DatabaseError as fault:
             self._give_up()
             raise AuthorityFault(str(fault)) from None
 
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -14,7 +14,7 @@
 from sabledyke.protocol.discovery import address
 from sabledyke.protocol.nvme import BLOCK
 from sabledyke.store import section
-from sabledyke.store.section import Section, Target
+from sabledyke.store.section import StoreSection, Target
 from sabledyke.toml_tables import Milliseconds, Table, convert, from_file, parsed
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     host_nqn: str = ""
     volumes: tuple[Volume, ...] = ()
     boxes: tuple[tuple[api.NodeId, str], ...] = ()  # nodes that speak NVMe, and their subsystems
-    store: Section | None = None
+    store: StoreSection | None = None
     tls: TlsSection | None = None
     lease: LeaseSection | None = None
     board: BoardSection | None = None
@@ -140,7 +140,7 @@
         fleet=_shares(said.fleet, board),
         json_log=said.log.format == "json",
     )
-    if store is not None and {b.node for b in store.boxes} & {n for n, _ in operator.boxes}:
+    if store is not None and {b.node for b in store.sql_nodes} & {n for n, _ in operator.boxes}:
         raise OperatorError("a host is named both in nvme.box and in store.box")
     return operator
 
--- a/sabledyke/store/drift.py
+++ b/sabledyke/store/drift.py
@@ -11,9 +11,9 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from sabledyke.store.types import Drift
+from sabledyke.store.types import DriftFinding
 
-MOST = 16_384
+MAX_KNOWN_PIECES = 16_384
 Piece = tuple[int, int]  # a volume and a piece of data in it
 
 
@@ -23,21 +23,21 @@
     at: float
 
 
-class DriftWatch:
+class DriftDetector:
     """What is known to stand where; a piece of which anything is uncertain is not known."""
 
-    def __init__(self, most: int = MOST) -> None:
+    def __init__(self, most: int = MAX_KNOWN_PIECES) -> None:
         self._most = most
         self._known: OrderedDict[Piece, _Known] = OrderedDict()
         self._open: dict[Piece, int] = {}
         self.compared = self.differed = 0
 
-    def writing(self, piece: Piece) -> None:
+    def on_write_began(self, piece: Piece) -> None:
         """A write of it was taken: until it ends, answers may show either."""
         self._known.pop(piece, None)
         self._open[piece] = self._open.get(piece, 0) + 1
 
-    def written(self, now: float, piece: Piece, digest: str | None) -> None:
+    def on_write_ended(self, now: float, piece: Piece, digest: str | None) -> None:
         """A write ended: served with this digest, or None where it may or may not have run."""
         left = self._open.get(piece, 1) - 1
         if left:
@@ -51,14 +51,14 @@
         if len(self._known) > self._most:
             self._known.popitem(last=False)
 
-    def wants(self, asked: float, piece: Piece) -> bool:
+    def can_compare(self, asked: float, piece: Piece) -> bool:
         """Whether the answer to a read that was asked then can be compared."""
         known = self._known.get(piece)
         return known is not None and known.at < asked
 
-    def read(self, now: float, asked: float, piece: Piece, digest: str, box: str) -> Drift | None:
+    def compare(self, now: float, asked: float, piece: Piece, digest: str, box: str) -> DriftFinding | None:
         """An answer to a read; what differs, said once for each write."""
-        if not self.wants(asked, piece):
+        if not self.can_compare(asked, piece):
             return None
         known = self._known[piece]
         self._known.move_to_end(piece)
@@ -67,7 +67,7 @@
             return None
         self.differed += 1
         del self._known[piece]
-        return Drift(int(now), f"{piece[0]:016x}", f"{piece[1]:016x}", box, known.digest, digest)
+        return DriftFinding(int(now), f"{piece[0]:016x}", f"{piece[1]:016x}", box, known.digest, digest)
 
     @property
     def size(self) -> int:
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -11,10 +11,10 @@
 from sabledyke.net.connection_pool import Dial, Report
 from sabledyke.policy import interface as api
 from sabledyke.store.connect import connect
-from sabledyke.store.database_errors import StoreError, StoreFault
-from sabledyke.store.intent_manager import Keeper
-from sabledyke.store.recording_transport import Recorder
-from sabledyke.store.section import Section
+from sabledyke.store.database_errors import StoreError, DatabaseError
+from sabledyke.store.intent_manager import IntentManager
+from sabledyke.store.recording_transport import RecordingTransport
+from sabledyke.store.section import StoreSection
 from sabledyke.store.session import Session
 from sabledyke.store.sql_link import SqlDialer
 
@@ -23,66 +23,66 @@
     from sabledyke.operator_config import Operator
 
 
-class RecordPart(Part):
+class RecordExtension(Part):
     """The record of sends and the receipt journal."""
 
-    def __init__(self, host: Host, section: Section) -> None:
+    def __init__(self, host: Host, section: StoreSection) -> None:
         assert section.record is not None
         self._target, config = section.record, host.config
-        keeper = Keeper(config.name, section.limits, config.seed, section.kept)
+        keeper = IntentManager(config.name, section.limits, config.seed, section.retention_ms)
         target = self._target
 
         async def opener(seconds: float) -> Session:
             return await connect(target, connect_s=seconds)
 
-        self.recorder = Recorder(keeper, opener, config.settings, host.entry)
+        self.recording_transport = RecordingTransport(keeper, opener, config.settings, host.entry)
 
     def reports(self, onward: Report) -> Report:
         """See ``parts.Part``."""
-        self.recorder.report = onward
-        return self.recorder.ended
+        self.recording_transport.report = onward
+        return self.recording_transport.on_attempt_ended
 
     def transport(self, inner: Transport) -> Transport:
         """See ``parts.Part``."""
-        self.recorder.inner = inner
-        return self.recorder
+        self.recording_transport.inner = inner
+        return self.recording_transport
 
     def submit(self, work: Work, done: Done, onward: Submit) -> int:
         """See ``parts.Part``."""
-        return self.recorder.submit(work, done, onward)
+        return self.recording_transport.submit(work, done, onward)
 
     def departed(self, rid: int) -> None:
         """See ``parts.Part``."""
-        self.recorder.departed(rid)
+        self.recording_transport.on_client_departed(rid)
 
     async def open(self) -> None:
         """See ``parts.Part``."""
         try:
-            await self.recorder.open()
-        except StoreFault as fault:
+            await self.recording_transport.open()
+        except DatabaseError as fault:
             raise StoreError(f"store {self._target}: {fault}") from None
-        position = self.recorder.keeper.position
-        entries = f"{position.seq} entries in the journal"
-        log.say("store", f"{self._target} is open; life {position.life}, {entries}")
+        position = self.recording_transport.intents.position
+        entries = f"{position.last_sequence} entries in the journal"
+        log.say("store", f"{self._target} is open; life {position.incarnation}, {entries}")
 
     def adopt(self, config: Config) -> None:
         """See ``parts.Part``."""
-        self.recorder.settings = config.settings
+        self.recording_transport.settings = config.settings
 
     async def close(self) -> None:
         """See ``parts.Part``."""
-        await self.recorder.close()
+        await self.recording_transport.close()
 
 
-class SqlPart(Part):
+class SqlExtension(Part):
     """Boxes that are databases."""
 
-    def __init__(self, host: Host, section: Section) -> None:
-        self.dialer = SqlDialer(host.config.settings, {b.node: b for b in section.boxes}, section.kept)
+    def __init__(self, host: Host, section: StoreSection) -> None:
+        self.dialer = SqlDialer(host.config.settings, {b.node: b for b in section.sql_nodes}, section.retention_ms)
 
     def dialers(self) -> dict[api.NodeId, Dial]:
         """See ``parts.Part``."""
-        return dict.fromkeys(self.dialer.boxes, self.dialer.dial)
+        return dict.fromkeys(self.dialer.nodes, self.dialer.dial)
 
     def adopt(self, config: Config) -> None:
         """See ``parts.Part``."""
@@ -91,7 +91,7 @@
     def listed(self, gone: Iterable[api.NodeId]) -> None:
         """See ``parts.Part``."""
         for node in gone:
-            self.dialer.forget(node)
+            self.dialer.on_node_removed(node)
 
     async def close(self) -> None:
         """See ``parts.Part``."""
@@ -101,10 +101,10 @@
 def set_up(host: Host, section: Operator) -> Part | None:
     """The record, where the operator's file asks for it."""
     store = section.store
-    return RecordPart(host, store) if store is not None and store.record is not None else None
+    return RecordExtension(host, store) if store is not None and store.record is not None else None
 
 
 def set_up_boxes(host: Host, section: Operator) -> Part | None:
     """The links to databases, where the operator's file marks boxes as such."""
     store = section.store
-    return SqlPart(host, store) if store is not None and store.boxes else None
+    return SqlExtension(host, store) if store is not None and store.sql_nodes else None
--- a/sabledyke/store/in_doubt.py
+++ b/sabledyke/store/in_doubt.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-LEAST = 20.0  # ms left below which no further question is worth asking
+MIN_REMAINING_MS = 20.0  # ms left below which no further question is worth asking
 
 
-class Next(Enum):
+class DoubtQuestion(Enum):
     """What to ask the database."""
 
     LOOK_UP = "look up"
@@ -25,7 +25,7 @@
     NOTHING = "nothing"
 
 
-class Verdict(Enum):
+class DoubtResolution(Enum):
     """What is known in the end."""
 
     SERVED = "served"  # with the first result
@@ -34,46 +34,46 @@
 
 
 @dataclass(slots=True)
-class Doubt:
+class InDoubtWrite:
     """One write in doubt, until ``deadline`` (ms, on the clock that ``next`` is called with)."""
 
     attempt: str
-    deadline: float
-    verdict: Verdict = Verdict.MAY_HAVE_RUN
+    deadline_ms: float
+    resolution: DoubtResolution = DoubtResolution.MAY_HAVE_RUN
     result: bytes = b""
     _fenced: bool = False
     _decided: bool = False
-    tries: int = 0
+    questions_asked: int = 0
 
-    MOST = 6  # questions that fail before it is left in doubt
+    MAX_QUESTIONS = 6  # questions that fail before it is left in doubt
 
-    def next(self, now: float) -> Next:
+    def next_question(self, now: float) -> DoubtQuestion:
         """The next question."""
-        if self._decided or self.tries >= self.MOST or self.deadline - now < LEAST:
-            return Next.NOTHING
-        return Next.LOOK_UP if self._fenced or not self.tries else Next.FENCE
+        if self._decided or self.questions_asked >= self.MAX_QUESTIONS or self.deadline_ms - now < MIN_REMAINING_MS:
+            return DoubtQuestion.NOTHING
+        return DoubtQuestion.LOOK_UP if self._fenced or not self.questions_asked else DoubtQuestion.FENCE
 
-    def found(self, attempt: str, state: str, result: bytes) -> None:
+    def on_key_found(self, attempt: str, state: str, result: bytes) -> None:
         """The key is there: done by whoever was first, or fenced."""
-        self.tries += 1
+        self.questions_asked += 1
         if state == "done":
-            self._decided, self.verdict, self.result = True, Verdict.SERVED, result
+            self._decided, self.resolution, self.result = True, DoubtResolution.SERVED, result
         elif self._fenced and attempt == self.attempt:
             # Our fence took the row after whatever held it had ended, and it is not done.
-            self._decided, self.verdict = True, Verdict.NEVER
+            self._decided, self.resolution = True, DoubtResolution.NEVER
         else:  # another attempt's fence, or ours has not been made yet
             self._fenced = False
 
-    def absent(self) -> None:
+    def on_key_absent(self) -> None:
         """The key is not there: which proves nothing by itself."""
-        self.tries += 1
+        self.questions_asked += 1
         self._fenced = False
 
-    def fenced(self) -> None:
+    def on_fence_committed(self) -> None:
         """The fence was committed, or found the row taken: a further look tells."""
-        self.tries += 1
+        self.questions_asked += 1
         self._fenced = True
 
-    def failed(self) -> None:
+    def on_question_failed(self) -> None:
         """The question was not answered."""
-        self.tries += 1
+        self.questions_asked += 1
--- a/sabledyke/store/postgres.py
+++ b/sabledyke/store/postgres.py
@@ -15,14 +15,14 @@
 import asyncpg
 
 from sabledyke.store import database_errors
-from sabledyke.store.database_errors import Kind, StoreFault
+from sabledyke.store.database_errors import DatabaseErrorKind, DatabaseError
 from sabledyke.store.types import Row, Step, Value
 
 _LOST = (OSError, asyncpg.InterfaceError, asyncio.IncompleteReadError, EOFError)
 
 
 @dataclass(slots=True, frozen=True)
-class Where:
+class PostgresAddress:
     """How to reach a database. The password is never part of what is printed."""
 
     host: str
@@ -31,7 +31,7 @@
     user: str
     password: str = field(default="", repr=False)
     tls: Literal["disable", "require", "verify-ca", "verify-full"] = "disable"  # libpq's sslmode
-    connect: float = 0.3  # seconds for a connection to come up
+    connect_timeout_s: float = 0.3  # seconds for a connection to come up
 
     def __str__(self) -> str:
         return f"postgresql://{self.user}@{self.host}:{self.port}/{self.database}"
@@ -46,7 +46,7 @@
         self._connection = connection
 
     @classmethod
-    async def open(cls, where: Where) -> PostgresSession:
+    async def open(cls, where: PostgresAddress) -> PostgresSession:
         """Connect; a StoreFault where that cannot be done in time."""
         try:
             connection = await asyncpg.connect(
@@ -56,17 +56,17 @@
                 password=where.password or None,
                 database=where.database,
                 ssl=where.tls,
-                timeout=where.connect,
+                timeout=where.connect_timeout_s,
                 statement_cache_size=64,
                 server_settings={"application_name": "sabledyke"},
                 passfile="/dev/null",
             )
         except asyncpg.PostgresError as fault:
-            raise database_errors.of_state(fault.sqlstate or "", str(fault)) from None
+            raise database_errors.from_sqlstate(fault.sqlstate or "", str(fault)) from None
         except TimeoutError:
-            raise StoreFault(Kind.LOST, f"no connection within {where.connect * 1000:.0f} ms") from None
+            raise DatabaseError(DatabaseErrorKind.LOST, f"no connection within {where.connect_timeout_s * 1000:.0f} ms") from None
         except (*_LOST, ValueError) as fault:
-            raise StoreFault(Kind.LOST, str(fault) or type(fault).__name__) from None
+            raise DatabaseError(DatabaseErrorKind.LOST, str(fault) or type(fault).__name__) from None
         return cls(connection)
 
     async def transact(
@@ -100,9 +100,9 @@
         except _LOST as fault:
             self.abort()
             text = str(fault) or type(fault).__name__
-            raise StoreFault(Kind.LOST, text, uncertain=handed_over) from None
+            raise DatabaseError(DatabaseErrorKind.LOST, text, uncertain=handed_over) from None
         if status != "COMMIT":  # a server says ROLLBACK where the transaction had failed
-            raise StoreFault(Kind.BROKEN, f"COMMIT was answered with {status}")
+            raise DatabaseError(DatabaseErrorKind.UNEXPECTED, f"COMMIT was answered with {status}")
         return out
 
     async def _roll_back(self) -> None:
@@ -119,7 +119,7 @@
             raise _told(fault, False) from None
         except _LOST as fault:
             self.abort()
-            raise StoreFault(Kind.LOST, str(fault) or type(fault).__name__) from None
+            raise DatabaseError(DatabaseErrorKind.LOST, str(fault) or type(fault).__name__) from None
 
     async def script(self, lines: Sequence[str]) -> None:
         """See ``session.Session``."""
@@ -131,7 +131,7 @@
         try:
             await self._connection.execute("BEGIN ISOLATION LEVEL REPEATABLE READ READ ONLY")
         except (asyncpg.PostgresError, *_LOST) as fault:
-            raise StoreFault(Kind.LOST, str(fault)) from None
+            raise DatabaseError(DatabaseErrorKind.LOST, str(fault)) from None
         try:
             yield
         finally:
@@ -158,10 +158,10 @@
     return [tuple(r) for r in records]
 
 
-def _told(fault: asyncpg.PostgresError, committing: bool) -> StoreFault:
+def _told(fault: asyncpg.PostgresError, committing: bool) -> DatabaseError:
     """The server's word. Where the connection ends with it, a commit under way is uncertain."""
     state = fault.sqlstate or ""
-    told = database_errors.of_state(state, str(fault))
+    told = database_errors.from_sqlstate(state, str(fault))
     if committing and (state.startswith(("08", "57P")) or not state):
-        return StoreFault(told.kind, str(fault), uncertain=True)
+        return DatabaseError(told.kind, str(fault), uncertain=True)
     return told
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -21,16 +21,16 @@
 from sabledyke.policy import interface as api
 from sabledyke.policy.interface import Outcome
 from sabledyke.store import startup, statements
-from sabledyke.store.connect import CONNECT, PATIENCE, patiently
-from sabledyke.store.database_errors import Kind, StoreFault
-from sabledyke.store.drift import DriftWatch
-from sabledyke.store.intent_manager import Attempt, Blocked, Effect, Go, Keeper, Moot, Say, Told
+from sabledyke.store.connect import CONNECT_TIMEOUT_S, START_PATIENCE_S, retry_while_transient
+from sabledyke.store.database_errors import DatabaseErrorKind, DatabaseError
+from sabledyke.store.drift import DriftDetector
+from sabledyke.store.intent_manager import AttemptId, BlockAttempt, Effect, SendAttempt, IntentManager, ExpireAttempt, LogLine, CompleteWrite
 from sabledyke.store.session import Session
-from sabledyke.store.types import Batch, Drift, Entry, Found, Sent, name_of, token_of
+from sabledyke.store.types import RecordBatch, DriftFinding, JournalEntry, RecordedWrite, SendRecord, write_name, idempotency_token
 
-TICK = 0.05  # seconds between looks at what waits, while anything does
-MARGIN = GUARD + 1000 * TICK + 10  # ms before its deadline by which a served answer is passed on or given up
-FLUSH = 1.0  # seconds at the end for what is still to be written
+TICK_S = 0.05  # seconds between looks at what waits, while anything does
+ANSWER_MARGIN_MS = GUARD + 1000 * TICK_S + 10  # ms before its deadline by which a served answer is passed on or given up
+FLUSH_TIMEOUT_S = 1.0  # seconds at the end for what is still to be written
 
 Opener = Callable[[float], Awaitable[Session]]  # seconds for a connection to come up
 
@@ -57,25 +57,25 @@
     digest: str
 
 
-class Recorder:
+class RecordingTransport:
     """See the module's text; one for a server."""
 
     def __init__(
         self,
-        keeper: Keeper,
+        keeper: IntentManager,
         opener: Opener,
         settings: api.Settings,
         entry: Callable[[api.NodeId], api.NodeEntry],
     ) -> None:
-        self.keeper, self.settings = keeper, settings
+        self.intents, self.settings = keeper, settings
         self._opener, self._entry = opener, entry
         self.report: Report
         self.inner: Transport
-        self.drift = DriftWatch()
+        self.drift = DriftDetector()
         self._session: Session | None = None
         self._loop = asyncio.get_running_loop()
-        self._held: dict[Attempt, _Held] = {}
-        self._out: dict[Attempt, tuple[str, float]] = {}  # attempts of keyed writes: name, ms held back
+        self._held: dict[AttemptId, _Held] = {}
+        self._out: dict[AttemptId, tuple[str, float]] = {}  # attempts of keyed writes: name, ms held back
         self._asked: dict[int, _Asked] = {}  # writes in work, by request
         self._tickets: dict[int, tuple[Done, Answer]] = {}  # served answers that wait for their entries
         self._last_ticket = 0
@@ -86,52 +86,52 @@
 
     async def open(self) -> None:
         """Open the database, take a life, read what can still matter; a StoreFault where that fails."""
-        await patiently(self._take_life)
+        await retry_while_transient(self._take_life)
 
     async def _take_life(self) -> None:
         if self._session is None or self._session.closed:
-            self._session = await self._opener(PATIENCE)
+            self._session = await self._opener(START_PATIENCE_S)
         await startup.migrate(self._session)
-        position = await startup.new_life(self._session, self.keeper.instance)
+        position = await startup.begin_incarnation(self._session, self.intents.instance)
         longest = max(c.repeat_window for c in self.settings.classes)
         now = clock.now()
-        recent = await startup.recent(self._session, now - longest)
-        self.keeper.opened(position, recent, now + longest)
+        recent = await startup.recent_writes(self._session, now - longest)
+        self.intents.on_opened(position, recent, now + longest)
 
     # Between fronts and the core.
 
     def submit(self, work: Work, done: Done, onward: Submit) -> int:
         """Hand work on; a keyed write only while it can be recorded."""
         now = clock.now()
-        name = name_of(work)
+        name = write_name(work)
         if not work.write:
             return onward(work, lambda answer: self._was_read(work, now, answer, done))
-        if name and not self.keeper.takes():
-            advice = self.keeper.health.advice(now, self.settings.max_retry_after)
+        if name and not self.intents.accepts_writes():
+            advice = self.intents.health.retry_after_ms(now, self.settings.max_retry_after)
             self._loop.call_soon(done, Answer(Verdict.REFUSED, retry_after=advice))
             return 0
-        self.drift.writing((work.volume, work.key))
-        first = self.keeper.earlier(name) if name else None
+        self.drift.on_write_began((work.volume, work.key))
+        first = self.intents.earlier_send(name) if name else None
         if first is not None:
             ran = api.NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, api.NodeState.GONE)
-            work.ran = first.at, ran
-        asked = _Asked(work, name, now, now + work.remaining - MARGIN, hashlib.sha256(work.body).hexdigest())
+            work.ran = first.sent_at_ms, ran
+        asked = _Asked(work, name, now, now + work.remaining - ANSWER_MARGIN_MS, hashlib.sha256(work.body).hexdigest())
         rid = onward(work, lambda answer: self._finished(rid, asked, answer, done))
         self._asked[rid] = asked
         return rid
 
-    def departed(self, rid: int) -> None:
+    def on_client_departed(self, rid: int) -> None:
         """The client of a request has gone: a write is finished, and nobody is told."""
         asked = self._asked.pop(rid, None)
         if asked is not None:
-            self.drift.written(clock.now(), (asked.work.volume, asked.work.key), None)
+            self.drift.on_write_ended(clock.now(), (asked.work.volume, asked.work.key), None)
             self._journal(asked, "departed", None)
 
     def _finished(self, rid: int, asked: _Asked, answer: Answer, done: Done) -> None:
         self._asked.pop(rid, None)
         served = answer.verdict is Verdict.SERVED
         piece = asked.work.volume, asked.work.key
-        self.drift.written(clock.now(), piece, asked.digest if served else None)
+        self.drift.on_write_ended(clock.now(), piece, asked.digest if served else None)
         if not served or not asked.name:
             self._journal(asked, answer.verdict.value, None)
             done(answer)
@@ -145,55 +145,55 @@
             return
         work, now = asked.work, clock.now()
         at = work.sent_to
-        entry = Entry(
-            at=int(now),
-            began=int(asked.began),
-            class_=self.settings.classes[work.class_].name,
+        entry = JournalEntry(
+            completed_at_ms=int(now),
+            began_at_ms=int(asked.began),
+            class_name=self.settings.classes[work.class_].name,
             volume=f"{work.volume:016x}",
-            key=token_of(work),
+            key=idempotency_token(work),
             piece=f"{work.key:016x}",
             shard=at.shard if at else work.shard,
-            box=api.name_of(at.node) if at else "",
+            node=api.name_of(at.node) if at else "",
             units=work.units,
             digest=asked.digest,
             outcome=outcome,
         )
-        self._do(self.keeper.finished(now, asked.name, entry, ticket, asked.deadline))
+        self._do(self.intents.on_write_completed(now, asked.name, entry, ticket, asked.deadline))
         self._kick()
 
     def _was_read(self, work: Work, asked: float, answer: Answer, done: Done) -> None:
         piece = work.volume, work.key
-        if answer.verdict is Verdict.SERVED and self.drift.wants(asked, piece):
+        if answer.verdict is Verdict.SERVED and self.drift.can_compare(asked, piece):
             digest, at = hashlib.sha256(answer.body).hexdigest(), work.sent_to
             box = api.name_of(at.node) if at else ""
-            found = self.drift.read(clock.now(), asked, piece, digest, box)
+            found = self.drift.compare(clock.now(), asked, piece, digest, box)
             if found is not None:
                 self._differs(found)
         done(answer)
 
-    def _differs(self, found: Drift) -> None:
+    def _differs(self, found: DriftFinding) -> None:
         log.say(
             "drift",
-            f"{found.box} shows volume {found.volume} piece {found.piece} with digest"
-            f" {found.got[:12]}, where {found.wanted[:12]} was written",
+            f"{found.node} shows volume {found.volume} piece {found.piece} with digest"
+            f" {found.found_digest[:12]}, where {found.expected_digest[:12]} was written",
         )
-        self.keeper.drifted(found)
+        self.intents.on_drift(found)
         self._kick()
 
     # Between the core and the pool.
 
     def start(self, rid: int, number: int, node: api.NodeId, work: Work, timeout: float) -> None:
         """See ``core.Transport``."""
-        name = name_of(work)
+        name = write_name(work)
         if not name:
             self.inner.start(rid, number, node, work, timeout)
             return
         entry, now, attempt = self._entry(node), clock.now(), (rid, number)
         self._held[attempt] = _Held(node, work, name, now, now + timeout)
-        sent = Sent(now, entry.shard, entry.zone)
+        sent = SendRecord(now, entry.shard, entry.zone)
         kind = self.settings.classes[work.class_]
-        effects = self.keeper.attempt(now, attempt, name, sent, now + timeout, kind)
-        if any(not isinstance(e, Go) for e in effects):
+        effects = self.intents.on_attempt(now, attempt, name, sent, now + timeout, kind)
+        if any(not isinstance(e, SendAttempt) for e in effects):
             self._loop.call_soon(self._do, effects)  # a transport never reports from inside a call
         else:
             self._do(effects)
@@ -203,7 +203,7 @@
         """See ``core.Transport``."""
         attempt = rid, number
         if attempt in self._held:
-            if self.keeper.withdrawn(attempt):
+            if self.intents.on_attempt_cancelled(attempt):
                 self._end(attempt, Ended(Outcome.CANCELLED, False))
         else:
             self.inner.cancel(rid, number)
@@ -212,12 +212,12 @@
         """See ``core.Transport``."""
         self.inner.close_idle(node)
 
-    def ended(self, rid: int, number: int, ended: Ended) -> None:
+    def on_attempt_ended(self, rid: int, number: int, ended: Ended) -> None:
         """What the transport below reports."""
         known = self._out.pop((rid, number), None)
         if known is not None:
             name, waited = known
-            self.keeper.ended(name, may_have_run=ended.may_have_run)
+            self.intents.on_attempt_ended(name, may_have_run=ended.may_have_run)
             ended = replace(ended, waited=waited)
         self.report(rid, number, ended)
 
@@ -227,37 +227,37 @@
         now = clock.now()
         for effect in effects:
             match effect:
-                case Go(attempt):
+                case SendAttempt(attempt):
                     held = self._held.pop(attempt)
                     self._out[attempt] = held.name, now - held.asked
                     left = max(1.0, held.deadline - now)
                     self.inner.start(*attempt, held.node, held.work, left)
-                case Moot(attempt):
+                case ExpireAttempt(attempt):
                     self._end(attempt, Ended(Outcome.MOOT, False))
-                case Blocked(attempt):
+                case BlockAttempt(attempt):
                     self._end(attempt, Ended(Outcome.ERROR, True))
-                case Told(ticket, kept):
+                case CompleteWrite(ticket, kept):
                     done, answer = self._tickets.pop(ticket)
                     done(answer if kept else Answer(Verdict.FAILED))
-                case Say(text):
+                case LogLine(text):
                     log.say("store", text)
 
-    def _end(self, attempt: Attempt, ended: Ended) -> None:
+    def _end(self, attempt: AttemptId, ended: Ended) -> None:
         held = self._held.pop(attempt, None)
         if held is not None:
             self.report(*attempt, replace(ended, waited=clock.now() - held.asked))
 
     def _kick(self) -> None:
         """Something may wait for the database: a batch gathers what comes with it."""
-        if self._pump is None and self._gathering is None and self.keeper.restless:
+        if self._pump is None and self._gathering is None and self.intents.needs_polling:
             now = clock.now()
-            wait = max(self.keeper.limits.gather, self.keeper.health.next_trial() - now)
+            wait = max(self.intents.limits.gather_ms, self.intents.health.next_trial_ms() - now)
             if wait > 0:
                 self._gathering = self._loop.call_later(wait / 1000, self._begin)
             else:  # all that comes in this turn of the loop, and then while its batch is written
                 self._gathering = self._loop.call_soon(self._begin)
-        if self._ticking is None and self.keeper.restless:
-            self._ticking = self._loop.call_later(TICK, self._tick)
+        if self._ticking is None and self.intents.needs_polling:
+            self._ticking = self._loop.call_later(TICK_S, self._tick)
 
     def _begin(self) -> None:
         self._gathering = None
@@ -271,24 +271,24 @@
         if (fault := task.exception()) is not None:
             # Guards against a fault here ending the record for good, with all that waits for it.
             log.say("fault", "".join(traceback.format_exception(fault)))
-            told = StoreFault(Kind.BROKEN, repr(fault), uncertain=True)
-            keeper, now = self.keeper, clock.now()
-            self._do(keeper.failed(now, told) if keeper.flight is not None else keeper.unreachable(now, told))
+            told = DatabaseError(DatabaseErrorKind.UNEXPECTED, repr(fault), uncertain=True)
+            keeper, now = self.intents, clock.now()
+            self._do(keeper.on_batch_failed(now, told) if keeper.batch_in_flight is not None else keeper.on_unreachable(now, told))
             check(False, "the record's driver works without a fault")
         if not self._ending:
             self._kick()
 
     def _tick(self) -> None:
         self._ticking = None
-        self._do(self.keeper.tick(clock.now()))
-        if self.keeper.restless:
+        self._do(self.intents.on_tick(clock.now()))
+        if self.intents.needs_polling:
             self._kick()
 
     async def _work(self) -> None:
         """Batch after batch, as long as there are any; a session that broke is opened anew first."""
-        keeper = self.keeper
-        while keeper.health.may_try(clock.now()):
-            if keeper.unsure or self._session is None or self._session.closed:
+        keeper = self.intents
+        while keeper.health.may_start_batch(clock.now()):
+            if keeper.position_unknown or self._session is None or self._session.closed:
                 if not await self._come_back():
                     return
                 continue
@@ -297,65 +297,65 @@
                 return
             try:
                 taken, found = await self._write(batch)
-            except StoreFault as fault:
-                self._do(keeper.failed(clock.now(), fault))
+            except DatabaseError as fault:
+                self._do(keeper.on_batch_failed(clock.now(), fault))
             else:
-                self._do(keeper.committed(clock.now(), taken, found))
+                self._do(keeper.on_batch_committed(clock.now(), taken, found))
 
-    async def _write(self, batch: Batch) -> tuple[set[str], dict[str, Found]]:
-        session, limits = self._session, self.keeper.limits
+    async def _write(self, batch: RecordBatch) -> tuple[set[str], dict[str, RecordedWrite]]:
+        session, limits = self._session, self.intents.limits
         assert session is not None
-        what = session.transact(statements.steps(batch, self.keeper.instance))
+        what = session.transact(statements.batch_steps(batch, self.intents.instance))
         if session.backend == "sqlite":  # what the disk holds up cannot be called off
             results = await what
         else:
             try:
-                async with asyncio.timeout(limits.give_up / 1000):
+                async with asyncio.timeout(limits.give_up_ms / 1000):
                     results = await what
             except TimeoutError:
                 session.abort()
-                text = f"no answer for {limits.give_up:.0f} ms"
-                raise StoreFault(Kind.STALL, text, uncertain=True) from None
-        taken = statements.taken(batch, results)
+                text = f"no answer for {limits.give_up_ms:.0f} ms"
+                raise DatabaseError(DatabaseErrorKind.STALL, text, uncertain=True) from None
+        taken = statements.accepted_intents(batch, results)
         found = {}
         for intent in batch.intents:
             if intent.name not in taken:
                 try:
-                    rows = await session.query(statements.LOOK_UP, intent.name)
-                except StoreFault:  # it is asked once more, with the next batch
+                    rows = await session.query(statements.SELECT_WRITE, intent.name)
+                except DatabaseError:  # it is asked once more, with the next batch
                     rows = []
                 if rows:
-                    found[intent.name] = statements.found(rows[0])
+                    found[intent.name] = statements.recorded_write(rows[0])
         return taken, found
 
     async def _come_back(self) -> bool:
         """A session that works, and the position as the database has it."""
-        keeper = self.keeper
-        keeper.health.began(clock.now())
+        keeper = self.intents
+        keeper.health.on_batch_began(clock.now())
         try:
             if self._session is None or self._session.closed:
-                self._session = await self._opener(CONNECT)
-            async with asyncio.timeout(keeper.limits.give_up / 1000):
+                self._session = await self._opener(CONNECT_TIMEOUT_S)
+            async with asyncio.timeout(keeper.limits.give_up_ms / 1000):
                 position = await startup.read_position(self._session, keeper.instance)
         except TimeoutError:
             if self._session is not None:
                 self._session.abort()
-            self._do(keeper.unreachable(clock.now(), StoreFault(Kind.STALL)))
+            self._do(keeper.on_unreachable(clock.now(), DatabaseError(DatabaseErrorKind.STALL)))
             return False
-        except StoreFault as fault:
-            self._do(keeper.unreachable(clock.now(), fault))
+        except DatabaseError as fault:
+            self._do(keeper.on_unreachable(clock.now(), fault))
             return False
-        keeper.health.passed_over()
-        self._do(keeper.synced(clock.now(), position))
+        keeper.health.allow_immediate_retry()
+        self._do(keeper.on_position_read(clock.now(), position))
         return True
 
     async def close(self) -> None:
         """Write what is left, for a bounded time, and say what could not be written."""
-        until = self._loop.time() + FLUSH
-        while self.keeper.busy and self._loop.time() < until:
+        until = self._loop.time() + FLUSH_TIMEOUT_S
+        while self.intents.has_pending_work and self._loop.time() < until:
             await asyncio.sleep(0.005)
         self._ending = True
-        left = self.keeper.unwritten
+        left = self.intents.unwritten_entries
         if left:
             log.say("store", f"{left} entries of the journal could not be written before the end")
         for timer in (self._gathering, self._ticking):
--- a/sabledyke/store/section.py
+++ b/sabledyke/store/section.py
@@ -17,12 +17,12 @@
 
 from sabledyke.errors import OperatorError
 from sabledyke.policy import interface as api
-from sabledyke.store.health import Limits
+from sabledyke.store.health import StoreLimits
 from sabledyke.toml_tables import Table, convert, from_file, parsed
 
-PASSWORD = "SABLEDYKE_STORE_PASSWORD"  # the record's, where no file is named
-KEPT_S = 3600  # seconds that a write is remembered: far longer than any client repeats it
-Tls = Literal["disable", "require", "verify-ca", "verify-full"]
+PASSWORD_VARIABLE = "SABLEDYKE_STORE_PASSWORD"  # the record's, where no file is named
+DEFAULT_RETENTION_S = 3600  # seconds that a write is remembered: far longer than any client repeats it
+TlsMode = Literal["disable", "require", "verify-ca", "verify-full"]
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,14 +35,14 @@
     database: str = ""
     user: str = ""
     password: str = field(default="", repr=False)
-    tls: Tls = "disable"
+    tls: TlsMode = "disable"
 
     def __str__(self) -> str:
         return self.path or f"postgresql://{self.user}@{self.host}:{self.port}/{self.database}"
 
 
 @dataclass(slots=True, frozen=True)
-class Box:
+class SqlNode:
     """A listed node that is a database; for PostgreSQL, discovery says at which address it listens."""
 
     node: api.NodeId
@@ -51,23 +51,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Section:
+class StoreSection:
     """What ``[store]`` says."""
 
     record: Target | None = None
-    limits: Limits = Limits()
-    kept: float = KEPT_S * 1000.0  # ms
-    boxes: tuple[Box, ...] = ()
+    limits: StoreLimits = StoreLimits()
+    retention_ms: float = DEFAULT_RETENTION_S * 1000.0  # ms
+    sql_nodes: tuple[SqlNode, ...] = ()
 
     def __str__(self) -> str:
-        boxes = f", {len(self.boxes)} boxes are databases" if self.boxes else ""
+        boxes = f", {len(self.sql_nodes)} boxes are databases" if self.sql_nodes else ""
         return f"{self.record or 'off'}{boxes}"
 
 
-PLAIN = Limits()
+DEFAULT_LIMITS = StoreLimits()
 
 
-class Where(Table, frozen=True, kw_only=True):
+class DatabaseTable(Table, frozen=True, kw_only=True):
     """Where a database is."""
 
     path: str = ""
@@ -75,26 +75,26 @@
     password_file: str = ""
 
 
-class BoxRow(Where, frozen=True, kw_only=True):
+class SqlNodeTable(DatabaseTable, frozen=True, kw_only=True):
     """A box that is a database."""
 
     host: str
-    password_variable: str = PASSWORD
+    password_variable: str = PASSWORD_VARIABLE
     connections: Annotated[int, Meta(ge=1, le=64)] = 4
 
 
-class StoreTable(Where, frozen=True, kw_only=True):
+class StoreTable(DatabaseTable, frozen=True, kw_only=True):
     """As the file has it."""
 
-    stall_ms: Annotated[float, Meta(gt=0, le=10_000)] = PLAIN.stall
-    give_up_ms: Annotated[float, Meta(gt=0, le=60_000)] = PLAIN.give_up
-    first_wait_ms: Annotated[float, Meta(gt=0, le=300)] = PLAIN.first_wait
-    longest_wait_ms: Annotated[float, Meta(gt=0, le=700)] = PLAIN.longest_wait
-    backlog: Annotated[int, Meta(ge=16, le=1_000_000)] = PLAIN.backlog
-    batch: Annotated[int, Meta(ge=1, le=4096)] = PLAIN.batch
-    gather_ms: Annotated[int, Meta(ge=0, le=100)] = int(PLAIN.gather)
-    keep_s: Annotated[int, Meta(ge=60, le=86_400 * 30)] = KEPT_S
-    box: tuple[BoxRow, ...] = ()
+    stall_ms: Annotated[float, Meta(gt=0, le=10_000)] = DEFAULT_LIMITS.stall_ms
+    give_up_ms: Annotated[float, Meta(gt=0, le=60_000)] = DEFAULT_LIMITS.give_up_ms
+    first_wait_ms: Annotated[float, Meta(gt=0, le=300)] = DEFAULT_LIMITS.first_wait_ms
+    longest_wait_ms: Annotated[float, Meta(gt=0, le=700)] = DEFAULT_LIMITS.longest_wait_ms
+    backlog: Annotated[int, Meta(ge=16, le=1_000_000)] = DEFAULT_LIMITS.backlog
+    batch: Annotated[int, Meta(ge=1, le=4096)] = DEFAULT_LIMITS.batch
+    gather_ms: Annotated[int, Meta(ge=0, le=100)] = int(DEFAULT_LIMITS.gather_ms)
+    keep_s: Annotated[int, Meta(ge=60, le=86_400 * 30)] = DEFAULT_RETENTION_S
+    box: tuple[SqlNodeTable, ...] = ()
 
     def __post_init__(self) -> None:
         if self.first_wait_ms > self.longest_wait_ms:
@@ -103,10 +103,10 @@
             raise ValueError("two box rows have the same host")
 
 
-def read(data: dict[str, Any], environ: Mapping[str, str]) -> Section | None:
+def read(data: dict[str, Any], environ: Mapping[str, str]) -> StoreSection | None:
     """The section, checked; None where it asks for nothing."""
     said = convert(data, StoreTable, "store")
-    limits = Limits(
+    limits = StoreLimits(
         said.stall_ms,
         said.give_up_ms,
         said.first_wait_ms,
@@ -115,19 +115,19 @@
         said.batch,
         float(said.gather_ms),
     )
-    record = _target(said, "store", environ.get(PASSWORD, ""))
+    record = _target(said, "store", environ.get(PASSWORD_VARIABLE, ""))
     boxes = tuple(_box(row, f"store.box[{i}]", environ) for i, row in enumerate(said.box))
-    return Section(record, limits, said.keep_s * 1000.0, boxes) if record or boxes else None
+    return StoreSection(record, limits, said.keep_s * 1000.0, boxes) if record or boxes else None
 
 
-def _box(row: BoxRow, where: str, environ: Mapping[str, str]) -> Box:
+def _box(row: SqlNodeTable, where: str, environ: Mapping[str, str]) -> SqlNode:
     target = _target(row, where, environ.get(row.password_variable, ""))
     if target is None:
         raise OperatorError(f"{where} names neither path nor url")
-    return Box(row.host.encode(), target, row.connections)
+    return SqlNode(row.host.encode(), target, row.connections)
 
 
-def _target(said: Where, where: str, password: str) -> Target | None:
+def _target(said: DatabaseTable, where: str, password: str) -> Target | None:
     path, url, file = said.path, said.url, said.password_file
     if path and url:
         raise OperatorError(f"{where} names both path and url")
@@ -139,16 +139,16 @@
     except ValueError:
         raise OperatorError(f"{where}.url cannot be read") from None
     if parts.password is not None:  # without repeating it
-        raise OperatorError(f"{where}.url holds a password: set password_file, or {PASSWORD}")
+        raise OperatorError(f"{where}.url holds a password: set password_file, or {PASSWORD_VARIABLE}")
     if parts.scheme not in ("postgresql", "postgres") or not parts.hostname or not parts.username:
         raise OperatorError(f"{where}.url must read postgresql://USER@HOST:PORT/DATABASE")
-    tls: Tls = "disable"
+    tls: TlsMode = "disable"
     if parts.query:
         key, _, mode = parts.query.partition("=")
-        if key != "sslmode" or mode not in get_args(Tls):
-            words = " or ".join(get_args(Tls))
+        if key != "sslmode" or mode not in get_args(TlsMode):
+            words = " or ".join(get_args(TlsMode))
             raise OperatorError(f"{where}.url may say sslmode={words}, and nothing else")
-        tls = cast(Tls, mode)
+        tls = cast(TlsMode, mode)
     if file:
         password = read_password(file)
     return Target(
@@ -179,10 +179,10 @@
     return line
 
 
-def load(path: str, environ: Mapping[str, str] = os.environ) -> Section:
+def load(path: str, environ: Mapping[str, str] = os.environ) -> StoreSection:
     """The section alone, from an operator's file: what the store's commands need, without the deployment."""
 
-    def store(text: str) -> Section | None:
+    def store(text: str) -> StoreSection | None:
         return read(parsed(text).get("store", {}), environ)
 
     section = from_file(path, store)
--- a/sabledyke/store/session.py
+++ b/sabledyke/store/session.py
@@ -17,13 +17,13 @@
 from typing import Any, Protocol, TypeVar
 
 from sabledyke.store import database_errors
-from sabledyke.store.database_errors import Kind, StoreFault
-from sabledyke.store.statements import for_sqlite
+from sabledyke.store.database_errors import DatabaseErrorKind, DatabaseError
+from sabledyke.store.statements import to_sqlite
 from sabledyke.store.types import Row, Step, Value
 
 T = TypeVar("T")
-CHECKPOINT = 4000  # pages of the log, 16 MB, after which a commit also moves them into the file
-BUSY = 0.1  # seconds that SQLite waits for another's lock; longer waits are the caller's decision
+CHECKPOINT_PAGES = 4000  # pages of the log, 16 MB, after which a commit also moves them into the file
+BUSY_TIMEOUT_S = 0.1  # seconds that SQLite waits for another's lock; longer waits are the caller's decision
 
 
 class Session(Protocol):
@@ -89,8 +89,8 @@
                 self._loop.call_soon_threadsafe(_settle, future, value, fault)
 
 
-def _told(fault: sqlite3.Error | StoreFault, committing: bool) -> StoreFault:
-    return fault if isinstance(fault, StoreFault) else database_errors.of_sqlite(fault, committing=committing)
+def _told(fault: sqlite3.Error | DatabaseError, committing: bool) -> DatabaseError:
+    return fault if isinstance(fault, DatabaseError) else database_errors.from_sqlite(fault, committing=committing)
 
 
 def _settle(future: asyncio.Future[Any], value: Any, fault: BaseException | None) -> None:
@@ -122,17 +122,17 @@
 
     def _open(self) -> None:
         if not self._create and not Path(self.path).exists():
-            raise StoreFault(Kind.LOST, "there is no such file")
+            raise DatabaseError(DatabaseErrorKind.LOST, "there is no such file")
         try:
-            db = sqlite3.connect(self.path, isolation_level=None, timeout=BUSY, check_same_thread=False)
+            db = sqlite3.connect(self.path, isolation_level=None, timeout=BUSY_TIMEOUT_S, check_same_thread=False)
             self._db = db
             db.execute("PRAGMA journal_mode = WAL").close()
             db.execute("PRAGMA synchronous = FULL").close()
-            db.execute(f"PRAGMA wal_autocheckpoint = {CHECKPOINT}").close()
+            db.execute(f"PRAGMA wal_autocheckpoint = {CHECKPOINT_PAGES}").close()
             db.execute("SELECT count(*) FROM sqlite_master").close()  # is it a database at all?
         except sqlite3.Error as fault:
             self.closed = True
-            raise database_errors.of_sqlite(fault) from None
+            raise database_errors.from_sqlite(fault) from None
 
     async def transact(
         self, steps: Sequence[Step], committing: Callable[[], None] = lambda: None
@@ -165,14 +165,14 @@
             try:
                 return what(self._db)
             except sqlite3.Error as fault:
-                raise database_errors.of_sqlite(fault) from None
+                raise database_errors.from_sqlite(fault) from None
 
         return await self._thread.call(go)
 
     def _text(self, sql: str) -> str:
         text = self._texts.get(sql)
         if text is None:
-            text = self._texts[sql] = for_sqlite(sql)
+            text = self._texts[sql] = to_sqlite(sql)
         return text
 
     def _transact(self, steps: Sequence[Step], tell: Callable[[], None]) -> list[list[Row]]:
@@ -198,11 +198,11 @@
                 # Guards against a commit after abort() has returned: it would run though it counts as not
                 # run.
                 if self.closed:
-                    raise StoreFault(Kind.LOST, "given up before its commit")
+                    raise DatabaseError(DatabaseErrorKind.LOST, "given up before its commit")
                 committing = True
                 tell()
             db.execute("COMMIT")
-        except (sqlite3.Error, StoreFault) as fault:
+        except (sqlite3.Error, DatabaseError) as fault:
             told = _told(fault, committing)
             if db.in_transaction:
                 with contextlib.suppress(sqlite3.Error):
@@ -215,7 +215,7 @@
         try:
             return self._db.execute(self._text(sql), values).fetchall()
         except sqlite3.Error as fault:
-            raise database_errors.of_sqlite(fault) from None
+            raise database_errors.from_sqlite(fault) from None
 
     def abort(self) -> None:
         """See ``Session``: what waits for a lock ends soon; what waits for the disk cannot be called off."""
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -23,21 +23,21 @@
 from sabledyke.policy.interface import Outcome
 from sabledyke.store import statements
 from sabledyke.store.connect import connect
-from sabledyke.store.database_errors import StoreFault
-from sabledyke.store.in_doubt import Doubt, Next, Verdict
-from sabledyke.store.section import Box, Target
+from sabledyke.store.database_errors import DatabaseError
+from sabledyke.store.in_doubt import InDoubtWrite, DoubtQuestion, DoubtResolution
+from sabledyke.store.section import SqlNode, Target
 from sabledyke.store.session import Session
-from sabledyke.store.types import Row, Step, name_of
+from sabledyke.store.types import Row, Step, write_name
 
-PATIENCE = 0.5  # part of an attempt's time that its COMMIT may take before it is looked up elsewhere
-FORGET_EVERY = 256  # writes between those that also drop keys which nobody repeats any more
+COMMIT_TIMEOUT_SHARE = 0.5  # part of an attempt's time that its COMMIT may take before it is looked up elsewhere
+FORGET_INTERVAL_WRITES = 256  # writes between those that also drop keys which nobody repeats any more
 IDLE_S = 60.0  # seconds that a session may rest
 
 
 class _SqlBox:
     """One database: its sessions, and how many there may be."""
 
-    def __init__(self, box: Box, target: Target, settings: api.Settings) -> None:
+    def __init__(self, box: SqlNode, target: Target, settings: api.Settings) -> None:
         self.box, self.target, self.settings = box, target, settings
         self.permits = asyncio.Semaphore(box.connections)
         self.left = False  # it is gone from the list
@@ -56,8 +56,8 @@
         session = await connect(self.target, connect_s=self.settings.connect_timeout / 1000)
         if not self._ready:
             try:
-                await session.script(statements.BOX)
-            except StoreFault:
+                await session.script(statements.NODE_TABLES)
+            except DatabaseError:
                 session.abort()
                 raise
             self._ready = True
@@ -114,7 +114,7 @@
     async def _take(self) -> Session:
         try:
             self._session = await self._box.take()
-        except StoreFault as fault:
+        except DatabaseError as fault:
             log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
             raise StreamClosedError from None
         return self._session
@@ -128,8 +128,8 @@
         session = await self._take()
         self.may_have_run = True
         try:
-            rows = await session.query(statements.GET_PIECE, f"{work.volume:016x}", f"{work.key:016x}")
-        except StoreFault as fault:
+            rows = await session.query(statements.SELECT_PIECE, f"{work.volume:016x}", f"{work.key:016x}")
+        except DatabaseError as fault:
             log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
             if session.closed:
                 raise StreamClosedError from None
@@ -144,10 +144,10 @@
 
     async def _write(self, work: Work, deadline: float) -> Ended:
         attempt = secrets.token_hex(12)
-        name = name_of(work) or f"-/{work.volume:x}/{work.ident}"
+        name = write_name(work) or f"-/{work.volume:x}/{work.ident}"
         steps = self._steps(work, name, attempt)
         session = await self._take()
-        patience = (deadline - clock.now()) * PATIENCE / 1000
+        patience = (deadline - clock.now()) * COMMIT_TIMEOUT_SHARE / 1000
         transaction = asyncio.ensure_future(self._watched(session, steps))
         try:
             async with asyncio.timeout(patience):
@@ -156,7 +156,7 @@
             session.abort()
             if not self.may_have_run:  # it stalled before COMMIT, and can never commit now
                 raise StreamClosedError from None
-        except StoreFault as fault:
+        except DatabaseError as fault:
             if not fault.uncertain:
                 self.may_have_run = False
                 log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
@@ -168,7 +168,7 @@
             return self._ended(results[2][0] if results[2] else None)
         finally:
             self._give()
-        return await self._resolve(Doubt(attempt, deadline), name)
+        return await self._resolve(InDoubtWrite(attempt, deadline), name)
 
     async def _watched(self, session: Session, steps: list[Step]) -> list[list[Row]]:
         """The transaction; what may have run is known as soon as its COMMIT is handed over."""
@@ -182,13 +182,13 @@
         now, volume, piece = int(clock.now()), f"{work.volume:016x}", f"{work.key:016x}"
         result = hashlib.sha256(work.body).hexdigest().encode()
         steps = [
-            Step(statements.CLAIM, [(name, attempt, now, result)]),
-            Step(statements.PUT_PIECE, [(volume, piece, work.body, name, attempt)]),
-            Step(statements.KEY, [(name,)]),
+            Step(statements.CLAIM_KEY, [(name, attempt, now, result)]),
+            Step(statements.UPSERT_PIECE, [(volume, piece, work.body, name, attempt)]),
+            Step(statements.SELECT_KEY, [(name,)]),
         ]
         self._box.writes += 1
-        if self._box.writes % FORGET_EVERY == 0:
-            steps.append(Step(statements.FORGET_KEYS, [(now - int(self._kept),)]))
+        if self._box.writes % FORGET_INTERVAL_WRITES == 0:
+            steps.append(Step(statements.DELETE_OLD_KEYS, [(now - int(self._kept),)]))
         return steps
 
     def _ended(self, row: Row | None) -> Ended:
@@ -198,42 +198,42 @@
         assert isinstance(row[2], bytes)
         return Ended(Outcome.OK, True, row[2])
 
-    async def _resolve(self, doubt: Doubt, name: str) -> Ended:
+    async def _resolve(self, doubt: InDoubtWrite, name: str) -> Ended:
         """Ask until the write is known to have run or not, or its time is over."""
-        while (question := doubt.next(clock.now())) is not Next.NOTHING:
+        while (question := doubt.next_question(clock.now())) is not DoubtQuestion.NOTHING:
             try:
-                async with asyncio.timeout((doubt.deadline - clock.now()) / 1000):
+                async with asyncio.timeout((doubt.deadline_ms - clock.now()) / 1000):
                     session = self._session = await self._box.take()
-                    if question is Next.FENCE:
+                    if question is DoubtQuestion.FENCE:
                         row = (name, doubt.attempt, int(clock.now()), b"")
-                        await session.transact([Step(statements.FENCE, [row])])
-                        doubt.fenced()
+                        await session.transact([Step(statements.FENCE_KEY, [row])])
+                        doubt.on_fence_committed()
                     else:
-                        rows = await session.query(statements.KEY, name)
+                        rows = await session.query(statements.SELECT_KEY, name)
                         if rows:
                             attempt, state, result = rows[0]
                             assert isinstance(result, bytes)
-                            doubt.found(str(attempt), str(state), result)
+                            doubt.on_key_found(str(attempt), str(state), result)
                         else:
-                            doubt.absent()
+                            doubt.on_key_absent()
             except TimeoutError:
                 if self._session is not None:
                     self._session.abort()
-                doubt.failed()
-            except StoreFault:
-                doubt.failed()
+                doubt.on_question_failed()
+            except DatabaseError:
+                doubt.on_question_failed()
                 await asyncio.sleep(0.01)
             finally:
                 self._give()
         log.say(
             "box",
-            f"{api.name_of(self._box.box.node)} lost a commit's answer: it {doubt.verdict.value}"
-            f" after {doubt.tries} questions",
+            f"{api.name_of(self._box.box.node)} lost a commit's answer: it {doubt.resolution.value}"
+            f" after {doubt.questions_asked} questions",
         )
-        match doubt.verdict:
-            case Verdict.SERVED:
+        match doubt.resolution:
+            case DoubtResolution.SERVED:
                 return Ended(Outcome.OK, True, doubt.result)
-            case Verdict.NEVER:
+            case DoubtResolution.NEVER:
                 self.may_have_run = False
                 return Ended(Outcome.REJECTED, False)
         return Ended(Outcome.RESET, True)
@@ -242,13 +242,13 @@
 class SqlDialer:
     """Opens such links."""
 
-    def __init__(self, settings: api.Settings, boxes: dict[api.NodeId, Box], kept: float) -> None:
-        self.settings, self.boxes, self._kept = settings, boxes, kept
+    def __init__(self, settings: api.Settings, boxes: dict[api.NodeId, SqlNode], kept: float) -> None:
+        self.settings, self.nodes, self._kept = settings, boxes, kept
         self._open: dict[api.NodeId, _SqlBox] = {}
 
     async def dial(self, node: api.NodeId, address: Address, patience: float) -> SqlLink:
         """See ``pool.Dial``."""
-        box = self.boxes[node]
+        box = self.nodes[node]
         target = box.target
         if not target.path:
             target = replace(target, host=address[0], port=address[1])
@@ -260,7 +260,7 @@
         known.settings = self.settings
         return SqlLink(known, self._kept)
 
-    def forget(self, node: api.NodeId) -> None:
+    def on_node_removed(self, node: api.NodeId) -> None:
         """The box is gone from the list: its sessions are closed, those in use after it."""
         known = self._open.pop(node, None)
         if known is not None:
--- a/sabledyke/store/types.py
+++ b/sabledyke/store/types.py
@@ -16,10 +16,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Sent:
+class SendRecord:
     """A write's first send that may have run: when, in Unix milliseconds, and where."""
 
-    at: float
+    sent_at_ms: float
     shard: int
     zone: int
 
@@ -34,11 +34,11 @@
     """A keyed write that is about to be sent; durable before it is."""
 
     name: str
-    sent: Sent
+    sent: SendRecord
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class JournalEntry:
     """A finished keyed write, as the receipt journal has it.
 
     ``at`` and ``began`` are Unix milliseconds, ``digest`` the SHA-256 of what was written, in hex.
@@ -47,39 +47,39 @@
     time, so that the client was told ``failed``.
     """
 
-    at: int
-    began: int
-    class_: str
+    completed_at_ms: int
+    began_at_ms: int
+    class_name: str
     volume: str
     key: str
     piece: str
     shard: int
-    box: str
+    node: str
     units: float
     digest: str
     outcome: str
 
 
 @dataclass(slots=True, frozen=True)
-class Position:
+class JournalPosition:
     """How far an instance has come: its life, batches written, the journal's last entry and its hash."""
 
-    life: int
-    batch: int = 0
-    seq: int = 0
-    head: str = ""
+    incarnation: int
+    batches: int = 0
+    last_sequence: int = 0
+    head_hash: str = ""
 
 
 @dataclass(slots=True, frozen=True)
-class Drift:
+class DriftFinding:
     """A box showed other data than the journal's last served write of a piece left there."""
 
-    at: int
+    found_at_ms: int
     volume: str
     piece: str
-    box: str
-    wanted: str
-    got: str
+    node: str
+    expected_digest: str
+    found_digest: str
 
 
 @dataclass(slots=True, frozen=True)
@@ -91,28 +91,28 @@
 
 
 @dataclass(slots=True)
-class Batch:
+class RecordBatch:
     """What goes into one transaction, from one position to the next."""
 
-    before: Position
-    after: Position
+    before: JournalPosition
+    after: JournalPosition
     intents: list[Intent] = field(default_factory=list)
-    entries: list[Entry] = field(default_factory=list)
+    entries: list[JournalEntry] = field(default_factory=list)
     hashes: list[str] = field(default_factory=list)
     settled: list[tuple[str, str]] = field(default_factory=list)  # name, state
-    drifts: list[Drift] = field(default_factory=list)
-    forget_before: float = 0.0  # writes sent before that are dropped, some at a time; 0 for none
+    drifts: list[DriftFinding] = field(default_factory=list)
+    forget_before_ms: float = 0.0  # writes sent before that are dropped, some at a time; 0 for none
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
+class RecordedWrite:
     """A write that the record has already, by another life or another scheduler."""
 
-    sent: Sent
+    first_send: SendRecord
     state: str
 
 
-def token_of(work: Work) -> str:
+def idempotency_token(work: Work) -> str:
     """A key as the record has it: as the client wrote it, or a digest of one that is long or odd.
 
     Guards against keys that no database takes as text, or that make rows of kilobytes.
@@ -123,6 +123,6 @@
     return "sha256:" + hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
 
 
-def name_of(work: Work) -> str:
+def write_name(work: Work) -> str:
     """What a keyed write is recorded by; empty for other work."""
-    return f"{work.class_}/{work.volume:x}/{token_of(work)}" if work.write and work.token else ""
+    return f"{work.class_}/{work.volume:x}/{idempotency_token(work)}" if work.write and work.token else ""
--- a/tests/compatibility/program/record.py
+++ b/tests/compatibility/program/record.py
@@ -10,7 +10,7 @@
 from sabledyke.store.connect import connect
 from sabledyke.store.section import Target
 from sabledyke.store.session import Session
-from sabledyke.store.types import Batch, Drift, Entry, Intent, Sent, Step
+from sabledyke.store.types import RecordBatch, DriftFinding, JournalEntry, Intent, SendRecord, Step
 from tests.compatibility.program.values import values
 
 
@@ -38,7 +38,7 @@
 
 async def begin_life(session: Session, instance: str) -> list[Any]:
     """Begin the next life of an instance: its number, its batches, the journal's last entry and its hash."""
-    return values(await startup.new_life(session, instance))
+    return values(await startup.begin_incarnation(session, instance))
 
 
 async def write_batch(
@@ -50,24 +50,24 @@
     drifts: Sequence[Sequence[Any]] = (),
 ) -> None:
     """Write one batch, all of whose values are given in the order of their columns."""
-    before, made = await startup.read_position(session, instance), [Entry(*entry) for entry in entries]
-    after, hashes = audit_journal.extend(before, instance, made)
-    sends = [Intent(name, Sent(*sent)) for name, sent in intents]
-    batch = Batch(before, after, sends, made, hashes, list(settled), [Drift(*drift) for drift in drifts])
-    results = await session.transact(statements.steps(batch, instance))
-    assert statements.taken(batch, results) == {name for name, _ in intents}
+    before, made = await startup.read_position(session, instance), [JournalEntry(*entry) for entry in entries]
+    after, hashes = audit_journal.extend_chain(before, instance, made)
+    sends = [Intent(name, SendRecord(*sent)) for name, sent in intents]
+    batch = RecordBatch(before, after, sends, made, hashes, list(settled), [DriftFinding(*drift) for drift in drifts])
+    results = await session.transact(statements.batch_steps(batch, instance))
+    assert statements.accepted_intents(batch, results) == {name for name, _ in intents}
 
 
 async def look_up(session: Session, name: str) -> Any:
     """A recorded write: when and where it was sent, and its state."""
-    (row,) = await session.query(statements.LOOK_UP, name)
-    sent, state = (statements.found(row).sent, statements.found(row).state)
+    (row,) = await session.query(statements.SELECT_WRITE, name)
+    sent, state = (statements.recorded_write(row).first_send, statements.recorded_write(row).state)
     return [values(sent), state]
 
 
 async def recent(session: Session) -> list[tuple[str, Any]]:
     """Writes that a start reads, newest first."""
-    return await startup.recent(session, 0.0)
+    return await startup.recent_writes(session, 0.0)
 
 
 async def migrate(path: str) -> str:
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -15,8 +15,8 @@
 from sabledyke.config import Config
 from sabledyke.protocol import discovery
 from sabledyke.store import section
-from sabledyke.store.extension import RecordPart
-from sabledyke.store.recording_transport import Recorder
+from sabledyke.store.extension import RecordExtension
+from sabledyke.store.recording_transport import RecordingTransport
 from tests.helpers import BRISK
 from tests.standins import Discovery, Service, ask, http, read_http
 from tests.standins.postgres import Postgres
@@ -25,7 +25,7 @@
 BACKENDS = ("sqlite", "postgresql")
 
 
-class KeyedBox(Service):
+class KeyedNode(Service):
     """Keeps pieces, drops repeats of a key, counts what took effect; ``fates`` say how each write ends."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
 
     def __init__(self, tmp_path: Path, backend: str, extra: str = "") -> None:
         self.backend, self.path, self._extra = backend, str(tmp_path / "record.sqlite3"), extra
-        self.boxes = [KeyedBox(), KeyedBox()]
+        self.nodes = [KeyedNode(), KeyedNode()]
         self.discovery = Discovery()
         self.postgres = Postgres(str(tmp_path / "pg.sqlite3"))
         self.server: Server
@@ -112,18 +112,18 @@
         return self.server
 
     @property
-    def recorder(self) -> Recorder:
+    def recording_transport(self) -> RecordingTransport:
         """The record's driver."""
         part = self.server.parts[0]
-        assert isinstance(part, RecordPart)
-        return part.recorder
+        assert isinstance(part, RecordExtension)
+        return part.recording_transport
 
     async def kill(self) -> None:
         """The server stops where it stands: nothing is answered, written or closed in good order."""
         while self.server.listeners:
             self.server.listeners.pop().close()
         self.server._turn = lambda: None  # type: ignore[method-assign]  # a dead process's guards do not fire
-        recorder = self.recorder
+        recorder = self.recording_transport
         recorder._ending = True
         if recorder._pump is not None:
             recorder._pump.cancel()
@@ -185,10 +185,10 @@
     invariants.broken.clear()
     log._limiter = log.Limiter()  # lines of other tests do not count
     async with asyncio.timeout(30):
-        for service in (*made.boxes, made.discovery):
+        for service in (*made.nodes, made.discovery):
             await service.open()
         await made.postgres.open()
-        for shard, box in enumerate(made.boxes):
+        for shard, box in enumerate(made.nodes):
             made.discovery.add(f"box-{shard}", box.port, shard)
         await made.live()
         try:
@@ -196,7 +196,7 @@
             if made.server.listeners:
                 await made.leave()
         finally:
-            for box in made.boxes:
+            for box in made.nodes:
                 box.die()
             made.discovery.die()
             await made.postgres.end()
--- a/tests/test_store_link.py
+++ b/tests/test_store_link.py
@@ -14,8 +14,8 @@
 from sabledyke.application.server import Server
 from sabledyke.config import Config
 from sabledyke.protocol import discovery
-from sabledyke.store.in_doubt import Doubt, Next, Verdict
-from sabledyke.store.section import Box, Section, Target
+from sabledyke.store.in_doubt import InDoubtWrite, DoubtQuestion, DoubtResolution
+from sabledyke.store.section import SqlNode, StoreSection, Target
 from tests.helpers import BRISK
 from tests.standins import Discovery, ask
 from tests.standins.postgres import Cut, Point, Postgres, fault_at, nothing
@@ -43,7 +43,7 @@
             target = Target(path=self.path)
         else:
             target = Target(host="elsewhere", database="d", user="sabledyke", password="secret")
-        store = Section(boxes=(Box(b"db", target, 3),))
+        store = StoreSection(sql_nodes=(SqlNode(b"db", target, 3),))
         known = discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
@@ -246,21 +246,21 @@
 
 
 def test_doubt_asks_until_it_is_known() -> None:
-    doubt = Doubt("a1", 1000)
-    assert doubt.next(0) is Next.LOOK_UP
-    doubt.absent()
-    assert doubt.next(0) is Next.FENCE  # absence proves nothing
-    doubt.fenced()
-    assert doubt.next(0) is Next.LOOK_UP
-    doubt.found("a1", "fenced", b"")
-    assert doubt.next(0) is Next.NOTHING and doubt.verdict is Verdict.NEVER
+    doubt = InDoubtWrite("a1", 1000)
+    assert doubt.next_question(0) is DoubtQuestion.LOOK_UP
+    doubt.on_key_absent()
+    assert doubt.next_question(0) is DoubtQuestion.FENCE  # absence proves nothing
+    doubt.on_fence_committed()
+    assert doubt.next_question(0) is DoubtQuestion.LOOK_UP
+    doubt.on_key_found("a1", "fenced", b"")
+    assert doubt.next_question(0) is DoubtQuestion.NOTHING and doubt.resolution is DoubtResolution.NEVER
     for state, attempt in (("done", "a0"), ("done", "a1")):
-        doubt = Doubt("a1", 1000)
-        doubt.found(attempt, state, b"r")
-        assert doubt.verdict is Verdict.SERVED and doubt.result == b"r"
-    doubt = Doubt("a1", 1000)
-    doubt.found("a0", "fenced", b"")  # an earlier attempt's fence says nothing of this one
-    assert doubt.next(0) is Next.FENCE and doubt.verdict is Verdict.MAY_HAVE_RUN
-    for _ in range(Doubt.MOST):
-        doubt.failed()
-    assert doubt.next(0) is Next.NOTHING and Doubt("a", 10).next(0) is Next.NOTHING
+        doubt = InDoubtWrite("a1", 1000)
+        doubt.on_key_found(attempt, state, b"r")
+        assert doubt.resolution is DoubtResolution.SERVED and doubt.result == b"r"
+    doubt = InDoubtWrite("a1", 1000)
+    doubt.on_key_found("a0", "fenced", b"")  # an earlier attempt's fence says nothing of this one
+    assert doubt.next_question(0) is DoubtQuestion.FENCE and doubt.resolution is DoubtResolution.MAY_HAVE_RUN
+    for _ in range(InDoubtWrite.MAX_QUESTIONS):
+        doubt.on_question_failed()
+    assert doubt.next_question(0) is DoubtQuestion.NOTHING and InDoubtWrite("a", 10).next_question(0) is DoubtQuestion.NOTHING
--- a/tests/test_store_record.py
+++ b/tests/test_store_record.py
@@ -54,20 +54,20 @@
 @pytest.mark.parametrize("backend", BACKENDS)
 def test_a_repeat_after_a_restart_keeps_to_window_and_cell(tmp_path: Path, backend: str) -> None:
     async def story(made: StoreRig) -> None:
-        made.boxes[0].fates = ["lost"] * 8
+        made.nodes[0].fates = ["lost"] * 8
         assert (await made.put("k"))[0] == 500
-        sent = made.boxes[0].sent["k"]
+        sent = made.nodes[0].sent["k"]
         await made.kill()
-        made.boxes[0].fates = []
+        made.nodes[0].fates = []
         await made.live()
-        assert (await made.put("k", shard=1))[0] == 500 and not made.boxes[1].sent  # another cell
-        assert (await made.put("k"))[0] == 200 and made.boxes[0].effects["k"] == 1
+        assert (await made.put("k", shard=1))[0] == 500 and not made.nodes[1].sent  # another cell
+        assert (await made.put("k"))[0] == 200 and made.nodes[0].effects["k"] == 1
         await made.kill()
         with sqlite3.connect(made.file) as db:
             db.execute("UPDATE writes SET at = at - 1500")
         await made.live()
         assert (await made.put("k"))[0] == 500  # past its window: not sent, though memory never held it
-        assert made.boxes[0].sent["k"] == sent + 1 and made.recorder.keeper.position.life == 3
+        assert made.nodes[0].sent["k"] == sent + 1 and made.recording_transport.intents.position.incarnation == 3
 
     play(tmp_path, backend, story)
 
@@ -97,13 +97,13 @@
         later = [await made.put(f"later{n}", piece=n) for n in range(5)]
         assert all(s == 503 and float(h["retry-after"]) > 0 for s, h, _ in later)
         assert all([(await made.get(n))[0] == 200 for n in range(5)])
-        assert not made.boxes[0].sent.keys() & {"first0", "later0"}  # nothing unrecorded was sent
+        assert not made.nodes[0].sent.keys() & {"first0", "later0"}  # nothing unrecorded was sent
         end.set()
         other.close()
         until = time.monotonic() + 5
         while (await made.put("after", piece=9))[0] != 200:
             assert time.monotonic() < until
-        assert made.recorder.keeper.health.stalls == 1 and made.recorder.keeper.health.fit
+        assert made.recording_transport.intents.health.stalls == 1 and made.recording_transport.intents.health.accepts_writes
 
     play(tmp_path, backend, story)
     said = capfd.readouterr().err
@@ -140,9 +140,9 @@
 @pytest.mark.parametrize("backend", BACKENDS)
 def test_a_served_write_that_cannot_be_journalled_is_answered_failed(tmp_path: Path, backend: str) -> None:
     async def story(made: StoreRig) -> None:
-        made.boxes[0].fates = ["hold"]
+        made.nodes[0].fates = ["hold"]
         one = asyncio.create_task(made.put("k", wait=2.0))
-        await made.boxes[0].held.wait()
+        await made.nodes[0].held.wait()
         end = asyncio.Event()
 
         async def script(point: Point) -> None:
@@ -153,8 +153,8 @@
         other = sqlite3.connect(made.file, isolation_level=None)
         if backend == "sqlite":
             other.execute("BEGIN IMMEDIATE")
-        made.boxes[0].go.set()
-        assert (await one)[0] == 500 and made.boxes[0].effects["k"] == 1
+        made.nodes[0].go.set()
+        assert (await one)[0] == 500 and made.nodes[0].effects["k"] == 1
         end.set()
         other.close()
         await made.leave()
@@ -184,7 +184,7 @@
             assert {s for s, _, _ in answers} == {200}
         served = {k for k, outcome in made.journal() if outcome == "served"}
         assert {f"k{n}" for n, (s, _, _) in enumerate(answers) if s == 200} <= served
-        assert all(n == 1 for n in made.boxes[0].sent.values())
+        assert all(n == 1 for n in made.nodes[0].sent.values())
 
     play(tmp_path, "postgresql", story)
 
@@ -218,7 +218,7 @@
                 await asyncio.sleep(chance.random() * 0.1)
 
         for life in range(3):
-            for box in made.boxes:
+            for box in made.nodes:
                 box.fates = [chance.choice(("ok", "ok", "lost", "cut")) for _ in range(12)]
             clients = [asyncio.create_task(client(life * 15 + n)) for n in range(15)]
             await asyncio.sleep(0.05 + chance.random() * 0.2)
@@ -234,7 +234,7 @@
             if not served:
                 await client(n)
         assert served
-        for box in made.boxes:
+        for box in made.nodes:
             assert all(n == 1 for n in box.effects.values())
         journalled = {k for k, outcome in made.journal() if outcome == "served"}
         assert served <= journalled
@@ -250,10 +250,10 @@
         assert (await made.put("a"))[0] == 200
         older = made.server
         newer = await made.live()  # a second start under the same name
-        assert made.recorder.keeper.position.life == 2
+        assert made.recording_transport.intents.position.incarnation == 2
         made.server = older
         status, _, _ = await made.put("late")
-        assert status == 503 and "late" not in made.boxes[0].sent
+        assert status == 503 and "late" not in made.nodes[0].sent
         assert (await made.get())[0] == 200  # reads go on
         made.server = newer
         assert (await made.put("b"))[0] == 200
@@ -284,7 +284,7 @@
             ("1/1/new", "sent"),
             ("1/1/old", "unknown"),
         ]
-        assert (await made.put("old"))[0] == 500 and not made.boxes[0].sent  # past its window
+        assert (await made.put("old"))[0] == 500 and not made.nodes[0].sent  # past its window
         assert (await made.put("never", shard=1))[0] == 200 and (await made.put("new"))[0] == 200
         assert made.rows("SELECT version FROM schema_version") == [(2,)]
 
@@ -297,8 +297,8 @@
     async def run() -> None:
         async with rig(tmp_path, "sqlite") as made:
             assert (await made.put("k", b"right", 5))[0] == 200 and await made.get(5) == (200, b"right")
-            path = next(iter(made.boxes[0].pieces))
-            made.boxes[0].pieces[path] = b"wrong"
+            path = next(iter(made.nodes[0].pieces))
+            made.nodes[0].pieces[path] = b"wrong"
             assert await made.get(5) == (200, b"wrong") and await made.get(5) == (200, b"wrong")
             await made.leave()
             said: list[str] = []
@@ -321,18 +321,18 @@
 ) -> None:
     async def story(made: StoreRig) -> None:
         assert (await made.put("before"))[0] == 200
-        session = made.recorder._session
+        session = made.recording_transport._session
         assert isinstance(session, SqliteSession)
-        made.boxes[0].fates = ["hold"]
+        made.nodes[0].fates = ["hold"]
         held = asyncio.create_task(made.put("held", piece=2))
-        await made.boxes[0].held.wait()
+        await made.nodes[0].held.wait()
         await session.run(lambda db: db.execute(f"PRAGMA {pragma}").close())
-        made.boxes[0].go.set()
+        made.nodes[0].go.set()
         assert (await held)[0] in (200, 500)  # a page may have had room for one more entry
         n = 0
         while (await made.put(f"k{n}", b"x" * 3000, n))[0] == 200:  # until the pages that are there are full
             n += 1
-        assert (await made.get())[0] == 200 and not made.recorder.keeper.takes()
+        assert (await made.get())[0] == 200 and not made.recording_transport.intents.accepts_writes()
         await session.run(lambda db: db.execute(f"PRAGMA {back}").close())
         until = time.monotonic() + 5
         while (await made.put("after", piece=9))[0] != 200:
--- a/tests/test_store_tools.py
+++ b/tests/test_store_tools.py
@@ -23,12 +23,12 @@
 from sabledyke.store import maintenance, section, startup, statements
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import StoreError
-from sabledyke.store.drift import DriftWatch
-from sabledyke.store.intent_manager import Keeper
+from sabledyke.store.drift import DriftDetector
+from sabledyke.store.intent_manager import IntentManager
 from sabledyke.store.section import Target
-from sabledyke.store.types import Sent, Step
+from sabledyke.store.types import SendRecord, Step
 from tests.standins.postgres import Postgres
-from tests.store_rig import BACKENDS, KeyedBox, StoreRig, rig
+from tests.store_rig import BACKENDS, KeyedNode, StoreRig, rig
 from tests.test_outside import ROOT, nested
 from tests.test_store_keeper import ENTRY, KEYED, LIMITS
 
@@ -183,14 +183,14 @@
     assert run("check")[0] == 2 and not (tmp_path / "none.sqlite3").exists()
 
 
-def read(text: str, environ: dict[str, str] | None = None) -> section.Section | None:
+def read(text: str, environ: dict[str, str] | None = None) -> section.StoreSection | None:
     return section.read(tomllib.loads(text), environ or {})
 
 
 def test_the_section_takes_either_backend_and_its_bounds(tmp_path: Path) -> None:
     assert read("") is None
     got = read('path = "a"\nbatch = 7\nstall_ms = 100')
-    assert got and got.record and got.record.path == "a" and (got.limits.batch, got.limits.stall) == (7, 100)
+    assert got and got.record and got.record.path == "a" and (got.limits.batch, got.limits.stall_ms) == (7, 100)
     secret = tmp_path / "secret"
     secret.write_text("hush\nmore\n")
     secret.chmod(0o600)
@@ -199,7 +199,7 @@
     assert (got.record.user, got.record.port, got.record.password) == ("u@x", 1, "hush")
     assert got.record.tls == "verify-full" and "hush" not in repr(got) + str(got)
     got = read('[[box]]\nhost = "a"\nurl = "postgresql://u@h"', {"SABLEDYKE_STORE_PASSWORD": "p"})
-    assert got is not None and got.record is None and got.boxes[0].target.password == "p"
+    assert got is not None and got.record is None and got.sql_nodes[0].target.password == "p"
 
 
 @pytest.mark.parametrize(
@@ -236,32 +236,32 @@
 
 
 def test_statements_read_alike_for_both_backends() -> None:
-    assert statements.for_sqlite(statements.POSITION).endswith("WHERE instance = ?1")
+    assert statements.to_sqlite(statements.SELECT_POSITION).endswith("WHERE instance = ?1")
     for name, sql in vars(statements).items():
         if name.isupper() and isinstance(sql, str):
-            assert "::" not in statements.for_sqlite(sql), name
+            assert "::" not in statements.to_sqlite(sql), name
 
 
 def test_drift_compares_only_what_is_certain() -> None:
-    watch, piece = DriftWatch(most=2), (1, 2)
-    watch.writing(piece)
-    assert not watch.wants(10, piece)
-    watch.written(5, piece, "a")
-    assert watch.read(20, 4, piece, "b", "box") is None  # asked before the write had ended
-    assert watch.read(20, 6, piece, "a", "box") is None and watch.compared == 1
-    watch.writing(piece)
-    watch.writing(piece)
-    watch.written(30, piece, "c")
-    watch.written(31, piece, "d")  # two at a time: the last to end is what is known
-    found = watch.read(40, 35, piece, "c", "box")
-    assert found is not None and (found.wanted, found.got) == ("d", "c")
-    assert watch.read(41, 36, piece, "c", "box") is None  # said once
-    watch.writing(piece)
-    watch.written(50, piece, None)
-    assert not watch.wants(60, piece)
+    watch, piece = DriftDetector(most=2), (1, 2)
+    watch.on_write_began(piece)
+    assert not watch.can_compare(10, piece)
+    watch.on_write_ended(5, piece, "a")
+    assert watch.compare(20, 4, piece, "b", "box") is None  # asked before the write had ended
+    assert watch.compare(20, 6, piece, "a", "box") is None and watch.compared == 1
+    watch.on_write_began(piece)
+    watch.on_write_began(piece)
+    watch.on_write_ended(30, piece, "c")
+    watch.on_write_ended(31, piece, "d")  # two at a time: the last to end is what is known
+    found = watch.compare(40, 35, piece, "c", "box")
+    assert found is not None and (found.expected_digest, found.found_digest) == ("d", "c")
+    assert watch.compare(41, 36, piece, "c", "box") is None  # said once
+    watch.on_write_began(piece)
+    watch.on_write_ended(50, piece, None)
+    assert not watch.can_compare(60, piece)
     for n in range(9):
-        watch.writing((1, n))
-        watch.written(n, (1, n), "x")
+        watch.on_write_began((1, n))
+        watch.on_write_ended(n, (1, n), "x")
     assert watch.size == 2
 
 
@@ -271,28 +271,28 @@
     async def run() -> tuple[int, int]:
         session = await connect(Target(path=str(tmp_path / "record.sqlite3")))
         await startup.migrate(session)
-        keeper, most, now = Keeper("n0", LIMITS, 1, 60_000), 0, 0.0
-        keeper.opened(await startup.new_life(session, "n0"), [], 0)
+        keeper, most, now = IntentManager("n0", LIMITS, 1, 60_000), 0, 0.0
+        keeper.on_opened(await startup.begin_incarnation(session, "n0"), [], 0)
         for n in range(3000):
             now += 50
             name = f"1/1/{n}"
-            keeper.attempt(now, (n, 0), name, Sent(now, 0, 0), now + 1000, KEYED)
+            keeper.on_attempt(now, (n, 0), name, SendRecord(now, 0, 0), now + 1000, KEYED)
             for _ in range(2):
                 batch = keeper.next_batch(now)
                 assert batch is not None
-                results = await session.transact(statements.steps(batch, "n0"))
-                keeper.committed(now, statements.taken(batch, results), {})
+                results = await session.transact(statements.batch_steps(batch, "n0"))
+                keeper.on_batch_committed(now, statements.accepted_intents(batch, results), {})
                 if not batch.entries:
-                    keeper.ended(name, may_have_run=True)
-                    keeper.finished(now, name, ENTRY, None)
+                    keeper.on_attempt_ended(name, may_have_run=True)
+                    keeper.on_write_completed(now, name, ENTRY, None)
             most = max(most, keeper.size)
-        rows = (await session.query(statements.COUNT["writes"]))[0][0]
+        rows = (await session.query(statements.COUNT_ROWS["writes"]))[0][0]
         await session.close()
         return most, int(rows)
 
     most, rows = asyncio.run(run())
     windows = (KEYED.repeat_window + KEYED.deadline) / 50
-    assert most < windows + 40 and rows < 60_000 / 50 + statements.SLICE
+    assert most < windows + 40 and rows < 60_000 / 50 + statements.FORGET_LIMIT_ROWS
 
 
 def test_a_start_reads_only_what_can_still_matter(tmp_path: Path) -> None:
@@ -301,11 +301,11 @@
         await startup.migrate(session)
         rows = [(f"1/1/{n}", float(n), 0, 0, "served" if n % 2 else "never", "n0", 1) for n in range(40_000)]
         for i in range(0, 40_000, 10_000):
-            await session.transact([Step(statements.PUT_WRITE, rows[i : i + 10_000])])
-        recent = await startup.recent(session, 39_900.0)
+            await session.transact([Step(statements.INSERT_WRITE, rows[i : i + 10_000])])
+        recent = await startup.recent_writes(session, 39_900.0)
         assert len(recent) == 50 and recent[0][0] == "1/1/39999"
-        assert len(await startup.recent(session, 0.0)) == startup.MOST_RECENT  # bounded, newest first
-        plan = await session.query("EXPLAIN QUERY PLAN " + statements.RECENT, 0.0, 1)
+        assert len(await startup.recent_writes(session, 0.0)) == startup.MAX_RECENT_WRITES  # bounded, newest first
+        plan = await session.query("EXPLAIN QUERY PLAN " + statements.SELECT_RECENT_WRITES, 0.0, 1)
         assert "writes_at" in str(plan)
         await session.close()
 
@@ -332,7 +332,7 @@
     path = tmp_path / "record.sqlite3"
     (tmp_path / "operator.toml").write_text(f'[store]\npath = "{path}"\nstall_ms = 9000\n')
 
-    async def start(box: KeyedBox) -> asyncio.subprocess.Process:
+    async def start(box: KeyedNode) -> asyncio.subprocess.Process:
         entry = {
             "host": "box-0",
             "dial": f"127.0.0.1:{box.port}",
@@ -390,7 +390,7 @@
             writer.close()
 
     async def run() -> None:
-        box = KeyedBox()
+        box = KeyedNode()
         await box.open()
         program = await start(box)
         box.fates = ["hold"]
@@ -438,16 +438,16 @@
         target = Target(host="127.0.0.1", port=server.port, database="d", user="sabledyke", password="secret")
         session = await connect(target)
         await startup.migrate(session)
-        keeper = Keeper("n0", LIMITS, 1, 1e9)
-        keeper.opened(await startup.new_life(session, "n0"), [], 0)
+        keeper = IntentManager("n0", LIMITS, 1, 1e9)
+        keeper.on_opened(await startup.begin_incarnation(session, "n0"), [], 0)
 
         async def write(count: int) -> None:
             for n in range(count):
-                keeper.finished(n, f"k{n}", ENTRY, None)
+                keeper.on_write_completed(n, f"k{n}", ENTRY, None)
                 batch = keeper.next_batch(n)
                 assert batch is not None
-                await session.transact(statements.steps(batch, "n0"))
-                keeper.committed(n, set(), {})
+                await session.transact(statements.batch_steps(batch, "n0"))
+                keeper.on_batch_committed(n, set(), {})
                 await asyncio.sleep(0)
 
         await write(20)
