--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -381,7 +381,7 @@
                 entry = JournalEntry(
                     i, i, "write", f"{1:016x}", f"{i:032x}", f"{i:016x}", 0, "box-0", 1.0, "0" * 64, "served"
                 )
-                keeper.on_write_completed(i, f"1/1/{i:032x}", entry, None)
+                keeper.on_write_completed(f"1/1/{i:032x}", entry, None)
             batch = keeper.next_batch(n)
             assert batch is not None
             await session.transact(statements.batch_steps(batch, "n0"))
--- a/sabledyke/cli/store.py
+++ b/sabledyke/cli/store.py
@@ -14,44 +14,57 @@
 COMMANDS = ("check", "migrate", "audit", "reconcile", "backup", "restore", "export")
 
 
-def main(said: Mapping[str, Any]) -> int:
-    """Run one of them: 0 where all is well, 1 where something was found, 2 where it could not be done."""
-    command = next(c for c in COMMANDS if said[c])
+def main(arguments: Mapping[str, Any]) -> int:
+    """Run one of the commands.
+
+    Args:
+        arguments: The command line, as docopt reads it.
+
+    Returns:
+        The exit code: 0 where all is well, 1 where something was found, 2 where it could not be done.
+    """
+    command = next(name for name in COMMANDS if arguments[name])
     try:
-        return 0 if asyncio.run(_run(command, said)) else 1
-    except (ConfigError, OSError) as fault:
-        print(f"sabledyke: {fault}", file=sys.stderr)
+        return 0 if asyncio.run(_run(command, arguments)) else 1
+    except (ConfigError, OSError) as error:
+        print(f"sabledyke: {error}", file=sys.stderr)
         return 2
 
 
-async def _run(command: str, said: Mapping[str, Any]) -> bool:
-    target = section.load(said["--operator"]).record
+async def _run(command: str, arguments: Mapping[str, Any]) -> bool:
+    target = section.load(arguments["--operator"]).record
     assert target is not None
     try:
-        match command:
-            case "check":
-                return await maintenance.check(target, print)
-            case "migrate":
-                return await maintenance.migrate(target, print)
-            case "audit":
-                return await maintenance.audit(target, print)
-            case "reconcile":
-                return await maintenance.reconcile(target, print)
-            case "backup":
-                return await maintenance.backup(target, said["FILE"], print)
-            case "restore":
-                return await maintenance.restore(target, said["FILE"], print)
-        return await _export(target, said)
-    except DatabaseError as fault:
-        raise ConfigError(f"store {target}: {fault}") from None
-
-
-async def _export(target: section.Target, said: Mapping[str, Any]) -> bool:
+        return await _run_on(target, command, arguments)
+    except DatabaseError as error:
+        raise ConfigError(f"store {target}: {error}") from error
+
+
+async def _run_on(target: section.Target, command: str, arguments: Mapping[str, Any]) -> bool:
+    match command:
+        case "check":
+            return await maintenance.check(target, print)
+        case "migrate":
+            return await maintenance.migrate(target, print)
+        case "audit":
+            return await maintenance.audit(target, print)
+        case "reconcile":
+            return await maintenance.reconcile(target, print)
+        case "backup":
+            return await maintenance.backup(target, arguments["FILE"], print)
+        case "restore":
+            return await maintenance.restore(target, arguments["FILE"], print)
+    return await _export(target, arguments)
+
+
+async def _export(target: section.Target, arguments: Mapping[str, Any]) -> bool:
+    since = arguments["--since"]
     try:
-        since = int(said["--since"] or 0)
-    except ValueError:
-        raise ConfigError(f"--since takes Unix milliseconds, not {said['--since']!r}") from None
-    if said["FILE"] == "-":
-        return await maintenance.export(target, sys.stdout.buffer, since, lambda _: None)
-    with open(said["FILE"], "xb") as file:  # never over another file
-        return await maintenance.export(target, file, since, print)
+        since_ms = int(since or 0)
+    except ValueError as error:
+        raise ConfigError(f"--since takes Unix milliseconds, not {since!r}") from error
+    path = arguments["FILE"]
+    if path == "-":
+        return await maintenance.export(target, sys.stdout.buffer, since_ms, lambda _: None)
+    with open(path, "xb") as file:  # never over another file
+        return await maintenance.export(target, file, since_ms, print)
--- a/sabledyke/store/__init__.py
+++ b/sabledyke/store/__init__.py
@@ -1,6 +1,8 @@
-"""The store of record: keyed writes' intents and receipts in SQLite or PostgreSQL, and a database as a box.
+"""The store of record: intents and receipts of keyed writes in SQLite or PostgreSQL, and databases as nodes.
 
-``docs/design/store.md`` weighs the options; ``docs/operators/store.md`` is for who runs it. Decisions
-(``keeper``, ``health``, ``doubt``, ``drift``, ``journal``) know no socket, file or clock; ``session``,
-``postgres``, ``recorder`` and ``sqllink`` do what they say; ``part`` is where all of it is set up.
+``docs/design/store.md`` weighs the options; ``docs/operators/store.md`` is for the operators. Decisions
+(``intent_manager`` with ``intent_table`` and ``journal_queue``, ``health``, ``in_doubt``, ``drift``,
+``audit_journal``) know no socket, file or clock; ``session``, ``postgres``, ``batch_writer``,
+``recording_transport`` and ``sql_link`` carry them out; ``extension`` is where all of it is set up, and
+``maintenance`` has the operators' commands.
 """
--- a/sabledyke/store/audit_journal.py
+++ b/sabledyke/store/audit_journal.py
@@ -1,109 +1,143 @@
-"""The receipt journal's chain: each entry's hash covers the one before, so that a change or a gap shows.
+"""The chain of the receipt journal: each entry's hash covers the one before, so that a change or a gap shows.
 
-Told: rows. Decides: whether they are what was once appended. SHA-256 over the previous hash and the entry as
-canonical JSON; the chain of an instance goes on over its lives. No I/O.
+SHA-256 over the previous hash and the entry as canonical JSON; the chain of an instance goes on over its
+incarnations. Decides whether rows are what was once appended. No I/O.
 """
 
 from __future__ import annotations
 
 import hashlib
 from dataclasses import dataclass, field
+from typing import ClassVar
 
 import orjson
 
 from sabledyke.store.types import JournalEntry, JournalPosition, Row
 
 
-def entry_hash(head: str, instance: str, seq: int, life: int, entry: JournalEntry) -> str:
-    """The hash of an entry, in hex, after the chain's ``head`` ('' for the first)."""
-    return _hash(
-        head,
-        [
-            instance,
-            seq,
-            life,
-            entry.completed_at_ms,
-            entry.began_at_ms,
-            entry.class_name,
-            entry.volume,
-            entry.key,
-            entry.piece,
-            entry.shard,
-            entry.node,
-            float(entry.units),
-            entry.digest,
-            entry.outcome,
-        ],
-    )
-
-
-def _hash(head: str, fields: list[object]) -> str:
-    return hashlib.sha256(head.encode() + orjson.dumps(fields)).hexdigest()
-
-
-def extend_chain(position: JournalPosition, instance: str, entries: list[JournalEntry]) -> tuple[JournalPosition, list[str]]:
-    """The position after one batch with these entries, and the entries' hashes."""
-    head, seq, hashes = position.head_hash, position.last_sequence, list[str]()
+def entry_hash(head_hash: str, instance: str, sequence: int, incarnation: int, entry: JournalEntry) -> str:
+    """Return the hash of an entry, in hex.
+
+    Args:
+        head_hash: The hash of the entry before, empty for the first.
+        instance: Whose journal it is.
+        sequence: The number of the entry, from 1.
+        incarnation: The incarnation that appended it.
+        entry: The entry.
+    """
+    fields = [
+        instance,
+        sequence,
+        incarnation,
+        entry.completed_at_ms,
+        entry.began_at_ms,
+        entry.class_name,
+        entry.volume,
+        entry.key,
+        entry.piece,
+        entry.shard,
+        entry.node,
+        float(entry.units),
+        entry.digest,
+        entry.outcome,
+    ]
+    return _hash(head_hash, fields)
+
+
+def extend_chain(
+    position: JournalPosition, instance: str, entries: list[JournalEntry]
+) -> tuple[JournalPosition, list[str]]:
+    """Return the position after one batch with these entries, and the entries' hashes."""
+    head_hash = position.head_hash
+    sequence = position.last_sequence
+    hashes: list[str] = []
     for entry in entries:
-        seq += 1
-        head = entry_hash(head, instance, seq, position.incarnation, entry)
-        hashes.append(head)
-    return JournalPosition(position.incarnation, position.batches + 1, seq, head), hashes
+        sequence += 1
+        head_hash = entry_hash(head_hash, instance, sequence, position.incarnation, entry)
+        hashes.append(head_hash)
+    after = JournalPosition(position.incarnation, position.batches + 1, sequence, head_hash)
+    return after, hashes
 
 
 @dataclass(slots=True)
 class ChainAudit:
-    """Walks one instance's journal in its order; ``faults`` names what is wrong, a bounded number of
-    times."""
+    """A walk through one instance's journal in its order.
+
+    Attributes:
+        instance: Whose journal it is.
+        last_sequence: The number of the last row that was read.
+        head_hash: Its hash, as the row has it.
+        incarnation: Its incarnation.
+        faults: What is wrong, for at most ``MAX_NAMED_FAULTS`` faults.
+        unnamed_faults: How many there are beyond those.
+        outcomes: How many entries there are of each outcome.
+    """
+
+    MAX_NAMED_FAULTS: ClassVar[int] = 20
 
     instance: str
     last_sequence: int = 0
     head_hash: str = ""
     incarnation: int = 0
     faults: list[str] = field(default_factory=list)
-    unnamed_faults: int = 0  # faults beyond those named
+    unnamed_faults: int = 0
     outcomes: dict[str, int] = field(default_factory=dict)
 
-    MAX_NAMED_FAULTS = 20
-
-    def _fault(self, text: str) -> None:
-        if len(self.faults) < self.MAX_NAMED_FAULTS:
-            self.faults.append(f"{self.instance}: {text}")
-        else:
-            self.unnamed_faults += 1
+    @property
+    def passed(self) -> bool:
+        """Whether no fault was found."""
+        return not self.faults
 
     def on_row(self, row: Row) -> None:
-        """One row of the journal, with the columns of ``JOURNAL_COLUMNS``."""
-        instance, seq, life, at, began, *rest, units, digest, outcome, told = row
-        assert isinstance(seq, int) and isinstance(life, int)
-        if seq != self.last_sequence + 1:
-            first, last = self.last_sequence + 1, seq - 1
-            some = f"entry {first} is" if first == last else f"entries {first} to {last} are"
-            self._fault(f"{some} missing")
-        if life < self.incarnation:
-            self._fault(f"entry {seq} is of life {life}, after one of life {self.incarnation}")
-        values = [instance, seq, life, at, began, *rest, _number(units), digest, outcome]
-        wanted = _hash(self.head_hash, values)
-        if wanted != told and seq == self.last_sequence + 1:
-            self._fault(f"entry {seq} was changed, or the one before it")
+        """Check one row of the journal, with the columns of ``statements.JOURNAL_COLUMNS``."""
+        instance, sequence, incarnation, *fields, units, digest, outcome, stored_hash = row
+        assert isinstance(sequence, int)
+        assert isinstance(incarnation, int)
+        if sequence != self.last_sequence + 1:
+            self._add_gap(sequence)
+        if incarnation < self.incarnation:
+            self._add_fault(
+                f"entry {sequence} is of life {incarnation}, after one of life {self.incarnation}"
+            )
+        expected_hash = _hash(
+            self.head_hash,
+            [instance, sequence, incarnation, *fields, _as_float(units), digest, outcome],
+        )
+        if expected_hash != stored_hash and sequence == self.last_sequence + 1:
+            self._add_fault(f"entry {sequence} was changed, or the one before it")
         # Goes on from what the row says: one changed entry is one fault, not a fault of all that follow.
-        self.last_sequence, self.head_hash, self.incarnation = seq, str(told), life
+        self.last_sequence = sequence
+        self.head_hash = str(stored_hash)
+        self.incarnation = incarnation
         self.outcomes[str(outcome)] = self.outcomes.get(str(outcome), 0) + 1
 
     def on_end(self, position: JournalPosition) -> None:
-        """After the last row: where the instance itself says that its journal ends."""
-        if self.last_sequence < position.last_sequence:
-            self._fault(f"entries {self.last_sequence + 1} to {position.last_sequence} are missing at the end")
-        elif self.last_sequence > position.last_sequence:
-            self._fault(f"entries {position.last_sequence + 1} to {self.last_sequence} were appended by no batch")
+        """Check, after the last row, that the journal ends where the instance says it does."""
+        last = position.last_sequence
+        if self.last_sequence < last:
+            self._add_fault(f"entries {self.last_sequence + 1} to {last} are missing at the end")
+        elif self.last_sequence > last:
+            self._add_fault(f"entries {last + 1} to {self.last_sequence} were appended by no batch")
         elif self.head_hash != position.head_hash:
-            self._fault(f"the last entry, {self.last_sequence}, is not the one that was appended")
+            self._add_fault(f"the last entry, {self.last_sequence}, is not the one that was appended")
 
-    @property
-    def passed(self) -> bool:
-        """Nothing was found."""
-        return not self.faults
+    def _add_gap(self, sequence: int) -> None:
+        first = self.last_sequence + 1
+        last = sequence - 1
+        missing = f"entry {first} is" if first == last else f"entries {first} to {last} are"
+        self._add_fault(f"{missing} missing")
+
+    def _add_fault(self, text: str) -> None:
+        if len(self.faults) < self.MAX_NAMED_FAULTS:
+            self.faults.append(f"{self.instance}: {text}")
+        else:
+            self.unnamed_faults += 1
+
+
+def _hash(head_hash: str, fields: list[object]) -> str:
+    return hashlib.sha256(head_hash.encode() + orjson.dumps(fields)).hexdigest()
 
 
-def _number(value: object) -> object:
+def _as_float(value: object) -> object:
+    """Return units as the chain hashes them: SQLite gives a whole number back as an integer."""
     return float(value) if isinstance(value, int) else value
--- a/sabledyke/store/database_errors.py
+++ b/sabledyke/store/database_errors.py
@@ -1,7 +1,7 @@
-"""What can go wrong with a database, in the store's few terms; SQLSTATEs and SQLite codes as published.
+"""What can go wrong with a database, in the store's few terms.
 
-Told: a driver's error, by its code. Decides: its kind, and whether a transaction may have taken effect all
-the same. PostgreSQL: appendix A of its manual; SQLite: its page of result codes.
+SQLSTATEs are those of appendix A of PostgreSQL's manual, SQLite's codes those of its page of result codes.
+Decides of what kind a driver's error is, and whether a transaction may have taken effect all the same.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class DatabaseErrorKind(Enum):
-    """What a fault means to who runs the store."""
+    """What an error means to the operators of the store."""
 
     STALL = "does not answer in time"
     LOST = "cannot be reached"
@@ -30,23 +30,32 @@
     UNEXPECTED = "reports an error"
 
 
-TRANSIENT_KINDS = (DatabaseErrorKind.STALL, DatabaseErrorKind.CONFLICT, DatabaseErrorKind.TOO_MANY_CONNECTIONS, DatabaseErrorKind.SHUTTING_DOWN)  # asked again a moment later it may do
+TRANSIENT_KINDS = (  # the same request may succeed a moment later
+    DatabaseErrorKind.STALL,
+    DatabaseErrorKind.CONFLICT,
+    DatabaseErrorKind.TOO_MANY_CONNECTIONS,
+    DatabaseErrorKind.SHUTTING_DOWN,
+)
 
 
 class DatabaseError(Fault):
     """A transaction or query did not succeed.
 
-    ``uncertain``: its COMMIT was under way and nothing tells whether it took effect.
+    Attributes:
+        kind: What the error means.
+        uncertain: The transaction's COMMIT was under way, and nothing tells whether it took effect.
     """
 
-    code, remedy = "store", "look at the database; store check says whether it is sound"
+    code = "store"
+    remedy = "look at the database; store check says whether it is sound"
 
     def __init__(self, kind: DatabaseErrorKind, text: str = "", *, uncertain: bool = False) -> None:
         super().__init__(f"{kind.value}: {text}" if text else kind.value)
-        self.kind, self.uncertain = kind, uncertain
+        self.kind = kind
+        self.uncertain = uncertain
 
 
-_STATES = {
+_KIND_BY_SQLSTATE = {
     "40001": DatabaseErrorKind.CONFLICT,
     "40P01": DatabaseErrorKind.CONFLICT,
     "53300": DatabaseErrorKind.TOO_MANY_CONNECTIONS,
@@ -67,7 +76,7 @@
     "42P01": DatabaseErrorKind.SCHEMA,
     "42703": DatabaseErrorKind.SCHEMA,
 }
-_CODES = {
+_KIND_BY_SQLITE_CODE = {
     sqlite3.SQLITE_BUSY: DatabaseErrorKind.STALL,
     sqlite3.SQLITE_LOCKED: DatabaseErrorKind.STALL,
     sqlite3.SQLITE_INTERRUPT: DatabaseErrorKind.STALL,
@@ -81,21 +90,30 @@
 }
 
 
+_CONNECTION_EXCEPTION = "08"  # the class of SQLSTATEs for connections that end
+_PRIMARY_CODE_MASK = 0xFF  # of SQLite's extended result codes
+
+
 def from_sqlstate(sqlstate: str, text: str) -> DatabaseError:
-    """A PostgreSQL server's word: whatever it reports has not taken effect.
+    """Return a PostgreSQL server's error; whatever it reports has not taken effect.
 
-    But for 08 and 57P: a connection that ends may end in the middle of a commit, which the caller knows.
+    Except for 08 and 57P: a connection that ends may end in the middle of a commit, which the caller knows.
     """
-    kind = DatabaseErrorKind.LOST if sqlstate.startswith("08") else _STATES.get(sqlstate, DatabaseErrorKind.UNEXPECTED)
+    if sqlstate.startswith(_CONNECTION_EXCEPTION):
+        kind = DatabaseErrorKind.LOST
+    else:
+        kind = _KIND_BY_SQLSTATE.get(sqlstate, DatabaseErrorKind.UNEXPECTED)
     return DatabaseError(kind, f"{text} ({sqlstate})")
 
 
-def from_sqlite(fault: sqlite3.Error, *, committing: bool = False) -> DatabaseError:
-    """SQLite's word; only an I/O error while committing leaves it open whether it took effect."""
-    code = getattr(fault, "sqlite_errorcode", 0) or 0
+def from_sqlite(error: sqlite3.Error, *, committing: bool = False) -> DatabaseError:
+    """Return SQLite's error; only an I/O error while committing leaves it open whether it took effect."""
+    code = getattr(error, "sqlite_errorcode", 0) or 0
     if code == sqlite3.SQLITE_CONSTRAINT_CHECK:
-        return DatabaseError(DatabaseErrorKind.FENCED, str(fault))
-    kind = _CODES.get(code & 0xFF, DatabaseErrorKind.UNEXPECTED)
-    if isinstance(fault, sqlite3.OperationalError) and "no such" in str(fault):
+        return DatabaseError(DatabaseErrorKind.FENCED, str(error))
+    primary_code = code & _PRIMARY_CODE_MASK
+    kind = _KIND_BY_SQLITE_CODE.get(primary_code, DatabaseErrorKind.UNEXPECTED)
+    if isinstance(error, sqlite3.OperationalError) and "no such" in str(error):
         kind = DatabaseErrorKind.SCHEMA
-    return DatabaseError(kind, str(fault), uncertain=committing and code & 0xFF == sqlite3.SQLITE_IOERR)
+    uncertain = committing and primary_code == sqlite3.SQLITE_IOERR
+    return DatabaseError(kind, str(error), uncertain=uncertain)
--- a/sabledyke/store/drift.py
+++ b/sabledyke/store/drift.py
@@ -1,9 +1,10 @@
-"""Whether boxes still hold what the journal says was written there, by what their ordinary answers show.
+"""Whether nodes still hold what the journal says was written there, by what their ordinary answers show.
 
-Told: writes as they begin and end, and the answers to reads. Decides: whether an answer shows other data than
-the last served write left. No box is probed: what nobody reads is not compared. Digests are SHA-256 in hex.
+Decides whether an answer shows other data than the last served write left. No node is probed: what nobody
+reads is not compared. Digests are SHA-256 in hex, times Unix milliseconds.
 
-Bounds: ``MOST`` pieces known, the one used longest ago goes first; ``_open`` holds writes in work.
+Bounds: at most ``MAX_KNOWN_PIECES`` pieces are known, the one used longest ago is evicted first;
+``_open_writes`` holds the writes that are open.
 """
 
 from __future__ import annotations
@@ -18,47 +19,63 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Known:
+class _KnownPiece:
     digest: str
-    at: float
+    written_at_ms: float
 
 
 class DriftDetector:
-    """What is known to stand where; a piece of which anything is uncertain is not known."""
+    """What is known to stand where; a piece of which anything is uncertain is not known.
 
-    def __init__(self, most: int = MAX_KNOWN_PIECES) -> None:
-        self._most = most
-        self._known: OrderedDict[Piece, _Known] = OrderedDict()
-        self._open: dict[Piece, int] = {}
-        self.compared = self.differed = 0
+    Attributes:
+        compared: How many answers were compared.
+        differed: How many of these showed other data.
+    """
+
+    def __init__(self, max_known_pieces: int = MAX_KNOWN_PIECES) -> None:
+        self.compared = 0
+        self.differed = 0
+        self._max_known_pieces = max_known_pieces
+        self._known: OrderedDict[Piece, _KnownPiece] = OrderedDict()
+        self._open_writes: dict[Piece, int] = {}
 
     def on_write_began(self, piece: Piece) -> None:
-        """A write of it was taken: until it ends, answers may show either."""
+        """Note that a write of a piece was accepted: until it ends, answers may show either."""
         self._known.pop(piece, None)
-        self._open[piece] = self._open.get(piece, 0) + 1
+        self._open_writes[piece] = self._open_writes.get(piece, 0) + 1
 
-    def on_write_ended(self, now: float, piece: Piece, digest: str | None) -> None:
-        """A write ended: served with this digest, or None where it may or may not have run."""
-        left = self._open.get(piece, 1) - 1
-        if left:
-            self._open[piece] = left
+    def on_write_ended(self, now_ms: float, piece: Piece, digest: str | None) -> None:
+        """Note that a write ended: served with this digest, or None where it may or may not have run."""
+        others = self._open_writes.get(piece, 1) - 1
+        if others:
+            self._open_writes[piece] = others
         else:
-            self._open.pop(piece, None)
+            self._open_writes.pop(piece, None)
         self._known.pop(piece, None)
-        if digest is None or left:
+        if digest is None or others:
             return  # of two writes at a time nobody knows which was last
-        self._known[piece] = _Known(digest, now)
-        if len(self._known) > self._most:
+        self._known[piece] = _KnownPiece(digest, now_ms)
+        if len(self._known) > self._max_known_pieces:
             self._known.popitem(last=False)
 
-    def can_compare(self, asked: float, piece: Piece) -> bool:
-        """Whether the answer to a read that was asked then can be compared."""
+    def can_compare(self, requested_at_ms: float, piece: Piece) -> bool:
+        """Whether the answer to a read that was requested then can be compared."""
         known = self._known.get(piece)
-        return known is not None and known.at < asked
-
-    def compare(self, now: float, asked: float, piece: Piece, digest: str, box: str) -> DriftFinding | None:
-        """An answer to a read; what differs, said once for each write."""
-        if not self.can_compare(asked, piece):
+        return known is not None and known.written_at_ms < requested_at_ms
+
+    def compare(
+        self, now_ms: float, requested_at_ms: float, piece: Piece, digest: str, node: str
+    ) -> DriftFinding | None:
+        """Compare an answer to a read; return what differs, once for each write.
+
+        Args:
+            now_ms: The time.
+            requested_at_ms: When the read was requested.
+            piece: What was read.
+            digest: The digest of what was read.
+            node: The name of the node that answered.
+        """
+        if not self.can_compare(requested_at_ms, piece):
             return None
         known = self._known[piece]
         self._known.move_to_end(piece)
@@ -67,9 +84,10 @@
             return None
         self.differed += 1
         del self._known[piece]
-        return DriftFinding(int(now), f"{piece[0]:016x}", f"{piece[1]:016x}", box, known.digest, digest)
+        volume, offset = piece
+        return DriftFinding(int(now_ms), f"{volume:016x}", f"{offset:016x}", node, known.digest, digest)
 
     @property
     def size(self) -> int:
         """Entries in all tables."""
-        return len(self._known) + len(self._open)
+        return len(self._known) + len(self._open_writes)
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -1,4 +1,4 @@
-"""Where the store is set up: the record's transport, and the links to boxes that are databases."""
+"""Where the store is set up: the record's transport, and the links to nodes that are databases."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from sabledyke.net.connection_pool import Dial, Report
 from sabledyke.policy import interface as api
 from sabledyke.store.connect import connect
-from sabledyke.store.database_errors import StoreError, DatabaseError
+from sabledyke.store.database_errors import DatabaseError, StoreError
 from sabledyke.store.intent_manager import IntentManager
 from sabledyke.store.recording_transport import RecordingTransport
 from sabledyke.store.section import StoreSection
@@ -23,88 +23,98 @@
     from sabledyke.operator_config import Operator
 
 
+def set_up(host: Host, section: Operator) -> Part | None:
+    """Return the record, where the operator's file asks for it."""
+    store = section.store
+    return RecordExtension(host, store) if store is not None and store.record is not None else None
+
+
+def set_up_boxes(host: Host, section: Operator) -> Part | None:
+    """Return the links to databases, where the operator's file marks nodes as such."""
+    store = section.store
+    return SqlExtension(host, store) if store is not None and store.sql_nodes else None
+
+
 class RecordExtension(Part):
-    """The record of sends and the receipt journal."""
+    """The record of sends and the receipt journal.
+
+    Attributes:
+        recording_transport: The driver of the record.
+    """
 
     def __init__(self, host: Host, section: StoreSection) -> None:
-        assert section.record is not None
-        self._target, config = section.record, host.config
-        keeper = IntentManager(config.name, section.limits, config.seed, section.retention_ms)
-        target = self._target
+        target = section.record
+        assert target is not None
+        config = host.config
+        intents = IntentManager(config.name, section.limits, config.seed, section.retention_ms)
 
-        async def opener(seconds: float) -> Session:
-            return await connect(target, connect_s=seconds)
+        async def open_session(timeout_s: float) -> Session:
+            return await connect(target, connect_s=timeout_s)
 
-        self.recording_transport = RecordingTransport(keeper, opener, config.settings, host.entry)
+        self.recording_transport = RecordingTransport(intents, open_session, config.settings, host.entry)
+        self._target = target
 
     def reports(self, onward: Report) -> Report:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         self.recording_transport.report = onward
         return self.recording_transport.on_attempt_ended
 
     def transport(self, inner: Transport) -> Transport:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         self.recording_transport.inner = inner
         return self.recording_transport
 
     def submit(self, work: Work, done: Done, onward: Submit) -> int:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         return self.recording_transport.submit(work, done, onward)
 
     def departed(self, rid: int) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         self.recording_transport.on_client_departed(rid)
 
     async def open(self) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         try:
             await self.recording_transport.open()
-        except DatabaseError as fault:
-            raise StoreError(f"store {self._target}: {fault}") from None
+        except DatabaseError as error:
+            raise StoreError(f"store {self._target}: {error}") from error
         position = self.recording_transport.intents.position
         entries = f"{position.last_sequence} entries in the journal"
-        log.say("store", f"{self._target} is open; life {position.incarnation}, {entries}")
+        log.say("store", f"{self._target} is open; incarnation {position.incarnation}, {entries}")
 
     def adopt(self, config: Config) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         self.recording_transport.settings = config.settings
 
     async def close(self) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         await self.recording_transport.close()
 
 
 class SqlExtension(Part):
-    """Boxes that are databases."""
+    """Nodes that are databases.
+
+    Attributes:
+        dialer: What opens the links to them.
+    """
 
     def __init__(self, host: Host, section: StoreSection) -> None:
-        self.dialer = SqlDialer(host.config.settings, {b.node: b for b in section.sql_nodes}, section.retention_ms)
+        nodes = {sql_node.node: sql_node for sql_node in section.sql_nodes}
+        self.dialer = SqlDialer(host.config.settings, nodes, section.retention_ms)
 
     def dialers(self) -> dict[api.NodeId, Dial]:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         return dict.fromkeys(self.dialer.nodes, self.dialer.dial)
 
     def adopt(self, config: Config) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         self.dialer.settings = config.settings
 
     def listed(self, gone: Iterable[api.NodeId]) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         for node in gone:
             self.dialer.on_node_removed(node)
 
     async def close(self) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         self.dialer.close()
-
-
-def set_up(host: Host, section: Operator) -> Part | None:
-    """The record, where the operator's file asks for it."""
-    store = section.store
-    return RecordExtension(host, store) if store is not None and store.record is not None else None
-
-
-def set_up_boxes(host: Host, section: Operator) -> Part | None:
-    """The links to databases, where the operator's file marks boxes as such."""
-    store = section.store
-    return SqlExtension(host, store) if store is not None and store.sql_nodes else None
--- a/sabledyke/store/in_doubt.py
+++ b/sabledyke/store/in_doubt.py
@@ -1,11 +1,11 @@
-"""A write whose COMMIT's answer did not come: what to ask next, and what may be said of it in the end.
+"""A write whose COMMIT was not answered: what to ask the database next, and what is known in the end.
 
-Told: what the database answered about the key. Decides: the next question, and the verdict. Absence proves
-nothing while the old transaction may still commit; only once the key is fenced, in a row that the old
-transaction would have to hold, is the write known not to have run. Never knows a connection or a clock.
+Absence of the key proves nothing while the old transaction may still commit; only once the key is fenced, in
+a row that the old transaction would have to hold, is the write known not to have run. Knows neither a
+connection nor a clock.
 
-Why a unique row rather than the server's word on the transaction (``pg_xact_status``): it is the same for
-both backends, needs no transaction id to have come back before the cut, and it waits by itself for a
+Why a unique row rather than the server's own report on the transaction (``pg_xact_status``): it is the same
+for both backends, needs no transaction id to have come back before the cut, and it waits by itself for a
 transaction that still holds the row (PostgreSQL's manual, 64.5, "Index Uniqueness Checks").
 """
 
@@ -13,8 +13,9 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import ClassVar
 
-MIN_REMAINING_MS = 20.0  # ms left below which no further question is worth asking
+MIN_REMAINING_MS = 20.0  # with less time than that, no further question is useful
 
 
 class DoubtQuestion(Enum):
@@ -35,45 +36,62 @@
 
 @dataclass(slots=True)
 class InDoubtWrite:
-    """One write in doubt, until ``deadline`` (ms, on the clock that ``next`` is called with)."""
+    """One write in doubt.
+
+    Attributes:
+        attempt: The attempt whose COMMIT was not answered.
+        deadline_ms: Until when to ask, on the clock that ``next_question`` is called with.
+        resolution: What is known so far.
+        result: The first result, where the write was served.
+        questions_asked: How many questions were asked, answered or not.
+    """
+
+    MAX_QUESTIONS: ClassVar[int] = 6
 
     attempt: str
     deadline_ms: float
     resolution: DoubtResolution = DoubtResolution.MAY_HAVE_RUN
     result: bytes = b""
-    _fenced: bool = False
-    _decided: bool = False
     questions_asked: int = 0
+    _fenced: bool = False
+    _resolved: bool = False
 
-    MAX_QUESTIONS = 6  # questions that fail before it is left in doubt
-
-    def next_question(self, now: float) -> DoubtQuestion:
-        """The next question."""
-        if self._decided or self.questions_asked >= self.MAX_QUESTIONS or self.deadline_ms - now < MIN_REMAINING_MS:
+    def next_question(self, now_ms: float) -> DoubtQuestion:
+        """Return the next question."""
+        if self._resolved or self.questions_asked >= self.MAX_QUESTIONS:
+            return DoubtQuestion.NOTHING
+        if self.deadline_ms - now_ms < MIN_REMAINING_MS:
             return DoubtQuestion.NOTHING
-        return DoubtQuestion.LOOK_UP if self._fenced or not self.questions_asked else DoubtQuestion.FENCE
+        if self._fenced or not self.questions_asked:
+            return DoubtQuestion.LOOK_UP
+        return DoubtQuestion.FENCE
 
     def on_key_found(self, attempt: str, state: str, result: bytes) -> None:
-        """The key is there: done by whoever was first, or fenced."""
+        """Note that the key is there: done by whichever attempt was first, or fenced."""
         self.questions_asked += 1
         if state == "done":
-            self._decided, self.resolution, self.result = True, DoubtResolution.SERVED, result
+            self._resolve(DoubtResolution.SERVED)
+            self.result = result
         elif self._fenced and attempt == self.attempt:
-            # Our fence took the row after whatever held it had ended, and it is not done.
-            self._decided, self.resolution = True, DoubtResolution.NEVER
+            # Our fence got the row after whatever held it had ended, and it is not done.
+            self._resolve(DoubtResolution.NEVER)
         else:  # another attempt's fence, or ours has not been made yet
             self._fenced = False
 
     def on_key_absent(self) -> None:
-        """The key is not there: which proves nothing by itself."""
+        """Note that the key is not there, which proves nothing by itself."""
         self.questions_asked += 1
         self._fenced = False
 
     def on_fence_committed(self) -> None:
-        """The fence was committed, or found the row taken: a further look tells."""
+        """Note that the fence was committed, or found the row present; a further look-up tells which."""
         self.questions_asked += 1
         self._fenced = True
 
     def on_question_failed(self) -> None:
-        """The question was not answered."""
+        """Note that the question was not answered."""
         self.questions_asked += 1
+
+    def _resolve(self, resolution: DoubtResolution) -> None:
+        self._resolved = True
+        self.resolution = resolution
--- a/sabledyke/store/intent_manager.py
+++ b/sabledyke/store/intent_manager.py
@@ -1,454 +1,317 @@
-"""What is recorded, when, and what may be sent: every decision of the record of sends and the receipt
-journal.
+"""The decisions of the record of sends and of the receipt journal, for one instance.
 
-Told: attempts and their ends, finished writes, how batches fared, and that time passes; clock and seed are
-passed in. Decides: what goes into the next transaction; which attempts go out, wait, are moot or blocked;
-which served answers may be passed on. Never knows a database, a socket or the module. Each call returns the
-effects that a driver carries out.
+Decides what goes into the next transaction, which attempts are sent, wait, expire or are blocked, and which
+served answers may be passed on. Each call returns the effects that the driver (``recording_transport``)
+carries out. Knows neither a database, a socket nor the scheduler; the time, in Unix milliseconds, and the
+seed are passed in.
 
-Bounds: ``_waiting`` and ``_asking`` hold attempts that are out in the core; ``_entries`` at most ``backlog``
-before nothing is taken any more, and never more beyond that than there are open requests; ``_writes`` are
-forgotten with their last attempt and ``until``; ``_drifts`` holds at most ``DRIFTS``.
+Owns the position, the batch in flight and the findings of drift (at most ``MAX_PENDING_DRIFTS``);
+``IntentTable`` owns the writes and their attempts, ``JournalQueue`` the entries, ``StoreHealth`` whether the
+store is fit.
 """
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Iterable
-from dataclasses import dataclass, replace
-from itertools import islice
+from collections.abc import Iterable, Mapping
+from dataclasses import replace
 
 from sabledyke.policy.interface import RequestClass
-from sabledyke.policy.retry import may_repeat
 from sabledyke.store import audit_journal
-from sabledyke.store.database_errors import DatabaseErrorKind, DatabaseError
-from sabledyke.store.health import StoreHealth, StoreLimits, HealthState
+from sabledyke.store.database_errors import DatabaseError, DatabaseErrorKind
+from sabledyke.store.effects import AttemptId, CompleteWrite, Effect, ExpireAttempt, LogLine
+from sabledyke.store.health import HealthState, StoreHealth, StoreLimits
+from sabledyke.store.intent_table import IntentTable
+from sabledyke.store.journal_queue import JournalQueue, PendingEntry
 from sabledyke.store.types import (
-    NEVER,
-    SERVED,
-    UNKNOWN,
-    RecordBatch,
+    OUTCOME_SERVED,
+    OUTCOME_UNCONFIRMED,
     DriftFinding,
-    JournalEntry,
-    RecordedWrite,
     Intent,
+    JournalEntry,
     JournalPosition,
+    RecordBatch,
+    RecordedWrite,
     SendRecord,
+    Settlement,
 )
 
 MAX_PENDING_DRIFTS = 64  # findings of drift that may wait for a batch
-FORGET_INTERVAL_MS = 1000.0  # ms between batches that also drop what is too old
-EVICT_INTERVAL_MS = 1000.0  # ms between looks at what memory can forget
-MAX_CONFLICTS = 3  # batches in a row that are simply written again where the database says so
-_RANK = {"": 0, NEVER: 1, UNKNOWN: 2, SERVED: 3}  # the stronger word on a write stands
-
-AttemptId = tuple[int, int]  # a request and the number of an attempt
-
-
-@dataclass(slots=True, frozen=True)
-class SendAttempt:
-    """The intent is durable: send the attempt."""
-
-    attempt: AttemptId
-
-
-@dataclass(slots=True, frozen=True)
-class ExpireAttempt:
-    """The attempt is not sent: its intent could not be made durable in time."""
-
-    attempt: AttemptId
-
-
-@dataclass(slots=True, frozen=True)
-class BlockAttempt:
-    """The attempt is not sent: the write may have run where or when its key does not reach."""
-
-    attempt: AttemptId
-
-
-@dataclass(slots=True, frozen=True)
-class CompleteWrite:
-    """What a box served may be passed on, as its entry is durable; or it may not, and the write failed."""
-
-    ticket: int
-    journaled: bool
-
-
-@dataclass(slots=True, frozen=True)
-class LogLine:
-    """A line for the on-call staff."""
-
-    text: str
-
-
-Effect = SendAttempt | ExpireAttempt | BlockAttempt | CompleteWrite | LogLine
-
-
-@dataclass(slots=True)
-class _Write:
-    """A keyed write in work, or one whose earlier send may have run."""
-
-    first: SendRecord
-    until: float  # memory keeps it so long; the database keeps it longer
-    durable: bool = False
-    ran: bool = False
-    out: int = 0
-
-
-@dataclass(slots=True)
-class _Waiting:
-    name: str
-    sent: SendRecord
-    deadline: float
-    kind: RequestClass
-
-
-@dataclass(slots=True)
-class _Pending:
-    entry: JournalEntry
-    name: str
-    state: str
-    ticket: int | None = None
-    deadline: float = 0.0
+FORGET_INTERVAL_MS = 1000.0  # between batches that also delete writes past their retention
+MAX_CONFLICTS = 3  # batches in a row that are simply written again where the database asks for that
 
 
 class IntentManager:
-    """One instance's record. Open it with ``opened`` before anything else."""
-
-    def __init__(self, instance: str, limits: StoreLimits, seed: int, kept: float) -> None:
-        self.instance, self.limits, self._kept = instance, limits, kept
+    """One instance's record; ``on_opened`` comes before anything else.
+
+    Attributes:
+        instance: The name under which this scheduler records.
+        limits: The bounds of the store.
+        health: Whether the store is fit to record a write.
+        position: How far the record has come, as far as is known.
+        batch_in_flight: The batch that the database has, if any.
+        position_unknown: The position must be read anew before the next batch.
+    """
+
+    def __init__(self, instance: str, limits: StoreLimits, seed: int, retention_ms: float) -> None:
+        self.instance = instance
+        self.limits = limits
         self.health = StoreHealth(limits, seed)
         self.position = JournalPosition(0)
         self.batch_in_flight: RecordBatch | None = None
-        self.position_unknown = False  # the position must be read anew before the next batch
-        self._lost: RecordBatch | None = None  # the batch of which nobody knows whether it took effect
-        self._writes: dict[str, _Write] = {}
-        self._asking: dict[str, Intent] = {}
-        self._waiting: dict[AttemptId, _Waiting] = {}
-        self._entries: deque[_Pending] = deque()
-        self._in_flight: list[_Pending] = []
-        self._settles: dict[str, str] = {}
+        self.position_unknown = False
+        self._retention_ms = retention_ms
+        self._uncertain_batch: RecordBatch | None = None  # nobody knows whether it took effect
+        self._writes = IntentTable()
+        self._journal = JournalQueue()
         self._drifts: list[DriftFinding] = []
-        self._forgot = self._tidied = 0.0
+        self._forgot_at_ms = 0.0
         self._conflicts = 0  # batches in a row that the database gave up for another transaction
-        self.corrections = 0  # entries that say an earlier one's answer was not passed on
 
-    def on_opened(self, position: JournalPosition, recent: Iterable[tuple[str, RecordedWrite]], until: float) -> None:
-        """The store is open at this position; ``recent`` is what earlier sends can still matter."""
+    def on_opened(
+        self,
+        position: JournalPosition,
+        recent: Iterable[tuple[str, RecordedWrite]],
+        retain_until_ms: float,
+    ) -> None:
+        """Begin at the position of a record that was opened.
+
+        Args:
+            position: Where this incarnation begins.
+            recent: Earlier sends that can still matter, by the names of their writes.
+            retain_until_ms: Until when memory holds these.
+        """
         self.position = position
-        for name, found in recent:
-            self._writes[name] = _Write(found.first_send, until, durable=True, ran=True)
+        self._writes.load(recent, retain_until_ms)
 
-    # What drivers ask.
+    # Queries of the driver.
 
     def accepts_writes(self) -> bool:
-        """Whether a keyed write may be taken in now."""
-        return self.health.accepts_writes and len(self._entries) + len(self._asking) < self.limits.backlog
+        """Whether a keyed write may be accepted now."""
+        return (
+            self.health.accepts_writes and len(self._journal) + self._writes.unrecorded < self.limits.backlog
+        )
 
     def earlier_send(self, name: str) -> SendRecord | None:
-        """The send of this write that may have run already, as far as memory has it."""
-        write = self._writes.get(name)
-        return write.first if write is not None and (write.ran or write.out) else None
+        """Return the send of this write that may have run already, as far as memory has it."""
+        return self._writes.earlier_send(name)
 
     @property
     def has_pending_work(self) -> bool:
-        """Something waits for the database."""
-        waits = self._asking or self._entries or self._settles or self._waiting or self._drifts
-        return bool(waits or self.batch_in_flight)
+        """Whether something waits for the database."""
+        return self._needs_batch or self._writes.has_waiting_attempts or self.batch_in_flight is not None
 
     @property
     def needs_polling(self) -> bool:
-        """It wants to be called again soon: something waits, or a stall is to be ended."""
-        return self.health.state is not HealthState.FENCED and (self.has_pending_work or not self.health.accepts_writes)
+        """Whether it is to be called again soon: something waits, or a stall is to be ended."""
+        if self.health.state is HealthState.FENCED:
+            return False
+        return self.has_pending_work or not self.health.accepts_writes
 
     @property
     def unwritten_entries(self) -> int:
         """Entries that are not in the journal yet."""
-        return len(self._entries) + len(self._in_flight)
+        return self._journal.unwritten
+
+    @property
+    def corrections(self) -> int:
+        """Entries which say that an earlier one's answer was not passed on."""
+        return self._journal.corrections
 
     @property
     def size(self) -> int:
         """Entries in all tables, for what watches their bounds."""
-        return (
-            len(self._writes)
-            + len(self._asking)
-            + len(self._waiting)
-            + len(self._entries)
-            + len(self._settles)
-            + len(self._drifts)
-        )
+        return self._writes.size + len(self._journal) + len(self._drifts)
 
-    # Attempts.
+    # Events of writes and attempts.
 
     def on_attempt(
-        self, now: float, attempt: AttemptId, name: str, sent: SendRecord, deadline: float, kind: RequestClass
+        self,
+        now_ms: float,
+        attempt: AttemptId,
+        name: str,
+        send: SendRecord,
+        deadline_ms: float,
+        request_class: RequestClass,
     ) -> list[Effect]:
-        """The module sends a keyed write; ``deadline`` is when its attempt is over."""
+        """Decide about an attempt of a keyed write; see ``IntentTable.on_attempt``."""
         if not self.accepts_writes():
             return [ExpireAttempt(attempt)]
-        write = self._writes.get(name)
-        if write is not None and write.durable:
-            if write.ran or write.out:
-                if not may_repeat(kind, write.first.sent_at_ms, write.first.place, now, sent.place):
-                    return [BlockAttempt(attempt)]
-                write.out += 1
-                return [SendAttempt(attempt)]
-            if write.first.place == sent.place:  # it never ran: the same intent serves
-                write.out += 1
-                return [SendAttempt(attempt)]
-        if write is None or write.durable:  # the first, or one that never ran and goes elsewhere now
-            self._writes[name] = _Write(sent, now + kind.repeat_window + kind.deadline)
-            self._asking[name] = Intent(name, sent)
-            if self._settles.get(name) == NEVER:
-                del self._settles[name]
-        self._waiting[attempt] = _Waiting(name, sent, deadline, kind)
-        return []
+        return self._writes.on_attempt(now_ms, attempt, name, send, deadline_ms, request_class)
 
     def on_attempt_cancelled(self, attempt: AttemptId) -> bool:
-        """The module called an attempt off; whether it was still waiting here, and so never went out."""
-        waiting = self._waiting.pop(attempt, None)
-        if waiting is None:
-            return False
-        self._drop_unwanted(waiting.name)
-        return True
+        """Cancel an attempt; whether it was still waiting here, and so was never sent."""
+        return self._writes.on_attempt_cancelled(attempt)
 
     def on_attempt_ended(self, name: str, *, may_have_run: bool) -> None:
-        """An attempt that went out is over."""
-        write = self._writes.get(name)
-        if write is not None:
-            write.out -= 1
-            write.ran |= may_have_run
+        """Note that an attempt that was sent is over."""
+        self._writes.on_attempt_ended(name, may_have_run=may_have_run)
 
     def on_write_completed(
-        self, now: float, name: str, entry: JournalEntry, ticket: int | None, deadline: float = 0.0
+        self, name: str, entry: JournalEntry, ticket: int | None, deadline_ms: float = 0.0
     ) -> list[Effect]:
-        """A keyed write has its final answer; one that was served waits, under its ticket, to be told it."""
-        write = self._writes.get(name)
-        if entry.outcome == "served":
-            state = SERVED
-        elif write is None:
-            state = ""  # nothing is on record, or it is being settled as never sent
-        elif write.ran or write.out:
-            state = UNKNOWN
-        else:
-            state = NEVER
-            self._drop_unwanted(name)
+        """Queue the journal entry of a keyed write that has its final answer.
+
+        Args:
+            name: What the write is recorded by.
+            entry: The entry.
+            ticket: For a served write, the answer that waits until its entry is durable.
+            deadline_ms: When that answer is given up.
+        """
+        state = self._writes.on_write_completed(name, served=entry.outcome == OUTCOME_SERVED)
+        settlement = Settlement(name, state) if state is not None else None
         if ticket is not None and not self.health.accepts_writes:
-            self._entries.append(_Pending(replace(entry, outcome="unconfirmed"), name, state))
-            return [CompleteWrite(ticket, False)]
-        self._entries.append(_Pending(entry, name, state, ticket, deadline))
+            self._journal.append(PendingEntry(replace(entry, outcome=OUTCOME_UNCONFIRMED), settlement))
+            return [CompleteWrite(ticket, journaled=False)]
+        self._journal.append(PendingEntry(entry, settlement, ticket, deadline_ms))
         return []
 
     def on_drift(self, drift: DriftFinding) -> None:
-        """A box showed something else than the journal has; beyond the bound it is only logged."""
+        """Queue a finding of drift; beyond the bound it is only logged."""
         if len(self._drifts) < MAX_PENDING_DRIFTS:
             self._drifts.append(drift)
 
+    def on_tick(self, now_ms: float) -> list[Effect]:
+        """Give up attempts and answers past their deadlines, and all that waits when a batch stalls."""
+        effects: list[Effect] = []
+        if self.health.on_tick(now_ms):
+            stall = f"it does not answer for {self.limits.stall_ms:.0f} ms"
+            effects.append(LogLine(f"{stall}; keyed writes are rejected"))
+            effects += self._give_up(self.batch_in_flight)
+        effects += self._writes.expire(now_ms)
+        effects += self._journal.expire(now_ms)
+        return effects
+
     # Batches.
 
-    def next_batch(self, now: float) -> RecordBatch | None:
-        """What the database is to do now, if anything; ``unsure`` must be cleared first."""
-        if self.batch_in_flight is not None or self.position_unknown or not self.health.may_start_batch(now):
+    def next_batch(self, now_ms: float) -> RecordBatch | None:
+        """Return what the database is to do now, if anything; the position must be known."""
+        if self.batch_in_flight is not None or self.position_unknown:
             return None
-        forget = now - self._forgot >= FORGET_INTERVAL_MS
-        trial = self.health.state is HealthState.STALLED
-        if not (self._asking or self._entries or self._settles or self._drifts or trial):
+        if not self.health.may_start_batch(now_ms):
             return None
-        most = self.limits.batch
-        pending = [self._entries.popleft() for _ in range(min(most, len(self._entries)))]
-        after, hashes = audit_journal.extend_chain(self.position, self.instance, [p.entry for p in pending])
-        batch = RecordBatch(self.position, after, entries=[p.entry for p in pending], hashes=hashes)
-        for name in list(self._asking)[:most]:
-            batch.intents.append(self._asking.pop(name))
-        names = {i.name for i in batch.intents}
-        settled = dict(islice(self._settles.items(), most))
-        for name in settled:
-            del self._settles[name]
-        for p in pending:
-            if _RANK[p.state] > _RANK[settled.get(p.name, "")]:
-                settled[p.name] = p.state
-        batch.settled = [  # what is sent anew is not settled as never sent
-            (n, s) for n, s in settled.items() if s != NEVER or not (n in self._writes or n in names)
-        ]
-        batch.drifts, self._drifts = self._drifts, []
-        if forget:
-            self._forgot, batch.forget_before_ms = now, now - self._kept
-        self.batch_in_flight, self._in_flight = batch, pending
-        self.health.on_batch_began(now)
-        return batch
+        is_trial = self.health.state is HealthState.STALLED
+        if not (self._needs_batch or is_trial):
+            return None
+        self.batch_in_flight = self._gather_batch(now_ms)
+        self.health.on_batch_began(now_ms)
+        return self.batch_in_flight
 
-    def on_batch_committed(self, now: float, taken: set[str], found: dict[str, RecordedWrite]) -> list[Effect]:
-        """The batch took effect; ``found`` are writes that the record had already, for the intents not
-        taken."""
-        batch, self.batch_in_flight = self.batch_in_flight, None
-        assert batch is not None
-        self.position, self._conflicts = batch.after, 0
-        out: list[Effect] = []
-        if stalled := self.health.on_batch_committed(now):
-            out.append(LogLine(f"it answers again after {stalled:.0f} ms; keyed writes are taken"))
-        for pending in self._in_flight:
-            if pending.ticket is not None:
-                out.append(CompleteWrite(pending.ticket, True))
-        self._in_flight = []
-        for intent in batch.intents:
-            write = self._writes.get(intent.name)
-            if write is None:
-                self._settles[intent.name] = NEVER
-                continue
-            if write.first != intent.sent:  # begun anew meanwhile: its own intent is still to come
-                continue
-            write.durable = True
-            if intent.name not in taken:
-                other = found.get(intent.name)
-                if other is None or other.state == NEVER:  # it changed meanwhile: ask once more
-                    write.durable, self._asking[intent.name] = False, intent
-                else:
-                    write.first, write.ran = other.first_send, True
-        for attempt, waiting in list(self._waiting.items()):
-            write = self._writes.get(waiting.name)
-            if write is None or not write.durable:
-                continue
-            del self._waiting[attempt]
-            first = write.first
-            if now >= waiting.deadline:
-                out.append(ExpireAttempt(attempt))
-            elif not may_repeat(waiting.kind, first.sent_at_ms, first.place, now, waiting.sent.place):
-                # Also where nothing has run yet: what is on record says another place than this attempt's.
-                out.append(BlockAttempt(attempt) if write.ran or write.out else ExpireAttempt(attempt))
-            else:
-                write.out += 1
-                out.append(SendAttempt(attempt))
-        for intent in batch.intents:
-            self._drop_unwanted(intent.name)
-        self._tidy(now)
-        return out
-
-    def on_batch_failed(self, now: float, fault: DatabaseError) -> list[Effect]:
-        """The batch did not take effect, or nobody knows whether it did."""
-        batch, self.batch_in_flight = self.batch_in_flight, None
-        assert batch is not None
-        for name, state in batch.settled:
-            if _RANK[state] > _RANK[self._settles.get(name, "")]:
-                self._settles[name] = state
-        if fault.kind is DatabaseErrorKind.CONFLICT and not fault.uncertain and self._conflicts < MAX_CONFLICTS:
-            # The database asks for the same once more: nothing of it has happened.
+    def on_batch_committed(
+        self, now_ms: float, accepted: set[str], existing: Mapping[str, RecordedWrite]
+    ) -> list[Effect]:
+        """Note that the batch took effect.
+
+        Args:
+            now_ms: The time.
+            accepted: Names of the intents that the record accepted.
+            existing: What the record had already, by name, for those that it did not.
+        """
+        batch = self._end_batch()
+        self.position = batch.after
+        self._conflicts = 0
+        effects: list[Effect] = []
+        stalled_ms = self.health.on_batch_committed(now_ms)
+        if stalled_ms:
+            effects.append(LogLine(f"it answers again after {stalled_ms:.0f} ms; keyed writes are accepted"))
+        effects += self._journal.on_committed()
+        self._writes.on_recorded(batch.intents, accepted, existing)
+        effects += self._writes.release_waiting(now_ms)
+        self._writes.drop_unwanted(batch.intents)
+        self._writes.evict(now_ms)
+        return effects
+
+    def on_batch_failed(self, now_ms: float, error: DatabaseError) -> list[Effect]:
+        """Note that the batch did not take effect, or that nobody knows whether it did."""
+        batch = self._end_batch()
+        self._writes.restore_settlements(batch.settled)
+        if self._may_write_again(error):
             self._conflicts += 1
-            self._asking = {i.name: i for i in batch.intents if i.name in self._writes} | self._asking
-            self._back_to_the_front(batch)
+            self._writes.restore_intents(batch.intents)
+            self._requeue(batch)
             self.health.allow_immediate_retry()
             return []
-        fenced = fault.kind is DatabaseErrorKind.FENCED
         self.position_unknown = True  # what the database holds is read before it is written again
-        out: list[Effect] = []
-        if self.health.on_batch_failed(now, fenced=fenced):
-            end = "for good: restart it" if fenced else "until it answers again"
-            out.append(LogLine(f"{fault}; keyed writes are refused {end}"))
-        if fault.uncertain:
-            self._lost = batch
-            for intent in batch.intents:  # it may be on record, and is not sent
-                self._settles.setdefault(intent.name, NEVER)
-            out += self._give_up(batch)  # while these are still in flight: they may be in the journal
-            self._back_to_the_front(batch)
+        effects = self._begin_stall(now_ms, error)
+        if error.uncertain:
+            self._uncertain_batch = batch
+            self._writes.settle_as_never_sent(batch.intents)
+            effects += self._give_up(batch)  # while these are still in flight: they may be in the journal
+            self._requeue(batch)
         else:
-            self._back_to_the_front(batch)
-            out += self._give_up(batch)
-        return out
-
-    def _back_to_the_front(self, batch: RecordBatch) -> None:
-        self._entries.extendleft(reversed(self._in_flight))
-        self._in_flight = []
-        self._drifts = (batch.drifts + self._drifts)[:MAX_PENDING_DRIFTS]
-
-    def on_position_read(self, now: float, position: JournalPosition) -> list[Effect]:
-        """The position as the database has it, read after whatever was under way had ended."""
-        lost, self._lost, self.position_unknown = self._lost, None, False
-        if lost is not None and position == lost.after:
+            self._requeue(batch)
+            effects += self._give_up(batch)
+        return effects
+
+    def on_position_read(self, now_ms: float, position: JournalPosition) -> list[Effect]:
+        """Go on from the position that the database has, read after whatever was under way had ended."""
+        uncertain = self._uncertain_batch
+        self._uncertain_batch = None
+        self.position_unknown = False
+        if uncertain is not None and position == uncertain.after:  # it took effect
             self.position = position
-            for _ in lost.entries:  # they are in the journal already
-                self._entries.popleft()
-            del self._drifts[: len(lost.drifts)]
+            self._journal.drop_written(len(uncertain.entries))
+            del self._drifts[: len(uncertain.drifts)]
             return []
-        if position != self.position:
-            fault = DatabaseError(DatabaseErrorKind.FENCED, f"life {position.incarnation} follows life {self.position.incarnation}")
-            if self.health.on_batch_failed(now, fenced=True):
-                return [LogLine(f"{fault}; keyed writes are refused for good: restart it"), *self._give_up(None)]
-        return []
-
-    def on_tick(self, now: float) -> list[Effect]:
-        """Time passes: attempts and answers past their time, and batches that do not come back."""
-        out: list[Effect] = []
-        if self.health.on_tick(now):
-            out.append(LogLine(f"it does not answer for {self.limits.stall_ms:.0f} ms; keyed writes are refused"))
-            out += self._give_up(self.batch_in_flight)
-        for attempt, waiting in list(self._waiting.items()):
-            if now >= waiting.deadline:
-                del self._waiting[attempt]
-                self._drop_unwanted(waiting.name)
-                out.append(ExpireAttempt(attempt))
-        for pending in self._all_pending():
-            if pending.ticket is not None and now >= pending.deadline:
-                out.append(self._unconfirmed(pending))
-        return out
-
-    def on_unreachable(self, now: float, fault: DatabaseError) -> list[Effect]:
-        """The position could not be read."""
-        fenced = fault.kind is DatabaseErrorKind.FENCED
-        if not self.health.on_batch_failed(now, fenced=fenced):
+        if position == self.position:
             return []
-        end = "for good: restart it" if fenced else "until it answers again"
-        return [LogLine(f"{fault}; keyed writes are refused {end}"), *self._give_up(None)]
+        text = f"incarnation {position.incarnation} follows incarnation {self.position.incarnation}"
+        return self._stall(now_ms, DatabaseError(DatabaseErrorKind.FENCED, text))
 
-    # How it keeps its tables.
+    def on_unreachable(self, now_ms: float, error: DatabaseError) -> list[Effect]:
+        """Note that the position could not be read."""
+        return self._stall(now_ms, error)
 
-    def _all_pending(self) -> Iterable[_Pending]:
-        yield from self._in_flight
-        yield from self._entries
+    # Helpers.
 
-    def _unconfirmed(self, pending: _Pending) -> CompleteWrite:
-        """A served answer is not passed on; the journal says so, if need be by a further entry.
+    @property
+    def _needs_batch(self) -> bool:
+        return bool(self._writes.needs_batch or self._journal or self._drifts)
+
+    def _gather_batch(self, now_ms: float) -> RecordBatch:
+        limit = self.limits.batch
+        pending = self._journal.take(limit)
+        entries = [each.entry for each in pending]
+        after, hashes = audit_journal.extend_chain(self.position, self.instance, entries)
+        batch = RecordBatch(self.position, after, entries=entries, hashes=hashes)
+        batch.intents = self._writes.take_intents(limit)
+        completed = [each.settlement for each in pending]
+        batch.settled = self._writes.take_settlements(limit, completed, batch.intents)
+        batch.drifts = self._drifts
+        self._drifts = []
+        if now_ms - self._forgot_at_ms >= FORGET_INTERVAL_MS:
+            self._forgot_at_ms = now_ms
+            batch.forget_before_ms = now_ms - self._retention_ms
+        return batch
 
-        Guards against an answer that waits past its deadline, or longer than a stall, for its entry.
-        """
-        assert pending.ticket is not None
-        ticket, pending.ticket = pending.ticket, None
-        corrected = replace(pending.entry, outcome="unconfirmed")
-        if any(p is pending for p in self._in_flight):  # it may be in the journal as served by now
-            self._entries.append(_Pending(corrected, pending.name, pending.state))
-            self.corrections += 1
-        else:
-            pending.entry = corrected
-        return CompleteWrite(ticket, False)
+    def _end_batch(self) -> RecordBatch:
+        batch = self.batch_in_flight
+        assert batch is not None
+        self.batch_in_flight = None
+        return batch
+
+    def _may_write_again(self, error: DatabaseError) -> bool:
+        """Whether the database asks for the same batch once more, of which nothing has happened."""
+        is_conflict = error.kind is DatabaseErrorKind.CONFLICT and not error.uncertain
+        return is_conflict and self._conflicts < MAX_CONFLICTS
+
+    def _requeue(self, batch: RecordBatch) -> None:
+        self._journal.requeue()
+        self._drifts = (batch.drifts + self._drifts)[:MAX_PENDING_DRIFTS]
+
+    def _stall(self, now_ms: float, error: DatabaseError) -> list[Effect]:
+        """Begin a stall between batches, and give up all that waits; nothing where it has begun."""
+        effects = self._begin_stall(now_ms, error)
+        return effects + self._give_up(None) if effects else []
+
+    def _begin_stall(self, now_ms: float, error: DatabaseError) -> list[Effect]:
+        """Note the failure; the line to log where a stall begins with it."""
+        fenced = error.kind is DatabaseErrorKind.FENCED
+        if not self.health.on_batch_failed(now_ms, fenced=fenced):
+            return []
+        end = "for good: restart it" if fenced else "until it answers again"
+        return [LogLine(f"{error}; keyed writes are rejected {end}")]
 
     def _give_up(self, batch: RecordBatch | None) -> list[Effect]:
-        """All that waits for the database is answered now: attempts are moot, served answers not passed
-        on."""
-        out: list[Effect] = [ExpireAttempt(attempt) for attempt in self._waiting]
-        names = {w.name for w in self._waiting.values()} | set(self._asking)
-        names |= {i.name for i in batch.intents} if batch is not None else set()
-        self._waiting.clear()
-        self._asking.clear()
-        for name in names:
-            write = self._writes.get(name)
-            if write is not None and not write.out and not write.ran:
-                del self._writes[name]  # an intent in flight finds nobody, and is settled as never sent
-        return out + [self._unconfirmed(p) for p in list(self._all_pending()) if p.ticket is not None]
-
-    def _wanted(self, name: str) -> bool:
-        return any(w.name == name for w in self._waiting.values())
-
-    def _drop_unwanted(self, name: str) -> None:
-        """An intent that nobody waits for any more: not made, or recorded as never sent."""
-        write = self._writes.get(name)
-        if write is None or write.out or write.ran or self._wanted(name):
-            return
-        del self._writes[name]
-        if self._asking.pop(name, None) is None and write.durable:
-            self._settles[name] = NEVER
-
-    def _tidy(self, now: float) -> None:
-        """Forget writes past any window: the database remembers them longer, and is asked by each intent."""
-        if now - self._tidied >= EVICT_INTERVAL_MS:
-            self._tidied = now
-            for name, write in list(self._writes.items()):
-                if not write.out and now >= write.until and not self._wanted(name):
-                    del self._writes[name]
+        """Answer all that waits for the database: attempts expire, served answers are not passed on."""
+        intents: list[Intent] = batch.intents if batch is not None else []
+        return self._writes.give_up(intents) + self._journal.give_up()
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -1,186 +1,240 @@
-"""The record's driver: a transport round another, and what stands between fronts and the core.
+"""The driver of the record: a transport round another, and a filter between the listeners and the core.
 
-It owns the clock and the connection and carries out what ``Keeper`` decides. An attempt of a keyed write goes
-on to the pool once its intent is durable; a served answer goes on to its client once its entry is.
+It carries out what ``IntentManager`` decides. An attempt of a keyed write goes on to the connection pool once
+its intent is durable; a served answer goes on to its client once its journal entry is. ``BatchWriter`` writes
+both.
 """
 
 from __future__ import annotations
 
 import asyncio
 import hashlib
-import traceback
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 from dataclasses import dataclass, replace
 
 from sabledyke import log
 from sabledyke.application.extensions import Done, Submit
 from sabledyke.core import GUARD, Answer, Ended, Transport, Verdict, Work
-from sabledyke.invariants import check
 from sabledyke.net import clock
 from sabledyke.net.connection_pool import Report
 from sabledyke.policy import interface as api
 from sabledyke.policy.interface import Outcome
-from sabledyke.store import startup, statements
-from sabledyke.store.connect import CONNECT_TIMEOUT_S, START_PATIENCE_S, retry_while_transient
-from sabledyke.store.database_errors import DatabaseErrorKind, DatabaseError
+from sabledyke.store.batch_writer import TICK_S, BatchWriter, Opener
 from sabledyke.store.drift import DriftDetector
-from sabledyke.store.intent_manager import AttemptId, BlockAttempt, Effect, SendAttempt, IntentManager, ExpireAttempt, LogLine, CompleteWrite
-from sabledyke.store.session import Session
-from sabledyke.store.types import RecordBatch, DriftFinding, JournalEntry, RecordedWrite, SendRecord, write_name, idempotency_token
-
-TICK_S = 0.05  # seconds between looks at what waits, while anything does
-ANSWER_MARGIN_MS = GUARD + 1000 * TICK_S + 10  # ms before its deadline by which a served answer is passed on or given up
-FLUSH_TIMEOUT_S = 1.0  # seconds at the end for what is still to be written
-
-Opener = Callable[[float], Awaitable[Session]]  # seconds for a connection to come up
-
-
-@dataclass(slots=True)
-class _Held:
+from sabledyke.store.effects import (
+    AttemptId,
+    BlockAttempt,
+    CompleteWrite,
+    Effect,
+    ExpireAttempt,
+    LogLine,
+    SendAttempt,
+)
+from sabledyke.store.intent_manager import IntentManager
+from sabledyke.store.types import (
+    OUTCOME_DEPARTED,
+    OUTCOME_SERVED,
+    DriftFinding,
+    JournalEntry,
+    SendRecord,
+    idempotency_token,
+    write_name,
+)
+
+ANSWER_MARGIN_MS = GUARD + 1000 * TICK_S + 10  # before its deadline, a served answer is passed on or given up
+MIN_TIMEOUT_MS = 1.0  # of an attempt whose intent became durable late
+LOGGED_DIGEST_LENGTH = 12
+
+
+@dataclass(slots=True, frozen=True)
+class _WaitingAttempt:
     """An attempt that waits for its intent."""
 
     node: api.NodeId
     work: Work
     name: str
-    asked: float
-    deadline: float
+    requested_at_ms: float
+    deadline_ms: float
 
 
-@dataclass(slots=True)
-class _Asked:
-    """A write in work, for its entry and for drift."""
+@dataclass(slots=True, frozen=True)
+class _SentAttempt:
+    """An attempt of a keyed write that was sent."""
+
+    name: str
+    waited_ms: float
+
+
+@dataclass(slots=True, frozen=True)
+class _OpenWrite:
+    """A write that is open, for its journal entry and for drift."""
 
     work: Work
     name: str  # empty where it has no key
-    began: float
-    deadline: float
+    began_at_ms: float
+    deadline_ms: float
     digest: str
 
+    @property
+    def piece(self) -> tuple[int, int]:
+        return self.work.volume, self.work.key
+
+
+@dataclass(slots=True, frozen=True)
+class _ServedAnswer:
+    """An answer that waits for its journal entry."""
+
+    done: Done
+    answer: Answer
+
 
 class RecordingTransport:
-    """See the module's text; one for a server."""
+    """The record's transport; one for a server.
+
+    Attributes:
+        intents: The decisions.
+        settings: The settings in force.
+        writer: The driver of the database.
+        drift: What nodes are known to hold.
+        report: Where to report how attempts ended.
+        inner: The transport below.
+    """
 
     def __init__(
         self,
-        keeper: IntentManager,
+        intents: IntentManager,
         opener: Opener,
         settings: api.Settings,
         entry: Callable[[api.NodeId], api.NodeEntry],
     ) -> None:
-        self.intents, self.settings = keeper, settings
-        self._opener, self._entry = opener, entry
+        self.intents = intents
+        self.settings = settings
+        self.writer = BatchWriter(intents, opener, self._carry_out)
+        self.drift = DriftDetector()
         self.report: Report
         self.inner: Transport
-        self.drift = DriftDetector()
-        self._session: Session | None = None
+        self._entry = entry
         self._loop = asyncio.get_running_loop()
-        self._held: dict[AttemptId, _Held] = {}
-        self._out: dict[AttemptId, tuple[str, float]] = {}  # attempts of keyed writes: name, ms held back
-        self._asked: dict[int, _Asked] = {}  # writes in work, by request
-        self._tickets: dict[int, tuple[Done, Answer]] = {}  # served answers that wait for their entries
+        self._waiting: dict[AttemptId, _WaitingAttempt] = {}
+        self._sent: dict[AttemptId, _SentAttempt] = {}
+        self._open_writes: dict[int, _OpenWrite] = {}  # by request
+        self._served: dict[int, _ServedAnswer] = {}  # by ticket
         self._last_ticket = 0
-        self._pump: asyncio.Task[None] | None = None
-        self._gathering: asyncio.Handle | None = None
-        self._ticking: asyncio.TimerHandle | None = None
-        self._ending = False
 
     async def open(self) -> None:
-        """Open the database, take a life, read what can still matter; a StoreFault where that fails."""
-        await retry_while_transient(self._take_life)
+        """Open the database and begin an incarnation.
+
+        Raises:
+            DatabaseError: Where that fails.
+        """
+        windows = (request_class.repeat_window for request_class in self.settings.classes)
+        await self.writer.open(max(windows))
 
-    async def _take_life(self) -> None:
-        if self._session is None or self._session.closed:
-            self._session = await self._opener(START_PATIENCE_S)
-        await startup.migrate(self._session)
-        position = await startup.begin_incarnation(self._session, self.intents.instance)
-        longest = max(c.repeat_window for c in self.settings.classes)
-        now = clock.now()
-        recent = await startup.recent_writes(self._session, now - longest)
-        self.intents.on_opened(position, recent, now + longest)
+    async def close(self) -> None:
+        """Write what is left, for a bounded time."""
+        await self.writer.close()
 
-    # Between fronts and the core.
+    # Between the listeners and the core.
 
     def submit(self, work: Work, done: Done, onward: Submit) -> int:
-        """Hand work on; a keyed write only while it can be recorded."""
-        now = clock.now()
+        """Hand work on to the core; a keyed write only while it can be recorded.
+
+        Args:
+            work: The request.
+            done: What to call with its final answer.
+            onward: The way to the core.
+
+        Returns:
+            The number of the request; 0 where it was rejected here.
+        """
+        now_ms = clock.now()
         name = write_name(work)
         if not work.write:
-            return onward(work, lambda answer: self._was_read(work, now, answer, done))
+            return onward(work, lambda answer: self._on_read(work, now_ms, answer, done))
         if name and not self.intents.accepts_writes():
-            advice = self.intents.health.retry_after_ms(now, self.settings.max_retry_after)
-            self._loop.call_soon(done, Answer(Verdict.REFUSED, retry_after=advice))
+            retry_after_ms = self.intents.health.retry_after_ms(now_ms, self.settings.max_retry_after)
+            self._loop.call_soon(done, Answer(Verdict.REFUSED, retry_after=retry_after_ms))
             return 0
-        self.drift.on_write_began((work.volume, work.key))
-        first = self.intents.earlier_send(name) if name else None
+        if name:
+            self._note_earlier_send(work, name)
+        digest = hashlib.sha256(work.body).hexdigest()
+        write = _OpenWrite(work, name, now_ms, now_ms + work.remaining - ANSWER_MARGIN_MS, digest)
+        self.drift.on_write_began(write.piece)
+        request_id = onward(work, lambda answer: self._on_answer(request_id, write, answer, done))
+        self._open_writes[request_id] = write
+        return request_id
+
+    def on_client_departed(self, request_id: int) -> None:
+        """Note that the client of a request is gone: a write is complete, and nobody is answered."""
+        write = self._open_writes.pop(request_id, None)
+        if write is not None:
+            self.drift.on_write_ended(clock.now(), write.piece, None)
+            self._journal(write, OUTCOME_DEPARTED, None)
+
+    def _note_earlier_send(self, work: Work, name: str) -> None:
+        first = self.intents.earlier_send(name)
         if first is not None:
-            ran = api.NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, api.NodeState.GONE)
-            work.ran = first.sent_at_ms, ran
-        asked = _Asked(work, name, now, now + work.remaining - ANSWER_MARGIN_MS, hashlib.sha256(work.body).hexdigest())
-        rid = onward(work, lambda answer: self._finished(rid, asked, answer, done))
-        self._asked[rid] = asked
-        return rid
-
-    def on_client_departed(self, rid: int) -> None:
-        """The client of a request has gone: a write is finished, and nobody is told."""
-        asked = self._asked.pop(rid, None)
-        if asked is not None:
-            self.drift.on_write_ended(clock.now(), (asked.work.volume, asked.work.key), None)
-            self._journal(asked, "departed", None)
-
-    def _finished(self, rid: int, asked: _Asked, answer: Answer, done: Done) -> None:
-        self._asked.pop(rid, None)
+            node = api.NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, api.NodeState.GONE)
+            work.ran = first.sent_at_ms, node
+
+    def _on_answer(self, request_id: int, write: _OpenWrite, answer: Answer, done: Done) -> None:
+        self._open_writes.pop(request_id, None)
         served = answer.verdict is Verdict.SERVED
-        piece = asked.work.volume, asked.work.key
-        self.drift.on_write_ended(clock.now(), piece, asked.digest if served else None)
-        if not served or not asked.name:
-            self._journal(asked, answer.verdict.value, None)
+        self.drift.on_write_ended(clock.now(), write.piece, write.digest if served else None)
+        if not served or not write.name:
+            self._journal(write, answer.verdict.value, None)
             done(answer)
             return
         self._last_ticket += 1
-        self._tickets[self._last_ticket] = done, answer
-        self._journal(asked, "served", self._last_ticket)
+        self._served[self._last_ticket] = _ServedAnswer(done, answer)
+        self._journal(write, OUTCOME_SERVED, self._last_ticket)
 
-    def _journal(self, asked: _Asked, outcome: str, ticket: int | None) -> None:
-        if not asked.name:
+    def _journal(self, write: _OpenWrite, outcome: str, ticket: int | None) -> None:
+        if not write.name:
             return
-        work, now = asked.work, clock.now()
-        at = work.sent_to
-        entry = JournalEntry(
-            completed_at_ms=int(now),
-            began_at_ms=int(asked.began),
+        entry = self._journal_entry(write, outcome)
+        self._carry_out(self.intents.on_write_completed(write.name, entry, ticket, write.deadline_ms))
+        self.writer.schedule()
+
+    def _journal_entry(self, write: _OpenWrite, outcome: str) -> JournalEntry:
+        work = write.work
+        sent_to = work.sent_to
+        return JournalEntry(
+            completed_at_ms=int(clock.now()),
+            began_at_ms=int(write.began_at_ms),
             class_name=self.settings.classes[work.class_].name,
             volume=f"{work.volume:016x}",
             key=idempotency_token(work),
             piece=f"{work.key:016x}",
-            shard=at.shard if at else work.shard,
-            node=api.name_of(at.node) if at else "",
+            shard=sent_to.shard if sent_to else work.shard,
+            node=api.name_of(sent_to.node) if sent_to else "",
             units=work.units,
-            digest=asked.digest,
+            digest=write.digest,
             outcome=outcome,
         )
-        self._do(self.intents.on_write_completed(now, asked.name, entry, ticket, asked.deadline))
-        self._kick()
 
-    def _was_read(self, work: Work, asked: float, answer: Answer, done: Done) -> None:
+    def _on_read(self, work: Work, requested_at_ms: float, answer: Answer, done: Done) -> None:
         piece = work.volume, work.key
-        if answer.verdict is Verdict.SERVED and self.drift.can_compare(asked, piece):
-            digest, at = hashlib.sha256(answer.body).hexdigest(), work.sent_to
-            box = api.name_of(at.node) if at else ""
-            found = self.drift.compare(clock.now(), asked, piece, digest, box)
-            if found is not None:
-                self._differs(found)
+        if answer.verdict is Verdict.SERVED and self.drift.can_compare(requested_at_ms, piece):
+            digest = hashlib.sha256(answer.body).hexdigest()
+            node = api.name_of(work.sent_to.node) if work.sent_to else ""
+            finding = self.drift.compare(clock.now(), requested_at_ms, piece, digest, node)
+            if finding is not None:
+                self._on_drift(finding)
         done(answer)
 
-    def _differs(self, found: DriftFinding) -> None:
+    def _on_drift(self, finding: DriftFinding) -> None:
+        found = finding.found_digest[:LOGGED_DIGEST_LENGTH]
+        expected = finding.expected_digest[:LOGGED_DIGEST_LENGTH]
         log.say(
             "drift",
-            f"{found.node} shows volume {found.volume} piece {found.piece} with digest"
-            f" {found.found_digest[:12]}, where {found.expected_digest[:12]} was written",
+            f"{finding.node} shows volume {finding.volume} piece {finding.piece} with digest {found},"
+            f" where {expected} was written",
         )
-        self.intents.on_drift(found)
-        self._kick()
+        self.intents.on_drift(finding)
+        self.writer.schedule()
 
-    # Between the core and the pool.
+    # Between the core and the connection pool.
 
     def start(self, rid: int, number: int, node: api.NodeId, work: Work, timeout: float) -> None:
         """See ``core.Transport``."""
@@ -188,180 +242,65 @@
         if not name:
             self.inner.start(rid, number, node, work, timeout)
             return
-        entry, now, attempt = self._entry(node), clock.now(), (rid, number)
-        self._held[attempt] = _Held(node, work, name, now, now + timeout)
-        sent = SendRecord(now, entry.shard, entry.zone)
-        kind = self.settings.classes[work.class_]
-        effects = self.intents.on_attempt(now, attempt, name, sent, now + timeout, kind)
-        if any(not isinstance(e, SendAttempt) for e in effects):
-            self._loop.call_soon(self._do, effects)  # a transport never reports from inside a call
+        attempt = rid, number
+        now_ms = clock.now()
+        deadline_ms = now_ms + timeout
+        entry = self._entry(node)
+        self._waiting[attempt] = _WaitingAttempt(node, work, name, now_ms, deadline_ms)
+        send = SendRecord(now_ms, entry.shard, entry.zone)
+        request_class = self.settings.classes[work.class_]
+        effects = self.intents.on_attempt(now_ms, attempt, name, send, deadline_ms, request_class)
+        if any(not isinstance(effect, SendAttempt) for effect in effects):
+            self._loop.call_soon(self._carry_out, effects)  # a transport never reports from inside a call
         else:
-            self._do(effects)
-        self._kick()
+            self._carry_out(effects)
+        self.writer.schedule()
 
     def cancel(self, rid: int, number: int) -> None:
         """See ``core.Transport``."""
         attempt = rid, number
-        if attempt in self._held:
-            if self.intents.on_attempt_cancelled(attempt):
-                self._end(attempt, Ended(Outcome.CANCELLED, False))
-        else:
+        if attempt not in self._waiting:
             self.inner.cancel(rid, number)
+        elif self.intents.on_attempt_cancelled(attempt):
+            self._end_unsent(attempt, Ended(Outcome.CANCELLED, False))
 
     def close_idle(self, node: api.NodeId) -> None:
         """See ``core.Transport``."""
         self.inner.close_idle(node)
 
     def on_attempt_ended(self, rid: int, number: int, ended: Ended) -> None:
-        """What the transport below reports."""
-        known = self._out.pop((rid, number), None)
-        if known is not None:
-            name, waited = known
-            self.intents.on_attempt_ended(name, may_have_run=ended.may_have_run)
-            ended = replace(ended, waited=waited)
+        """Pass on what the transport below reports."""
+        sent = self._sent.pop((rid, number), None)
+        if sent is not None:
+            self.intents.on_attempt_ended(sent.name, may_have_run=ended.may_have_run)
+            ended = replace(ended, waited=sent.waited_ms)
         self.report(rid, number, ended)
 
-    # Carrying out.
+    # Effects.
 
-    def _do(self, effects: list[Effect]) -> None:
-        now = clock.now()
+    def _carry_out(self, effects: list[Effect]) -> None:
+        now_ms = clock.now()
         for effect in effects:
             match effect:
                 case SendAttempt(attempt):
-                    held = self._held.pop(attempt)
-                    self._out[attempt] = held.name, now - held.asked
-                    left = max(1.0, held.deadline - now)
-                    self.inner.start(*attempt, held.node, held.work, left)
+                    self._send(now_ms, attempt)
                 case ExpireAttempt(attempt):
-                    self._end(attempt, Ended(Outcome.MOOT, False))
+                    self._end_unsent(attempt, Ended(Outcome.MOOT, False))
                 case BlockAttempt(attempt):
-                    self._end(attempt, Ended(Outcome.ERROR, True))
-                case CompleteWrite(ticket, kept):
-                    done, answer = self._tickets.pop(ticket)
-                    done(answer if kept else Answer(Verdict.FAILED))
+                    self._end_unsent(attempt, Ended(Outcome.ERROR, True))
+                case CompleteWrite(ticket, journaled):
+                    served = self._served.pop(ticket)
+                    served.done(served.answer if journaled else Answer(Verdict.FAILED))
                 case LogLine(text):
                     log.say("store", text)
 
-    def _end(self, attempt: AttemptId, ended: Ended) -> None:
-        held = self._held.pop(attempt, None)
-        if held is not None:
-            self.report(*attempt, replace(ended, waited=clock.now() - held.asked))
-
-    def _kick(self) -> None:
-        """Something may wait for the database: a batch gathers what comes with it."""
-        if self._pump is None and self._gathering is None and self.intents.needs_polling:
-            now = clock.now()
-            wait = max(self.intents.limits.gather_ms, self.intents.health.next_trial_ms() - now)
-            if wait > 0:
-                self._gathering = self._loop.call_later(wait / 1000, self._begin)
-            else:  # all that comes in this turn of the loop, and then while its batch is written
-                self._gathering = self._loop.call_soon(self._begin)
-        if self._ticking is None and self.intents.needs_polling:
-            self._ticking = self._loop.call_later(TICK_S, self._tick)
-
-    def _begin(self) -> None:
-        self._gathering = None
-        self._pump = self._loop.create_task(self._work())
-        self._pump.add_done_callback(self._rested)
-
-    def _rested(self, task: asyncio.Task[None]) -> None:
-        self._pump = None
-        if task.cancelled():
-            return
-        if (fault := task.exception()) is not None:
-            # Guards against a fault here ending the record for good, with all that waits for it.
-            log.say("fault", "".join(traceback.format_exception(fault)))
-            told = DatabaseError(DatabaseErrorKind.UNEXPECTED, repr(fault), uncertain=True)
-            keeper, now = self.intents, clock.now()
-            self._do(keeper.on_batch_failed(now, told) if keeper.batch_in_flight is not None else keeper.on_unreachable(now, told))
-            check(False, "the record's driver works without a fault")
-        if not self._ending:
-            self._kick()
-
-    def _tick(self) -> None:
-        self._ticking = None
-        self._do(self.intents.on_tick(clock.now()))
-        if self.intents.needs_polling:
-            self._kick()
-
-    async def _work(self) -> None:
-        """Batch after batch, as long as there are any; a session that broke is opened anew first."""
-        keeper = self.intents
-        while keeper.health.may_start_batch(clock.now()):
-            if keeper.position_unknown or self._session is None or self._session.closed:
-                if not await self._come_back():
-                    return
-                continue
-            batch = keeper.next_batch(clock.now())
-            if batch is None:
-                return
-            try:
-                taken, found = await self._write(batch)
-            except DatabaseError as fault:
-                self._do(keeper.on_batch_failed(clock.now(), fault))
-            else:
-                self._do(keeper.on_batch_committed(clock.now(), taken, found))
-
-    async def _write(self, batch: RecordBatch) -> tuple[set[str], dict[str, RecordedWrite]]:
-        session, limits = self._session, self.intents.limits
-        assert session is not None
-        what = session.transact(statements.batch_steps(batch, self.intents.instance))
-        if session.backend == "sqlite":  # what the disk holds up cannot be called off
-            results = await what
-        else:
-            try:
-                async with asyncio.timeout(limits.give_up_ms / 1000):
-                    results = await what
-            except TimeoutError:
-                session.abort()
-                text = f"no answer for {limits.give_up_ms:.0f} ms"
-                raise DatabaseError(DatabaseErrorKind.STALL, text, uncertain=True) from None
-        taken = statements.accepted_intents(batch, results)
-        found = {}
-        for intent in batch.intents:
-            if intent.name not in taken:
-                try:
-                    rows = await session.query(statements.SELECT_WRITE, intent.name)
-                except DatabaseError:  # it is asked once more, with the next batch
-                    rows = []
-                if rows:
-                    found[intent.name] = statements.recorded_write(rows[0])
-        return taken, found
-
-    async def _come_back(self) -> bool:
-        """A session that works, and the position as the database has it."""
-        keeper = self.intents
-        keeper.health.on_batch_began(clock.now())
-        try:
-            if self._session is None or self._session.closed:
-                self._session = await self._opener(CONNECT_TIMEOUT_S)
-            async with asyncio.timeout(keeper.limits.give_up_ms / 1000):
-                position = await startup.read_position(self._session, keeper.instance)
-        except TimeoutError:
-            if self._session is not None:
-                self._session.abort()
-            self._do(keeper.on_unreachable(clock.now(), DatabaseError(DatabaseErrorKind.STALL)))
-            return False
-        except DatabaseError as fault:
-            self._do(keeper.on_unreachable(clock.now(), fault))
-            return False
-        keeper.health.allow_immediate_retry()
-        self._do(keeper.on_position_read(clock.now(), position))
-        return True
+    def _send(self, now_ms: float, attempt: AttemptId) -> None:
+        waiting = self._waiting.pop(attempt)
+        self._sent[attempt] = _SentAttempt(waiting.name, now_ms - waiting.requested_at_ms)
+        remaining_ms = max(MIN_TIMEOUT_MS, waiting.deadline_ms - now_ms)
+        self.inner.start(*attempt, waiting.node, waiting.work, remaining_ms)
 
-    async def close(self) -> None:
-        """Write what is left, for a bounded time, and say what could not be written."""
-        until = self._loop.time() + FLUSH_TIMEOUT_S
-        while self.intents.has_pending_work and self._loop.time() < until:
-            await asyncio.sleep(0.005)
-        self._ending = True
-        left = self.intents.unwritten_entries
-        if left:
-            log.say("store", f"{left} entries of the journal could not be written before the end")
-        for timer in (self._gathering, self._ticking):
-            if timer is not None:
-                timer.cancel()
-        if self._pump is not None:
-            self._pump.cancel()
-        if self._session is not None:
-            await self._session.close()
+    def _end_unsent(self, attempt: AttemptId, ended: Ended) -> None:
+        waiting = self._waiting.pop(attempt, None)
+        if waiting is not None:
+            self.report(*attempt, replace(ended, waited=clock.now() - waiting.requested_at_ms))
--- /dev/null
+++ b/sabledyke/store/session_pool.py
@@ -0,0 +1,86 @@
+"""The sessions to one storage node that is a database, and how many there may be."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from sabledyke.policy import interface as api
+from sabledyke.store import statements
+from sabledyke.store.connect import connect
+from sabledyke.store.database_errors import DatabaseError
+from sabledyke.store.section import SqlNode, Target
+from sabledyke.store.session import Session
+
+MAX_IDLE_S = 60.0  # for which a session may be idle
+
+
+@dataclass(slots=True, frozen=True)
+class _IdleSession:
+    session: Session
+    since_s: float  # on the loop's clock
+
+
+class SessionPool:
+    """One node's sessions, used by one link at a time each.
+
+    Attributes:
+        node: The node.
+        target: Its database, at the address that discovery gives.
+        settings: The settings in force.
+        permits: As many as there may be sessions in use.
+        closed: The node was removed from the endpoint list, or the program ends.
+    """
+
+    def __init__(self, node: SqlNode, target: Target, settings: api.Settings) -> None:
+        self.node = node
+        self.target = target
+        self.settings = settings
+        self.permits = asyncio.Semaphore(node.connections)
+        self.closed = False
+        self._writes = 0
+        self._idle: list[_IdleSession] = []
+        self._has_tables = False
+
+    async def acquire(self) -> Session:
+        """Return an idle session, or a new one.
+
+        Raises:
+            DatabaseError: Where none comes up.
+        """
+        now_s = asyncio.get_running_loop().time()
+        while self._idle:
+            idle = self._idle.pop()
+            if not idle.session.closed and now_s - idle.since_s < MAX_IDLE_S:
+                return idle.session
+            idle.session.abort()
+        session = await connect(self.target, connect_s=self.settings.connect_timeout / 1000)
+        if not self._has_tables:
+            await self._create_tables(session)
+        return session
+
+    def release(self, session: Session) -> None:
+        """Take a session back after its use."""
+        if self.closed or session.closed:
+            session.abort()
+        else:
+            self._idle.append(_IdleSession(session, asyncio.get_running_loop().time()))
+
+    def count_write(self) -> int:
+        """Return the number of this write, from 1."""
+        self._writes += 1
+        return self._writes
+
+    def close(self) -> None:
+        """Close idle sessions; those in use are closed after it."""
+        self.closed = True
+        while self._idle:
+            self._idle.pop().session.abort()
+
+    async def _create_tables(self, session: Session) -> None:
+        try:
+            await session.script(statements.NODE_TABLES)
+        except DatabaseError:
+            session.abort()
+            raise
+        self._has_tables = True
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -1,9 +1,10 @@
-"""Boxes that are databases: one attempt is a query, or a transaction of payload and key together.
+"""Links to storage nodes that are databases: an attempt is a query, or a transaction of payload and key
+together.
 
-The box's connections are a bounded set of sessions; links are light and share them, and who waits for one has
-not run. A write is certainly not run until its COMMIT is handed to a connection; where that COMMIT's answer
-does not come, the write is in doubt and ``Doubt`` says what to ask, on another connection, until its time
-ends.
+A node's sessions are bounded (``SessionPool``); links are light and share them, and an attempt that waits for
+one has not run. A write has certainly not run until its COMMIT is handed to a connection; where that COMMIT
+is not answered, the write is in doubt and ``InDoubtWrite`` says what to ask, on another connection, until its
+time ends.
 """
 
 from __future__ import annotations
@@ -22,251 +23,230 @@
 from sabledyke.policy import interface as api
 from sabledyke.policy.interface import Outcome
 from sabledyke.store import statements
-from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import DatabaseError
-from sabledyke.store.in_doubt import InDoubtWrite, DoubtQuestion, DoubtResolution
-from sabledyke.store.section import SqlNode, Target
+from sabledyke.store.in_doubt import DoubtQuestion, DoubtResolution, InDoubtWrite
+from sabledyke.store.section import SqlNode
 from sabledyke.store.session import Session
+from sabledyke.store.session_pool import SessionPool
 from sabledyke.store.types import Row, Step, write_name
 
-COMMIT_TIMEOUT_SHARE = 0.5  # part of an attempt's time that its COMMIT may take before it is looked up elsewhere
-FORGET_INTERVAL_WRITES = 256  # writes between those that also drop keys which nobody repeats any more
-IDLE_S = 60.0  # seconds that a session may rest
-
-
-class _SqlBox:
-    """One database: its sessions, and how many there may be."""
-
-    def __init__(self, box: SqlNode, target: Target, settings: api.Settings) -> None:
-        self.box, self.target, self.settings = box, target, settings
-        self.permits = asyncio.Semaphore(box.connections)
-        self.left = False  # it is gone from the list
-        self.writes = 0
-        self._idle: list[tuple[Session, float]] = []
-        self._ready = False
-
-    async def take(self) -> Session:
-        """A session that nobody uses, or a new one; a StoreFault where none comes up."""
-        now = asyncio.get_running_loop().time()
-        while self._idle:
-            session, since = self._idle.pop()
-            if not session.closed and now - since < IDLE_S:
-                return session
-            session.abort()
-        session = await connect(self.target, connect_s=self.settings.connect_timeout / 1000)
-        if not self._ready:
-            try:
-                await session.script(statements.NODE_TABLES)
-            except DatabaseError:
-                session.abort()
-                raise
-            self._ready = True
-        return session
-
-    def give(self, session: Session) -> None:
-        """Back, after use."""
-        if self.left or session.closed:
-            session.abort()
-        else:
-            self._idle.append((session, asyncio.get_running_loop().time()))
-
-    def leave(self) -> None:
-        """Close what rests; what is in use is closed after it."""
-        self.left = True
-        while self._idle:
-            self._idle.pop()[0].abort()
+COMMIT_TIMEOUT_SHARE = 0.5  # of an attempt's time, before its COMMIT is looked up on another connection
+FORGET_INTERVAL_WRITES = 256  # between those that also delete keys which nobody repeats any more
+RETRY_WAIT_S = 0.01  # after a question that failed
+ATTEMPT_ID_BYTES = 12
 
 
 class SqlLink:
-    """See ``pool.Link``."""
+    """See ``connection_pool.Link``."""
 
-    def __init__(self, box: _SqlBox, kept: float) -> None:
-        self._box, self._kept = box, kept
+    def __init__(self, pool: SessionPool, retention_ms: float) -> None:
         self.closed = False
         self.reusable = True
         self.may_have_run = False
+        self._pool = pool
+        self._retention_ms = retention_ms
         self._session: Session | None = None
 
     def rest(self, heard: Callable[[], None]) -> None:
-        """See ``pool.Link``: a session is looked at when it is taken."""
+        """See ``connection_pool.Link``: a session is checked when it is acquired."""
 
     def wake(self) -> bool:
-        """See ``pool.Link``."""
-        return not self._box.left
+        """See ``connection_pool.Link``."""
+        return not self._pool.closed
 
     def close(self) -> None:
-        """See ``pool.Link``."""
+        """See ``connection_pool.Link``."""
         self.closed = True
         if self._session is not None:
             self._session.abort()
 
     async def exchange(self, work: Work, timeout: float) -> Ended:
-        """See ``pool.Link``."""
-        self.may_have_run, self.reusable = False, False
-        deadline = clock.now() + timeout
-        async with self._box.permits:
+        """See ``connection_pool.Link``."""
+        self.may_have_run = False
+        self.reusable = False
+        deadline_ms = clock.now() + timeout
+        async with self._pool.permits:
             if self.closed:
                 raise StreamClosedError
-            ended = await (self._write(work, deadline) if work.write else self._read(work))
+            ended = await (self._write(work, deadline_ms) if work.write else self._read(work))
         self.reusable = not self.closed
         return ended
 
-    async def _take(self) -> Session:
-        try:
-            self._session = await self._box.take()
-        except DatabaseError as fault:
-            log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
-            raise StreamClosedError from None
-        return self._session
-
-    def _give(self) -> None:
-        if self._session is not None:
-            self._box.give(self._session)
-            self._session = None
+    # Reads.
 
     async def _read(self, work: Work) -> Ended:
-        session = await self._take()
+        session = await self._acquire()
         self.may_have_run = True
         try:
             rows = await session.query(statements.SELECT_PIECE, f"{work.volume:016x}", f"{work.key:016x}")
-        except DatabaseError as fault:
-            log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
+        except DatabaseError as error:
+            self._log(str(error))
             if session.closed:
-                raise StreamClosedError from None
+                raise StreamClosedError from error
             return Ended(Outcome.ERROR, True)
         finally:
-            self._give()
+            self._release()
         if not rows:
             return Ended(Outcome.ERROR, True)
         body = rows[0][0]
         assert isinstance(body, bytes)
         return Ended(Outcome.OK, True, body)
 
-    async def _write(self, work: Work, deadline: float) -> Ended:
-        attempt = secrets.token_hex(12)
+    # Writes.
+
+    async def _write(self, work: Work, deadline_ms: float) -> Ended:
+        attempt = secrets.token_hex(ATTEMPT_ID_BYTES)
         name = write_name(work) or f"-/{work.volume:x}/{work.ident}"
         steps = self._steps(work, name, attempt)
-        session = await self._take()
-        patience = (deadline - clock.now()) * COMMIT_TIMEOUT_SHARE / 1000
-        transaction = asyncio.ensure_future(self._watched(session, steps))
+        session = await self._acquire()
+        timeout_s = (deadline_ms - clock.now()) * COMMIT_TIMEOUT_SHARE / 1000
+        transaction = asyncio.ensure_future(session.transact(steps, self._on_committing))
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_s):
                 results = await transaction
-        except TimeoutError:
+        except TimeoutError as error:
             session.abort()
             if not self.may_have_run:  # it stalled before COMMIT, and can never commit now
-                raise StreamClosedError from None
-        except DatabaseError as fault:
-            if not fault.uncertain:
-                self.may_have_run = False
-                log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
-                if session.closed:
-                    raise StreamClosedError from None
-                return Ended(Outcome.REJECTED, False)
+                raise StreamClosedError from error
+        except DatabaseError as error:
+            if not error.uncertain:
+                return self._not_run(session, error)
             session.abort()
         else:
-            return self._ended(results[2][0] if results[2] else None)
+            return _ended_by_key(results[2])
         finally:
-            self._give()
-        return await self._resolve(InDoubtWrite(attempt, deadline), name)
-
-    async def _watched(self, session: Session, steps: list[Step]) -> list[list[Row]]:
-        """The transaction; what may have run is known as soon as its COMMIT is handed over."""
-
-        def committing() -> None:
-            self.may_have_run = True
-
-        return await session.transact(steps, committing)
+            self._release()
+        return await self._resolve(InDoubtWrite(attempt, deadline_ms), name)
 
     def _steps(self, work: Work, name: str, attempt: str) -> list[Step]:
-        now, volume, piece = int(clock.now()), f"{work.volume:016x}", f"{work.key:016x}"
+        now_ms = int(clock.now())
+        volume = f"{work.volume:016x}"
+        piece = f"{work.key:016x}"
         result = hashlib.sha256(work.body).hexdigest().encode()
         steps = [
-            Step(statements.CLAIM_KEY, [(name, attempt, now, result)]),
+            Step(statements.CLAIM_KEY, [(name, attempt, now_ms, result)]),
             Step(statements.UPSERT_PIECE, [(volume, piece, work.body, name, attempt)]),
             Step(statements.SELECT_KEY, [(name,)]),
         ]
-        self._box.writes += 1
-        if self._box.writes % FORGET_INTERVAL_WRITES == 0:
-            steps.append(Step(statements.DELETE_OLD_KEYS, [(now - int(self._kept),)]))
+        if self._pool.count_write() % FORGET_INTERVAL_WRITES == 0:
+            steps.append(Step(statements.DELETE_OLD_KEYS, [(now_ms - int(self._retention_ms),)]))
         return steps
 
-    def _ended(self, row: Row | None) -> Ended:
-        """What the key says after the transaction: done by this attempt, or by whichever was first."""
-        if row is None or row[1] != "done":
-            return Ended(Outcome.ERROR, True)
-        assert isinstance(row[2], bytes)
-        return Ended(Outcome.OK, True, row[2])
+    def _on_committing(self) -> None:
+        self.may_have_run = True
+
+    def _not_run(self, session: Session, error: DatabaseError) -> Ended:
+        self.may_have_run = False
+        self._log(str(error))
+        if session.closed:
+            raise StreamClosedError from error
+        return Ended(Outcome.REJECTED, False)
 
-    async def _resolve(self, doubt: InDoubtWrite, name: str) -> Ended:
+    # Writes in doubt.
+
+    async def _resolve(self, write: InDoubtWrite, name: str) -> Ended:
         """Ask until the write is known to have run or not, or its time is over."""
-        while (question := doubt.next_question(clock.now())) is not DoubtQuestion.NOTHING:
+        while (question := write.next_question(clock.now())) is not DoubtQuestion.NOTHING:
             try:
-                async with asyncio.timeout((doubt.deadline_ms - clock.now()) / 1000):
-                    session = self._session = await self._box.take()
-                    if question is DoubtQuestion.FENCE:
-                        row = (name, doubt.attempt, int(clock.now()), b"")
-                        await session.transact([Step(statements.FENCE_KEY, [row])])
-                        doubt.on_fence_committed()
-                    else:
-                        rows = await session.query(statements.SELECT_KEY, name)
-                        if rows:
-                            attempt, state, result = rows[0]
-                            assert isinstance(result, bytes)
-                            doubt.on_key_found(str(attempt), str(state), result)
-                        else:
-                            doubt.on_key_absent()
+                async with asyncio.timeout((write.deadline_ms - clock.now()) / 1000):
+                    await self._ask(write, name, question)
             except TimeoutError:
                 if self._session is not None:
                     self._session.abort()
-                doubt.on_question_failed()
+                write.on_question_failed()
             except DatabaseError:
-                doubt.on_question_failed()
-                await asyncio.sleep(0.01)
+                write.on_question_failed()
+                await asyncio.sleep(RETRY_WAIT_S)
             finally:
-                self._give()
-        log.say(
-            "box",
-            f"{api.name_of(self._box.box.node)} lost a commit's answer: it {doubt.resolution.value}"
-            f" after {doubt.questions_asked} questions",
-        )
-        match doubt.resolution:
-            case DoubtResolution.SERVED:
-                return Ended(Outcome.OK, True, doubt.result)
-            case DoubtResolution.NEVER:
-                self.may_have_run = False
-                return Ended(Outcome.REJECTED, False)
+                self._release()
+        resolution = write.resolution
+        self._log(f"lost a commit's answer: it {resolution.value} after {write.questions_asked} questions")
+        if resolution is DoubtResolution.SERVED:
+            return Ended(Outcome.OK, True, write.result)
+        if resolution is DoubtResolution.NEVER:
+            self.may_have_run = False
+            return Ended(Outcome.REJECTED, False)
         return Ended(Outcome.RESET, True)
 
+    async def _ask(self, write: InDoubtWrite, name: str, question: DoubtQuestion) -> None:
+        self._session = await self._pool.acquire()
+        if question is DoubtQuestion.FENCE:
+            fence = (name, write.attempt, int(clock.now()), b"")
+            await self._session.transact([Step(statements.FENCE_KEY, [fence])])
+            write.on_fence_committed()
+            return
+        rows = await self._session.query(statements.SELECT_KEY, name)
+        if not rows:
+            write.on_key_absent()
+            return
+        attempt, state, result = rows[0]
+        assert isinstance(result, bytes)
+        write.on_key_found(str(attempt), str(state), result)
+
+    # Sessions.
+
+    async def _acquire(self) -> Session:
+        try:
+            self._session = await self._pool.acquire()
+        except DatabaseError as error:
+            self._log(str(error))
+            raise StreamClosedError from error
+        return self._session
+
+    def _release(self) -> None:
+        if self._session is not None:
+            self._pool.release(self._session)
+            self._session = None
+
+    def _log(self, text: str) -> None:
+        log.say("box", f"{api.name_of(self._pool.node.node)} {text}")
+
 
 class SqlDialer:
-    """Opens such links."""
+    """Opens links to the nodes that are databases; see ``connection_pool.Dial``.
+
+    Attributes:
+        settings: The settings in force.
+        nodes: The nodes that are databases.
+    """
 
-    def __init__(self, settings: api.Settings, boxes: dict[api.NodeId, SqlNode], kept: float) -> None:
-        self.settings, self.nodes, self._kept = settings, boxes, kept
-        self._open: dict[api.NodeId, _SqlBox] = {}
+    def __init__(self, settings: api.Settings, nodes: dict[api.NodeId, SqlNode], retention_ms: float) -> None:
+        self.settings = settings
+        self.nodes = nodes
+        self._retention_ms = retention_ms
+        self._pools: dict[api.NodeId, SessionPool] = {}
 
     async def dial(self, node: api.NodeId, address: Address, patience: float) -> SqlLink:
-        """See ``pool.Dial``."""
-        box = self.nodes[node]
-        target = box.target
+        """See ``connection_pool.Dial``."""
+        sql_node = self.nodes[node]
+        target = sql_node.target
         if not target.path:
             target = replace(target, host=address[0], port=address[1])
-        known = self._open.get(node)
-        if known is None or known.target != target:
-            if known is not None:
-                known.leave()
-            known = self._open[node] = _SqlBox(box, target, self.settings)
-        known.settings = self.settings
-        return SqlLink(known, self._kept)
+        pool = self._pools.get(node)
+        if pool is None or pool.target != target:
+            if pool is not None:
+                pool.close()
+            pool = SessionPool(sql_node, target, self.settings)
+            self._pools[node] = pool
+        pool.settings = self.settings
+        return SqlLink(pool, self._retention_ms)
 
     def on_node_removed(self, node: api.NodeId) -> None:
-        """The box is gone from the list: its sessions are closed, those in use after it."""
-        known = self._open.pop(node, None)
-        if known is not None:
-            known.leave()
+        """Close the sessions of a node that was removed from the endpoint list, those in use after it."""
+        pool = self._pools.pop(node, None)
+        if pool is not None:
+            pool.close()
 
     def close(self) -> None:
-        """Leave all boxes."""
-        for known in self._open.values():
-            known.leave()
+        """Close the sessions of all nodes."""
+        for pool in self._pools.values():
+            pool.close()
+
+
+def _ended_by_key(rows: list[Row]) -> Ended:
+    """Return what the key says after the transaction: done by this attempt, or by whichever was first."""
+    if not rows or rows[0][1] != "done":
+        return Ended(Outcome.ERROR, True)
+    result = rows[0][2]
+    assert isinstance(result, bytes)
+    return Ended(Outcome.OK, True, result)
--- a/sabledyke/store/statements.py
+++ b/sabledyke/store/statements.py
@@ -1,17 +1,29 @@
 """The SQL, for both backends: numbered migrations, and batches as the steps of one transaction.
 
-Written once in PostgreSQL's way, with ``$1::type`` for values; ``for_sqlite`` turns that into SQLite's. Why
-not an SQL toolkit: see ``docs/design/store.md``, where it was measured. No I/O here.
+Written once in PostgreSQL's dialect, with ``$1::type`` for values; ``to_sqlite`` turns that into SQLite's.
+Why not an SQL toolkit: see ``docs/design/store.md``, where it was measured. No I/O here.
 """
 
 from __future__ import annotations
 
 import re
+from collections.abc import Iterable
 
-from sabledyke.store.types import RecordBatch, RecordedWrite, Row, SendRecord, Step
+from sabledyke.store.types import (
+    DriftFinding,
+    Intent,
+    JournalEntry,
+    RecordBatch,
+    RecordedWrite,
+    Row,
+    SendRecord,
+    Step,
+    WriteState,
+)
 
-SCHEMA_VERSION = 2  # of the record's schema
-FORGET_LIMIT_ROWS = 1000  # forgotten writes that one batch drops
+SCHEMA_VERSION = 2  # of the record
+FORGET_LIMIT_ROWS = 1000  # old writes, or keys, that one transaction deletes
+PAGE_ROWS = 2000  # an audit or a copy of millions of rows holds one page in memory
 
 # Version 1 is the table that SQLite files had before there were versions: such a file has no schema_version.
 _V1 = (
@@ -23,7 +35,7 @@
     "ALTER TABLE writes ADD COLUMN instance TEXT NOT NULL DEFAULT ''",
     "ALTER TABLE writes ADD COLUMN life BIGINT NOT NULL DEFAULT 0",
     "CREATE INDEX writes_at ON writes (at)",
-    # A write of an older life breaks the CHECK: the database itself gives the whole transaction up.
+    # A write of an older incarnation breaks the CHECK: the database itself gives the whole transaction up.
     "CREATE TABLE lives (instance TEXT PRIMARY KEY, life BIGINT NOT NULL, batch BIGINT NOT NULL,"
     " seq BIGINT NOT NULL, head TEXT NOT NULL, fence BIGINT NOT NULL CHECK (fence = 0))",
     "CREATE TABLE journal (instance TEXT NOT NULL, seq BIGINT NOT NULL, life BIGINT NOT NULL,"
@@ -36,7 +48,7 @@
 )
 MIGRATIONS = (_V1, _V2)
 
-# What a database that serves as a box holds; it is made where it is missing, and has no versions yet.
+# The tables of a database that serves as a storage node: created where missing, and without versions yet.
 NODE_TABLES = (
     "CREATE TABLE IF NOT EXISTS pieces (volume TEXT NOT NULL, piece TEXT NOT NULL, body BYTEA NOT NULL,"
     " PRIMARY KEY (volume, piece))",
@@ -66,7 +78,7 @@
     "UPDATE lives SET fence = CASE WHEN life = $2::bigint AND batch = $3::bigint THEN 0 ELSE 1 END,"
     " batch = $3::bigint + 1, seq = $4::bigint, head = $5::text WHERE instance = $1::text"
 )
-# What never ran may be sent anew, and so may what this life recorded and has not sent.
+# What never ran may be sent anew, and so may what this incarnation recorded and has not sent.
 INSERT_INTENT = (
     "INSERT INTO writes (name, at, shard, zone, state, instance, life) VALUES ($1::text,"
     " $2::double precision, $3::bigint, $4::bigint, 'sent', $5::text, $6::bigint)"
@@ -99,16 +111,16 @@
     " ORDER BY at DESC LIMIT $2::bigint"
 )
 
-# Walks, a page at a time: an audit or a copy of millions of rows holds one page in memory.
-PAGE_ROWS = 2000
+# Walks, a page at a time.
 JOURNAL_COLUMNS = (
-    "instance, seq, life, at, began, class, volume, token, piece, shard, box, units, digest," " outcome, hash"
+    "instance, seq, life, at, began, class, volume, token, piece, shard, box, units, digest, outcome, hash"
 )
 SELECT_JOURNAL_PAGE = (
     f"SELECT {JOURNAL_COLUMNS} FROM journal WHERE instance = $1::text AND seq > $2::bigint"
     f" ORDER BY seq LIMIT {PAGE_ROWS}"
 )
 SELECT_INCARNATIONS = "SELECT instance, life, batch, seq, head FROM lives ORDER BY instance"
+SELECT_JOURNAL_INSTANCES = "SELECT DISTINCT instance FROM journal"
 COUNT_ROWS = {
     "writes": "SELECT count(*) FROM writes",
     "journal": "SELECT count(*) FROM journal",
@@ -131,7 +143,7 @@
 
 INSERT_SAME_INCARNATION = INSERT_NEXT_INCARNATION.replace("$2::bigint + 1", "$2::bigint")
 
-# The database as a box. A claim makes the key the attempt's own; only then is its piece written.
+# The database as a storage node. A claim makes the key the attempt's own; only then is its piece written.
 CLAIM_KEY = (
     "INSERT INTO keys (name, attempt, state, at, result) VALUES ($1::text, $2::text, 'done', $3::bigint,"
     " $4::bytea) ON CONFLICT (name) DO UPDATE SET attempt = excluded.attempt, state = 'done',"
@@ -151,74 +163,107 @@
 )
 SELECT_PIECE = "SELECT body FROM pieces WHERE volume = $1::text AND piece = $2::text"
 DELETE_OLD_KEYS = (
-    f"DELETE FROM keys WHERE name IN (SELECT name FROM keys WHERE at < $1::bigint ORDER BY at LIMIT {FORGET_LIMIT_ROWS})"
+    "DELETE FROM keys WHERE name IN"
+    f" (SELECT name FROM keys WHERE at < $1::bigint ORDER BY at LIMIT {FORGET_LIMIT_ROWS})"
 )
 
 _VALUE = re.compile(r"\$(\d+)(::(double precision|[a-z]+))?")
 
 
 def to_sqlite(sql: str) -> str:
-    """A statement as SQLite reads it; a table with a key of its own needs no row numbers beside it."""
+    """Return a statement in SQLite's dialect; a table with its own key needs no row numbers beside it."""
     text = _VALUE.sub(r"?\1", sql).removesuffix(" FOR UPDATE")
-    return text + " WITHOUT ROWID" if text.startswith("CREATE TABLE") and "PRIMARY KEY" in text else text
+    if text.startswith("CREATE TABLE") and "PRIMARY KEY" in text:
+        return text + " WITHOUT ROWID"
+    return text
 
 
 def batch_steps(batch: RecordBatch, instance: str) -> list[Step]:
-    """A batch as one transaction; its first step fails, and with it all, where this life is not the last."""
-    after, life = batch.after, batch.after.incarnation
-    out = [Step(ADVANCE_POSITION, [(instance, life, batch.before.batches, after.last_sequence, after.head_hash)])]
-    if batch.settled:  # first: what never ran may be recorded anew in the same batch
-        out.append(Step(SETTLE_WRITE, [(name, state, instance, life) for name, state in batch.settled]))
+    """Return a batch as the steps of one transaction.
+
+    The first step fails, and with it all, where this incarnation is not the last. States come before intents,
+    as what never ran may be recorded anew in the same batch.
+    """
+    incarnation = batch.after.incarnation
+    steps = [Step(ADVANCE_POSITION, [_position_row(batch, instance)])]
+    if batch.settled:
+        states = [(name, state.value, instance, incarnation) for name, state in batch.settled]
+        steps.append(Step(SETTLE_WRITE, states))
     if batch.intents:
-        rows: list[Row] = [
-            (i.name, i.sent.sent_at_ms, i.sent.shard, i.sent.zone, instance, life) for i in batch.intents
-        ]
-        out.append(Step(INSERT_INTENT, rows))
+        steps.append(Step(INSERT_INTENT, _intent_rows(batch.intents, instance, incarnation)))
     if batch.entries:
-        first = batch.before.last_sequence + 1
-        out.append(
-            Step(
-                INSERT_JOURNAL_ENTRY,
-                [
-                    (
-                        instance,
-                        first + i,
-                        life,
-                        e.completed_at_ms,
-                        e.began_at_ms,
-                        e.class_name,
-                        e.volume,
-                        e.key,
-                        e.piece,
-                        e.shard,
-                        e.node,
-                        e.units,
-                        e.digest,
-                        e.outcome,
-                        h,
-                    )
-                    for i, (e, h) in enumerate(zip(batch.entries, batch.hashes, strict=True))
-                ],
-            )
-        )
+        steps.append(Step(INSERT_JOURNAL_ENTRY, _journal_rows(batch, instance)))
     if batch.drifts:
-        out.append(
-            Step(INSERT_DRIFT, [(instance, d.found_at_ms, d.volume, d.piece, d.node, d.expected_digest, d.found_digest) for d in batch.drifts])
-        )
+        steps.append(Step(INSERT_DRIFT, _drift_rows(batch.drifts, instance)))
     if batch.forget_before_ms:
-        out.append(Step(DELETE_OLD_WRITES, [(batch.forget_before_ms,)]))
-    return out
+        steps.append(Step(DELETE_OLD_WRITES, [(batch.forget_before_ms,)]))
+    return steps
 
 
 def accepted_intents(batch: RecordBatch, results: list[list[Row]]) -> set[str]:
-    """Names of the batch's intents that the record took, from the results of its steps."""
+    """Return the names of the batch's intents that the record accepted, from the results of its steps."""
     if not batch.intents:
         return set()
-    return {str(row[0]) for row in results[2 if batch.settled else 1]}
+    intent_step = 2 if batch.settled else 1
+    return {str(row[0]) for row in results[intent_step]}
 
 
 def recorded_write(row: Row) -> RecordedWrite:
-    """A row of LOOK_UP or RECENT, without its name."""
-    _, at, shard, zone, state = row
-    assert isinstance(at, float | int) and isinstance(shard, int) and isinstance(zone, int)
-    return RecordedWrite(SendRecord(float(at), shard, zone), str(state))
+    """Return a row of SELECT_WRITE or SELECT_RECENT_WRITES, without its name."""
+    _, sent_at_ms, shard, zone, state = row
+    assert isinstance(sent_at_ms, float | int)
+    assert isinstance(shard, int)
+    assert isinstance(zone, int)
+    return RecordedWrite(SendRecord(float(sent_at_ms), shard, zone), WriteState(str(state)))
+
+
+def _position_row(batch: RecordBatch, instance: str) -> Row:
+    after = batch.after
+    return (instance, after.incarnation, batch.before.batches, after.last_sequence, after.head_hash)
+
+
+def _intent_rows(intents: Iterable[Intent], instance: str, incarnation: int) -> list[Row]:
+    return [
+        (intent.name, intent.sent.sent_at_ms, intent.sent.shard, intent.sent.zone, instance, incarnation)
+        for intent in intents
+    ]
+
+
+def _journal_rows(batch: RecordBatch, instance: str) -> list[Row]:
+    first = batch.before.last_sequence + 1
+    pairs = zip(batch.entries, batch.hashes, strict=True)
+    return [
+        (instance, sequence, batch.after.incarnation, *_entry_values(entry), entry_hash)
+        for sequence, (entry, entry_hash) in enumerate(pairs, first)
+    ]
+
+
+def _entry_values(entry: JournalEntry) -> Row:
+    return (
+        entry.completed_at_ms,
+        entry.began_at_ms,
+        entry.class_name,
+        entry.volume,
+        entry.key,
+        entry.piece,
+        entry.shard,
+        entry.node,
+        entry.units,
+        entry.digest,
+        entry.outcome,
+    )
+
+
+def _drift_rows(drifts: Iterable[DriftFinding], instance: str) -> list[Row]:
+    return [
+        (
+            instance,
+            drift.found_at_ms,
+            drift.volume,
+            drift.piece,
+            drift.node,
+            drift.expected_digest,
+            drift.found_digest,
+        )
+        for drift in drifts
+    ]
--- a/tests/compatibility/program/record.py
+++ b/tests/compatibility/program/record.py
@@ -10,7 +10,16 @@
 from sabledyke.store.connect import connect
 from sabledyke.store.section import Target
 from sabledyke.store.session import Session
-from sabledyke.store.types import RecordBatch, DriftFinding, JournalEntry, Intent, SendRecord, Step
+from sabledyke.store.types import (
+    DriftFinding,
+    Intent,
+    JournalEntry,
+    RecordBatch,
+    SendRecord,
+    Settlement,
+    Step,
+    WriteState,
+)
 from tests.compatibility.program.values import values
 
 
@@ -53,7 +62,10 @@
     before, made = await startup.read_position(session, instance), [JournalEntry(*entry) for entry in entries]
     after, hashes = audit_journal.extend_chain(before, instance, made)
     sends = [Intent(name, SendRecord(*sent)) for name, sent in intents]
-    batch = RecordBatch(before, after, sends, made, hashes, list(settled), [DriftFinding(*drift) for drift in drifts])
+    states = [Settlement(name, WriteState(state)) for name, state in settled]
+    batch = RecordBatch(
+        before, after, sends, made, hashes, states, [DriftFinding(*drift) for drift in drifts]
+    )
     results = await session.transact(statements.batch_steps(batch, instance))
     assert statements.accepted_intents(batch, results) == {name for name, _ in intents}
 
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -123,15 +123,12 @@
         while self.server.listeners:
             self.server.listeners.pop().close()
         self.server._turn = lambda: None  # type: ignore[method-assign]  # a dead process's guards do not fire
-        recorder = self.recording_transport
-        recorder._ending = True
-        if recorder._pump is not None:
-            recorder._pump.cancel()
-        for timer in (recorder._gathering, recorder._ticking, self.server._timer):
-            if timer is not None:
-                timer.cancel()
-        if recorder._session is not None:
-            recorder._session.abort()
+        writer = self.recording_transport.writer
+        writer.stop()
+        if self.server._timer is not None:
+            self.server._timer.cancel()
+        if writer.session is not None:
+            writer.session.abort()
         for front in self.server.fronts:
             front.closing = True
             for client in list(front.clients):
--- a/tests/test_store_keeper.py
+++ b/tests/test_store_keeper.py
@@ -10,20 +10,18 @@
 from sabledyke.policy.interface import Group, Repeat
 from sabledyke.policy.retry import HELD_UP
 from sabledyke.store import audit_journal
-from sabledyke.store.database_errors import DatabaseErrorKind, DatabaseError
-from sabledyke.store.health import StoreHealth, StoreLimits, HealthState
-from sabledyke.store.intent_manager import MAX_PENDING_DRIFTS, BlockAttempt, Effect, SendAttempt, IntentManager, ExpireAttempt, CompleteWrite
+from sabledyke.store.database_errors import DatabaseError, DatabaseErrorKind
+from sabledyke.store.effects import BlockAttempt, CompleteWrite, Effect, ExpireAttempt, SendAttempt
+from sabledyke.store.health import HealthState, StoreHealth, StoreLimits
+from sabledyke.store.intent_manager import MAX_PENDING_DRIFTS, IntentManager
 from sabledyke.store.types import (
-    NEVER,
-    SENT,
-    SERVED,
-    UNKNOWN,
-    RecordBatch,
     DriftFinding,
     JournalEntry,
-    RecordedWrite,
     JournalPosition,
+    RecordBatch,
+    RecordedWrite,
     SendRecord,
+    WriteState,
 )
 from tests.helpers import WRITE
 
@@ -36,7 +34,7 @@
     """A naive model of what the SQL does: rows and a journal that only whole batches change."""
 
     def __init__(self) -> None:
-        self.writes: dict[str, tuple[SendRecord, str, int]] = {}
+        self.writes: dict[str, tuple[SendRecord, WriteState, int]] = {}
         self.position = JournalPosition(0)
         self.journal: list[tuple[int, int, JournalEntry, str]] = []  # seq, life, entry, hash
 
@@ -51,13 +49,13 @@
         for name, state in batch.settled:
             if name in self.writes:
                 sent, old, owner = self.writes[name]
-                if state == SERVED or (owner == life and old == SENT):
+                if state == WriteState.SERVED or (owner == life and old == WriteState.SENT):
                     self.writes[name] = sent, state, owner
         taken, found = set(), {}
         for intent in batch.intents:
             row = self.writes.get(intent.name)
-            if row is None or row[1] == NEVER or (row[1] == SENT and row[2] == life):
-                self.writes[intent.name] = intent.sent, SENT, life
+            if row is None or row[1] == WriteState.NEVER or (row[1] == WriteState.SENT and row[2] == life):
+                self.writes[intent.name] = intent.sent, WriteState.SENT, life
                 taken.add(intent.name)
             else:
                 found[intent.name] = RecordedWrite(row[0], row[1])
@@ -110,7 +108,7 @@
         recent = [
             (name, RecordedWrite(sent, state))
             for name, (sent, state, _) in self.database.writes.items()
-            if state != NEVER and sent.sent_at_ms >= since
+            if state != WriteState.NEVER and sent.sent_at_ms >= since
         ]
         self.keeper.on_opened(self.database.start(), recent, self.now + KEYED.repeat_window)
         self.attempts: dict[tuple[int, int], tuple[str, int, bool]] = {}  # waiting or out: name, cell, out
@@ -123,7 +121,9 @@
         attempt, cell = (self.rid, 0), self.random.randrange(2)
         self.attempts[attempt] = name, cell, False
         deadline = self.now + self.random.choice((30, 400))
-        self.do(self.keeper.on_attempt(self.now, attempt, name, SendRecord(self.now, cell, 0), deadline, KEYED))
+        self.do(
+            self.keeper.on_attempt(self.now, attempt, name, SendRecord(self.now, cell, 0), deadline, KEYED)
+        )
 
     def do(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -164,7 +164,7 @@
         if outcome == "served":
             ticket = self.rid = self.rid + 1
             self.tickets[ticket] = name
-        self.do(self.keeper.on_write_completed(self.now, name, entry, ticket, self.now + 300))
+        self.do(self.keeper.on_write_completed(name, entry, ticket, self.now + 300))
 
     def batch(self) -> None:
         keeper = self.keeper
@@ -179,8 +179,17 @@
         self.do(keeper.on_tick(self.now))
         fate = self.random.random()
         if fate < self.faults:  # nothing of it took effect
-            kind = self.random.choice((DatabaseErrorKind.STALL, DatabaseErrorKind.CONFLICT, DatabaseErrorKind.LOST, DatabaseErrorKind.FULL))
-            self.do(keeper.on_batch_failed(self.now, DatabaseError(kind, uncertain=self.random.random() < 0.5)))
+            kind = self.random.choice(
+                (
+                    DatabaseErrorKind.STALL,
+                    DatabaseErrorKind.CONFLICT,
+                    DatabaseErrorKind.LOST,
+                    DatabaseErrorKind.FULL,
+                )
+            )
+            self.do(
+                keeper.on_batch_failed(self.now, DatabaseError(kind, uncertain=self.random.random() < 0.5))
+            )
         elif fate < 2 * self.faults:  # all of it did, and the answer is lost
             self.database.commit(batch)
             self.do(keeper.on_batch_failed(self.now, DatabaseError(DatabaseErrorKind.LOST, uncertain=True)))
@@ -236,7 +245,12 @@
     world.now += 60_000
     world.keeper.on_drift(DriftFinding(0, "", "", "", "", ""))  # one more batch, which forgets
     world.batch()
-    assert not world.attempts and not world.tickets and world.keeper.size == 0 and not world.keeper.has_pending_work
+    assert (
+        not world.attempts
+        and not world.tickets
+        and world.keeper.size == 0
+        and not world.keeper.has_pending_work
+    )
     assert world.keeper.health.state is HealthState.OPEN
 
 
@@ -256,9 +270,11 @@
     batch = k.next_batch(0)
     assert batch is not None and [i.name for i in batch.intents] == ["a", "b"] and k.next_batch(0) is None
     assert k.on_attempt_cancelled((2, 0)) and not k.on_attempt_cancelled((2, 0))
-    assert k.on_batch_committed(250, {"a", "b"}, {}) == [ExpireAttempt((1, 0))]  # durable too late: it is not sent
+    assert k.on_batch_committed(250, {"a", "b"}, {}) == [
+        ExpireAttempt((1, 0))
+    ]  # durable too late: it is not sent
     again = k.next_batch(251)
-    assert again is not None and sorted(again.settled) == [("a", NEVER), ("b", NEVER)]
+    assert again is not None and sorted(again.settled) == [("a", WriteState.NEVER), ("b", WriteState.NEVER)]
 
 
 def test_what_another_scheduler_sent_is_found_and_kept_to() -> None:
@@ -266,7 +282,7 @@
     for number, shard in ((1, 0), (2, 1)):
         sends(k, 1000, number, shard, name=f"x{shard}")
     assert k.next_batch(1000)
-    other = RecordedWrite(SendRecord(900, 0, 0), UNKNOWN)
+    other = RecordedWrite(SendRecord(900, 0, 0), WriteState.UNKNOWN)
     effects = k.on_batch_committed(1001, set(), {"x0": other, "x1": other})
     assert effects == [SendAttempt((1, 0)), BlockAttempt((2, 0))] and k.earlier_send("x1") == other.first_send
     over = 900 + KEYED.repeat_window - HELD_UP  # what is decided by then is written inside the window
@@ -292,31 +308,42 @@
     sends(k, 0, 1)
     assert k.next_batch(0) and not k.on_tick(99)
     effects = k.on_tick(100)
-    assert ExpireAttempt((1, 0)) in effects and not k.accepts_writes() and sends(k, 101, 2) == [ExpireAttempt((2, 0))]
+    assert (
+        ExpireAttempt((1, 0)) in effects
+        and not k.accepts_writes()
+        and sends(k, 101, 2) == [ExpireAttempt((2, 0))]
+    )
     effects = k.on_batch_committed(8000, {"a"}, {})
-    assert k.accepts_writes() and [type(e).__name__ for e in effects] == ["LogLine"]  # what was given up is not sent
+    assert k.accepts_writes() and [type(e).__name__ for e in effects] == [
+        "LogLine"
+    ]  # what was given up is not sent
 
 
 def test_served_answers_wait_for_their_entries_and_fail_with_the_stall() -> None:
     k = keeper()
-    assert k.on_write_completed(0, "a", ENTRY, 7, 300) == [] and k.next_batch(0)
+    assert k.on_write_completed("a", ENTRY, 7, 300) == [] and k.next_batch(0)
     assert CompleteWrite(7, False) in k.on_tick(100) and k.corrections == 1
     k.on_batch_committed(101, set(), {})
     batch = k.next_batch(101)
     assert batch is not None and [e.outcome for e in batch.entries] == ["unconfirmed"]
     k.on_batch_committed(102, set(), {})
-    assert k.on_write_completed(103, "b", ENTRY, 8, 104) == [] and k.on_tick(105) == [CompleteWrite(8, False)]  # past its deadline
+    assert k.on_write_completed("b", ENTRY, 8, 104) == [] and k.on_tick(105) == [
+        CompleteWrite(8, False)
+    ]  # past its deadline
     assert k.corrections == 1 and k.next_batch(106).entries[0].outcome == "unconfirmed"  # type: ignore[union-attr]
 
 
 def test_a_batch_whose_answer_is_lost_is_written_once() -> None:
     k, database = keeper(), Database()
     database.start()
-    k.on_write_completed(0, "a", ENTRY, 7, 300)
+    k.on_write_completed("a", ENTRY, 7, 300)
     batch = k.next_batch(0)
     assert batch is not None
     database.commit(batch)
-    assert CompleteWrite(7, False) in k.on_batch_failed(1, DatabaseError(DatabaseErrorKind.LOST, uncertain=True)) and k.position_unknown
+    assert (
+        CompleteWrite(7, False) in k.on_batch_failed(1, DatabaseError(DatabaseErrorKind.LOST, uncertain=True))
+        and k.position_unknown
+    )
     assert k.next_batch(1000) is None  # not before the position is read
     k.on_position_read(1000, database.position)
     batch = k.next_batch(1001)
@@ -329,7 +356,10 @@
     k = keeper()
     sends(k, 0, 1)
     k.next_batch(0)
-    assert ExpireAttempt((1, 0)) in k.on_batch_failed(1, DatabaseError(DatabaseErrorKind.FENCED)) and not k.needs_polling
+    assert (
+        ExpireAttempt((1, 0)) in k.on_batch_failed(1, DatabaseError(DatabaseErrorKind.FENCED))
+        and not k.needs_polling
+    )
     k.on_position_read(2, JournalPosition(2))
     assert not k.accepts_writes() and k.next_batch(1e9) is None and k.health.state is HealthState.FENCED
     other = keeper()
@@ -352,14 +382,14 @@
     k = keeper()
     for n in range(10):
         sends(k, 0, n, name=str(n))
-        k.on_write_completed(0, f"x{n}", ENTRY, None)
+        k.on_write_completed(f"x{n}", ENTRY, None)
     for _ in range(3):
         batch = k.next_batch(0)
         assert batch is not None and len(batch.intents) <= 4 >= len(batch.entries)
         k.on_batch_committed(0, {i.name for i in batch.intents}, {})
     assert k.next_batch(0) is None
     for n in range(LIMITS.backlog):
-        k.on_write_completed(0, f"y{n}", ENTRY, None)
+        k.on_write_completed(f"y{n}", ENTRY, None)
     assert not k.accepts_writes() and sends(k, 0, 99) == [ExpireAttempt((99, 0))]
     for _ in range(2 * MAX_PENDING_DRIFTS):
         k.on_drift(DriftFinding(0, "", "", "", "", ""))
@@ -378,4 +408,8 @@
         now = trial
     assert waits[0] <= 50 and max(waits) <= StoreLimits().longest_wait_ms
     assert max(waits) + StoreLimits().give_up_ms < 1000 and health.stalls == 1
-    assert health.retry_after_ms(now, 10_000) > 0 and health.on_batch_committed(now) > 0 and health.accepts_writes
+    assert (
+        health.retry_after_ms(now, 10_000) > 0
+        and health.on_batch_committed(now) > 0
+        and health.accepts_writes
+    )
--- a/tests/test_store_link.py
+++ b/tests/test_store_link.py
@@ -14,7 +14,7 @@
 from sabledyke.application.server import Server
 from sabledyke.config import Config
 from sabledyke.protocol import discovery
-from sabledyke.store.in_doubt import InDoubtWrite, DoubtQuestion, DoubtResolution
+from sabledyke.store.in_doubt import DoubtQuestion, DoubtResolution, InDoubtWrite
 from sabledyke.store.section import SqlNode, StoreSection, Target
 from tests.helpers import BRISK
 from tests.standins import Discovery, ask
@@ -263,4 +263,7 @@
     assert doubt.next_question(0) is DoubtQuestion.FENCE and doubt.resolution is DoubtResolution.MAY_HAVE_RUN
     for _ in range(InDoubtWrite.MAX_QUESTIONS):
         doubt.on_question_failed()
-    assert doubt.next_question(0) is DoubtQuestion.NOTHING and InDoubtWrite("a", 10).next_question(0) is DoubtQuestion.NOTHING
+    assert (
+        doubt.next_question(0) is DoubtQuestion.NOTHING
+        and InDoubtWrite("a", 10).next_question(0) is DoubtQuestion.NOTHING
+    )
--- a/tests/test_store_record.py
+++ b/tests/test_store_record.py
@@ -67,7 +67,9 @@
             db.execute("UPDATE writes SET at = at - 1500")
         await made.live()
         assert (await made.put("k"))[0] == 500  # past its window: not sent, though memory never held it
-        assert made.nodes[0].sent["k"] == sent + 1 and made.recording_transport.intents.position.incarnation == 3
+        assert (
+            made.nodes[0].sent["k"] == sent + 1 and made.recording_transport.intents.position.incarnation == 3
+        )
 
     play(tmp_path, backend, story)
 
@@ -103,11 +105,14 @@
         until = time.monotonic() + 5
         while (await made.put("after", piece=9))[0] != 200:
             assert time.monotonic() < until
-        assert made.recording_transport.intents.health.stalls == 1 and made.recording_transport.intents.health.accepts_writes
+        assert (
+            made.recording_transport.intents.health.stalls == 1
+            and made.recording_transport.intents.health.accepts_writes
+        )
 
     play(tmp_path, backend, story)
     said = capfd.readouterr().err
-    assert "keyed writes are refused" in said and "it answers again after" in said
+    assert "keyed writes are rejected" in said and "it answers again after" in said
 
 
 def test_a_start_waits_for_who_holds_the_file_just_now(tmp_path: Path) -> None:
@@ -321,7 +326,7 @@
 ) -> None:
     async def story(made: StoreRig) -> None:
         assert (await made.put("before"))[0] == 200
-        session = made.recording_transport._session
+        session = made.recording_transport.writer.session
         assert isinstance(session, SqliteSession)
         made.nodes[0].fates = ["hold"]
         held = asyncio.create_task(made.put("held", piece=2))
--- a/tests/test_store_tools.py
+++ b/tests/test_store_tools.py
@@ -190,7 +190,9 @@
 def test_the_section_takes_either_backend_and_its_bounds(tmp_path: Path) -> None:
     assert read("") is None
     got = read('path = "a"\nbatch = 7\nstall_ms = 100')
-    assert got and got.record and got.record.path == "a" and (got.limits.batch, got.limits.stall_ms) == (7, 100)
+    assert (
+        got and got.record and got.record.path == "a" and (got.limits.batch, got.limits.stall_ms) == (7, 100)
+    )
     secret = tmp_path / "secret"
     secret.write_text("hush\nmore\n")
     secret.chmod(0o600)
@@ -243,7 +245,7 @@
 
 
 def test_drift_compares_only_what_is_certain() -> None:
-    watch, piece = DriftDetector(most=2), (1, 2)
+    watch, piece = DriftDetector(max_known_pieces=2), (1, 2)
     watch.on_write_began(piece)
     assert not watch.can_compare(10, piece)
     watch.on_write_ended(5, piece, "a")
@@ -284,7 +286,7 @@
                 keeper.on_batch_committed(now, statements.accepted_intents(batch, results), {})
                 if not batch.entries:
                     keeper.on_attempt_ended(name, may_have_run=True)
-                    keeper.on_write_completed(now, name, ENTRY, None)
+                    keeper.on_write_completed(name, ENTRY, None)
             most = max(most, keeper.size)
         rows = (await session.query(statements.COUNT_ROWS["writes"]))[0][0]
         await session.close()
@@ -304,7 +306,9 @@
             await session.transact([Step(statements.INSERT_WRITE, rows[i : i + 10_000])])
         recent = await startup.recent_writes(session, 39_900.0)
         assert len(recent) == 50 and recent[0][0] == "1/1/39999"
-        assert len(await startup.recent_writes(session, 0.0)) == startup.MAX_RECENT_WRITES  # bounded, newest first
+        assert (
+            len(await startup.recent_writes(session, 0.0)) == startup.MAX_RECENT_WRITES
+        )  # bounded, newest first
         plan = await session.query("EXPLAIN QUERY PLAN " + statements.SELECT_RECENT_WRITES, 0.0, 1)
         assert "writes_at" in str(plan)
         await session.close()
@@ -443,7 +447,7 @@
 
         async def write(count: int) -> None:
             for n in range(count):
-                keeper.on_write_completed(n, f"k{n}", ENTRY, None)
+                keeper.on_write_completed(f"k{n}", ENTRY, None)
                 batch = keeper.next_batch(n)
                 assert batch is not None
                 await session.transact(statements.batch_steps(batch, "n0"))
