--- a/tests/store_rig.py
+++ b/tests/store/record_deployment.py
@@ -1,11 +1,11 @@
-"""A server with a record on either backend, boxes that know their keys, and ways to kill and stall it all."""
+"""A server with a record on either backend, nodes that know their keys, and ways to kill and stall it."""
 
 from __future__ import annotations
 
 import asyncio
 import sqlite3
 import tomllib
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
@@ -14,15 +14,17 @@
 from sabledyke.application.server import Server
 from sabledyke.config import Config
 from sabledyke.protocol import discovery
-from sabledyke.store import section
+from sabledyke.store import maintenance, section
 from sabledyke.store.extension import RecordExtension
 from sabledyke.store.recording_transport import RecordingTransport
 from tests.helpers import BRISK
 from tests.standins import Discovery, Service, ask, http, read_http
 from tests.standins.postgres import Postgres
+from tests.standins.postgres_faults import no_fault
 from tests.test_net import DEPLOYMENT, GET, PUT
 
 BACKENDS = ("sqlite", "postgresql")
+Scenario = Callable[["RecordDeployment"], Awaitable[None]]
 
 
 class KeyedNode(Service):
@@ -63,8 +65,8 @@
             writer.write(http(200, body))
 
 
-class StoreRig:
-    """One deployment: boxes, discovery, a database, and one life of a server after another."""
+class RecordDeployment:
+    """One deployment: nodes, discovery, a database, and one incarnation of a server after another."""
 
     def __init__(self, tmp_path: Path, backend: str, extra: str = "") -> None:
         self.backend, self.path, self._extra = backend, str(tmp_path / "record.sqlite3"), extra
@@ -89,7 +91,8 @@
     def target(self) -> section.Target:
         """The database, as the tools open it."""
         table = self.extras().store
-        assert table is not None and table.record is not None
+        assert table is not None
+        assert table.record is not None
         return table.record
 
     def extras(self) -> operator_config.Operator:
@@ -99,10 +102,10 @@
         return operator_config.Operator(store=store)
 
     def listing(self) -> Any:
-        """The list of boxes."""
+        """The endpoint list."""
         return discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
 
-    async def live(self) -> Server:
+    async def start_incarnation(self) -> Server:
         """A start."""
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, self.listing(), DEPLOYMENT)
@@ -135,13 +138,13 @@
                 client.departed = lambda: None  # type: ignore[method-assign]
                 client.close()
         self.server.watch.watch(False)
-        for flight in list(self.server.pool._attempts.values()):
-            if flight.connection is not None:
-                flight.connection.link.close()
+        for attempt in list(self.server.pool._attempts.values()):
+            if attempt.connection is not None:
+                attempt.connection.link.close()
         self.server.pool.close()
         await asyncio.sleep(0.02)
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """The server ends in good order."""
         self.server.leave()
         await self.server.finish()
@@ -151,7 +154,7 @@
     ) -> tuple[int, dict[str, str], bytes]:
         """A keyed write."""
         self.ids += 1
-        while not self.server.listeners:  # between two lives
+        while not self.server.listeners:  # between two incarnations
             await asyncio.sleep(0.005)
         more = f"IO-Info: units=1,shard={shard},hosts=1\nIdempotency-Key: {key}\n"
         more += f"Content-Length: {len(body)}\n"
@@ -176,25 +179,39 @@
 
 
 @asynccontextmanager
-async def rig(tmp_path: Path, backend: str, extra: str = "") -> AsyncIterator[StoreRig]:
-    """A deployment whose first server lives; at the end no invariant is broken and the journal holds."""
-    made = StoreRig(tmp_path, backend, extra)
+async def record_deployment(tmp_path: Path, backend: str, extra: str = "") -> AsyncIterator[RecordDeployment]:
+    """A deployment whose first server is up; at the end no invariant is broken and the journal holds."""
+    deployment = RecordDeployment(tmp_path, backend, extra)
     invariants.broken.clear()
     log._limiter = log.Limiter()  # lines of other tests do not count
     async with asyncio.timeout(30):
-        for service in (*made.nodes, made.discovery):
+        for service in (*deployment.nodes, deployment.discovery):
             await service.open()
-        await made.postgres.open()
-        for shard, box in enumerate(made.nodes):
-            made.discovery.add(f"box-{shard}", box.port, shard)
-        await made.live()
+        await deployment.postgres.open()
+        for shard, node in enumerate(deployment.nodes):
+            deployment.discovery.add(f"box-{shard}", node.port, shard)
+        await deployment.start_incarnation()
         try:
-            yield made
-            if made.server.listeners:
-                await made.leave()
+            yield deployment
+            if deployment.server.listeners:
+                await deployment.shut_down()
         finally:
-            for box in made.nodes:
-                box.die()
-            made.discovery.die()
-            await made.postgres.end()
+            for node in deployment.nodes:
+                node.die()
+            deployment.discovery.die()
+            await deployment.postgres.end()
     assert not invariants.broken
+
+
+def run_scenario(tmp_path: Path, backend: str, scenario: Scenario, extra: str = "") -> None:
+    async def run() -> None:
+        async with record_deployment(tmp_path, backend, extra) as deployment:
+            await scenario(deployment)
+            deployment.postgres.script = no_fault
+            if deployment.server.listeners:
+                await deployment.shut_down()
+            reported: list[str] = []
+            assert await maintenance.audit(deployment.target(), reported.append), reported
+            assert await maintenance.reconcile(deployment.target(), reported.append), reported
+
+    asyncio.run(run())
--- /dev/null
+++ b/tests/store/test_killed_program.py
@@ -0,0 +1,140 @@
+"""The program itself killed at any step of a keyed write."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+import socket
+import sqlite3
+import subprocess
+import sys
+from pathlib import Path
+
+import orjson
+import pytest
+
+from sabledyke.store import maintenance
+from sabledyke.store.section import Target
+from tests.store.record_deployment import (
+    KeyedNode,
+)
+from tests.test_outside import ROOT, nested
+
+
+@pytest.mark.parametrize("when", ["sent", "served", "journalled"])
+def test_a_program_killed_between_intent_send_answer_and_journal_repeats_nothing(
+    tmp_path: Path, when: str
+) -> None:
+    """SIGKILL to the program itself, a restart, and the client's repeat."""
+    settings = nested()
+    settings["profiles"][0] |= {
+        "name": "write",
+        "semantics": "deduplicated",
+        "group": "cell",
+        "window": 60000,
+        "aim": 5000,
+        "hard_limit": 20000,
+    }
+    with socket.socket() as free:
+        free.bind(("127.0.0.1", 0))
+        port = free.getsockname()[1]
+    path = tmp_path / "record.sqlite3"
+    (tmp_path / "operator.toml").write_text(f'[store]\npath = "{path}"\nstall_ms = 9000\n')
+
+    async def start(node: KeyedNode) -> asyncio.subprocess.Process:
+        entry = {
+            "host": "box-0",
+            "dial": f"127.0.0.1:{node.port}",
+            "site": "x",
+            "class": "m",
+            "block": 0,
+            "health": "ready",
+            "share": 1.0,
+            "born_ms": 0,
+        }
+        config = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{port}",
+            "discovery": "127.0.0.1:9",
+            "seed": "1",
+            "settings": settings,
+            "known": {"seq": 1, "whole": True, "hosts": [entry]},
+        }
+        (tmp_path / "config.json").write_bytes(orjson.dumps(config))
+        environment = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json")}
+        for name in ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY"):
+            environment.pop(name, None)
+        program = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-O",
+            "-m",
+            "sabledyke",
+            "serve",
+            "--operator",
+            str(tmp_path / "operator.toml"),
+            cwd=ROOT,
+            env=environment,
+            stderr=subprocess.PIPE,
+        )
+        assert program.stderr is not None
+        while b"serves at" not in (line := await program.stderr.readline()):
+            assert line, "it did not start"
+        return program
+
+    async def put(ident: str) -> int:
+        reader, writer = await asyncio.open_connection("127.0.0.1", port)
+        plan = settings["grades"][0]["name"]
+        head = (
+            f"PUT /api/1/1 HTTP/1.1\r\nReq-Id: {ident}\r\nReq-Kind: write\r\nTier: {plan}\r\n"
+            "Req-Deadline: 15\r\nIO-Info: units=1,shard=0,hosts=1\r\nIdempotency-Key: k\r\n"
+            "Content-Length: 1\r\n\r\nx"
+        )
+        writer.write(head.encode())
+        try:
+            line = await reader.readline()
+            return int(line.split()[1]) if line else 0
+        except ConnectionError:
+            return 0
+        finally:
+            writer.close()
+
+    async def run() -> None:
+        node = KeyedNode()
+        await node.open()
+        program = await start(node)
+        node.fates = ["hold"]
+        first = asyncio.create_task(put("a"))
+        await node.held.wait()  # the intent is durable, the node has run it
+        lock = sqlite3.connect(path, isolation_level=None)
+        if when == "served":  # its entry cannot be written: the answer is not passed on
+            lock.execute("BEGIN IMMEDIATE")
+        if when != "sent":
+            node.go.set()
+        if when == "journalled":
+            assert await first == 200
+        else:
+            await asyncio.sleep(0.05)
+        program.send_signal(signal.SIGKILL)
+        await program.wait()
+        lock.close()
+        node.go.set()
+        if when != "journalled":
+            assert await first in (0, 500)  # the client knows nothing, or that it may have run
+        program = await start(node)
+        assert await put("b") == 200
+        assert node.effects == {"k": 1}
+        program.terminate()
+        await program.wait()
+        node.die()
+
+    async def bounded() -> None:
+        async with asyncio.timeout(40):
+            await run()
+
+    asyncio.run(bounded())
+    with sqlite3.connect(path) as db:
+        rows = db.execute("SELECT life, outcome FROM journal ORDER BY seq").fetchall()
+        assert rows == ([(1, "served")] if when == "journalled" else []) + [(2, "served")]
+    reported: list[str] = []
+    assert asyncio.run(maintenance.audit(Target(path=str(path)), reported.append)), reported
--- /dev/null
+++ b/tests/store/test_record_faults.py
@@ -0,0 +1,173 @@
+"""Stalls, faults at every message, full disks and random kills repeat nothing and lose nothing."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import sqlite3
+import time
+from contextlib import suppress
+from pathlib import Path
+
+import pytest
+
+from sabledyke.store.database_errors import StoreError
+from sabledyke.store.session import SqliteSession
+from tests.standins.postgres_faults import ConnectionCutError, Point, fault_at
+from tests.store.record_deployment import (
+    BACKENDS,
+    RecordDeployment,
+    run_scenario,
+)
+
+
+@pytest.mark.parametrize("backend", BACKENDS)
+def test_a_stall_rejects_keyed_writes_at_once_and_nothing_else_and_ends_by_itself(
+    tmp_path: Path, backend: str, capfd: pytest.CaptureFixture[str]
+) -> None:
+    """The stall is of commits; the guard of the core answers nobody (an invariant, checked by the rig)."""
+
+    async def scenario(deployment: RecordDeployment) -> None:
+        assert (await deployment.put("before"))[0] == 200
+        stalled, end = asyncio.Event(), asyncio.Event()
+
+        async def script(point: Point) -> None:
+            if point.what == "COMMIT" and not end.is_set():
+                stalled.set()
+                await end.wait()
+
+        other = sqlite3.connect(deployment.file, isolation_level=None)
+        if backend == "sqlite":
+            other.execute("BEGIN EXCLUSIVE")
+        else:
+            deployment.postgres.script = script
+        first = await asyncio.gather(*(deployment.put(f"first{n}", piece=n) for n in range(5)))
+        assert {s for s, _, _ in first} <= {500, 503}
+        later = [await deployment.put(f"later{n}", piece=n) for n in range(5)]
+        assert all(s == 503 and float(h["retry-after"]) > 0 for s, h, _ in later)
+        assert all([(await deployment.get(n))[0] == 200 for n in range(5)])
+        assert not deployment.nodes[0].sent.keys() & {"first0", "later0"}  # nothing unrecorded was sent
+        end.set()
+        other.close()
+        until = time.monotonic() + 5
+        while (await deployment.put("after", piece=9))[0] != 200:
+            assert time.monotonic() < until
+        assert deployment.recording_transport.intents.health.stalls == 1
+        assert deployment.recording_transport.intents.health.accepts_writes
+
+    run_scenario(tmp_path, backend, scenario)
+    reported = capfd.readouterr().err
+    assert "keyed writes are rejected" in reported
+    assert "it answers again after" in reported
+
+
+@pytest.mark.parametrize("fault", ["cut before", "cut after", "40001", "53300", "57P01", "slow"])
+@pytest.mark.parametrize("message", range(1, 13))
+def test_a_fault_at_every_message_of_the_record_repeats_nothing(
+    tmp_path: Path, message: int, fault: str
+) -> None:
+    """Writes go on while the connection breaks, errs or lags at each message in turn."""
+
+    async def scenario(deployment: RecordDeployment) -> None:
+        first = deployment.postgres.sessions
+        start = deployment.postgres.sessions_messages[first]
+        deployment.postgres.script = fault_at(first, start + message, fault)
+        answers = [await deployment.put(f"k{n}", f"{n}".encode(), n) for n in range(4)]
+        until = time.monotonic() + 5
+        while (await deployment.put("last", piece=9))[0] != 200:
+            assert time.monotonic() < until
+        assert {s for s, _, _ in answers} <= {200, 500, 503}
+        if fault in ("40001", "slow"):
+            assert {s for s, _, _ in answers} == {200}
+        served = {k for k, outcome in deployment.journal() if outcome == "served"}
+        assert {f"k{n}" for n, (s, _, _) in enumerate(answers) if s == 200} <= served
+        assert all(n == 1 for n in deployment.nodes[0].sent.values())
+
+    run_scenario(tmp_path, "postgresql", scenario)
+
+
+@pytest.mark.parametrize("backend", BACKENDS)
+@pytest.mark.parametrize("seed", range(3))
+def test_a_random_schedule_of_kills_and_faults_repeats_nothing(
+    tmp_path: Path, seed: int, backend: str
+) -> None:
+    """Clients repeat what failed, nodes lose answers, the server is killed anywhere, commits break."""
+
+    async def scenario(deployment: RecordDeployment) -> None:
+        chance = random.Random(seed)
+
+        async def script(point: Point) -> None:
+            if chance.random() < 0.01:
+                raise ConnectionCutError
+            if point.what == "COMMIT" and chance.random() < 0.03:
+                await asyncio.sleep(0.3)
+
+        deployment.postgres.script = script
+        served: set[str] = set()
+
+        async def client(n: int) -> None:
+            key = f"k{n}"
+            for _ in range(3):
+                with suppress(OSError, asyncio.IncompleteReadError):
+                    if (await deployment.put(key, piece=n, shard=n % 2))[0] == 200:
+                        served.add(key)
+                        return
+                await asyncio.sleep(chance.random() * 0.1)
+
+        for incarnation in range(3):
+            for node in deployment.nodes:
+                node.fates = [chance.choice(("ok", "ok", "lost", "cut")) for _ in range(12)]
+            clients = [asyncio.create_task(client(incarnation * 15 + n)) for n in range(15)]
+            await asyncio.sleep(0.05 + chance.random() * 0.2)
+            await deployment.kill()
+            while True:
+                try:
+                    await deployment.start_incarnation()
+                    break
+                except StoreError:
+                    await asyncio.sleep(0.01)
+            await asyncio.gather(*clients)
+        for n in range(45, 65):  # on a busy machine each kill may come before anything was served
+            if not served:
+                await client(n)
+        assert served
+        for node in deployment.nodes:
+            assert all(n == 1 for n in node.effects.values())
+        journalled = {k for k, outcome in deployment.journal() if outcome == "served"}
+        assert served <= journalled
+
+    run_scenario(tmp_path, backend, scenario)
+
+
+@pytest.mark.parametrize(
+    ("pragma", "back"),
+    [
+        ("max_page_count = 1", "max_page_count = 1000000"),
+        ("query_only = 1", "query_only = 0"),
+    ],
+)
+def test_a_full_or_read_only_disk_in_service_is_a_stall_and_loses_nothing(
+    tmp_path: Path, pragma: str, back: str
+) -> None:
+    async def scenario(deployment: RecordDeployment) -> None:
+        assert (await deployment.put("before"))[0] == 200
+        session = deployment.recording_transport.writer.session
+        assert isinstance(session, SqliteSession)
+        deployment.nodes[0].fates = ["hold"]
+        held = asyncio.create_task(deployment.put("held", piece=2))
+        await deployment.nodes[0].held.wait()
+        await session.run(lambda db: db.execute(f"PRAGMA {pragma}").close())
+        deployment.nodes[0].go.set()
+        assert (await held)[0] in (200, 500)  # a page may have had room for one more entry
+        n = 0  # until the pages that are there are full
+        while (await deployment.put(f"k{n}", b"x" * 3000, n))[0] == 200:
+            n += 1
+        assert (await deployment.get())[0] == 200
+        assert not deployment.recording_transport.intents.accepts_writes()
+        await session.run(lambda db: db.execute(f"PRAGMA {back}").close())
+        until = time.monotonic() + 5
+        while (await deployment.put("after", piece=9))[0] != 200:
+            assert time.monotonic() < until
+        assert {"before", "held", "after"} <= {k for k, _ in deployment.journal()}
+
+    run_scenario(tmp_path, "sqlite", scenario)
--- /dev/null
+++ b/tests/store/test_sql_link.py
@@ -0,0 +1,173 @@
+"""A database as a storage node: reads and keyed writes through the program, with faults at every message."""
+
+from __future__ import annotations
+
+import asyncio
+import sqlite3
+import time
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+
+import pytest
+
+from sabledyke.protocol import discovery
+from tests.standins.postgres_faults import ConnectionCutError, Point, fault_at
+from tests.store.record_deployment import BACKENDS
+from tests.store.sql_node_deployment import SqlNodeDeployment, run_scenario
+from tests.test_net import DEPLOYMENT
+
+
+def first_commit(fault: Callable[[Point], Awaitable[None]], stage: str) -> Callable[[Point], Awaitable[None]]:
+    """A script that acts at the first COMMIT after a key was claimed."""
+    seen: list[Point] = []
+    claimed: set[int] = set()
+
+    async def script(point: Point) -> None:
+        if point.what.startswith("INSERT INTO keys"):
+            claimed.add(point.session)
+        if point.what == "COMMIT" and point.session in claimed and point.stage == stage and not seen:
+            seen.append(point)
+            await fault(point)
+
+    return script
+
+
+async def cut(_: Point) -> None:
+    raise ConnectionCutError
+
+
+@pytest.mark.parametrize("backend", BACKENDS)
+def test_pieces_are_written_and_read_and_a_repeat_gets_the_first_result(tmp_path: Path, backend: str) -> None:
+    async def scenario(deployment: SqlNodeDeployment) -> None:
+        status, first = await deployment.put("k", b"one")
+        assert status == 200
+        assert await deployment.get() == (200, b"one")
+        assert await deployment.put("k", b"two") == (200, first)
+        assert await deployment.get() == (200, b"one")
+        assert (await deployment.put("l", b"three"))[0] == 200
+        assert await deployment.get() == (200, b"three")
+        assert (await deployment.get(99))[0] == 503  # a read: a retry is harmless
+        answers = await asyncio.gather(*(deployment.put(f"m{n}", b"%d" % n, n) for n in range(12)))
+        assert {s for s, _ in answers} == {200}
+        assert [await deployment.get(n) for n in range(12)] == [(200, b"%d" % n) for n in range(12)]
+        assert len(deployment.rows("SELECT * FROM keys")) == 14
+        assert deployment.postgres.sessions <= 3  # the node's bound on connections
+
+    run_scenario(tmp_path, backend, scenario)
+
+
+def test_a_commit_whose_answer_is_lost_is_found_by_its_key(tmp_path: Path) -> None:
+    async def scenario(deployment: SqlNodeDeployment) -> None:
+        await deployment.warm()
+        deployment.postgres.script = first_commit(cut, "after")
+        status, result = await deployment.put("k", b"one")
+        assert status == 200
+        assert await deployment.put("k", b"two") == (200, result)
+        assert await deployment.get() == (200, b"one")
+        assert len(deployment.rows("SELECT * FROM keys")) == 2
+
+    run_scenario(tmp_path, "postgresql", scenario)
+
+
+def test_a_commit_that_never_happened_is_fenced_and_only_then_made_again(tmp_path: Path) -> None:
+    async def scenario(deployment: SqlNodeDeployment) -> None:
+        await deployment.warm()
+        deployment.postgres.script = first_commit(cut, "before")
+        claims = deployment.sent("INSERT INTO keys")
+        assert (await deployment.put("k", b"one"))[0] == 200
+        assert await deployment.get() == (200, b"one")
+        assert deployment.sent("INSERT INTO keys") == claims + 3  # the claim, its fence, the claim made again
+        assert deployment.rows("SELECT state FROM keys WHERE name LIKE '%k'") == [("done",)]
+
+    run_scenario(tmp_path, "postgresql", scenario)
+
+
+def test_a_commit_that_happens_late_is_waited_for_not_repeated(tmp_path: Path) -> None:
+    """The connection is lost, and the old transaction commits only later: absence alone would mislead."""
+
+    async def scenario(deployment: SqlNodeDeployment) -> None:
+        await deployment.warm()
+
+        async def late(_: Point) -> None:
+            deployment.postgres.cut_connections()
+            await asyncio.sleep(0.15)  # the server goes on with what it has received
+
+        deployment.postgres.script = first_commit(late, "before")
+        claims = deployment.sent("INSERT INTO keys")
+        assert (await deployment.put("k", b"one"))[0] == 200
+        assert deployment.sent("INSERT INTO keys") == claims + 2  # the claim and the fence that waited for it
+        assert deployment.rows("SELECT state FROM keys WHERE name LIKE '%k'") == [("done",)]
+
+    run_scenario(tmp_path, "postgresql", scenario)
+
+
+def test_a_commit_that_stalls_past_the_deadline_may_have_run_and_is_not_repeated(tmp_path: Path) -> None:
+    async def scenario(deployment: SqlNodeDeployment) -> None:
+        await deployment.warm()
+
+        over = []
+
+        async def stall(_: Point) -> None:
+            await asyncio.sleep(5)
+            over.append(True)
+
+        deployment.postgres.script = first_commit(stall, "before")
+        claims = deployment.sent("INSERT INTO pieces")
+        assert (await deployment.put("k", b"one"))[0] == 500
+        assert not over  # long before the stall ends
+        assert deployment.sent("INSERT INTO pieces") == claims + 1
+        assert await deployment.get(9) == (200, b"x")  # reads are not held up
+
+    run_scenario(tmp_path, "postgresql", scenario)
+
+
+@pytest.mark.parametrize("fault", ["cut before", "cut after", "40001", "53300", "57P01", "slow"])
+@pytest.mark.parametrize("message", range(1, 24, 3))
+def test_a_fault_at_every_message_leaves_one_effect_and_a_true_answer(
+    tmp_path: Path, message: int, fault: str
+) -> None:
+    async def scenario(deployment: SqlNodeDeployment) -> None:
+        await deployment.warm()
+        first, start = max(deployment.postgres.sessions_messages.items())
+        deployment.postgres.script = fault_at(first, start + message, fault)
+        status, _ = await deployment.put("k", b"one")
+        assert status in (200, 500, 503)
+        done = deployment.rows("SELECT state FROM keys WHERE name LIKE '%k'")
+        piece = deployment.rows(f"SELECT body FROM pieces WHERE piece = '{1:016x}'")
+        assert piece == ([(b"one",)] if done == [("done",)] else [])
+        if status == 200:
+            assert piece
+        if status == 503:
+            assert not piece  # refused: trying again is harmless
+        until = time.monotonic() + 5
+        while (await deployment.put("k", b"one"))[0] != 200:  # the scheduler may try the node singly first
+            assert time.monotonic() < until
+        assert await deployment.get() == (200, b"one")
+
+    run_scenario(tmp_path, "postgresql", scenario)
+
+
+def test_a_locked_file_rejects_work_and_a_given_up_commit_never_happens(tmp_path: Path) -> None:
+    async def scenario(deployment: SqlNodeDeployment) -> None:
+        await deployment.warm()
+        other = sqlite3.connect(deployment.path, isolation_level=None)
+        other.execute("BEGIN IMMEDIATE")
+        assert (await deployment.put("k", b"one"))[0] == 503
+        assert await deployment.get(9) == (200, b"x")
+        other.execute("COMMIT")
+        other.close()
+        assert not deployment.rows("SELECT * FROM keys WHERE name LIKE '%k'")
+        assert (await deployment.put("k", b"one"))[0] == 200
+
+    run_scenario(tmp_path, "sqlite", scenario)
+
+
+def test_removed_nodes_leave_no_connection(tmp_path: Path) -> None:
+    async def scenario(deployment: SqlNodeDeployment) -> None:
+        assert (await deployment.put("k"))[0] == 200
+        deployment.discovery.hosts.pop()
+        deployment.server._listed(discovery.read(deployment.discovery.listing(), DEPLOYMENT))
+        while deployment.postgres.connected:
+            await asyncio.sleep(0.005)
+
+    run_scenario(tmp_path, "postgresql", scenario)
