--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import sqlite3
+import time
 import tomllib
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
@@ -15,6 +16,7 @@
 from sabledyke.config import Config
 from sabledyke.protocol import discovery
 from sabledyke.store import maintenance, section
+from sabledyke.store.database_errors import StoreError
 from sabledyke.store.extension import RecordExtension
 from sabledyke.store.recording_transport import RecordingTransport
 from tests.helpers import BRISK
@@ -23,6 +25,7 @@
 from tests.standins.postgres_faults import no_fault
 from tests.test_net import DEPLOYMENT, GET, PUT
 
+RECOVERY_TIMEOUT_S = 5  # within which a store that is back is found
 BACKENDS = ("sqlite", "postgresql")
 Scenario = Callable[["RecordDeployment"], Awaitable[None]]
 
@@ -144,6 +147,15 @@
         self.server.pool.close()
         await asyncio.sleep(0.02)
 
+    async def restart_after_kill(self) -> None:
+        """Start the next incarnation, as often as it takes."""
+        while True:
+            try:
+                await self.start_incarnation()
+                return
+            except StoreError:
+                await asyncio.sleep(0.01)
+
     async def shut_down(self) -> None:
         """The server ends in good order."""
         self.server.leave()
@@ -161,6 +173,12 @@
         text = PUT.format(f"{piece:x}", f"w{self.ids}", more).replace("Deadline: 1.0", f"Deadline: {wait}")
         return await ask(self.server.listeners[0].port, text, body)
 
+    async def put_until_served(self, key: str, piece: int) -> None:
+        """Write until the write is served, for a bounded time."""
+        deadline = time.monotonic() + RECOVERY_TIMEOUT_S
+        while (await self.put(key, piece=piece))[0] != 200:
+            assert time.monotonic() < deadline
+
     async def get(self, piece: int = 1, shard: int = 0) -> tuple[int, bytes]:
         """A read."""
         self.ids += 1
--- a/tests/store/test_killed_program.py
+++ b/tests/store/test_killed_program.py
@@ -10,6 +10,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from typing import Any
 
 import orjson
 import pytest
@@ -21,70 +22,51 @@
 )
 from tests.test_outside import ROOT, nested
 
+SETTLE_S = 0.05  # for an answer that is not to come
+TEST_TIMEOUT_S = 40
 
-@pytest.mark.parametrize("when", ["sent", "served", "journalled"])
-def test_a_program_killed_between_intent_send_answer_and_journal_repeats_nothing(
-    tmp_path: Path, when: str
-) -> None:
-    """SIGKILL to the program itself, a restart, and the client's repeat."""
-    settings = nested()
-    settings["profiles"][0] |= {
-        "name": "write",
-        "semantics": "deduplicated",
-        "group": "cell",
-        "window": 60000,
-        "aim": 5000,
-        "hard_limit": 20000,
-    }
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
-    path = tmp_path / "record.sqlite3"
-    (tmp_path / "operator.toml").write_text(f'[store]\npath = "{path}"\nstall_ms = 9000\n')
-
-    async def start(node: KeyedNode) -> asyncio.subprocess.Process:
-        entry = {
-            "host": "box-0",
-            "dial": f"127.0.0.1:{node.port}",
-            "site": "x",
-            "class": "m",
-            "block": 0,
-            "health": "ready",
-            "share": 1.0,
-            "born_ms": 0,
-        }
-        config = {
-            "name": "n0",
-            "listen": f"127.0.0.1:{port}",
-            "discovery": "127.0.0.1:9",
-            "seed": "1",
-            "settings": settings,
-            "known": {"seq": 1, "whole": True, "hosts": [entry]},
+
+class KilledProgram:
+    """The program in a process of its own, before one node that knows its keys."""
+
+    def __init__(self, tmp_path: Path) -> None:
+        self.record = tmp_path / "record.sqlite3"
+        self.node = KeyedNode()
+        self._operator = tmp_path / "operator.toml"
+        self._operator.write_text(f'[store]\npath = "{self.record}"\nstall_ms = 9000\n')
+        self._config = tmp_path / "config.json"
+        self._settings = nested()
+        self._settings["profiles"][0] |= {
+            "name": "write",
+            "semantics": "deduplicated",
+            "group": "cell",
+            "window": 60000,
+            "aim": 5000,
+            "hard_limit": 20000,
         }
-        (tmp_path / "config.json").write_bytes(orjson.dumps(config))
-        environment = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json")}
+        with socket.socket() as free:
+            free.bind(("127.0.0.1", 0))
+            self._port = free.getsockname()[1]
+
+    async def start(self) -> asyncio.subprocess.Process:
+        """Start the program, and wait until it serves."""
+        self._config.write_bytes(orjson.dumps(self._configuration()))
+        environment = {**os.environ, "GW_CONFIG": str(self._config)}
         for name in ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY"):
             environment.pop(name, None)
+        arguments = ("-O", "-m", "sabledyke", "serve", "--operator", str(self._operator))
         program = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-O",
-            "-m",
-            "sabledyke",
-            "serve",
-            "--operator",
-            str(tmp_path / "operator.toml"),
-            cwd=ROOT,
-            env=environment,
-            stderr=subprocess.PIPE,
+            sys.executable, *arguments, cwd=ROOT, env=environment, stderr=subprocess.PIPE
         )
         assert program.stderr is not None
         while b"serves at" not in (line := await program.stderr.readline()):
             assert line, "it did not start"
         return program
 
-    async def put(ident: str) -> int:
-        reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        plan = settings["grades"][0]["name"]
+    async def put(self, ident: str) -> int:
+        """Write with the one key; the status, 0 where no answer came."""
+        reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
+        plan = self._settings["grades"][0]["name"]
         head = (
             f"PUT /api/1/1 HTTP/1.1\r\nReq-Id: {ident}\r\nReq-Kind: write\r\nTier: {plan}\r\n"
             "Req-Deadline: 15\r\nIO-Info: units=1,shard=0,hosts=1\r\nIdempotency-Key: k\r\n"
@@ -99,42 +81,72 @@
         finally:
             writer.close()
 
-    async def run() -> None:
-        node = KeyedNode()
-        await node.open()
-        program = await start(node)
-        node.fates = ["hold"]
-        first = asyncio.create_task(put("a"))
-        await node.held.wait()  # the intent is durable, the node has run it
-        lock = sqlite3.connect(path, isolation_level=None)
-        if when == "served":  # its entry cannot be written: the answer is not passed on
-            lock.execute("BEGIN IMMEDIATE")
-        if when != "sent":
-            node.go.set()
-        if when == "journalled":
-            assert await first == 200
-        else:
-            await asyncio.sleep(0.05)
-        program.send_signal(signal.SIGKILL)
-        await program.wait()
-        lock.close()
+    def _configuration(self) -> dict[str, Any]:
+        entry = {
+            "host": "box-0",
+            "dial": f"127.0.0.1:{self.node.port}",
+            "site": "x",
+            "class": "m",
+            "block": 0,
+            "health": "ready",
+            "share": 1.0,
+            "born_ms": 0,
+        }
+        return {
+            "name": "n0",
+            "listen": f"127.0.0.1:{self._port}",
+            "discovery": "127.0.0.1:9",
+            "seed": "1",
+            "settings": self._settings,
+            "known": {"seq": 1, "whole": True, "hosts": [entry]},
+        }
+
+
+async def kill_and_repeat(deployment: KilledProgram, when: str) -> None:
+    """Kill the program during a write, start it again, and repeat the write."""
+    node = deployment.node
+    await node.open()
+    program = await deployment.start()
+    node.fates = ["hold"]
+    first = asyncio.create_task(deployment.put("a"))
+    await node.held.wait()  # the intent is durable, the node has run it
+    lock = sqlite3.connect(deployment.record, isolation_level=None)
+    if when == "served":  # its entry cannot be written: the answer is not passed on
+        lock.execute("BEGIN IMMEDIATE")
+    if when != "sent":
         node.go.set()
-        if when != "journalled":
-            assert await first in (0, 500)  # the client knows nothing, or that it may have run
-        program = await start(node)
-        assert await put("b") == 200
-        assert node.effects == {"k": 1}
-        program.terminate()
-        await program.wait()
-        node.die()
+    if when == "journalled":
+        assert await first == 200
+    else:
+        await asyncio.sleep(SETTLE_S)
+    program.send_signal(signal.SIGKILL)
+    await program.wait()
+    lock.close()
+    node.go.set()
+    if when != "journalled":
+        assert await first in (0, 500)  # the client knows nothing, or that it may have run
+    program = await deployment.start()
+    assert await deployment.put("b") == 200
+    assert node.effects == {"k": 1}
+    program.terminate()
+    await program.wait()
+    node.die()
+
+
+@pytest.mark.parametrize("when", ["sent", "served", "journalled"])
+def test_a_program_killed_between_intent_send_answer_and_journal_repeats_nothing(
+    tmp_path: Path, when: str
+) -> None:
+    """SIGKILL to the program itself, a restart, and the client's repeat."""
+    deployment = KilledProgram(tmp_path)
 
     async def bounded() -> None:
-        async with asyncio.timeout(40):
-            await run()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await kill_and_repeat(deployment, when)
 
     asyncio.run(bounded())
-    with sqlite3.connect(path) as db:
+    with sqlite3.connect(deployment.record) as db:
         rows = db.execute("SELECT life, outcome FROM journal ORDER BY seq").fetchall()
         assert rows == ([(1, "served")] if when == "journalled" else []) + [(2, "served")]
     reported: list[str] = []
-    assert asyncio.run(maintenance.audit(Target(path=str(path)), reported.append)), reported
+    assert asyncio.run(maintenance.audit(Target(path=str(deployment.record)), reported.append)), reported
--- a/tests/store/test_record_faults.py
+++ b/tests/store/test_record_faults.py
@@ -5,13 +5,11 @@
 import asyncio
 import random
 import sqlite3
-import time
 from contextlib import suppress
 from pathlib import Path
 
 import pytest
 
-from sabledyke.store.database_errors import StoreError
 from sabledyke.store.session import SqliteSession
 from tests.standins.postgres_faults import ConnectionCutError, Point, fault_at
 from tests.store.record_deployment import (
@@ -49,9 +47,7 @@
         assert not deployment.nodes[0].sent.keys() & {"first0", "later0"}  # nothing unrecorded was sent
         end.set()
         other.close()
-        until = time.monotonic() + 5
-        while (await deployment.put("after", piece=9))[0] != 200:
-            assert time.monotonic() < until
+        await deployment.put_until_served("after", piece=9)
         assert deployment.recording_transport.intents.health.stalls == 1
         assert deployment.recording_transport.intents.health.accepts_writes
 
@@ -73,9 +69,7 @@
         start = deployment.postgres.sessions_messages[first]
         deployment.postgres.script = fault_at(first, start + message, fault)
         answers = [await deployment.put(f"k{n}", f"{n}".encode(), n) for n in range(4)]
-        until = time.monotonic() + 5
-        while (await deployment.put("last", piece=9))[0] != 200:
-            assert time.monotonic() < until
+        await deployment.put_until_served("last", piece=9)
         assert {s for s, _, _ in answers} <= {200, 500, 503}
         if fault in ("40001", "slow"):
             assert {s for s, _, _ in answers} == {200}
@@ -86,6 +80,43 @@
     run_scenario(tmp_path, "postgresql", scenario)
 
 
+class RandomClients:
+    """Clients that repeat what failed, while nodes, commits and the server break at random."""
+
+    def __init__(self, deployment: RecordDeployment, chance: random.Random) -> None:
+        self.served: set[str] = set()
+        self._deployment = deployment
+        self._chance = chance
+
+    async def script(self, point: Point) -> None:
+        """Cut some connections, and stall some commits."""
+        if self._chance.random() < 0.01:
+            raise ConnectionCutError
+        if point.what == "COMMIT" and self._chance.random() < 0.03:
+            await asyncio.sleep(0.3)
+
+    async def run_incarnation(self, incarnation: int) -> None:
+        """Let 15 clients write, kill the server among them, and start the next one."""
+        for node in self._deployment.nodes:
+            node.fates = [self._chance.choice(("ok", "ok", "lost", "cut")) for _ in range(12)]
+        numbers = range(incarnation * 15, incarnation * 15 + 15)
+        clients = [asyncio.create_task(self.write(number)) for number in numbers]
+        await asyncio.sleep(0.05 + self._chance.random() * 0.2)
+        await self._deployment.kill()
+        await self._deployment.restart_after_kill()
+        await asyncio.gather(*clients)
+
+    async def write(self, number: int) -> None:
+        """Write with a key of its own, up to three times."""
+        key = f"k{number}"
+        for _ in range(3):
+            with suppress(OSError, asyncio.IncompleteReadError):
+                if (await self._deployment.put(key, piece=number, shard=number % 2))[0] == 200:
+                    self.served.add(key)
+                    return
+            await asyncio.sleep(self._chance.random() * 0.1)
+
+
 @pytest.mark.parametrize("backend", BACKENDS)
 @pytest.mark.parametrize("seed", range(3))
 def test_a_random_schedule_of_kills_and_faults_repeats_nothing(
@@ -94,47 +125,18 @@
     """Clients repeat what failed, nodes lose answers, the server is killed anywhere, commits break."""
 
     async def scenario(deployment: RecordDeployment) -> None:
-        chance = random.Random(seed)
-
-        async def script(point: Point) -> None:
-            if chance.random() < 0.01:
-                raise ConnectionCutError
-            if point.what == "COMMIT" and chance.random() < 0.03:
-                await asyncio.sleep(0.3)
-
-        deployment.postgres.script = script
-        served: set[str] = set()
-
-        async def client(n: int) -> None:
-            key = f"k{n}"
-            for _ in range(3):
-                with suppress(OSError, asyncio.IncompleteReadError):
-                    if (await deployment.put(key, piece=n, shard=n % 2))[0] == 200:
-                        served.add(key)
-                        return
-                await asyncio.sleep(chance.random() * 0.1)
-
+        clients = RandomClients(deployment, random.Random(seed))
+        deployment.postgres.script = clients.script
         for incarnation in range(3):
-            for node in deployment.nodes:
-                node.fates = [chance.choice(("ok", "ok", "lost", "cut")) for _ in range(12)]
-            clients = [asyncio.create_task(client(incarnation * 15 + n)) for n in range(15)]
-            await asyncio.sleep(0.05 + chance.random() * 0.2)
-            await deployment.kill()
-            while True:
-                try:
-                    await deployment.start_incarnation()
-                    break
-                except StoreError:
-                    await asyncio.sleep(0.01)
-            await asyncio.gather(*clients)
-        for n in range(45, 65):  # on a busy machine each kill may come before anything was served
-            if not served:
-                await client(n)
-        assert served
+            await clients.run_incarnation(incarnation)
+        for number in range(45, 65):  # on a busy machine each kill may come before anything was served
+            if not clients.served:
+                await clients.write(number)
+        assert clients.served
         for node in deployment.nodes:
-            assert all(n == 1 for n in node.effects.values())
-        journalled = {k for k, outcome in deployment.journal() if outcome == "served"}
-        assert served <= journalled
+            assert all(effects == 1 for effects in node.effects.values())
+        journalled = {key for key, outcome in deployment.journal() if outcome == "served"}
+        assert clients.served <= journalled
 
     run_scenario(tmp_path, backend, scenario)
 
@@ -165,9 +167,7 @@
         assert (await deployment.get())[0] == 200
         assert not deployment.recording_transport.intents.accepts_writes()
         await session.run(lambda db: db.execute(f"PRAGMA {back}").close())
-        until = time.monotonic() + 5
-        while (await deployment.put("after", piece=9))[0] != 200:
-            assert time.monotonic() < until
+        await deployment.put_until_served("after", piece=9)
         assert {"before", "held", "after"} <= {k for k, _ in deployment.journal()}
 
     run_scenario(tmp_path, "sqlite", scenario)
