--- a/sabledyke/store/batch_writer.py
+++ b/sabledyke/store/batch_writer.py
@@ -84,7 +84,7 @@
             await asyncio.sleep(FLUSH_POLL_S)
         unwritten = self._intents.unwritten_entries
         if unwritten:
-            log.say("store", f"{unwritten} entries of the journal could not be written before the end")
+            log.emit("store", f"{unwritten} entries of the journal could not be written before the end")
         self.stop()
         if self.session is not None:
             await self.session.close()
@@ -123,7 +123,7 @@
 
     def _on_fault(self, error: BaseException) -> None:
         """Guard against a fault here ending the record for good, with all that waits for it."""
-        log.say("fault", "".join(traceback.format_exception(error)))
+        log.emit("fault", "".join(traceback.format_exception(error)))
         failure = DatabaseError(DatabaseErrorKind.UNEXPECTED, repr(error), uncertain=True)
         now_ms = clock.now()
         if self._intents.batch_in_flight is not None:
--- a/sabledyke/store/database_errors.py
+++ b/sabledyke/store/database_errors.py
@@ -9,7 +9,7 @@
 import sqlite3
 from enum import Enum
 
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 from sabledyke.errors import StoreError as StoreError
 
 
@@ -38,7 +38,7 @@
 )
 
 
-class DatabaseError(Fault):
+class DatabaseError(SabledykeError):
     """A transaction or query did not succeed.
 
     Attributes:
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -9,7 +9,7 @@
 from sabledyke.application.extensions import Done, Host, Part, Submit
 from sabledyke.core import Transport, Work
 from sabledyke.net.connection_pool import Dial, Report
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import DatabaseError, StoreError
 from sabledyke.store.intent_manager import IntentManager
@@ -80,7 +80,7 @@
             raise StoreError(f"store {self._target}: {error}") from error
         position = self.recording_transport.intents.position
         entries = f"{position.last_sequence} entries in the journal"
-        log.say("store", f"{self._target} is open; incarnation {position.incarnation}, {entries}")
+        log.emit("store", f"{self._target} is open; incarnation {position.incarnation}, {entries}")
 
     def adopt(self, config: Config) -> None:
         """See ``extensions.Part``."""
@@ -102,7 +102,7 @@
         nodes = {sql_node.node: sql_node for sql_node in section.sql_nodes}
         self.dialer = SqlDialer(host.config.settings, nodes, section.retention_ms)
 
-    def dialers(self) -> dict[api.NodeId, Dial]:
+    def dialers(self) -> dict[NodeId, Dial]:
         """See ``extensions.Part``."""
         return dict.fromkeys(self.dialer.nodes, self.dialer.dial)
 
@@ -110,7 +110,7 @@
         """See ``extensions.Part``."""
         self.dialer.settings = config.settings
 
-    def listed(self, gone: Iterable[api.NodeId]) -> None:
+    def listed(self, gone: Iterable[NodeId]) -> None:
         """See ``extensions.Part``."""
         for node in gone:
             self.dialer.on_node_removed(node)
--- a/sabledyke/store/intent_manager.py
+++ b/sabledyke/store/intent_manager.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
-from sabledyke.policy.interface import RequestClass
+from sabledyke.policy.settings import RequestClass
 from sabledyke.store import audit_journal
 from sabledyke.store.database_errors import DatabaseError, DatabaseErrorKind
 from sabledyke.store.effects import AttemptId, CompleteWrite, Effect, ExpireAttempt, LogLine
--- a/sabledyke/store/intent_table.py
+++ b/sabledyke/store/intent_table.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from sabledyke.policy.interface import RequestClass
 from sabledyke.policy.retry import may_repeat
+from sabledyke.policy.settings import RequestClass
 from sabledyke.store.effects import AttemptId, BlockAttempt, Effect, ExpireAttempt, SendAttempt
 from sabledyke.store.types import Intent, RecordedWrite, SendRecord, Settlement, WriteState
 
@@ -119,7 +119,8 @@
                 write.in_flight += 1
                 return [SendAttempt(attempt)]
         if write is None or write.durable:  # the first send, or one that never ran and goes elsewhere now
-            self._begin(name, send, now_ms + request_class.repeat_window + request_class.deadline)
+            retained_ms = request_class.deduplication_window_ms + request_class.deadline_ms
+            self._begin(name, send, now_ms + retained_ms)
         self._waiting[attempt] = _WaitingAttempt(name, send, deadline_ms, request_class)
         return []
 
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -17,8 +17,9 @@
 from sabledyke.core import GUARD, Answer, Ended, Transport, Verdict, Work
 from sabledyke.net import clock
 from sabledyke.net.connection_pool import Report
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeEntry, NodeId, NodeState, node_name
+from sabledyke.policy.settings import Settings
 from sabledyke.store.batch_writer import TICK_S, BatchWriter, Opener
 from sabledyke.store.drift import DriftDetector
 from sabledyke.store.effects import (
@@ -50,7 +51,7 @@
 class _WaitingAttempt:
     """An attempt that waits for its intent."""
 
-    node: api.NodeId
+    node: NodeId
     work: Work
     name: str
     requested_at_ms: float
@@ -104,8 +105,8 @@
         self,
         intents: IntentManager,
         opener: Opener,
-        settings: api.Settings,
-        entry: Callable[[api.NodeId], api.NodeEntry],
+        settings: Settings,
+        entry: Callable[[NodeId], NodeEntry],
     ) -> None:
         self.intents = intents
         self.settings = settings
@@ -127,7 +128,7 @@
         Raises:
             DatabaseError: Where that fails.
         """
-        windows = (request_class.repeat_window for request_class in self.settings.classes)
+        windows = (request_class.deduplication_window_ms for request_class in self.settings.classes)
         await self.writer.open(max(windows))
 
     async def close(self) -> None:
@@ -152,7 +153,7 @@
         if not work.write:
             return onward(work, lambda answer: self._on_read(work, now_ms, answer, done))
         if name and not self.intents.accepts_writes():
-            retry_after_ms = self.intents.health.retry_after_ms(now_ms, self.settings.max_retry_after)
+            retry_after_ms = self.intents.health.retry_after_ms(now_ms, self.settings.max_retry_after_ms)
             self._loop.call_soon(done, Answer(Verdict.REFUSED, retry_after=retry_after_ms))
             return 0
         if name:
@@ -174,7 +175,7 @@
     def _note_earlier_send(self, work: Work, name: str) -> None:
         first = self.intents.earlier_send(name)
         if first is not None:
-            node = api.NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, api.NodeState.GONE)
+            node = NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, NodeState.GONE)
             work.ran = first.sent_at_ms, node
 
     def _on_answer(self, request_id: int, write: _OpenWrite, answer: Answer, done: Done) -> None:
@@ -207,7 +208,7 @@
             key=idempotency_token(work),
             piece=f"{work.key:016x}",
             shard=sent_to.shard if sent_to else work.shard,
-            node=api.name_of(sent_to.node) if sent_to else "",
+            node=node_name(sent_to.node_id) if sent_to else "",
             units=work.units,
             digest=write.digest,
             outcome=outcome,
@@ -217,7 +218,7 @@
         piece = work.volume, work.key
         if answer.verdict is Verdict.SERVED and self.drift.can_compare(requested_at_ms, piece):
             digest = hashlib.sha256(answer.body).hexdigest()
-            node = api.name_of(work.sent_to.node) if work.sent_to else ""
+            node = node_name(work.sent_to.node_id) if work.sent_to else ""
             finding = self.drift.compare(clock.now(), requested_at_ms, piece, digest, node)
             if finding is not None:
                 self._on_drift(finding)
@@ -226,7 +227,7 @@
     def _on_drift(self, finding: DriftFinding) -> None:
         found = finding.found_digest[:LOGGED_DIGEST_LENGTH]
         expected = finding.expected_digest[:LOGGED_DIGEST_LENGTH]
-        log.say(
+        log.emit(
             "drift",
             f"{finding.node} shows volume {finding.volume} piece {finding.piece} with digest {found},"
             f" where {expected} was written",
@@ -236,7 +237,7 @@
 
     # Between the core and the connection pool.
 
-    def start(self, rid: int, number: int, node: api.NodeId, work: Work, timeout: float) -> None:
+    def start(self, rid: int, number: int, node: NodeId, work: Work, timeout: float) -> None:
         """See ``core.Transport``."""
         name = write_name(work)
         if not name:
@@ -264,7 +265,7 @@
         elif self.intents.on_attempt_cancelled(attempt):
             self._end_unsent(attempt, Ended(Outcome.CANCELLED, False))
 
-    def close_idle(self, node: api.NodeId) -> None:
+    def close_idle(self, node: NodeId) -> None:
         """See ``core.Transport``."""
         self.inner.close_idle(node)
 
@@ -285,14 +286,14 @@
                 case SendAttempt(attempt):
                     self._send(now_ms, attempt)
                 case ExpireAttempt(attempt):
-                    self._end_unsent(attempt, Ended(Outcome.MOOT, False))
+                    self._end_unsent(attempt, Ended(Outcome.EXPIRED, False))
                 case BlockAttempt(attempt):
                     self._end_unsent(attempt, Ended(Outcome.ERROR, True))
                 case CompleteWrite(ticket, journaled):
                     served = self._served.pop(ticket)
                     served.done(served.answer if journaled else Answer(Verdict.FAILED))
                 case LogLine(text):
-                    log.say("store", text)
+                    log.emit("store", text)
 
     def _send(self, now_ms: float, attempt: AttemptId) -> None:
         waiting = self._waiting.pop(attempt)
--- a/sabledyke/store/section.py
+++ b/sabledyke/store/section.py
@@ -16,7 +16,7 @@
 from msgspec import Meta
 
 from sabledyke.errors import OperatorError
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
 from sabledyke.store.health import StoreLimits
 from sabledyke.toml_tables import Table, convert, from_file, parsed
 
@@ -64,7 +64,7 @@
         connections: How many sessions may be in use.
     """
 
-    node: api.NodeId
+    node: NodeId
     target: Target
     connections: int = 4
 
--- a/sabledyke/store/session_pool.py
+++ b/sabledyke/store/session_pool.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from sabledyke.policy import interface as api
+from sabledyke.policy.settings import Settings
 from sabledyke.store import statements
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import DatabaseError
@@ -32,7 +32,7 @@
         closed: The node was removed from the endpoint list, or the program ends.
     """
 
-    def __init__(self, node: SqlNode, target: Target, settings: api.Settings) -> None:
+    def __init__(self, node: SqlNode, target: Target, settings: Settings) -> None:
         self.node = node
         self.target = target
         self.settings = settings
@@ -54,7 +54,7 @@
             if not idle.session.closed and now_s - idle.since_s < MAX_IDLE_S:
                 return idle.session
             idle.session.abort()
-        session = await connect(self.target, connect_s=self.settings.connect_timeout / 1000)
+        session = await connect(self.target, connect_s=self.settings.connect_timeout_ms / 1000)
         if not self._has_tables:
             await self._create_tables(session)
         return session
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -20,8 +20,9 @@
 from sabledyke.net import clock
 from sabledyke.net.connection_pool import Address
 from sabledyke.net.streams import StreamClosedError
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeId, node_name
+from sabledyke.policy.settings import Settings
 from sabledyke.store import statements
 from sabledyke.store.database_errors import DatabaseError
 from sabledyke.store.in_doubt import DoubtQuestion, DoubtResolution, InDoubtWrite
@@ -199,7 +200,7 @@
             self._session = None
 
     def _log(self, text: str) -> None:
-        log.say("box", f"{api.name_of(self._pool.node.node)} {text}")
+        log.emit("box", f"{node_name(self._pool.node.node)} {text}")
 
 
 class SqlDialer:
@@ -210,13 +211,13 @@
         nodes: The nodes that are databases.
     """
 
-    def __init__(self, settings: api.Settings, nodes: dict[api.NodeId, SqlNode], retention_ms: float) -> None:
+    def __init__(self, settings: Settings, nodes: dict[NodeId, SqlNode], retention_ms: float) -> None:
         self.settings = settings
         self.nodes = nodes
         self._retention_ms = retention_ms
-        self._pools: dict[api.NodeId, SessionPool] = {}
+        self._pools: dict[NodeId, SessionPool] = {}
 
-    async def dial(self, node: api.NodeId, address: Address, patience: float) -> SqlLink:
+    async def dial(self, node: NodeId, address: Address, patience: float) -> SqlLink:
         """See ``connection_pool.Dial``."""
         sql_node = self.nodes[node]
         target = sql_node.target
@@ -231,7 +232,7 @@
         pool.settings = self.settings
         return SqlLink(pool, self._retention_ms)
 
-    def on_node_removed(self, node: api.NodeId) -> None:
+    def on_node_removed(self, node: NodeId) -> None:
         """Close the sessions of a node that was removed from the endpoint list, those in use after it."""
         pool = self._pools.pop(node, None)
         if pool is not None:
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -200,7 +200,7 @@
 async def record_deployment(tmp_path: Path, backend: str, extra: str = "") -> AsyncIterator[RecordDeployment]:
     """A deployment whose first server is up; at the end no invariant is broken and the journal holds."""
     deployment = RecordDeployment(tmp_path, backend, extra)
-    invariants.broken.clear()
+    invariants.violations.clear()
     log._limiter = log.Limiter()  # lines of other tests do not count
     async with asyncio.timeout(30):
         for service in (*deployment.nodes, deployment.discovery):
@@ -218,7 +218,7 @@
                 node.die()
             deployment.discovery.die()
             await deployment.postgres.end()
-    assert not invariants.broken
+    assert not invariants.violations
 
 
 def run_scenario(tmp_path: Path, backend: str, scenario: Scenario, extra: str = "") -> None:
--- a/tests/store/record_model.py
+++ b/tests/store/record_model.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import astuple, dataclass, replace
 
-from sabledyke.policy.interface import Group, Repeat
+from sabledyke.policy.settings import DeduplicationScope, RepeatSafety
 from sabledyke.store import audit_journal
 from sabledyke.store.database_errors import DatabaseError, DatabaseErrorKind
 from sabledyke.store.effects import AttemptId, BlockAttempt, CompleteWrite, Effect, ExpireAttempt, SendAttempt
@@ -21,7 +21,13 @@
 )
 from tests.helpers import WRITE
 
-KEYED = replace(WRITE, deadline=2000, repeat=Repeat.DEDUPLICATED, group=Group.CELL, repeat_window=1500)
+KEYED = replace(
+    WRITE,
+    deadline_ms=2000,
+    repeat_safety=RepeatSafety.DEDUPLICATED,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window_ms=1500,
+)
 LIMITS = StoreLimits(stall_ms=100, batch=4, backlog=200, first_wait_ms=20, longest_wait_ms=100)
 FAILURES = (
     DatabaseErrorKind.STALL,
@@ -98,13 +104,13 @@
     def start_incarnation(self) -> None:
         """Start: nothing is left but the database."""
         self.manager = IntentManager("n0", LIMITS, self.random.randrange(99), 1e9)
-        since = self.now - KEYED.repeat_window
+        since = self.now - KEYED.deduplication_window_ms
         recent = [
             (name, RecordedWrite(row.send, row.state))
             for name, row in self.database.writes.items()
             if row.state != WriteState.NEVER and row.send.sent_at_ms >= since
         ]
-        self.manager.on_opened(self.database.start(), recent, self.now + KEYED.repeat_window)
+        self.manager.on_opened(self.database.start(), recent, self.now + KEYED.deduplication_window_ms)
         self.attempts: dict[AttemptId, _Attempt] = {}  # waiting or sent
         self.tickets: dict[int, str] = {}
         self.last_id = 0
--- a/tests/store/test_intent_manager.py
+++ b/tests/store/test_intent_manager.py
@@ -54,7 +54,8 @@
     effects = manager.on_batch_committed(1001, set(), {"x0": other, "x1": other})
     assert effects == [SendAttempt((1, 0)), BlockAttempt((2, 0))]
     assert manager.earlier_send("x1") == other.first_send
-    over = 900 + KEYED.repeat_window - HELD_UP  # what is decided by then is written inside the window
+    # What is decided by then is written inside the window.
+    over = 900 + KEYED.deduplication_window_ms - HELD_UP
     assert sends(manager, over - 1, 3, 0, name="x1") == [SendAttempt((3, 0))]
     assert sends(manager, over, 4, 0, name="x1") == [BlockAttempt((4, 0))]
 
