--- a/sabledyke/store/section.py
+++ b/sabledyke/store/section.py
@@ -159,8 +159,9 @@
 
 
 def load(path: str, environ: Mapping[str, str] = os.environ) -> StoreSection:
-    """Return the section alone, from an operator's file: what the store's commands need, without the
-    deployment.
+    """Return the section alone, from an operator's file.
+
+    It is what the store's commands need, without the deployment.
 
     Raises:
         OperatorError: Where the file or its section is wrong, or names no record.
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -1,10 +1,9 @@
-"""Links to storage nodes that are databases: an attempt is a query, or a transaction of payload and key
-together.
+"""Links to storage nodes that are databases.
 
-A node's sessions are bounded (``SessionPool``); links are light and share them, and an attempt that waits for
-one has not run. A write has certainly not run until its COMMIT is handed to a connection; where that COMMIT
-is not answered, the write is in doubt and ``InDoubtWrite`` says what to ask, on another connection, until its
-time ends.
+An attempt is a query, or a transaction of payload and key together. A node's sessions are bounded
+(``SessionPool``); links are light and share them, and an attempt that waits for one has not run. A write has
+certainly not run until its COMMIT is handed to a connection; where that COMMIT is not answered, the write is
+in doubt and ``InDoubtWrite`` says what to ask, on another connection, until its time ends.
 """
 
 from __future__ import annotations
--- a/sabledyke/store/statements.py
+++ b/sabledyke/store/statements.py
@@ -131,7 +131,6 @@
     f" ORDER BY name LIMIT {PAGE_ROWS}"
 )
 SELECT_DRIFT = "SELECT instance, at, volume, piece, box, wanted, got FROM drift ORDER BY at, volume, piece"
-COUNT_WRITES_BY_STATE = "SELECT state, count(*) FROM writes GROUP BY state ORDER BY state"
 INSERT_WRITE = (
     "INSERT INTO writes (name, at, shard, zone, state, instance, life) VALUES ($1::text,"
     " $2::double precision, $3::bigint, $4::bigint, $5::text, $6::text, $7::bigint)"
--- a/sabledyke/store/types.py
+++ b/sabledyke/store/types.py
@@ -31,7 +31,7 @@
     NEVER = "never"  # it was never sent
 
     @classmethod
-    def _missing_(cls, value: object) -> WriteState:
+    def _missing_(cls, _: object) -> WriteState:
         """Read any other text as UNKNOWN: such a write is not on record as never sent."""
         return cls.UNKNOWN
 
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -39,8 +39,8 @@
         self.effects: dict[str, int] = {}
         self.sent: dict[str, int] = {}
         self.fates: list[str] = []  # in turn: "ok", "lost" (ran, no answer), "cut" (did not run), "hold"
-        self.held = asyncio.Event()
-        self.go = asyncio.Event()
+        self.holding = asyncio.Event()
+        self.release = asyncio.Event()
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -60,8 +60,8 @@
                 self.effects[key] = 1
                 self.pieces[path] = body
             if fate == "hold":
-                self.held.set()
-                await self.go.wait()
+                self.holding.set()
+                await self.release.wait()
             elif fate == "lost":
                 writer.transport.abort()
                 return
--- a/tests/store/sql_node_deployment.py
+++ b/tests/store/sql_node_deployment.py
@@ -64,7 +64,7 @@
         status, _, answer = await ask(self.server.listeners[0].port, text, body)
         return status, answer
 
-    async def warm(self) -> None:
+    async def warm_up(self) -> None:
         """A first piece, once the machine lets a connection come up in its 250 ms."""
         until = time.monotonic() + 5
         while (await self.put("first", piece=9))[0] != 200:
--- a/tests/store/test_backup.py
+++ b/tests/store/test_backup.py
@@ -95,7 +95,8 @@
         reported: list[str] = []
         copy = str(tmp_path / "copy")
         done, _ = await asyncio.gather(maintenance.backup(target, copy, reported.append), write(40))
-        assert done and await maintenance.audit(Target(path=copy), reported.append), reported
+        assert done, reported
+        assert await maintenance.audit(Target(path=copy), reported.append), reported
         await session.close()
         await server.end()
 
--- a/tests/store/test_intent_manager_random.py
+++ b/tests/store/test_intent_manager_random.py
@@ -21,7 +21,8 @@
         for at, where in ran[1:]:
             # A node ran a repeat inside the window and the cell of the first: there it drops it. The window
             # is counted from the first send, which came up to its attempt's time before the effect.
-            assert where == cell and at < first + KEYED.deduplication_window_ms + KEYED.deadline_ms, name
+            assert where == cell, name
+            assert at < first + KEYED.deduplication_window_ms + KEYED.deadline_ms, name
     audit = simulation.database.audit()
     assert audit.passed, audit.faults
     answered = {row.entry.key for row in simulation.database.journal if row.entry.outcome == "served"}
--- a/tests/store/test_killed_program.py
+++ b/tests/store/test_killed_program.py
@@ -109,12 +109,12 @@
     program = await deployment.start()
     node.fates = ["hold"]
     first = asyncio.create_task(deployment.put("a"))
-    await node.held.wait()  # the intent is durable, the node has run it
+    await node.holding.wait()  # the intent is durable, the node has run it
     lock = sqlite3.connect(deployment.record, isolation_level=None)
     if when == "served":  # its entry cannot be written: the answer is not passed on
         lock.execute("BEGIN IMMEDIATE")
     if when != "sent":
-        node.go.set()
+        node.release.set()
     if when == "journalled":
         assert await first == 200
     else:
@@ -122,7 +122,7 @@
     program.send_signal(signal.SIGKILL)
     await program.wait()
     lock.close()
-    node.go.set()
+    node.release.set()
     if when != "journalled":
         assert await first in (0, 500)  # the client knows nothing, or that it may have run
     program = await deployment.start()
--- a/tests/store/test_record.py
+++ b/tests/store/test_record.py
@@ -62,7 +62,7 @@
     async def scenario(deployment: RecordDeployment) -> None:
         deployment.nodes[0].fates = ["hold"]
         one = asyncio.create_task(deployment.put("k", wait=2.0))
-        await deployment.nodes[0].held.wait()
+        await deployment.nodes[0].holding.wait()
         end = asyncio.Event()
 
         async def script(point: Point) -> None:
@@ -73,7 +73,7 @@
         other = sqlite3.connect(deployment.file, isolation_level=None)
         if backend == "sqlite":
             other.execute("BEGIN IMMEDIATE")
-        deployment.nodes[0].go.set()
+        deployment.nodes[0].release.set()
         assert (await one)[0] == 500
         assert deployment.nodes[0].effects["k"] == 1
         end.set()
--- a/tests/store/test_record_faults.py
+++ b/tests/store/test_record_faults.py
@@ -157,9 +157,9 @@
         assert isinstance(session, SqliteSession)
         deployment.nodes[0].fates = ["hold"]
         held = asyncio.create_task(deployment.put("held", piece=2))
-        await deployment.nodes[0].held.wait()
+        await deployment.nodes[0].holding.wait()
         await session.run(lambda db: db.execute(f"PRAGMA {pragma}").close())
-        deployment.nodes[0].go.set()
+        deployment.nodes[0].release.set()
         assert (await held)[0] in (200, 500)  # a page may have had room for one more entry
         n = 0  # until the pages that are there are full
         while (await deployment.put(f"k{n}", b"x" * 3000, n))[0] == 200:
--- a/tests/store/test_sql_link.py
+++ b/tests/store/test_sql_link.py
@@ -58,7 +58,7 @@
 
 def test_a_commit_whose_answer_is_lost_is_found_by_its_key(tmp_path: Path) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
-        await deployment.warm()
+        await deployment.warm_up()
         deployment.postgres.script = first_commit(cut, "after")
         status, result = await deployment.put("k", b"one")
         assert status == 200
@@ -71,7 +71,7 @@
 
 def test_a_commit_that_never_happened_is_fenced_and_only_then_made_again(tmp_path: Path) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
-        await deployment.warm()
+        await deployment.warm_up()
         deployment.postgres.script = first_commit(cut, "before")
         claims = deployment.sent("INSERT INTO keys")
         assert (await deployment.put("k", b"one"))[0] == 200
@@ -86,7 +86,7 @@
     """The connection is lost, and the old transaction commits only later: absence alone would mislead."""
 
     async def scenario(deployment: SqlNodeDeployment) -> None:
-        await deployment.warm()
+        await deployment.warm_up()
 
         async def late(_: Point) -> None:
             deployment.postgres.cut_connections()
@@ -103,7 +103,7 @@
 
 def test_a_commit_that_stalls_past_the_deadline_may_have_run_and_is_not_repeated(tmp_path: Path) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
-        await deployment.warm()
+        await deployment.warm_up()
 
         over = []
 
@@ -127,7 +127,7 @@
     tmp_path: Path, message: int, fault: str
 ) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
-        await deployment.warm()
+        await deployment.warm_up()
         first, start = max(deployment.postgres.sessions_messages.items())
         deployment.postgres.script = fault_at(first, start + message, fault)
         status, _ = await deployment.put("k", b"one")
@@ -149,7 +149,7 @@
 
 def test_a_locked_file_rejects_work_and_a_given_up_commit_never_happens(tmp_path: Path) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
-        await deployment.warm()
+        await deployment.warm_up()
         other = sqlite3.connect(deployment.path, isolation_level=None)
         other.execute("BEGIN IMMEDIATE")
         assert (await deployment.put("k", b"one"))[0] == 503
