--- a/sabledyke/store/database_errors.py
+++ b/sabledyke/store/database_errors.py
@@ -1,7 +1,7 @@
-"""What can go wrong with a database, in the store's few terms; SQLSTATEs and SQLite codes as published.
+"""What can go wrong with a database, in the store's few terms.
 
-Told: a driver's error, by its code. Decides: its kind, and whether a transaction may have taken effect all
-the same. PostgreSQL: appendix A of its manual; SQLite: its page of result codes.
+SQLSTATEs are those of appendix A of PostgreSQL's manual, SQLite's codes those of its page of result codes.
+Decides of what kind a driver's error is, and whether a transaction may have taken effect all the same.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from sabledyke.errors import StoreError as StoreError
 
 
-class Kind(Enum):
-    """What a fault means to who runs the store."""
+class DatabaseErrorKind(Enum):
+    """What an error means to the operators of the store."""
 
     STALL = "does not answer in time"
     LOST = "cannot be reached"
@@ -22,80 +22,98 @@
     READ_ONLY = "is read-only"
     CORRUPT = "is corrupt"
     SCHEMA = "has a schema that this version does not know"
-    PASSWORD = "refuses the name or password"
+    AUTHENTICATION = "refuses the name or password"
     FENCED = "was taken over by a later start under this name"
     CONFLICT = "gave the transaction up for another"
-    CROWDED = "has no connection left"
-    ENDING = "is shutting down"
-    BROKEN = "reports an error"
+    TOO_MANY_CONNECTIONS = "has no connection left"
+    SHUTTING_DOWN = "is shutting down"
+    UNEXPECTED = "reports an error"
 
 
-PASSING = (Kind.STALL, Kind.CONFLICT, Kind.CROWDED, Kind.ENDING)  # asked again a moment later it may do
+TRANSIENT_KINDS = (  # the same request may succeed a moment later
+    DatabaseErrorKind.STALL,
+    DatabaseErrorKind.CONFLICT,
+    DatabaseErrorKind.TOO_MANY_CONNECTIONS,
+    DatabaseErrorKind.SHUTTING_DOWN,
+)
 
 
-class StoreFault(SabledykeError):
+class DatabaseError(SabledykeError):
     """A transaction or query did not succeed.
 
-    ``uncertain``: its COMMIT was under way and nothing tells whether it took effect.
+    Attributes:
+        kind: What the error means.
+        uncertain: The transaction's COMMIT was under way, and nothing tells whether it took effect.
     """
 
-    code, remedy = "store", "look at the database; store check says whether it is sound"
+    code = "store"
+    remedy = "look at the database; store check says whether it is sound"
 
-    def __init__(self, kind: Kind, text: str = "", *, uncertain: bool = False) -> None:
+    def __init__(self, kind: DatabaseErrorKind, text: str = "", *, uncertain: bool = False) -> None:
         super().__init__(f"{kind.value}: {text}" if text else kind.value)
-        self.kind, self.uncertain = kind, uncertain
-
-
-_STATES = {
-    "40001": Kind.CONFLICT,
-    "40P01": Kind.CONFLICT,
-    "53300": Kind.CROWDED,
-    "53100": Kind.FULL,
-    "53200": Kind.FULL,
-    "57P01": Kind.ENDING,
-    "57P02": Kind.ENDING,
-    "57P03": Kind.ENDING,
-    "57014": Kind.STALL,
-    "55P03": Kind.STALL,
-    "25006": Kind.READ_ONLY,
-    "28P01": Kind.PASSWORD,
-    "28000": Kind.PASSWORD,
-    "XX001": Kind.CORRUPT,
-    "XX002": Kind.CORRUPT,
-    "23514": Kind.FENCED,
-    "3D000": Kind.LOST,
-    "42P01": Kind.SCHEMA,
-    "42703": Kind.SCHEMA,
+        self.kind = kind
+        self.uncertain = uncertain
+
+
+_KIND_BY_SQLSTATE = {
+    "40001": DatabaseErrorKind.CONFLICT,
+    "40P01": DatabaseErrorKind.CONFLICT,
+    "53300": DatabaseErrorKind.TOO_MANY_CONNECTIONS,
+    "53100": DatabaseErrorKind.FULL,
+    "53200": DatabaseErrorKind.FULL,
+    "57P01": DatabaseErrorKind.SHUTTING_DOWN,
+    "57P02": DatabaseErrorKind.SHUTTING_DOWN,
+    "57P03": DatabaseErrorKind.SHUTTING_DOWN,
+    "57014": DatabaseErrorKind.STALL,
+    "55P03": DatabaseErrorKind.STALL,
+    "25006": DatabaseErrorKind.READ_ONLY,
+    "28P01": DatabaseErrorKind.AUTHENTICATION,
+    "28000": DatabaseErrorKind.AUTHENTICATION,
+    "XX001": DatabaseErrorKind.CORRUPT,
+    "XX002": DatabaseErrorKind.CORRUPT,
+    "23514": DatabaseErrorKind.FENCED,
+    "3D000": DatabaseErrorKind.LOST,
+    "42P01": DatabaseErrorKind.SCHEMA,
+    "42703": DatabaseErrorKind.SCHEMA,
 }
-_CODES = {
-    sqlite3.SQLITE_BUSY: Kind.STALL,
-    sqlite3.SQLITE_LOCKED: Kind.STALL,
-    sqlite3.SQLITE_INTERRUPT: Kind.STALL,
-    sqlite3.SQLITE_READONLY: Kind.READ_ONLY,
-    sqlite3.SQLITE_PERM: Kind.READ_ONLY,
-    sqlite3.SQLITE_FULL: Kind.FULL,
-    sqlite3.SQLITE_CORRUPT: Kind.CORRUPT,
-    sqlite3.SQLITE_NOTADB: Kind.CORRUPT,
-    sqlite3.SQLITE_CANTOPEN: Kind.LOST,
-    sqlite3.SQLITE_IOERR: Kind.LOST,
+_KIND_BY_SQLITE_CODE = {
+    sqlite3.SQLITE_BUSY: DatabaseErrorKind.STALL,
+    sqlite3.SQLITE_LOCKED: DatabaseErrorKind.STALL,
+    sqlite3.SQLITE_INTERRUPT: DatabaseErrorKind.STALL,
+    sqlite3.SQLITE_READONLY: DatabaseErrorKind.READ_ONLY,
+    sqlite3.SQLITE_PERM: DatabaseErrorKind.READ_ONLY,
+    sqlite3.SQLITE_FULL: DatabaseErrorKind.FULL,
+    sqlite3.SQLITE_CORRUPT: DatabaseErrorKind.CORRUPT,
+    sqlite3.SQLITE_NOTADB: DatabaseErrorKind.CORRUPT,
+    sqlite3.SQLITE_CANTOPEN: DatabaseErrorKind.LOST,
+    sqlite3.SQLITE_IOERR: DatabaseErrorKind.LOST,
 }
 
 
-def of_state(sqlstate: str, text: str) -> StoreFault:
-    """A PostgreSQL server's word: whatever it reports has not taken effect.
+_CONNECTION_EXCEPTION = "08"  # the class of SQLSTATEs for connections that end
+_PRIMARY_CODE_MASK = 0xFF  # of SQLite's extended result codes
 
-    But for 08 and 57P: a connection that ends may end in the middle of a commit, which the caller knows.
+
+def from_sqlstate(sqlstate: str, text: str) -> DatabaseError:
+    """Return a PostgreSQL server's error; whatever it reports has not taken effect.
+
+    Except for 08 and 57P: a connection that ends may end in the middle of a commit, which the caller knows.
     """
-    kind = Kind.LOST if sqlstate.startswith("08") else _STATES.get(sqlstate, Kind.BROKEN)
-    return StoreFault(kind, f"{text} ({sqlstate})")
+    if sqlstate.startswith(_CONNECTION_EXCEPTION):
+        kind = DatabaseErrorKind.LOST
+    else:
+        kind = _KIND_BY_SQLSTATE.get(sqlstate, DatabaseErrorKind.UNEXPECTED)
+    return DatabaseError(kind, f"{text} ({sqlstate})")
 
 
-def of_sqlite(fault: sqlite3.Error, *, committing: bool = False) -> StoreFault:
-    """SQLite's word; only an I/O error while committing leaves it open whether it took effect."""
-    code = getattr(fault, "sqlite_errorcode", 0) or 0
+def from_sqlite(error: sqlite3.Error, *, committing: bool = False) -> DatabaseError:
+    """Return SQLite's error; only an I/O error while committing leaves it open whether it took effect."""
+    code = getattr(error, "sqlite_errorcode", 0) or 0
     if code == sqlite3.SQLITE_CONSTRAINT_CHECK:
-        return StoreFault(Kind.FENCED, str(fault))
-    kind = _CODES.get(code & 0xFF, Kind.BROKEN)
-    if isinstance(fault, sqlite3.OperationalError) and "no such" in str(fault):
-        kind = Kind.SCHEMA
-    return StoreFault(kind, str(fault), uncertain=committing and code & 0xFF == sqlite3.SQLITE_IOERR)
+        return DatabaseError(DatabaseErrorKind.FENCED, str(error))
+    primary_code = code & _PRIMARY_CODE_MASK
+    kind = _KIND_BY_SQLITE_CODE.get(primary_code, DatabaseErrorKind.UNEXPECTED)
+    if isinstance(error, sqlite3.OperationalError) and "no such" in str(error):
+        kind = DatabaseErrorKind.SCHEMA
+    uncertain = committing and primary_code == sqlite3.SQLITE_IOERR
+    return DatabaseError(kind, str(error), uncertain=uncertain)
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -1,4 +1,4 @@
-"""Where the store is set up: the record's transport, and the links to boxes that are databases."""
+"""Where the store is set up: the record's transport, and the links to nodes that are databases."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from sabledyke.net.connection_pool import Dial, Report
 from sabledyke.policy.nodes import NodeId
 from sabledyke.store.connect import connect
-from sabledyke.store.database_errors import StoreError, StoreFault
-from sabledyke.store.intent_manager import Keeper
-from sabledyke.store.recording_transport import Recorder
-from sabledyke.store.section import Section
+from sabledyke.store.database_errors import DatabaseError, StoreError
+from sabledyke.store.intent_manager import IntentManager
+from sabledyke.store.recording_transport import RecordingTransport
+from sabledyke.store.section import StoreSection
 from sabledyke.store.session import Session
 from sabledyke.store.sql_link import SqlDialer
 
@@ -23,88 +23,98 @@
     from sabledyke.operator_config import OperatorConfig
 
 
-class RecordPart(Extension):
-    """The record of sends and the receipt journal."""
+def set_up(host: Host, section: Operator) -> Part | None:
+    """Return the record, where the operator's file asks for it."""
+    store = section.store
+    return RecordExtension(host, store) if store is not None and store.record is not None else None
+
+
+def set_up_boxes(host: Host, section: Operator) -> Part | None:
+    """Return the links to databases, where the operator's file marks nodes as such."""
+    store = section.store
+    return SqlExtension(host, store) if store is not None and store.sql_nodes else None
+
+
+class RecordExtension(Part):
+    """The record of sends and the receipt journal.
+
+    Attributes:
+        recording_transport: The driver of the record.
+    """
 
-    def __init__(self, host: ServerContext, section: Section) -> None:
-        assert section.record is not None
-        self._target, config = section.record, host.config
-        keeper = Keeper(config.name, section.limits, config.seed, section.kept)
-        target = self._target
+    def __init__(self, host: Host, section: StoreSection) -> None:
+        target = section.record
+        assert target is not None
+        config = host.config
+        intents = IntentManager(config.name, section.limits, config.seed, section.retention_ms)
 
-        async def opener(seconds: float) -> Session:
-            return await connect(target, connect_s=seconds)
+        async def open_session(timeout_s: float) -> Session:
+            return await connect(target, connect_s=timeout_s)
 
-        self.recorder = Recorder(keeper, opener, config.settings, host.entry)
+        self.recording_transport = RecordingTransport(intents, open_session, config.settings, host.entry)
+        self._target = target
 
-    def wrap_report(self, onward: Report) -> Report:
-        """See ``parts.Part``."""
-        self.recorder.report = onward
-        return self.recorder.ended
+    def reports(self, onward: Report) -> Report:
+        """See ``extensions.Part``."""
+        self.recording_transport.report = onward
+        return self.recording_transport.on_attempt_ended
 
-    def wrap_transport(self, inner: Transport) -> Transport:
-        """See ``parts.Part``."""
-        self.recorder.inner = inner
-        return self.recorder
+    def transport(self, inner: Transport) -> Transport:
+        """See ``extensions.Part``."""
+        self.recording_transport.inner = inner
+        return self.recording_transport
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
-        """See ``parts.Part``."""
-        return self.recorder.submit(work, done, onward)
+    def submit(self, work: Work, done: Done, onward: Submit) -> int:
+        """See ``extensions.Part``."""
+        return self.recording_transport.submit(work, done, onward)
 
-    def on_client_disconnected(self, rid: int) -> None:
-        """See ``parts.Part``."""
-        self.recorder.departed(rid)
+    def departed(self, rid: int) -> None:
+        """See ``extensions.Part``."""
+        self.recording_transport.on_client_departed(rid)
 
     async def open(self) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         try:
-            await self.recorder.open()
-        except StoreFault as fault:
-            raise StoreError(f"store {self._target}: {fault}") from None
-        position = self.recorder.keeper.position
-        entries = f"{position.seq} entries in the journal"
-        log.emit("store", f"{self._target} is open; life {position.life}, {entries}")
+            await self.recording_transport.open()
+        except DatabaseError as error:
+            raise StoreError(f"store {self._target}: {error}") from error
+        position = self.recording_transport.intents.position
+        entries = f"{position.last_sequence} entries in the journal"
+        log.emit("store", f"{self._target} is open; incarnation {position.incarnation}, {entries}")
 
-    def apply_config(self, config: Config) -> None:
-        """See ``parts.Part``."""
-        self.recorder.settings = config.settings
+    def adopt(self, config: Config) -> None:
+        """See ``extensions.Part``."""
+        self.recording_transport.settings = config.settings
 
     async def close(self) -> None:
-        """See ``parts.Part``."""
-        await self.recorder.close()
+        """See ``extensions.Part``."""
+        await self.recording_transport.close()
 
 
-class SqlPart(Extension):
-    """Boxes that are databases."""
+class SqlExtension(Part):
+    """Nodes that are databases.
 
-    def __init__(self, host: ServerContext, section: Section) -> None:
-        self.dialer = SqlDialer(host.config.settings, {b.node: b for b in section.boxes}, section.kept)
+    Attributes:
+        dialer: What opens the links to them.
+    """
+
+    def __init__(self, host: Host, section: StoreSection) -> None:
+        nodes = {sql_node.node: sql_node for sql_node in section.sql_nodes}
+        self.dialer = SqlDialer(host.config.settings, nodes, section.retention_ms)
 
     def dialers(self) -> dict[NodeId, Dial]:
-        """See ``parts.Part``."""
-        return dict.fromkeys(self.dialer.boxes, self.dialer.dial)
+        """See ``extensions.Part``."""
+        return dict.fromkeys(self.dialer.nodes, self.dialer.dial)
 
-    def apply_config(self, config: Config) -> None:
-        """See ``parts.Part``."""
+    def adopt(self, config: Config) -> None:
+        """See ``extensions.Part``."""
         self.dialer.settings = config.settings
 
-    def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
-        """See ``parts.Part``."""
+    def listed(self, gone: Iterable[NodeId]) -> None:
+        """See ``extensions.Part``."""
         for node in gone:
-            self.dialer.forget(node)
+            self.dialer.on_node_removed(node)
 
     async def close(self) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         self.dialer.close()
-
-
-def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
-    """The record, where the operator's file asks for it."""
-    store = section.store
-    return RecordPart(host, store) if store is not None and store.record is not None else None
-
-
-def set_up_boxes(host: ServerContext, section: OperatorConfig) -> Extension | None:
-    """The links to databases, where the operator's file marks boxes as such."""
-    store = section.store
-    return SqlPart(host, store) if store is not None and store.boxes else None
--- a/sabledyke/store/types.py
+++ b/sabledyke/store/types.py
@@ -1,25 +1,46 @@
-"""The store's terms: intents, entries of the receipt journal, positions and batches. Plain data, no I/O."""
+"""The terms of the store: intents, entries of the receipt journal, positions and batches.
+
+Plain data without I/O. Times are Unix milliseconds.
+"""
 
 from __future__ import annotations
 
 import hashlib
 from collections.abc import Sequence
 from dataclasses import dataclass, field
-from typing import Any
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 from sabledyke.core import ClientRequest
 
 Value = str | int | float | bytes | None
 Row = tuple[Any, ...]  # of Values; what each column holds is the statement's business
 
-SENT, SERVED, UNKNOWN, NEVER = "sent", "served", "unknown", "never"  # states of a recorded write
+OUTCOME_SERVED = "served"  # outcomes as the journal stores them, beside those of ``core``
+OUTCOME_DEPARTED = "departed"
+OUTCOME_UNCONFIRMED = "unconfirmed"
+MAX_PLAIN_TOKEN_LENGTH = 128
+
+
+class WriteState(StrEnum):
+    """The state of a recorded write, as the column ``state`` stores it."""
+
+    SENT = "sent"
+    SERVED = "served"
+    UNKNOWN = "unknown"  # it may have run
+    NEVER = "never"  # it was never sent
+
+    @classmethod
+    def _missing_(cls, _: object) -> WriteState:
+        """Read any other text as UNKNOWN: such a write is not on record as never sent."""
+        return cls.UNKNOWN
 
 
 @dataclass(slots=True, frozen=True)
-class Sent:
-    """A write's first send that may have run: when, in Unix milliseconds, and where."""
+class SendRecord:
+    """The first send of a write that may have run: when and where."""
 
-    at: float
+    sent_at_ms: float
     shard: int
     zone: int
 
@@ -34,52 +55,76 @@
     """A keyed write that is about to be sent; durable before it is."""
 
     name: str
-    sent: Sent
+    sent: SendRecord
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
-    """A finished keyed write, as the receipt journal has it.
-
-    ``at`` and ``began`` are Unix milliseconds, ``digest`` the SHA-256 of what was written, in hex.
-    ``outcome`` is what the client was told (``served``, ``refused``, ``failed``), ``departed`` where it had
-    left, or ``unconfirmed`` where a box had served the write but the journal could not take its entry in
-    time, so that the client was told ``failed``.
+class JournalEntry:
+    """A completed keyed write, as the receipt journal has it.
+
+    Attributes:
+        completed_at_ms: When it had its final answer.
+        began_at_ms: When it was accepted.
+        class_name: Its request class.
+        volume: Its volume, in hex.
+        key: Its idempotency key, as ``idempotency_token`` writes it.
+        piece: The piece of data that it wrote, in hex.
+        shard: The shard that it was sent to.
+        node: The storage node that it was sent to; empty for none.
+        units: Its cost.
+        digest: The SHA-256 of what was written, in hex.
+        outcome: What the client was answered (``served``, ``refused``, ``failed``); ``departed`` where it had
+            left; ``unconfirmed`` where a node had served the write but the journal could not accept its entry
+            in time, so that the client was answered ``failed``.
     """
 
-    at: int
-    began: int
-    class_: str
+    completed_at_ms: int
+    began_at_ms: int
+    class_name: str
     volume: str
     key: str
     piece: str
     shard: int
-    box: str
+    node: str
     units: float
     digest: str
     outcome: str
 
 
 @dataclass(slots=True, frozen=True)
-class Position:
-    """How far an instance has come: its life, batches written, the journal's last entry and its hash."""
+class JournalPosition:
+    """How far an instance has come.
+
+    Attributes:
+        incarnation: Which start of the instance this is, from 1.
+        batches: How many batches it has written, over all incarnations.
+        last_sequence: The number of the journal's last entry, 0 for none.
+        head_hash: The hash of that entry, in hex.
+    """
 
-    life: int
-    batch: int = 0
-    seq: int = 0
-    head: str = ""
+    incarnation: int
+    batches: int = 0
+    last_sequence: int = 0
+    head_hash: str = ""
 
 
 @dataclass(slots=True, frozen=True)
-class Drift:
-    """A box showed other data than the journal's last served write of a piece left there."""
+class DriftFinding:
+    """A node showed other data than the journal's last served write of a piece left there."""
 
-    at: int
+    found_at_ms: int
     volume: str
     piece: str
-    box: str
-    wanted: str
-    got: str
+    node: str
+    expected_digest: str
+    found_digest: str
+
+
+class Settlement(NamedTuple):
+    """The state to record for a write that has ended."""
+
+    name: str
+    state: WriteState
 
 
 @dataclass(slots=True, frozen=True)
@@ -91,40 +136,51 @@
 
 
 @dataclass(slots=True)
-class Batch:
-    """What goes into one transaction, from one position to the next."""
+class RecordBatch:
+    """What goes into one transaction, from one position to the next.
+
+    Attributes:
+        before: The position that the transaction requires.
+        after: The position that it leaves.
+        intents: Writes about to be sent.
+        entries: Entries for the journal.
+        hashes: Their hashes.
+        settled: States of writes that have ended.
+        drifts: Findings of drift.
+        forget_before_ms: Writes sent before that are deleted, some at a time; 0 for none.
+    """
 
-    before: Position
-    after: Position
+    before: JournalPosition
+    after: JournalPosition
     intents: list[Intent] = field(default_factory=list)
-    entries: list[Entry] = field(default_factory=list)
+    entries: list[JournalEntry] = field(default_factory=list)
     hashes: list[str] = field(default_factory=list)
-    settled: list[tuple[str, str]] = field(default_factory=list)  # name, state
-    drifts: list[Drift] = field(default_factory=list)
-    forget_before: float = 0.0  # writes sent before that are dropped, some at a time; 0 for none
+    settled: list[Settlement] = field(default_factory=list)
+    drifts: list[DriftFinding] = field(default_factory=list)
+    forget_before_ms: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
-    """A write that the record has already, by another life or another scheduler."""
+class RecordedWrite:
+    """A write that the record has already, by another incarnation or another scheduler."""
 
-    sent: Sent
-    state: str
+    first_send: SendRecord
+    state: WriteState
 
 
-def token_of(work: ClientRequest) -> str:
-    """A key as the record has it: as the client wrote it, or a digest of one that is long or odd.
+def idempotency_token(work: Work) -> str:
+    """Return a key as the record has it: as the client wrote it, or a digest of one that is long or odd.
 
-    Guards against keys that no database takes as text, or that make rows of kilobytes.
+    Guards against keys that no database accepts as text, or that make rows of kilobytes.
     """
-    token = work.idempotency_key
-    if len(token) <= 128 and token.isascii() and token.isprintable():
+    token = work.token
+    if len(token) <= MAX_PLAIN_TOKEN_LENGTH and token.isascii() and token.isprintable():
         return token
     return "sha256:" + hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
 
 
-def name_of(work: ClientRequest) -> str:
-    """What a keyed write is recorded by; empty for other work."""
-    return (
-        f"{work.class_index}/{work.volume:x}/{token_of(work)}" if work.write and work.idempotency_key else ""
-    )
+def write_name(work: Work) -> str:
+    """Return what a keyed write is recorded by; empty for other work."""
+    if not (work.write and work.token):
+        return ""
+    return f"{work.class_}/{work.volume:x}/{idempotency_token(work)}"
--- a/tests/store_rig.py
+++ b/tests/store/record_deployment.py
@@ -1,11 +1,12 @@
-"""A server with a record on either backend, boxes that know their keys, and ways to kill and stall it all."""
+"""A server with a record on either backend, nodes that know their keys, and ways to kill and stall it."""
 
 from __future__ import annotations
 
 import asyncio
 import sqlite3
+import time
 import tomllib
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
@@ -14,18 +15,22 @@
 from sabledyke.application.server import Server
 from sabledyke.config import Config
 from sabledyke.protocol import discovery
-from sabledyke.store import section
-from sabledyke.store.extension import RecordPart
-from sabledyke.store.recording_transport import Recorder
+from sabledyke.store import maintenance, section
+from sabledyke.store.database_errors import StoreError
+from sabledyke.store.extension import RecordExtension
+from sabledyke.store.recording_transport import RecordingTransport
 from tests.helpers import BRISK
 from tests.standins import Discovery, Service, ask, http, read_http
 from tests.standins.postgres import Postgres
+from tests.standins.postgres_faults import no_fault
 from tests.test_net import DEPLOYMENT, GET, PUT
 
+RECOVERY_TIMEOUT_S = 5  # within which a store that is back is found
 BACKENDS = ("sqlite", "postgresql")
+Scenario = Callable[["RecordDeployment"], Awaitable[None]]
 
 
-class KeyedBox(Service):
+class KeyedNode(Service):
     """Keeps pieces, drops repeats of a key, counts what took effect; ``fates`` say how each write ends."""
 
     def __init__(self) -> None:
@@ -34,8 +39,8 @@
         self.effects: dict[str, int] = {}
         self.sent: dict[str, int] = {}
         self.fates: list[str] = []  # in turn: "ok", "lost" (ran, no answer), "cut" (did not run), "hold"
-        self.held = asyncio.Event()
-        self.go = asyncio.Event()
+        self.holding = asyncio.Event()
+        self.release = asyncio.Event()
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -55,20 +60,20 @@
                 self.effects[key] = 1
                 self.pieces[path] = body
             if fate == "hold":
-                self.held.set()
-                await self.go.wait()
+                self.holding.set()
+                await self.release.wait()
             elif fate == "lost":
                 writer.transport.abort()
                 return
             writer.write(http(200, body))
 
 
-class StoreRig:
-    """One deployment: boxes, discovery, a database, and one life of a server after another."""
+class RecordDeployment:
+    """One deployment: nodes, discovery, a database, and one incarnation of a server after another."""
 
     def __init__(self, tmp_path: Path, backend: str, extra: str = "") -> None:
         self.backend, self.path, self._extra = backend, str(tmp_path / "record.sqlite3"), extra
-        self.boxes = [KeyedBox(), KeyedBox()]
+        self.nodes = [KeyedNode(), KeyedNode()]
         self.discovery = Discovery()
         self.postgres = Postgres(str(tmp_path / "pg.sqlite3"))
         self.server: Server
@@ -89,7 +94,8 @@
     def target(self) -> section.Target:
         """The database, as the tools open it."""
         table = self.extras().store
-        assert table is not None and table.record is not None
+        assert table is not None
+        assert table.record is not None
         return table.record
 
     def extras(self) -> operator_config.OperatorConfig:
@@ -99,10 +105,10 @@
         return operator_config.OperatorConfig(store=store)
 
     def listing(self) -> Any:
-        """The list of boxes."""
+        """The endpoint list."""
         return discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
 
-    async def live(self) -> Server:
+    async def start_incarnation(self) -> Server:
         """A start."""
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, self.listing(), DEPLOYMENT)
@@ -112,39 +118,45 @@
         return self.server
 
     @property
-    def recorder(self) -> Recorder:
+    def recording_transport(self) -> RecordingTransport:
         """The record's driver."""
         part = self.server.parts[0]
-        assert isinstance(part, RecordPart)
-        return part.recorder
+        assert isinstance(part, RecordExtension)
+        return part.recording_transport
 
     async def kill(self) -> None:
         """The server stops where it stands: nothing is answered, written or closed in good order."""
         while self.server.listeners:
             self.server.listeners.pop().close()
         self.server._turn = lambda: None  # type: ignore[method-assign]  # a dead process's guards do not fire
-        recorder = self.recorder
-        recorder._ending = True
-        if recorder._pump is not None:
-            recorder._pump.cancel()
-        for timer in (recorder._gathering, recorder._ticking, self.server._timer):
-            if timer is not None:
-                timer.cancel()
-        if recorder._session is not None:
-            recorder._session.abort()
+        writer = self.recording_transport.writer
+        writer.stop()
+        if self.server._timer is not None:
+            self.server._timer.cancel()
+        if writer.session is not None:
+            writer.session.abort()
         for front in self.server.fronts:
             front.closing = True
             for client in list(front.clients):
                 client.departed = lambda: None  # type: ignore[method-assign]
                 client.close()
         self.server.watch.watch(False)
-        for flight in list(self.server.pool._attempts.values()):
-            if flight.connection is not None:
-                flight.connection.link.close()
+        for attempt in list(self.server.pool._attempts.values()):
+            if attempt.connection is not None:
+                attempt.connection.link.close()
         self.server.pool.close()
         await asyncio.sleep(0.02)
 
-    async def leave(self) -> None:
+    async def restart_after_kill(self) -> None:
+        """Start the next incarnation, as often as it takes."""
+        while True:
+            try:
+                await self.start_incarnation()
+                return
+            except StoreError:
+                await asyncio.sleep(0.01)
+
+    async def shut_down(self) -> None:
         """The server ends in good order."""
         self.server.leave()
         await self.server.finish()
@@ -154,13 +166,19 @@
     ) -> tuple[int, dict[str, str], bytes]:
         """A keyed write."""
         self.ids += 1
-        while not self.server.listeners:  # between two lives
+        while not self.server.listeners:  # between two incarnations
             await asyncio.sleep(0.005)
         more = f"IO-Info: units=1,shard={shard},hosts=1\nIdempotency-Key: {key}\n"
         more += f"Content-Length: {len(body)}\n"
         text = PUT.format(f"{piece:x}", f"w{self.ids}", more).replace("Deadline: 1.0", f"Deadline: {wait}")
         return await ask(self.server.listeners[0].port, text, body)
 
+    async def put_until_served(self, key: str, piece: int) -> None:
+        """Write until the write is served, for a bounded time."""
+        deadline = time.monotonic() + RECOVERY_TIMEOUT_S
+        while (await self.put(key, piece=piece))[0] != 200:
+            assert time.monotonic() < deadline
+
     async def get(self, piece: int = 1, shard: int = 0) -> tuple[int, bytes]:
         """A read."""
         self.ids += 1
@@ -179,25 +197,39 @@
 
 
 @asynccontextmanager
-async def rig(tmp_path: Path, backend: str, extra: str = "") -> AsyncIterator[StoreRig]:
-    """A deployment whose first server lives; at the end no invariant is broken and the journal holds."""
-    made = StoreRig(tmp_path, backend, extra)
+async def record_deployment(tmp_path: Path, backend: str, extra: str = "") -> AsyncIterator[RecordDeployment]:
+    """A deployment whose first server is up; at the end no invariant is broken and the journal holds."""
+    deployment = RecordDeployment(tmp_path, backend, extra)
     invariants.violations.clear()
     log._limiter = log.Limiter()  # lines of other tests do not count
     async with asyncio.timeout(30):
-        for service in (*made.boxes, made.discovery):
+        for service in (*deployment.nodes, deployment.discovery):
             await service.open()
-        await made.postgres.open()
-        for shard, box in enumerate(made.boxes):
-            made.discovery.add(f"box-{shard}", box.port, shard)
-        await made.live()
+        await deployment.postgres.open()
+        for shard, node in enumerate(deployment.nodes):
+            deployment.discovery.add(f"box-{shard}", node.port, shard)
+        await deployment.start_incarnation()
         try:
-            yield made
-            if made.server.listeners:
-                await made.leave()
+            yield deployment
+            if deployment.server.listeners:
+                await deployment.shut_down()
         finally:
-            for box in made.boxes:
-                box.die()
-            made.discovery.die()
-            await made.postgres.end()
+            for node in deployment.nodes:
+                node.die()
+            deployment.discovery.die()
+            await deployment.postgres.end()
     assert not invariants.violations
+
+
+def run_scenario(tmp_path: Path, backend: str, scenario: Scenario, extra: str = "") -> None:
+    async def run() -> None:
+        async with record_deployment(tmp_path, backend, extra) as deployment:
+            await scenario(deployment)
+            deployment.postgres.script = no_fault
+            if deployment.server.listeners:
+                await deployment.shut_down()
+            reported: list[str] = []
+            assert await maintenance.audit(deployment.target(), reported.append), reported
+            assert await maintenance.reconcile(deployment.target(), reported.append), reported
+
+    asyncio.run(run())
