--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -20,21 +20,21 @@
 from dataclasses import replace
 from pathlib import Path
 
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.compaction import Policy
-from sabledyke.compacted_log.reader import Follower
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.compaction import CompactionPolicy
+from sabledyke.compacted_log.reader import LogReader
 from sabledyke.compacted_log.records import (
     Draft,
     Message,
+    encode_fields,
+    encode_message,
     head_key,
     message_key,
-    pack,
-    pack_message,
-    place_key,
+    position_key,
 )
-from sabledyke.compacted_log.sqlite_backend import TableShelf
+from sabledyke.compacted_log.sqlite_backend import SqliteBackend
 from sabledyke.errors import BoardFault
-from sabledyke.lease.manager import boottime
+from sabledyke.lease.manager import boottime_ms
 from sabledyke.rollout import node_drain, planner
 from sabledyke.rollout.planner import Patience, Watch
 from sabledyke.rollout.records import Ask, Box, Drain, Epoch, Member, Phase, Plan, Stage, State, View
@@ -42,7 +42,9 @@
 
 KEYS, VALUE = 10_000, b"x" * 100
 WARM, STEADY = 15.0, 30.0  # seconds: boxes are learnt, and service is counted before anything happens
-SLOW = Policy(lag=1000, tomb_ms=1e12, dirty=0.5, bytes_s=1e12)
+SLOW = CompactionPolicy(
+    min_lag_messages=1000, tombstone_retention_ms=1e12, min_dirty_ratio=0.5, max_bytes_per_s=1e12
+)
 
 
 def fill(path: str, messages: int) -> None:
@@ -53,51 +55,52 @@
         for n in range(1, messages + 1):
             key = f"article-{n * 7919 % KEYS}"
             made = Message(n, key, VALUE, "w", 1, n)
-            db.execute("INSERT INTO board VALUES (?, 1, ?)", (message_key("t", n), pack_message(made)))
+            db.execute("INSERT INTO board VALUES (?, 1, ?)", (message_key("t", n), encode_message(made)))
             dirty += last[key][1] if key in last else 0
-            last[key], size = (n, made.size), size + made.size
+            last[key], size = (n, made.size_bytes), size + made.size_bytes
         for key, (offset, bytes_) in last.items():
             db.execute(
-                "INSERT INTO board VALUES (?, 1, ?)", (place_key("t", key), pack(offset, bytes_, False))
+                "INSERT INTO board VALUES (?, 1, ?)",
+                (position_key("t", key), encode_fields(offset, bytes_, False)),
             )
-        head = pack(messages + 1, 0, size, dirty, 0)
+        head = encode_fields(messages + 1, 0, size, dirty, 0)
         db.execute("INSERT INTO board VALUES (?, 1, ?)", (head_key("t"), head))
     db.close()
 
 
-async def join(board: Board) -> float:
+async def join(board: CompactedLog) -> float:
     """Seconds of a late joiner until it has caught up."""
-    began, reader = time.perf_counter(), Follower()
-    while not reader.caught:  # news are used as they come
-        await board.read("t", reader, 2000)
-    assert len(reader.state) == KEYS
+    began, reader = time.perf_counter(), LogReader()
+    while not reader.caught_up:  # news are used as they come
+        await board.poll("t", reader, 2000)
+    assert len(reader.latest) == KEYS
     return time.perf_counter() - began
 
 
-async def memory(board: Board) -> float:
+async def memory(board: CompactedLog) -> float:
     """Bytes that a reader keeps for each key."""
     tracemalloc.start()
-    reader = Follower()
-    while not reader.caught:
-        await board.read("t", reader, 2000)
+    reader = LogReader()
+    while not reader.caught_up:
+        await board.poll("t", reader, 2000)
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return held / len(reader.state)
+    return held / len(reader.latest)
 
 
 async def log(messages: int) -> None:
     """Joining, cleaning, and joining again; what cleaning does to an append beside it."""
     with tempfile.TemporaryDirectory() as folder:
         path = str(Path(folder) / "board.sqlite3")
-        shelf = TableShelf(path, 30.0)
+        shelf = SqliteBackend(path, 30.0)
         await shelf.open()
         fill(path, messages)
-        board = Board(shelf)
+        board = CompactedLog(shelf)
         whole = await join(board)
-        other = Board(TableShelf(path, 30.0))
-        pen = await other.claim("other", "w")
+        other = CompactedLog(SqliteBackend(path, 30.0))
+        pen = await other.claim_writer("other", "w")
         alone = [await timed(pen.append([_draft(n)])) for n in range(200)]
-        size = (await board.head("t")).size
+        size = (await board.head("t")).size_bytes
         cleaning, beside = asyncio.create_task(cleaned(board)), list[float]()
         began, cpu = time.perf_counter(), time.process_time()
         while not cleaning.done():
@@ -115,14 +118,14 @@
             f"an append's p99: {p99[0]:.1f} ms alone, {p99[1]:.1f} ms beside cleaning ({len(beside)} appends)"
         )
         await shelf.close()
-        await other.shelf.close()
+        await other.backend.close()
 
 
-async def cleaned(board: Board) -> None:
+async def cleaned(board: CompactedLog) -> None:
     """Until there is nothing to clean; what a lock turned down is tried again, as in service."""
     while True:
         try:
-            await board.clean("t", SLOW, lambda: 1, boottime)
+            await board.compact("t", SLOW, lambda: 1, boottime_ms)
             return
         except BoardFault:
             continue
--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 
 from sabledyke.lease.etcd_authority import EtcdAuthority
-from sabledyke.lease.manager import Keeper
-from sabledyke.lease.sql_authority import TableAuthority
-from sabledyke.lease.types import Authority, Granted, Renew, Take, Times
+from sabledyke.lease.manager import LeaseManager
+from sabledyke.lease.sql_authority import SqlAuthority
+from sabledyke.lease.types import NEVER_HELD, Acquire, Authority, Granted, LeaseTimes, Renew
 from sabledyke.store.section import Target
 from sabledyke.testbed.etcd_server import Etcd
 from sabledyke.testbed.experiment import Experiment, Fault, Run
@@ -38,15 +38,17 @@
 async def authority(name: str, made: Authority) -> None:
     """Grants and renewals a second, and what a keeper costs the loop."""
     await made.open()
-    grants = await rate(GRANTS, lambda i: made.ask(f"grant{i}", "me", Take((0, 0))))
-    granted = await made.ask("renewed", "me", Take((0, 0)))
+    grants = await rate(GRANTS, lambda i: made.request(f"grant{i}", "me", Acquire(NEVER_HELD)))
+    granted = await made.request("renewed", "me", Acquire(NEVER_HELD))
     assert isinstance(granted, Granted)
-    renewals = await rate(RENEWALS, lambda _: made.ask("renewed", "me", Renew(granted.token)))
-    keeper = Keeper("kept", "me", made, Times(ttl=1000, renew=20, margin=100), 1)
+    renewals = await rate(RENEWALS, lambda _: made.request("renewed", "me", Renew(granted.token)))
+    keeper = LeaseManager(
+        "kept", "me", made, LeaseTimes(ttl_ms=1000, renew_interval_ms=20, safety_margin_ms=100), 1
+    )
     cpu, began = time.thread_time(), time.perf_counter()
     task = asyncio.create_task(keeper.run())
     await asyncio.sleep(3)
-    asked, spent = keeper.state.number, time.thread_time() - cpu
+    asked, spent = keeper.state.request_number, time.thread_time() - cpu
     await keeper.stop()
     await task
     cost, took = 1e6 * spent / asked, time.perf_counter() - began
@@ -57,12 +59,12 @@
 async def bytes_a_lease(folder: Path) -> None:
     """By the size of the file."""
     path = folder / "many.sqlite3"
-    made = TableAuthority(Target(path=str(path)), 3000)
+    made = SqlAuthority(Target(path=str(path)), 3000)
     await made.open()
     sizes = []
     for first in (0, LEASES):
         for i in range(first, first + LEASES):
-            await made.ask(f"duty-{i}", "n0.0123456789ab", Take((0, 0)))
+            await made.request(f"duty-{i}", "n0.0123456789ab", Acquire(NEVER_HELD))
         await made.close()  # the last connection moves the log into the file
         await asyncio.sleep(0.2)
         sizes.append(path.stat().st_size)
@@ -88,7 +90,7 @@
     with tempfile.TemporaryDirectory() as scratch:
         folder, etcd = Path(scratch), Etcd()
         await etcd.open()
-        table = TableAuthority(Target(path=str(folder / "leases.sqlite3")), 1000)
+        table = SqlAuthority(Target(path=str(folder / "leases.sqlite3")), 1000)
         remote = EtcdAuthority([f"127.0.0.1:{etcd.port}"], "b/", 1000, 500)
         made: Authority
         for name, made in (("table", table), ("etcd", remote)):
--- a/sabledyke/cli/fleet.py
+++ b/sabledyke/cli/fleet.py
@@ -10,8 +10,8 @@
 
 from sabledyke.compacted_log import registers
 from sabledyke.compacted_log import section as board_section
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.reader import Follower
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.reader import LogReader
 from sabledyke.errors import Fault, PlanError
 from sabledyke.placement.evacuation_driver import LOADS
 from sabledyke.quota_sharing.allocation import TOPIC
@@ -34,7 +34,7 @@
         return 2
 
 
-def load_board(path: str) -> board_section.Section:
+def load_board(path: str) -> board_section.LogSection:
     """The section alone, from an operator's file."""
     return section_from(path, "board", lambda data: board_section.read(data.get("board", {})))
 
@@ -42,19 +42,19 @@
 async def _run(said: Mapping[str, Any]) -> None:
     plan = load_plan(said["FILE"]) if said["plan"] else None
     section = load_board(said["--operator"])
-    board, reader = Board(section.shelf()), Follower(section.most_keys)
-    await board.shelf.open()
+    board, reader = CompactedLog(section.create_backend()), LogReader(section.max_keys)
+    await board.backend.open()
     try:
         if said["status"]:
             print("\n".join(status(await commands.look(board, reader))))
             return
         move = await commands.say(board, reader, lambda seen: _wanted(said, seen, plan))
         if said["forget"]:
-            await registers.drop(board.shelf, BEATS, [said["MEMBER"], f"{LOADS}{said['MEMBER']}"])
-            await registers.drop(board.shelf, TOPIC, [said["MEMBER"]])
+            await registers.delete(board.backend, BEATS, [said["MEMBER"], f"{LOADS}{said['MEMBER']}"])
+            await registers.delete(board.backend, TOPIC, [said["MEMBER"]])
         print(move.what)
     finally:
-        await board.shelf.close()
+        await board.backend.close()
 
 
 def _wanted(said: Mapping[str, Any], seen: View, plan: Plan | None) -> Move:
--- a/sabledyke/cli/lease.py
+++ b/sabledyke/cli/lease.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from sabledyke.config import ConfigError
+from sabledyke.errors import AuthorityFault
 from sabledyke.lease import extension, section
-from sabledyke.lease.types import AuthorityFault
 
 
 def main(said: Mapping[str, Any]) -> int:
@@ -22,7 +22,7 @@
 
 
 async def _run(said: Mapping[str, Any]) -> bool:
-    authority = extension.authority_of(section.load(said["--operator"]))
+    authority = extension.create_authority(section.load(said["--operator"]))
     await authority.open()
     try:
         if said["release"]:
@@ -30,10 +30,11 @@
             what = "freed" if said["--force"] else "its holder gives it up when it next renews"
             print(f"{said['DUTY']}: {what if done else 'nobody holds it'}")
             return done
-        for lease in await authority.standing():
-            who = f"held by {lease.holder}, {lease.left:.0f} ms left" if lease.holder else "nobody's"
+        for lease in await authority.list_leases():
+            who = f"held by {lease.holder}, {lease.remaining_ms:.0f} ms left" if lease.holder else "nobody's"
             recalled = ", recalled" if lease.recalled else ""
-            print(f"{lease.duty}: token {lease.token}, {who}{recalled}, last done at {lease.done}")
+            completed = lease.last_completed_unix_ms
+            print(f"{lease.task_name}: token {lease.token}, {who}{recalled}, last done at {completed}")
         return True
     finally:
         await authority.close()
--- a/sabledyke/compacted_log/compaction.py
+++ b/sabledyke/compacted_log/compaction.py
@@ -20,39 +20,39 @@
 
 from sabledyke.compacted_log.append import Commit
 from sabledyke.compacted_log.records import (
-    OPERATIONS,
+    MAX_COMMIT_OPERATIONS,
     Cell,
-    Head,
     Message,
-    cleaner_key,
+    TopicHead,
+    cell_version,
+    compaction_key,
+    decode_head,
+    decode_position,
+    encode_fields,
     head_key,
-    head_of,
     message_key,
-    pack,
-    place_key,
-    place_of,
-    version_of,
+    position_key,
 )
 from sabledyke.errors import StaleWriter
 
-MARKS = 16  # passes remembered for their tombstones; the two oldest are joined
-STEP = (OPERATIONS - 4) // 2  # messages of one step: each may take two drops
+MAX_MARKS = 16  # passes remembered for their tombstones; the two oldest are joined
+PAGE_MESSAGES = (MAX_COMMIT_OPERATIONS - 4) // 2  # messages of one step: each may take two drops
 
 
 @dataclass(slots=True, frozen=True)
-class Policy:
+class CompactionPolicy:
     """``lag`` messages are never touched; tombstones stay for ``tomb_ms``; cleaned from a ``dirty`` share
     on.
     """
 
-    lag: int = 1000
-    tomb_ms: float = 3_600_000.0
-    dirty: float = 0.5
-    bytes_s: float = 4e6  # at most so many bytes are looked at in a second
+    min_lag_messages: int = 1000
+    tombstone_retention_ms: float = 3_600_000.0
+    min_dirty_ratio: float = 0.5
+    max_bytes_per_s: float = 4e6  # at most so many bytes are looked at in a second
 
 
 @dataclass(slots=True, frozen=True)
-class Mark:
+class PassMark:
     """A pass ended at ``upto`` at ``since``, by the clock of the cleaner with that token."""
 
     upto: int
@@ -61,100 +61,110 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Progress:
+class CompactionProgress:
     """The cleaner's cell: its token, where it is, the limit of this pass (0 between passes), its marks."""
 
     token: int = 0
     at: int = 1
     limit: int = 0
-    marks: tuple[Mark, ...] = ()
+    marks: tuple[PassMark, ...] = ()
 
 
-def progress_of(cell: Cell | None) -> Progress:
+def decode_progress(cell: Cell | None) -> CompactionProgress:
     """As it was packed."""
     if cell is None:
-        return Progress()
+        return CompactionProgress()
     token, at, limit, marks = orjson.loads(cell.data)
-    return Progress(token, at, limit, tuple(Mark(*m) for m in marks))
+    return CompactionProgress(token, at, limit, tuple(PassMark(*m) for m in marks))
 
 
-def taken_over(progress: Progress, token: int, now: float) -> Progress:
+def take_over(progress: CompactionProgress, token: int, now: float) -> CompactionProgress:
     """The same under this cleaner's token; StaleWriter where a later one has been at work."""
     if progress.token > token:
         raise StaleWriter(f"cleaning under token {token}, after {progress.token}")
-    marks = tuple(m if m.token == token else Mark(m.upto, now, token) for m in progress.marks)
+    marks = tuple(m if m.token == token else PassMark(m.upto, now, token) for m in progress.marks)
     return replace(progress, token=token, marks=marks)
 
 
-def ripe(progress: Progress, policy: Policy, now: float) -> int:
+def removable_tombstones_up_to(progress: CompactionProgress, policy: CompactionPolicy, now: float) -> int:
     """Up to which offset tombstones may go; 0 for none."""
-    return max((m.upto for m in progress.marks if now - m.since >= policy.tomb_ms), default=0)
+    return max((m.upto for m in progress.marks if now - m.since >= policy.tombstone_retention_ms), default=0)
 
 
-def begin(progress: Progress, head: Head, policy: Policy, now: float) -> Progress | None:
+def start_pass(
+    progress: CompactionProgress, head: TopicHead, policy: CompactionPolicy, now: float
+) -> CompactionProgress | None:
     """A pass under way, or a new one where it is worth it; None where there is nothing to do."""
     if progress.limit:
         return progress
-    limit = head.next - policy.lag
+    limit = head.next_offset - policy.min_lag_messages
     new = not progress.marks or progress.marks[-1].upto < limit - 1  # else all that is dirty is too new
-    cleans = new and head.dirty > 0 and head.dirty >= policy.dirty * head.size
-    buries = head.tombs > 0 and (ripe(progress, policy, now) > 0 or not progress.marks)
+    cleans = new and head.dirty_bytes > 0 and head.dirty_bytes >= policy.min_dirty_ratio * head.size_bytes
+    buries = head.tombstones > 0 and (
+        removable_tombstones_up_to(progress, policy, now) > 0 or not progress.marks
+    )
     if limit <= 1 or not (cleans or buries):
         return None
     return replace(progress, at=1, limit=limit)
 
 
-def step(
+def compact_page(
     topic: str,
     cells: Mapping[str, Cell],
-    progress: Progress,
+    progress: CompactionProgress,
     page: Sequence[Message],
     whole: bool,
-    policy: Policy,
+    policy: CompactionPolicy,
     now: float,
-) -> tuple[Progress, Commit]:
+) -> tuple[CompactionProgress, Commit]:
     """Clean one page; ``whole`` where nothing follows it below the limit.
 
     ``cells`` are the topic's head, the cleaner's cell, and the places of the page's keys as they stand now.
     """
-    head, buried = head_of(cells.get(head_key(topic))), ripe(progress, policy, now)
-    checks = {k: version_of(cells, k) for k in (head_key(topic), cleaner_key(topic))}
+    head, buried = decode_head(cells.get(head_key(topic))), removable_tombstones_up_to(progress, policy, now)
+    checks = {k: cell_version(cells, k) for k in (head_key(topic), compaction_key(topic))}
     drops: list[str] = []
     for message in page:
         if message.offset >= progress.limit:
             break
-        place = place_key(topic, message.key)
-        latest = place_of(cells.get(place))
+        place = position_key(topic, message.key)
+        latest = decode_position(cells.get(place))
         if latest.offset > message.offset or not latest.offset:
             drops.append(message_key(topic, message.offset))
-            head = replace(head, size=head.size - message.size, dirty=head.dirty - message.size)
+            head = replace(
+                head,
+                size_bytes=head.size_bytes - message.size_bytes,
+                dirty_bytes=head.dirty_bytes - message.size_bytes,
+            )
         elif message.value is None and message.offset <= buried:
             drops += [message_key(topic, message.offset), place]
-            checks[place] = version_of(cells, place)
+            checks[place] = cell_version(cells, place)
             head = replace(
                 head,
-                size=head.size - message.size,
-                tombs=head.tombs - 1,
-                floor=max(head.floor, message.offset),
+                size_bytes=head.size_bytes - message.size_bytes,
+                tombstones=head.tombstones - 1,
+                tombstone_floor=max(head.tombstone_floor, message.offset),
             )
     if whole:
         marks = (
             *(m for m in progress.marks if m.upto > buried),
-            Mark(progress.limit - 1, now, progress.token),
+            PassMark(progress.limit - 1, now, progress.token),
         )
-        if len(marks) > MARKS:  # the later of two times counts for both
-            marks = (Mark(marks[0].upto, marks[1].since, progress.token), *marks[2:])
+        if len(marks) > MAX_MARKS:  # the later of two times counts for both
+            marks = (PassMark(marks[0].upto, marks[1].since, progress.token), *marks[2:])
         progress = replace(progress, at=1, limit=0, marks=marks)
     else:
         progress = replace(progress, at=page[-1].offset + 1)
-    puts = {cleaner_key(topic): _pack(progress)}
+    puts = {compaction_key(topic): encode_progress(progress)}
     if drops:
-        puts[head_key(topic)] = pack(head.next, head.floor, head.size, head.dirty, head.tombs)
+        puts[head_key(topic)] = encode_fields(
+            head.next_offset, head.tombstone_floor, head.size_bytes, head.dirty_bytes, head.tombstones
+        )
     else:
         del checks[head_key(topic)]
     return progress, Commit((), checks, puts, tuple(drops))
 
 
-def _pack(progress: Progress) -> bytes:
+def encode_progress(progress: CompactionProgress) -> bytes:
     marks = [(m.upto, m.since, m.token) for m in progress.marks]
-    return pack(progress.token, progress.at, progress.limit, marks)
+    return encode_fields(progress.token, progress.at, progress.limit, marks)
--- a/sabledyke/compacted_log/etcd_backend.py
+++ b/sabledyke/compacted_log/etcd_backend.py
@@ -11,14 +11,14 @@
 
 from sabledyke.compacted_log.records import Cell
 from sabledyke.errors import AuthorityFault, BoardFault
-from sabledyke.lease.etcd_authority import Gateway, decoded, encoded
+from sabledyke.lease.etcd_gateway import EtcdGateway, decode_base64, encode_base64
 
 
-class EtcdShelf:
+class EtcdBackend:
     """See ``terms.Shelf``; ``patience`` in ms is for one call."""
 
     def __init__(self, endpoints: Sequence[str], prefix: str, patience: float = 1000.0) -> None:
-        self._gateway, self._prefix = Gateway(endpoints, patience), f"{prefix}board/"
+        self._gateway, self._prefix = EtcdGateway(endpoints, patience), f"{prefix}board/"
 
     async def open(self) -> None:
         """Nothing is needed ahead: an etcd that is down is asked again."""
@@ -35,7 +35,7 @@
         ask = {"key": self._key(first), "range_end": self._key(end), "limit": str(most)}
         found = await self._call("kv/range", ask)
         cut = len(self._prefix)
-        return [(decoded(kv["key"]).decode()[cut:], _cell(kv)) for kv in found.get("kvs", ())]
+        return [(decode_base64(kv["key"]).decode()[cut:], _cell(kv)) for kv in found.get("kvs", ())]
 
     async def commit(
         self, checks: Mapping[str, int], puts: Mapping[str, bytes], drops: Collection[str] = ()
@@ -46,12 +46,12 @@
             for key, version in checks.items()
         ]
         writes: list[dict[str, Any]] = [{"request_delete_range": {"key": self._key(key)}} for key in drops]
-        writes += [{"request_put": {"key": self._key(k), "value": encoded(v)}} for k, v in puts.items()]
+        writes += [{"request_put": {"key": self._key(k), "value": encode_base64(v)}} for k, v in puts.items()]
         done = await self._call("kv/txn", {"compare": compare, "success": writes, "failure": []})
         return bool(done.get("succeeded"))
 
     def _key(self, key: str) -> str:
-        return encoded((self._prefix + key).encode())
+        return encode_base64((self._prefix + key).encode())
 
     async def _call(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
         try:
@@ -65,4 +65,4 @@
 
 
 def _cell(kv: dict[str, Any]) -> Cell:
-    return Cell(int(kv["mod_revision"]), decoded(kv.get("value", "")))
+    return Cell(int(kv["mod_revision"]), decode_base64(kv.get("value", "")))
--- a/sabledyke/compacted_log/reader.py
+++ b/sabledyke/compacted_log/reader.py
@@ -14,94 +14,98 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from sabledyke.compacted_log.records import Head, Message
+from sabledyke.compacted_log.records import Message, TopicHead
 from sabledyke.errors import BoardFull
 
-MOST_KEYS = 100_000  # that one reader keeps
+MAX_KEYS = 100_000  # that one reader keeps
 
 
 @dataclass(slots=True, frozen=True)
-class Put:
+class KeyUpdated:
     """A key's latest message."""
 
     message: Message
 
 
 @dataclass(slots=True, frozen=True)
-class Gone:
+class KeyRemoved:
     """A key holds nothing any more."""
 
     key: str
 
 
 @dataclass(slots=True, frozen=True)
-class Again:
+class ReaderRestarted:
     """It was away for longer than tombstones are kept: it starts again, and what it has
     may be out of date.
     """
 
 
 @dataclass(slots=True, frozen=True)
-class Caught:
+class CaughtUp:
     """All that was said up to this offset is told."""
 
-    upto: int
+    up_to_offset: int
 
 
-News = Put | Gone | Again | Caught
+LogEvent = KeyUpdated | KeyRemoved | ReaderRestarted | CaughtUp
 
 
-class Follower:
+class LogReader:
     """What one reader knows of a topic; ``state`` has the latest message of each key that holds something."""
 
-    def __init__(self, most_keys: int = MOST_KEYS) -> None:
+    def __init__(self, most_keys: int = MAX_KEYS) -> None:
         self.position = 1  # the next offset to read
-        self.state: dict[str, Message] = {}
-        self.caught = False  # it has caught up since it last started
-        self.more = True  # more may follow the page read last
+        self.latest: dict[str, Message] = {}
+        self.caught_up = False  # it has caught up since it last started
+        self.may_have_more = True  # more may follow the page read last
         self._most = most_keys
         self._old: dict[str, Message] = {}  # what it had before it started again
         self._floor: int | None = None  # as of a look before the next page; None before the first
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """A head was looked at since it last started: pages may be read."""
         return self._floor is not None
 
-    def begin(self, head: Head) -> None:
+    def start(self, head: TopicHead) -> None:
         """The head, as read before the first page."""
-        self._floor = head.floor
+        self._floor = head.tombstone_floor
 
-    def read(self, page: Sequence[Message], full: bool, head: Head) -> list[News]:
+    def apply_page(self, page: Sequence[Message], full: bool, head: TopicHead) -> list[LogEvent]:
         """A page read from ``position`` on (``full`` where more may follow), and the head
         as read after it.
         """
         assert self._floor is not None
-        self.more = full
-        if head.floor > self._floor and head.floor >= self.position or head.next < self.position:
+        self.may_have_more = full
+        if (
+            head.tombstone_floor > self._floor
+            and head.tombstone_floor >= self.position
+            or head.next_offset < self.position
+        ):
             return self._again()
-        self._floor = head.floor
-        news: list[News] = []
+        self._floor = head.tombstone_floor
+        news: list[LogEvent] = []
         for message in page:
             self.position = message.offset + 1
             if message.value is not None:
-                if message.key not in self.state and len(self.state) >= self._most:
+                if message.key not in self.latest and len(self.latest) >= self._most:
                     raise BoardFull(f"a reader keeps {self._most} keys at most")
-                self.state[message.key] = message
+                self.latest[message.key] = message
                 self._old.pop(message.key, None)
-                news.append(Put(message))
-            elif (self.state.pop(message.key, None) or self._old.pop(message.key, None)) is not None:
-                news.append(Gone(message.key))
-        if not full and not self.caught:
-            news += [Gone(key) for key in self._old]
-            self._old, self.caught = {}, True
-            news.append(Caught(self.position - 1))
+                news.append(KeyUpdated(message))
+            elif (self.latest.pop(message.key, None) or self._old.pop(message.key, None)) is not None:
+                news.append(KeyRemoved(message.key))
+        if not full and not self.caught_up:
+            news += [KeyRemoved(key) for key in self._old]
+            self._old, self.caught_up = {}, True
+            news.append(CaughtUp(self.position - 1))
         elif not full and page:
-            news.append(Caught(self.position - 1))
+            news.append(CaughtUp(self.position - 1))
         return news
 
-    def _again(self) -> list[News]:
-        self._old = {**self._old, **self.state}
-        self.position, self.state, self.caught, self._floor = 1, {}, False, None
-        self.more = True
-        return [Again()]
+    def _again(self) -> list[LogEvent]:
+        self._old = {**self._old, **self.latest}
+        self.position, self.latest, self.caught_up, self._floor = 1, {}, False, None
+        self.may_have_more = True
+        return [ReaderRestarted()]
--- a/sabledyke/compacted_log/records.py
+++ b/sabledyke/compacted_log/records.py
@@ -12,10 +12,10 @@
 
 import orjson
 
-KEY_MOST, VALUE_MOST = 200, 16 * 1024  # bytes of a key and of a value
-OPERATIONS = 100  # puts, drops or checks of one commit: etcd takes 128 by default
-BATCH = 20  # drafts of one append: each puts its message and its key's place
-PAGE = 256  # messages of one read
+MAX_KEY_BYTES, MAX_VALUE_BYTES = 200, 16 * 1024  # bytes of a key and of a value
+MAX_COMMIT_OPERATIONS = 100  # puts, drops or checks of one commit: etcd takes 128 by default
+MAX_APPEND_MESSAGES = 20  # drafts of one append: each puts its message and its key's place
+PAGE_MESSAGES = 256  # messages of one read
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,11 +26,11 @@
     key: str
     value: bytes | None
     writer: str
-    life: int
-    seq: int
+    incarnation: int
+    sequence: int
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """What it counts for."""
         return len(self.key) + len(self.value or b"")
 
@@ -41,47 +41,47 @@
 
     key: str
     value: bytes | None
-    expects: int | None = None
+    expected_offset: int | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Writer:
+class WriterIdentity:
     """One life of a writer; ``nonce`` tells two processes apart that took the same life at once."""
 
     name: str
-    life: int
+    incarnation: int
     nonce: str
 
 
 @dataclass(slots=True, frozen=True)
-class Head:
+class TopicHead:
     """A topic as a whole: its next offset, up to where tombstones may be missing, and
     what could be cleaned.
     """
 
-    next: int = 1
-    floor: int = 0  # the last offset from which a tombstone was dropped
-    size: int = 0
-    dirty: int = 0  # of that, superseded
-    tombs: int = 0  # keys whose latest is a tombstone
+    next_offset: int = 1
+    tombstone_floor: int = 0  # the last offset from which a tombstone was dropped
+    size_bytes: int = 0
+    dirty_bytes: int = 0  # of that, superseded
+    tombstones: int = 0  # keys whose latest is a tombstone
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class KeyPosition:
     """Where a key's latest message is."""
 
     offset: int
-    size: int
-    tomb: bool
+    size_bytes: int
+    is_tombstone: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Said:
+class WriterState:
     """What is remembered of a writer: its life, and the offsets of its last append, for a repeat of it."""
 
-    life: int
+    incarnation: int
     nonce: str
-    seq: int
+    sequence: int
     offsets: tuple[int, ...] = ()
 
 
@@ -93,7 +93,7 @@
     data: bytes
 
 
-class Shelf(Protocol):
+class Backend(Protocol):
     """What a board stands on: ordered keys, and commits that happen as one step or not at all."""
 
     async def get(self, keys: Sequence[str]) -> dict[str, Cell]:
@@ -127,7 +127,7 @@
     return f"{topic}/m/{offset:016x}"
 
 
-def place_key(topic: str, key: str) -> str:
+def position_key(topic: str, key: str) -> str:
     """The cell of where a key's latest message is."""
     return f"{topic}/k/{key}"
 
@@ -142,47 +142,49 @@
     return f"{topic}/r/{name}"
 
 
-def cleaner_key(topic: str) -> str:
+def compaction_key(topic: str) -> str:
     """The cell of how far cleaning has come."""
     return f"{topic}/c"
 
 
-def pack(*fields: object) -> bytes:
+def encode_fields(*fields: object) -> bytes:
     """Fields of one cell."""
     return orjson.dumps(fields)
 
 
-def head_of(cell: Cell | None) -> Head:
+def decode_head(cell: Cell | None) -> TopicHead:
     """A head as it was packed; that of a topic that nobody wrote to is the first."""
-    return Head() if cell is None else Head(*orjson.loads(cell.data))
+    return TopicHead() if cell is None else TopicHead(*orjson.loads(cell.data))
 
 
-def place_of(cell: Cell | None) -> Place:
+def decode_position(cell: Cell | None) -> KeyPosition:
     """A key's place."""
-    return Place(0, 0, False) if cell is None else Place(*orjson.loads(cell.data))
+    return KeyPosition(0, 0, False) if cell is None else KeyPosition(*orjson.loads(cell.data))
 
 
-def said_of(cell: Cell | None) -> Said | None:
+def decode_writer_state(cell: Cell | None) -> WriterState | None:
     """A writer's record."""
     if cell is None:
         return None
     life, nonce, seq, offsets = orjson.loads(cell.data)
-    return Said(life, nonce, seq, tuple(offsets))
+    return WriterState(life, nonce, seq, tuple(offsets))
 
 
-def version_of(cells: Mapping[str, Cell], key: str) -> int:
+def cell_version(cells: Mapping[str, Cell], key: str) -> int:
     """A cell's version among those that were read; 0 where there is none."""
     return cells[key].version if key in cells else 0
 
 
-def message_of(name: str, cell: Cell) -> Message:
+def decode_message(name: str, cell: Cell) -> Message:
     """A message from its cell: a line of JSON about it, then its value."""
     about, _, value = cell.data.partition(b"\n")
     key, writer, life, seq, tomb = orjson.loads(about)
     return Message(int(name.rpartition("/")[2], 16), key, None if tomb else value, writer, life, seq)
 
 
-def pack_message(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
     """The cell of a message."""
-    about = pack(message.key, message.writer, message.life, message.seq, message.value is None)
+    about = encode_fields(
+        message.key, message.writer, message.incarnation, message.sequence, message.value is None
+    )
     return about + b"\n" + (message.value or b"")
--- a/sabledyke/compacted_log/sqlite_backend.py
+++ b/sabledyke/compacted_log/sqlite_backend.py
@@ -28,7 +28,7 @@
 T = TypeVar("T")
 
 
-class TableShelf:
+class SqliteBackend:
     """See ``terms.Shelf``; ``patience`` in seconds is for one call, locks of others included."""
 
     def __init__(self, path: str, patience: float = 2.0) -> None:
--- a/sabledyke/compacted_log/subscription.py
+++ b/sabledyke/compacted_log/subscription.py
@@ -11,17 +11,22 @@
 from collections.abc import AsyncIterator
 from random import Random
 
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.reader import Follower, News
-from sabledyke.compacted_log.records import PAGE
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.reader import LogEvent, LogReader
+from sabledyke.compacted_log.records import PAGE_MESSAGES
 from sabledyke.errors import BoardFault, BoardFull
 
 FIRST = 1 / 16  # of ``every``: the first wait after a call without an answer, doubled up to the whole of it
 
 
-async def follow(
-    board: Board, topic: str, reader: Follower, every: float = 1.0, page: int = PAGE, seed: int = 0
-) -> AsyncIterator[list[News]]:
+async def subscribe_to_topic(
+    board: CompactedLog,
+    topic: str,
+    reader: LogReader,
+    every: float = 1.0,
+    page: int = PAGE_MESSAGES,
+    seed: int = 0,
+) -> AsyncIterator[list[LogEvent]]:
     """News as they come, a page at a time; ``every`` in seconds is the time between looks at a topic at rest.
 
     Never ends by itself. A board that does not answer is asked again, with back-off and jitter; BoardFull
@@ -30,14 +35,14 @@
     random, misses = Random(seed), 0
     while True:
         try:
-            news = await board.read(topic, reader, page)
+            news = await board.poll(topic, reader, page)
         except BoardFull:
             raise
         except BoardFault:
             wait = min(every, every * FIRST * 2**misses)
             misses = min(misses + 1, 16)
         else:
-            misses, wait = 0, 0.0 if reader.more or not reader.caught else every
+            misses, wait = 0, 0.0 if reader.may_have_more or not reader.caught_up else every
             if news:
                 yield news
         await asyncio.sleep(wait * (0.5 + random.random() / 2))
--- a/sabledyke/lease/etcd_authority.py
+++ b/sabledyke/lease/etcd_authority.py
@@ -1,234 +1,218 @@
-"""An etcd of version 3 as the authority, over its published JSON gateway (/v3/lease, /v3/kv).
+"""An etcd version 3 as the authority.
 
-A duty is a key that its holder creates in a transaction on its create revision, bound to an etcd lease:
-when that runs out, etcd deletes the key. The token is the key's create revision, which only rises. Etcd
-counts leases out by its own clock, and gives them their whole time again when it starts anew or its leader
-changes. Plain HTTP; the JSON form has 64-bit numbers as strings, bytes in base64, and leaves out what is 0,
-false or empty.
+A leader task is a key that its holder creates in a transaction on its create revision, bound to an etcd
+lease; when that expires, etcd deletes the key. The token is the key's create revision, which only rises. Etcd
+expires leases by its own clock, and gives them their whole time again when it restarts or its leader changes.
 """
 
 from __future__ import annotations
 
-import base64
 from collections.abc import Sequence
 from math import ceil
 from typing import Any
 
-import aiohttp
-import orjson
-
+from sabledyke.lease.etcd_gateway import EtcdGateway, decode_base64, encode_base64
 from sabledyke.lease.types import (
-    NOBODY,
-    Ask,
-    AuthorityFault,
+    NEVER_HELD_STATUS,
+    Acquire,
     Granted,
-    Look,
+    Inspect,
+    LeaseReply,
+    LeaseRequest,
+    LeaseStatus,
+    LeaseSummary,
+    LeaseVersion,
     Release,
     Renew,
     Renewed,
-    Reply,
-    Sight,
-    Standing,
-    Take,
 )
 
-MOST = 1 << 20  # bytes of an answer
-JSON = {"Content-Type": "application/json"}
-NOT_FOUND = 5  # gRPC's code
-
-
-class Gateway:
-    """Calls to one of the endpoints; after one that failed the next goes to the next endpoint.
-
-    ``patience`` in ms is for one call. An AuthorityFault where it got no answer that can be used. Connections
-    are kept between calls: a new one for each costs three to four times the CPU, on both sides.
-    """
-
-    def __init__(self, endpoints: Sequence[str], patience: float) -> None:
-        self._endpoints, self._patience = list(endpoints), aiohttp.ClientTimeout(total=patience / 1000)
-        self._client: aiohttp.ClientSession | None = None  # made in the loop that it is used in
-
-    async def call(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
-        """The answer's object; {} for what is not found."""
-        if self._client is None:
-            self._client = aiohttp.ClientSession(timeout=self._patience)
-        try:
-            url = f"http://{self._endpoints[0]}/v3/{path}"
-            async with self._client.post(url, data=orjson.dumps(body), headers=JSON) as answer:
-                text = await _bounded(answer)
-            said = orjson.loads(text) if answer.status != 404 else {}
-            if not isinstance(said, dict):
-                raise AuthorityFault(f"etcd: {path}: status {answer.status}, and no object")
-            if answer.status == 404 or said.get("code") == NOT_FOUND:
-                return {}  # of a lease that is gone: an answer like others
-            if answer.status == 200:
-                return said
-            raise AuthorityFault(f"etcd: {path}: status {answer.status}, {str(said.get('message'))[:100]}")
-        except TimeoutError:
-            fault: Exception = AuthorityFault(f"etcd: {path}: no answer in time")
-        except (aiohttp.ClientError, OSError, orjson.JSONDecodeError) as told:
-            fault = AuthorityFault(f"etcd: {path}: {told}")
-        except AuthorityFault as told:
-            fault = told
-        self._endpoints.append(self._endpoints.pop(0))
-        raise fault from None
-
-    async def close(self) -> None:
-        """End what is open."""
-        if self._client is not None:
-            await self._client.close()
-
+NO_ETCD_LEASE = "0"
 
-async def _bounded(answer: aiohttp.ClientResponse) -> bytes:
-    text = bytearray()
-    async for part in answer.content.iter_any():
-        text += part
-        if len(text) > MOST:
-            raise AuthorityFault(f"etcd: an answer over {MOST} bytes")
-    return bytes(text)
+JsonObject = dict[str, Any]
 
 
 class EtcdAuthority:
-    """See ``terms.Authority``.
+    """An authority in etcd; see ``types.Authority``."""
 
-    ``ttl`` in ms is rounded up to whole seconds, as etcd counts them; ``patience`` in ms is for one call, of
-    which an ask makes up to three.
-    """
+    tracks_expiry = True
 
-    counts = True
+    def __init__(self, endpoints: Sequence[str], prefix: str, ttl_ms: float, timeout_ms: float) -> None:
+        """Make an authority.
 
-    def __init__(self, endpoints: Sequence[str], prefix: str, ttl: float, patience: float) -> None:
-        self._prefix, self._ttl, self._gateway = prefix, ceil(ttl / 1000), Gateway(endpoints, patience)
-        self._leases: dict[str, str] = {}  # by duty, the etcd lease that this instance holds it by
+        Args:
+            endpoints: Addresses (host:port) of the etcd servers.
+            prefix: What all keys begin with.
+            ttl_ms: How long leases last; rounded up to whole seconds, as etcd counts them.
+            timeout_ms: The limit for one call to etcd; a request makes up to three.
+        """
+        self._prefix = prefix
+        self._ttl_s = ceil(ttl_ms / 1000)
+        self._gateway = EtcdGateway(endpoints, timeout_ms)
+        self._etcd_leases: dict[str, str] = {}  # by task name, the etcd lease that this instance holds it by
 
     async def open(self) -> None:
-        """Nothing is needed ahead: an etcd that is down is asked again."""
-
-    async def ask(self, duty: str, me: str, ask: Ask) -> Reply:
-        """See ``terms.Authority``."""
-        match ask:
-            case Look():
-                return self._sight(duty, me, await self._range(self._key(duty)))
-            case Take():
-                return await self._take(duty, me)
+        """Do nothing: an etcd that is down is called again."""
+
+    async def request(self, task_name: str, holder_id: str, request: LeaseRequest) -> LeaseReply:
+        """See ``types.Authority``."""
+        match request:
+            case Inspect():
+                return await self._inspect(task_name, holder_id)
+            case Acquire():
+                return await self._acquire(task_name, holder_id)
             case Renew(token):
-                return await self._renew(duty, me, token)
+                return await self._renew(task_name, holder_id, token)
             case Release():
-                return await self._release(duty, me)
-
-    async def _take(self, duty: str, me: str) -> Reply:
-        granted = await self._gateway.call("lease/grant", {"TTL": str(self._ttl)})
-        lease, key = str(granted["ID"]), self._key(duty)
-        put = {"request_put": {"key": key, "value": _bytes(me), "lease": lease}}
-        done = await self._txn([_created(key, 0)], [put], [_read(key)])
-        if done.get("succeeded"):
-            self._leases[duty] = lease
-            return Granted(int(done["header"]["revision"]))
-        await self._gateway.call("lease/revoke", {"ID": lease})
-        return self._sight(duty, me, done["responses"][0]["response_range"])
-
-    async def _renew(self, duty: str, me: str, token: int) -> Reply:
-        """Its time first, then whether it is still this one: an operator may have freed it meanwhile."""
-        lease, key = self._leases.get(duty, "0"), self._key(duty)
-        kept = (await self._gateway.call("lease/keepalive", {"ID": lease})).get("result", {})
-        if int(kept.get("TTL", 0)) <= 0:
-            return self._sight(duty, me, await self._range(key))
-        recall = _read(self._key(duty, "recall"))
-        done = await self._txn([_created(key, token)], [recall], [_read(key)])
-        found = done["responses"][0]["response_range"]
-        if not done.get("succeeded"):
-            return self._sight(duty, me, found)
-        return Renewed(any(_text(kv.get("value", "")) == str(token) for kv in found.get("kvs", ())))
-
-    async def _release(self, duty: str, me: str) -> Reply:
-        await self._gateway.call("lease/revoke", {"ID": self._leases.pop(duty, "0")})
-        return self._sight(duty, me, await self._range(self._key(duty)))
-
-    async def done(self, duty: str, token: int, at: int) -> bool:
-        """See ``terms.Authority``."""
-        put = {"request_put": {"key": self._key(duty, "done"), "value": _bytes(str(at))}}
-        return bool((await self._txn([_created(self._key(duty), token)], [put], [])).get("succeeded"))
-
-    async def last(self, duty: str) -> int:
-        """See ``terms.Authority``."""
-        found = (await self._range(self._key(duty, "done"))).get("kvs", ())
-        return int(_text(found[0]["value"])) if found else 0
-
-    async def standing(self) -> list[Standing]:
-        """See ``terms.Authority``."""
+                await self._revoke(self._etcd_leases.pop(task_name, NO_ETCD_LEASE))
+                return await self._inspect(task_name, holder_id)
+
+    async def record_completion(self, task_name: str, token: int, at_unix_ms: int) -> bool:
+        """See ``types.Authority``."""
+        put = _put(self._completion_key(task_name), str(at_unix_ms))
+        result = await self._transact([_created_at(self._lease_key(task_name), token)], [put], [])
+        return bool(result.get("succeeded"))
+
+    async def last_completed_unix_ms(self, task_name: str) -> int:
+        """See ``types.Authority``."""
+        found = _key_values(await self._range(self._completion_key(task_name)))
+        return int(_decode_text(found[0]["value"])) if found else 0
+
+    async def list_leases(self) -> list[LeaseSummary]:
+        """See ``types.Authority``."""
         first = f"{self._prefix}lease/"
-        found = await self._range(_bytes(first), _bytes(first[:-1] + chr(ord("/") + 1)))
-        out = []
-        for kv in found.get("kvs", ()):
-            duty, token = _text(kv["key"]).removeprefix(first), int(kv["create_revision"])
-            left = await self._gateway.call("lease/timetolive", {"ID": kv.get("lease", "0")})
-            recall = (await self._range(self._key(duty, "recall"))).get("kvs", ())
-            recalled = any(_text(r.get("value", "")) == str(token) for r in recall)
-            remains = max(0.0, 1000.0 * int(left.get("TTL", 0)))
-            out.append(Standing(duty, _text(kv["value"]), token, remains, recalled, await self.last(duty)))
-        return out
-
-    async def recall(self, duty: str, *, at_once: bool) -> bool:
-        """See ``terms.Authority``."""
-        key = self._key(duty)
-        found = (await self._range(key)).get("kvs", ())
+        after_last = f"{self._prefix}lease{chr(ord('/') + 1)}"
+        found = await self._range(_encode_text(first), _encode_text(after_last))
+        return [
+            await self._summarize(_decode_text(entry["key"]).removeprefix(first), entry)
+            for entry in _key_values(found)
+        ]
+
+    async def recall(self, task_name: str, *, at_once: bool) -> bool:
+        """See ``types.Authority``."""
+        key = self._lease_key(task_name)
+        found = _key_values(await self._range(key))
         if not found:
             return False
-        token, lease = found[0]["create_revision"], found[0].get("lease", "0")
+        token = int(found[0]["create_revision"])
+        etcd_lease = found[0].get("lease", NO_ETCD_LEASE)
         if at_once:
-            await self._gateway.call("lease/revoke", {"ID": lease})
+            await self._revoke(etcd_lease)
             return True
-        put = {"request_put": {"key": self._key(duty, "recall"), "value": _bytes(str(token)), "lease": lease}}
-        return bool((await self._txn([_created(key, int(token))], [put], [])).get("succeeded"))
+        put = _put(self._recall_key(task_name), str(token), etcd_lease)
+        result = await self._transact([_created_at(key, token)], [put], [])
+        return bool(result.get("succeeded"))
 
     async def close(self) -> None:
-        """See ``terms.Authority``."""
+        """See ``types.Authority``."""
         await self._gateway.close()
 
-    def _key(self, duty: str, what: str = "lease") -> str:
-        return _bytes(f"{self._prefix}{what}/{duty}")
-
-    def _sight(self, duty: str, me: str, found: dict[str, Any]) -> Sight:
-        if not found.get("kvs"):
-            return Sight(NOBODY, "", True)
-        held = found["kvs"][0]
-        holder = _text(held.get("value", ""))
-        if holder == me:  # a grant whose answer was lost: this is the etcd lease to keep it by
-            self._leases[duty] = str(held.get("lease", "0"))
-        return Sight((int(held["create_revision"]), 0), holder, False)
-
-    async def _range(self, key: str, end: str = "") -> dict[str, Any]:
-        return await self._gateway.call("kv/range", {"key": key, **({"range_end": end} if end else {})})
-
-    async def _txn(
-        self, compare: list[dict[str, Any]], success: list[dict[str, Any]], failure: list[dict[str, Any]]
-    ) -> dict[str, Any]:
-        whole = {"compare": compare, "success": success, "failure": failure}
-        return await self._gateway.call("kv/txn", whole)
-
-
-def _created(key: str, revision: int) -> dict[str, Any]:
-    """Compares a key's create revision; 0 for a key that is not there."""
+    async def _inspect(self, task_name: str, holder_id: str) -> LeaseStatus:
+        return self._status(task_name, holder_id, await self._range(self._lease_key(task_name)))
+
+    async def _acquire(self, task_name: str, holder_id: str) -> LeaseReply:
+        granted = await self._gateway.call("lease/grant", {"TTL": str(self._ttl_s)})
+        etcd_lease = str(granted["ID"])
+        key = self._lease_key(task_name)
+        put = _put(key, holder_id, etcd_lease)
+        result = await self._transact([_created_at(key, 0)], [put], [_read(key)])
+        if result.get("succeeded"):
+            self._etcd_leases[task_name] = etcd_lease
+            return Granted(int(result["header"]["revision"]))
+        await self._revoke(etcd_lease)
+        return self._status(task_name, holder_id, result["responses"][0]["response_range"])
+
+    async def _renew(self, task_name: str, holder_id: str, token: int) -> LeaseReply:
+        """Extend its time, then check that it is still held: an operator may have freed it meanwhile."""
+        etcd_lease = self._etcd_leases.get(task_name, NO_ETCD_LEASE)
+        response = await self._gateway.call("lease/keepalive", {"ID": etcd_lease})
+        if int(response.get("result", {}).get("TTL", 0)) <= 0:
+            return await self._inspect(task_name, holder_id)
+        key = self._lease_key(task_name)
+        recall = _read(self._recall_key(task_name))
+        result = await self._transact([_created_at(key, token)], [recall], [_read(key)])
+        found = result["responses"][0]["response_range"]
+        if not result.get("succeeded"):
+            return self._status(task_name, holder_id, found)
+        return Renewed(recalled=_names_token(found, token))
+
+    async def _summarize(self, task_name: str, entry: JsonObject) -> LeaseSummary:
+        token = int(entry["create_revision"])
+        etcd_lease = entry.get("lease", NO_ETCD_LEASE)
+        remaining = await self._gateway.call("lease/timetolive", {"ID": etcd_lease})
+        recall = await self._range(self._recall_key(task_name))
+        return LeaseSummary(
+            task_name=task_name,
+            holder=_decode_text(entry["value"]),
+            token=token,
+            remaining_ms=max(0.0, 1000.0 * int(remaining.get("TTL", 0))),
+            recalled=_names_token(recall, token),
+            last_completed_unix_ms=await self.last_completed_unix_ms(task_name),
+        )
+
+    def _status(self, task_name: str, holder_id: str, found: JsonObject) -> LeaseStatus:
+        entries = _key_values(found)
+        if not entries:
+            return NEVER_HELD_STATUS
+        holder = _decode_text(entries[0].get("value", ""))
+        if holder == holder_id:  # a grant whose reply was lost: this is the etcd lease to renew it by
+            self._etcd_leases[task_name] = str(entries[0].get("lease", NO_ETCD_LEASE))
+        version = LeaseVersion(int(entries[0]["create_revision"]), 0)
+        return LeaseStatus(version, holder, is_free=False)
+
+    async def _revoke(self, etcd_lease: str) -> None:
+        await self._gateway.call("lease/revoke", {"ID": etcd_lease})
+
+    async def _range(self, key: str, range_end: str = "") -> JsonObject:
+        body = {"key": key, "range_end": range_end} if range_end else {"key": key}
+        return await self._gateway.call("kv/range", body)
+
+    async def _transact(
+        self, compare: list[JsonObject], success: list[JsonObject], failure: list[JsonObject]
+    ) -> JsonObject:
+        body = {"compare": compare, "success": success, "failure": failure}
+        return await self._gateway.call("kv/txn", body)
+
+    def _lease_key(self, task_name: str) -> str:
+        return _encode_text(f"{self._prefix}lease/{task_name}")
+
+    def _recall_key(self, task_name: str) -> str:
+        return _encode_text(f"{self._prefix}recall/{task_name}")
+
+    def _completion_key(self, task_name: str) -> str:
+        return _encode_text(f"{self._prefix}done/{task_name}")
+
+
+def _key_values(found: JsonObject) -> Sequence[JsonObject]:
+    """Return the entries of a range; the field is left out where there are none."""
+    entries: Sequence[JsonObject] = found.get("kvs", ())
+    return entries
+
+
+def _names_token(recall: JsonObject, token: int) -> bool:
+    """Return whether a recall was found, and is for this token."""
+    return any(_decode_text(entry.get("value", "")) == str(token) for entry in _key_values(recall))
+
+
+def _created_at(key: str, revision: int) -> JsonObject:
+    """Compare a key's create revision; 0 for a key that does not exist."""
     return {"key": key, "target": "CREATE", "result": "EQUAL", "create_revision": str(revision)}
 
 
-def _read(key: str) -> dict[str, Any]:
+def _read(key: str) -> JsonObject:
     return {"request_range": {"key": key}}
 
 
-def encoded(data: bytes) -> str:
-    """Bytes as the gateway has them."""
-    return base64.b64encode(data).decode()
-
-
-def decoded(text: str) -> bytes:
-    """The bytes of what the gateway says."""
-    return base64.b64decode(text)
+def _put(key: str, value: str, etcd_lease: str = "") -> JsonObject:
+    entry = {"key": key, "value": _encode_text(value)}
+    if etcd_lease:
+        entry["lease"] = etcd_lease
+    return {"request_put": entry}
 
 
-def _bytes(text: str) -> str:
-    return encoded(text.encode())
+def _encode_text(text: str) -> str:
+    return encode_base64(text.encode())
 
 
-def _text(data: str) -> str:
-    return decoded(data).decode(errors="replace")
+def _decode_text(data: str) -> str:
+    return decode_base64(data).decode(errors="replace")
--- /dev/null
+++ b/sabledyke/lease/etcd_gateway.py
@@ -0,0 +1,105 @@
+"""Calls to etcd version 3 over its published JSON gateway, in plain HTTP.
+
+The JSON form has 64-bit numbers as strings and bytes in base64, and leaves out what is 0, false or empty.
+"""
+
+from __future__ import annotations
+
+import base64
+from collections.abc import Sequence
+from typing import Any
+
+import aiohttp
+import orjson
+
+from sabledyke.errors import AuthorityFault
+
+MAX_RESPONSE_BYTES = 1 << 20
+JSON_HEADERS = {"Content-Type": "application/json"}
+GRPC_NOT_FOUND = 5
+HTTP_OK = 200
+HTTP_NOT_FOUND = 404
+MAX_LOGGED_MESSAGE_CHARS = 100
+
+
+class EtcdGateway:
+    """Calls one of the endpoints; after a call that failed, the next one goes to the next endpoint.
+
+    Connections are kept open between calls: a new one for each costs three to four times the CPU, on both
+    sides.
+    """
+
+    def __init__(self, endpoints: Sequence[str], timeout_ms: float) -> None:
+        """Make a gateway.
+
+        Args:
+            endpoints: Addresses (host:port) of the etcd servers.
+            timeout_ms: The limit for one call.
+        """
+        self._endpoints = list(endpoints)
+        self._timeout = aiohttp.ClientTimeout(total=timeout_ms / 1000)
+        self._client: aiohttp.ClientSession | None = None  # made in the event loop that it is used in
+
+    async def call(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
+        """Call a method of etcd.
+
+        Returns:
+            The object of the response; {} where what was named is not found.
+
+        Raises:
+            AuthorityFault: There was no usable response.
+        """
+        try:
+            return await self._post(path, body)
+        except TimeoutError as error:
+            self._use_next_endpoint()
+            raise AuthorityFault(f"etcd: {path}: no answer in time") from error
+        except (aiohttp.ClientError, OSError, orjson.JSONDecodeError) as error:
+            self._use_next_endpoint()
+            raise AuthorityFault(f"etcd: {path}: {error}") from error
+        except AuthorityFault:
+            self._use_next_endpoint()
+            raise
+
+    async def close(self) -> None:
+        """Close the connections."""
+        if self._client is not None:
+            await self._client.close()
+
+    async def _post(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
+        if self._client is None:
+            self._client = aiohttp.ClientSession(timeout=self._timeout)
+        url = f"http://{self._endpoints[0]}/v3/{path}"
+        async with self._client.post(url, data=orjson.dumps(body), headers=JSON_HEADERS) as response:
+            text = await _read_bounded(response)
+        result = orjson.loads(text) if response.status != HTTP_NOT_FOUND else {}
+        if not isinstance(result, dict):
+            raise AuthorityFault(f"etcd: {path}: status {response.status}, and no object")
+        if response.status == HTTP_NOT_FOUND or result.get("code") == GRPC_NOT_FOUND:
+            return {}  # the normal response about a lease that has expired
+        if response.status != HTTP_OK:
+            message = str(result.get("message"))[:MAX_LOGGED_MESSAGE_CHARS]
+            raise AuthorityFault(f"etcd: {path}: status {response.status}, {message}")
+        return result
+
+    def _use_next_endpoint(self) -> None:
+        self._endpoints.append(self._endpoints.pop(0))
+
+
+def encode_base64(data: bytes) -> str:
+    """Encode bytes as the gateway expects them."""
+    return base64.b64encode(data).decode()
+
+
+def decode_base64(text: str) -> bytes:
+    """Decode bytes as the gateway returns them."""
+    return base64.b64decode(text)
+
+
+async def _read_bounded(response: aiohttp.ClientResponse) -> bytes:
+    data = bytearray()
+    async for chunk in response.content.iter_any():
+        data += chunk
+        if len(data) > MAX_RESPONSE_BYTES:
+            raise AuthorityFault(f"etcd: an answer over {MAX_RESPONSE_BYTES} bytes")
+    return bytes(data)
--- a/sabledyke/lease/extension.py
+++ b/sabledyke/lease/extension.py
@@ -9,9 +9,9 @@
 from sabledyke import log
 from sabledyke.application.extensions import Host, Part
 from sabledyke.config import ConfigError
-from sabledyke.lease.leader_tasks import act_of, perform
-from sabledyke.lease.manager import Keeper, skewed
-from sabledyke.lease.section import Section
+from sabledyke.lease.leader_tasks import action_of, run_leader_task
+from sabledyke.lease.manager import LeaseManager, skewed_clock
+from sabledyke.lease.section import LeaseSection
 from sabledyke.lease.types import Authority
 from sabledyke.store.section import Target
 
@@ -19,28 +19,33 @@
     from sabledyke.operator_config import Operator
 
 
-def authority_of(section: Section) -> Authority:
+def create_authority(section: LeaseSection) -> Authority:
     """The authority that a section names; its library is loaded only where it is named."""
     if section.path:
-        from sabledyke.lease.sql_authority import TableAuthority
+        from sabledyke.lease.sql_authority import SqlAuthority
 
-        return TableAuthority(Target(path=section.path), section.times.ttl)
+        return SqlAuthority(Target(path=section.path), section.times.ttl_ms)
     from sabledyke.lease.etcd_authority import EtcdAuthority
 
-    return EtcdAuthority(section.etcd, section.prefix, section.times.ttl, section.times.renew / CALLS)
+    return EtcdAuthority(
+        section.etcd_endpoints,
+        section.prefix,
+        section.times.ttl_ms,
+        section.times.renew_interval_ms / MAX_CALLS_PER_REQUEST,
+    )
 
 
-CALLS = 4  # calls to etcd that fit into the time for one ask
+MAX_CALLS_PER_REQUEST = 4  # calls to etcd that fit into the time for one ask
 
 
-class LeasePart(Part):
+class LeaseExtension(Part):
     """The duties of the fleet that this instance stands by for."""
 
-    def __init__(self, name: str, seed: int, section: Section, record: Target | None) -> None:
+    def __init__(self, name: str, seed: int, section: LeaseSection, record: Target | None) -> None:
         self._section, self._record, self._seed = section, record, seed
         self._me = f"{name}.{uuid4().hex[:12]}"  # a life of its own: what a former one held is not this one's
-        self._authority = authority_of(section)
-        self._keepers: list[Keeper] = []
+        self._authority = create_authority(section)
+        self._keepers: list[LeaseManager] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     async def open(self) -> None:
@@ -50,10 +55,10 @@
 
     def _begin(self) -> None:
         section, loop = self._section, asyncio.get_running_loop()
-        clock = skewed(section.offset, section.rate)
-        for i, duty in enumerate(section.duties):
-            keeper = Keeper(duty.name, self._me, self._authority, section.times, self._seed + i, clock)
-            work = perform(duty, act_of(duty, self._record), keeper, self._authority)
+        clock = skewed_clock(section.clock_offset_ms, section.clock_rate)
+        for i, duty in enumerate(section.leader_tasks):
+            keeper = LeaseManager(duty.name, self._me, self._authority, section.times, self._seed + i, clock)
+            work = run_leader_task(duty, action_of(duty, self._record), keeper, self._authority)
             self._keepers.append(keeper)
             self._tasks += [loop.create_task(keeper.run()), loop.create_task(work)]
         log.say("lease", f"{self._me} stands by at {section}")
@@ -70,9 +75,9 @@
     def check(self, operator: Operator) -> None:
         """See ``parts.Part``."""
         new = operator.lease
-        if new is None or (new.path, new.etcd, new.prefix) != (
+        if new is None or (new.path, new.etcd_endpoints, new.prefix) != (
             self._section.path,
-            self._section.etcd,
+            self._section.etcd_endpoints,
             self._section.prefix,
         ):
             raise ConfigError("the lease authority differs, which takes a restart")
@@ -87,7 +92,7 @@
     async def _again(self) -> None:
         await self._end()
         await self._authority.close()
-        self._authority = authority_of(self._section)
+        self._authority = create_authority(self._section)
         await self._authority.open()
         self._begin()
 
@@ -102,4 +107,4 @@
     if section.lease is None:
         return None
     record = section.store.record if section.store is not None else None
-    return LeasePart(host.config.name, host.config.seed, section.lease, record)
+    return LeaseExtension(host.config.name, host.config.seed, section.lease, record)
--- a/sabledyke/lease/fencing.py
+++ b/sabledyke/lease/fencing.py
@@ -1,50 +1,61 @@
-"""Fencing: what a duty writes is refused once a later holder has written. Pure, but for the steps of SQL.
+"""Fencing: rejects what a leader task writes once a later holder has written. Pure, but for the SQL steps.
 
-A lease alone cannot stop a holder that pauses between its last look at the clock and the effect of what it
-does: only who takes the effect can, by the token that comes with it. ``Fence`` is for a resource in memory;
-``steps`` begin a transaction in a database, which gives itself up where the token is older than one it has
-seen.
+A lease alone cannot stop a holder that pauses between its last look at the clock and the effect of its write.
+Only the resource that is written to can, by the token that comes with the write. ``Fence`` is for a resource
+in memory; ``token_check_steps`` begin a database transaction, which aborts where the token is older than one
+that the database has seen.
 """
 
 from __future__ import annotations
 
 from sabledyke.store.types import Step
 
-MOST = 1024  # duties that one fence knows; the one used longest ago goes first
+MAX_TASKS = 1024
 
-TABLE = (
+CREATE_TABLE_SQL = (
     "CREATE TABLE IF NOT EXISTS fences (duty TEXT PRIMARY KEY, token BIGINT NOT NULL,"
     " fence BIGINT NOT NULL CHECK (fence = 0))"
 )
-# As with the lives of the record: a row that breaks its CHECK makes the database give up the whole
-# transaction.
-PASS = (
+# As with the incarnations of the record: a row that violates its CHECK aborts the whole transaction.
+CHECK_TOKEN_SQL = (
     "INSERT INTO fences (duty, token, fence) VALUES ($1::text, $2::bigint, 0) ON CONFLICT (duty) DO UPDATE"
     " SET fence = CASE WHEN fences.token <= excluded.token THEN 0 ELSE 1 END, token = excluded.token"
 )
 
 
 class Fence:
-    """The highest token seen for each duty."""
+    """The highest token seen for each leader task.
 
-    def __init__(self, most: int = MOST) -> None:
-        self._most = most
-        self._seen: dict[str, int] = {}
-        self.refused = 0
-
-    def admits(self, duty: str, token: int) -> bool:
-        """May what comes with this token take effect? Remembers it where it may."""
-        seen = self._seen.pop(duty, 0)
-        self._seen[duty] = max(seen, token)
-        if len(self._seen) > self._most:
-            del self._seen[next(iter(self._seen))]
-        self.refused += token < seen
-        return token >= seen
-
-
-def steps(duty: str, token: int) -> list[Step]:
-    """How a transaction on behalf of a duty begins.
+    Attributes:
+        rejected: How many tokens were rejected.
+    """
 
-    A StoreFault of kind FENCED where a later holder wrote.
+    def __init__(self, max_tasks: int = MAX_TASKS) -> None:
+        """Remember at most ``max_tasks`` tasks; the least recently used one is evicted."""
+        self._max_tasks = max_tasks
+        self._highest_tokens: dict[str, int] = {}
+        self.rejected = 0
+
+    def __len__(self) -> int:
+        """Return the number of leader tasks whose token is remembered."""
+        return len(self._highest_tokens)
+
+    def accepts(self, task_name: str, token: int) -> bool:
+        """Return whether a write with this token may take effect, and remember the token."""
+        highest = self._highest_tokens.pop(task_name, 0)
+        self._highest_tokens[task_name] = max(highest, token)
+        if len(self._highest_tokens) > self._max_tasks:
+            least_recently_used = next(iter(self._highest_tokens))
+            del self._highest_tokens[least_recently_used]
+        if token < highest:
+            self.rejected += 1
+            return False
+        return True
+
+
+def token_check_steps(task_name: str, token: int) -> list[Step]:
+    """Return the steps that begin a transaction on behalf of a leader task.
+
+    The transaction fails with a StoreFault of kind FENCED where a later holder wrote.
     """
-    return [Step(PASS, [(duty, token)])]
+    return [Step(CHECK_TOKEN_SQL, [(task_name, token)])]
--- a/sabledyke/lease/holder.py
+++ b/sabledyke/lease/holder.py
@@ -1,9 +1,12 @@
-"""One instance's side of one lease: when to look, take, renew, and until when it may act.
+"""One instance's side of one lease: when to check, acquire and renew it, and until when it may act.
 
-Told: ticks, answers and failures, each with the time on this instance's clock, and a draw for jitter. Never
-knows: a socket, a database, whose clock differs. It is a function from state to state, so that the model
-checker of the laboratory explores this very code. Safety: ``may_act`` holds for at most ``Times.acts`` from
-before a grant or renewal was asked for. Liveness: back-off and looks come at least every ``Times.renew``.
+The functions here map a state and an input (a timer tick, a reply, a failure) to a new state and the actions
+to carry out. Each input comes with the time on this instance's clock and, where a wait follows, a random
+number for its jitter. They use no socket, database or clock, so that the model checker of the testbed
+explores this very code.
+
+Safety: ``may_act`` is true for at most ``LeaseTimes.acting_window_ms`` from before a grant or a renewal was
+requested. Liveness: backoff and checks come at least every ``LeaseTimes.renew_interval_ms``.
 """
 
 from __future__ import annotations
@@ -11,224 +14,315 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 from math import inf
+from typing import NamedTuple
 
 from sabledyke.lease.types import (
-    Ask,
+    Acquire,
     Granted,
-    Look,
+    Inspect,
+    LeaseReply,
+    LeaseRequest,
+    LeaseStatus,
+    LeaseTimes,
+    LeaseVersion,
     Release,
     Renew,
     Renewed,
-    Reply,
-    Sight,
-    Stamp,
-    Take,
-    Times,
 )
 
-BACK_OFF = 1 / 16  # of the renew interval: the first wait after a failure, doubled up to the whole of it
+FIRST_BACKOFF_RENEW_INTERVALS = 1 / 16  # doubled at each failure, up to one renew interval
+ACQUIRE_JITTER_RENEW_INTERVALS = 1 / 8
+MAX_COUNTED_FAILURES = 16
 
 
 class Phase(Enum):
-    """Where it stands."""
+    """What the holder is doing."""
 
     WATCHING = "watching"
     HOLDING = "holding"
-    ENDED = "ended"
+    STOPPED = "ended"
 
 
-class News(Enum):
-    """What the log and the duty are told."""
+class HolderEvent(Enum):
+    """What is logged, and what the leader task is notified of."""
 
     GRANTED = "granted"
     RENEWED = "renewed"
-    LAPSED = "lapsed"  # not renewed in time: it stops acting, and goes on asking
+    EXPIRED = "lapsed"  # not renewed in time: it stops acting, and keeps requesting
     LOST = "lost"  # another holds it, or nobody
-    RECALLED = "recalled"  # an operator wanted it given up
+    RECALLED = "recalled"  # an operator wanted it released
     RELEASED = "released"
     FENCED = "fenced"  # a resource knows a later token
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
-    """Ask the authority, and tell the answer under this number."""
+class SendRequest:
+    """An action: send this request to the authority, and pass on its reply under this number."""
 
     number: int
-    ask: Ask
+    request: LeaseRequest
 
 
 @dataclass(slots=True, frozen=True)
-class State:
-    """All that a holder knows; times are on its own clock."""
+class HolderState:
+    """All that a holder knows; times are on its own clock, in ms.
+
+    Attributes:
+        holder_id: The identifier that this instance holds the lease under.
+        phase: What it is doing.
+        token: The token of the lease that it holds.
+        acts_until_ms: It may act before this time.
+        acting: Whether the leader task was last notified that it may act.
+        seen_version: The version of the lease when it was last seen.
+        seen_free: Whether it was free then.
+        unchanged_since_ms: Since when it has been seen at that version.
+        seen_ttl_ms: How long its holder may rely on it, as far as is known.
+        pending_request: The request that waits for a reply.
+        request_number: The number of the latest request.
+        requested_at_ms: When that was sent.
+        next_request_at_ms: When to send the next one.
+        acquire_not_before_ms: It was recalled, and acquires nothing before this time.
+        consecutive_failures: How many requests in a row have failed.
+    """
 
-    me: str
+    holder_id: str
     phase: Phase = Phase.WATCHING
     token: int = 0
-    until: float = -inf  # may act before this
-    acting: bool = False  # whether the duty was last told that it may
-    stamp: Stamp | None = None  # the lease as last seen ...
-    free: bool = False
-    since: float = 0.0  # ... and since when it has stood so
-    ttl: float = 0.0  # how long its holder may rely on it, as far as is known
-    out: Ask | None = None  # what is being asked, under ``number``, since ``asked``
-    number: int = 0
-    asked: float = 0.0
-    due: float = -inf  # when to ask next
-    rests: float = -inf  # takes nothing before: it was recalled
-    misses: int = 0  # failures in a row
+    acts_until_ms: float = -inf
+    acting: bool = False
+    seen_version: LeaseVersion | None = None
+    seen_free: bool = False
+    unchanged_since_ms: float = 0.0
+    seen_ttl_ms: float = 0.0
+    pending_request: LeaseRequest | None = None
+    request_number: int = 0
+    requested_at_ms: float = 0.0
+    next_request_at_ms: float = -inf
+    acquire_not_before_ms: float = -inf
+    consecutive_failures: int = 0
 
 
-Step = tuple[State, list[Send], list[News]]
+class Transition(NamedTuple):
+    """The result of an input: the new state, and what is to be carried out in this order."""
 
+    state: HolderState
+    requests: list[SendRequest]
+    events: list[HolderEvent]
 
-def may_act(state: State, now: float) -> bool:
-    """May it act at this moment? To be asked before every step of a duty, never remembered."""
-    return state.phase is Phase.HOLDING and now < state.until
 
-
-def alarm(state: State, times: Times) -> float:
-    """When it must be ticked next, if nothing comes before; inf for never."""
-    if state.phase is Phase.ENDED:
-        return inf
-    ask = state.asked + times.renew if state.out is not None else state.due
-    return min(ask, state.until) if state.acting else ask
+def may_act(state: HolderState, now_ms: float) -> bool:
+    """Return whether the holder may act now. To be called before every step, and never remembered."""
+    return state.phase is Phase.HOLDING and now_ms < state.acts_until_ms
 
 
-def tick(state: State, times: Times, now: float, draw: float) -> Step:
-    """Time has passed. ``draw`` in [0, 1) spreads what all instances do."""
-    news: list[News] = []
-    if state.acting and not may_act(state, now):
-        state = replace(state, acting=False)
-        news.append(News.LAPSED)
-    if state.phase is Phase.ENDED:
-        return state, [], news
-    if state.out is not None:
-        if now < state.asked + times.renew:
-            return state, [], news
-        state = _missed(state, times, now, draw)
-    if now < state.due:
-        return state, [], news
-    ask: Ask
-    if state.phase is Phase.HOLDING and not -inf < state.until <= now:
-        ask = Renew(state.token)
-    elif state.phase is Phase.HOLDING:
-        # Guards against one that is heard and hears nothing: renewed, the lease would be nobody's to use.
-        ask = Look()
-    elif state.stamp is not None and _stands_free(state, times, now):
-        ask = Take(state.stamp)
+def next_tick_at_ms(state: HolderState, times: LeaseTimes) -> float:
+    """Return when ``on_tick`` must be called if nothing else comes before; inf for never."""
+    if state.phase is Phase.STOPPED:
+        return inf
+    if state.pending_request is not None:
+        next_action_at_ms = state.requested_at_ms + times.renew_interval_ms
     else:
-        ask = Look()
-    state, sends = _send(state, ask, now)
-    return state, sends, news
+        next_action_at_ms = state.next_request_at_ms
+    return min(next_action_at_ms, state.acts_until_ms) if state.acting else next_action_at_ms
 
 
-def answered(state: State, times: Times, now: float, number: int, reply: Reply, draw: float) -> Step:
-    """The authority's answer to what was asked under this number.
+def on_tick(state: HolderState, times: LeaseTimes, now_ms: float, jitter: float) -> Transition:
+    """Stop acting at the end of the lease, time out a pending request, and send the next one when due.
 
-    A late one of something given up is moot.
+    Args:
+        state: The state before.
+        times: The times of the lease.
+        now_ms: The time on this instance's clock.
+        jitter: A random number in [0, 1), which spreads the requests of all instances.
+    """
+    events: list[HolderEvent] = []
+    if state.acting and not may_act(state, now_ms):
+        state = replace(state, acting=False)
+        events.append(HolderEvent.EXPIRED)
+    if state.phase is Phase.STOPPED:
+        return Transition(state, [], events)
+    if state.pending_request is not None:
+        if now_ms < state.requested_at_ms + times.renew_interval_ms:
+            return Transition(state, [], events)
+        state = _record_failure(state, times, now_ms, jitter)
+    if now_ms < state.next_request_at_ms:
+        return Transition(state, [], events)
+    state, requests = _send(state, _next_request(state, times, now_ms), now_ms)
+    return Transition(state, requests, events)
+
+
+def on_reply(
+    state: HolderState, times: LeaseTimes, now_ms: float, number: int, reply: LeaseReply, jitter: float
+) -> Transition:
+    """Process the authority's reply to the request of this number.
+
+    A late reply to a request that was given up is ignored.
     """
-    ask = state.out
-    if ask is None or number != state.number or state.phase is Phase.ENDED:
-        return state, [], []
-    state = replace(state, out=None, misses=0)
-    match ask, reply:
-        case Take(), Granted(token):
-            return _held(replace(state, token=token), times, now)
-        case Renew(), Renewed(recalled):
-            if recalled:
-                return _given_up(state, times, now, News.RECALLED)
-            return _held(state, times, now)
-        case _, Sight():
-            return _seen(state, times, now, reply, draw)
-    return _missed(state, times, now, draw), [], []  # an answer to something else: as good as none
-
-
-def failed(state: State, times: Times, now: float, number: int, draw: float) -> Step:
-    """What was asked under this number got no answer: it may have been done all the same."""
-    if state.out is None or number != state.number:
-        return state, [], []
-    return _missed(state, times, now, draw), [], []
-
-
-def stop(state: State, now: float) -> Step:
-    """This instance ends: it stops acting at once, and gives up what it holds."""
-    ended = replace(state, phase=Phase.ENDED, until=-inf, acting=False, out=None)
+    request = state.pending_request
+    if request is None or number != state.request_number or state.phase is Phase.STOPPED:
+        return Transition(state, [], [])
+    state = replace(state, pending_request=None, consecutive_failures=0)
+    match request, reply:
+        case Acquire(), Granted(token):
+            return _extend(replace(state, token=token), times, now_ms)
+        case Renew(), Renewed(recalled=True):
+            return _give_up(state, times, now_ms, HolderEvent.RECALLED)
+        case Renew(), Renewed():
+            return _extend(state, times, now_ms)
+        case _, LeaseStatus():
+            return _on_status(state, times, now_ms, reply, jitter)
+    # A reply to another kind of request is as good as none.
+    return Transition(_record_failure(state, times, now_ms, jitter), [], [])
+
+
+def on_failure(
+    state: HolderState, times: LeaseTimes, now_ms: float, number: int, jitter: float
+) -> Transition:
+    """Process that the request of this number got no reply: it may have been executed all the same."""
+    if state.pending_request is None or number != state.request_number:
+        return Transition(state, [], [])
+    return Transition(_record_failure(state, times, now_ms, jitter), [], [])
+
+
+def on_stop(state: HolderState, now_ms: float) -> Transition:
+    """Stop acting at once, for good, and release what is held."""
+    stopped = replace(state, phase=Phase.STOPPED, acts_until_ms=-inf, acting=False, pending_request=None)
     if state.phase is not Phase.HOLDING:
-        return ended, [], []
-    ended, sends = _send(ended, Release(state.token), now)
-    return ended, sends, [News.RELEASED]
+        return Transition(stopped, [], [])
+    stopped, requests = _send(stopped, Release(state.token), now_ms)
+    return Transition(stopped, requests, [HolderEvent.RELEASED])
 
 
-def fenced(state: State, times: Times, now: float, token: int) -> Step:
-    """A resource refused this token for an older one: whatever is believed here, it may not be acted under.
+def on_fenced(state: HolderState, times: LeaseTimes, now_ms: float, token: int) -> Transition:
+    """Process that a resource rejected this token, as it has seen a later one.
 
-    It gives the lease up, so that the next token is higher, also where the authority went back in time.
+    The lease is released, so that the next token is higher, also where the authority went back in time.
     """
     if state.phase is not Phase.HOLDING or state.token != token:
-        return state, [], []
-    return _given_up(state, times, now, News.FENCED)
+        return Transition(state, [], [])
+    return _give_up(state, times, now_ms, HolderEvent.FENCED)
 
 
-def _stands_free(state: State, times: Times, now: float) -> bool:
-    """It was free, or has stood still for a whole lease on this clock (where nobody else counts it out)."""
-    still = not times.counts and now - state.since >= _wait(state, times)
-    return now >= state.rests and (state.free or still)
+def _next_request(state: HolderState, times: LeaseTimes, now_ms: float) -> LeaseRequest:
+    if state.phase is Phase.HOLDING:
+        if -inf < state.acts_until_ms <= now_ms:
+            # Guards against a holder whose requests arrive and whose replies do not: if it renewed, the lease
+            # would be nobody's to use.
+            return Inspect()
+        return Renew(state.token)
+    if state.seen_version is not None and _may_acquire(state, times, now_ms):
+        return Acquire(state.seen_version)
+    return Inspect()
 
 
-def _wait(state: State, times: Times) -> float:
-    """Its holder's time where that is longer: settings reach the instances of a fleet one after the other."""
-    return max(times.ttl, state.ttl)
+def _may_acquire(state: HolderState, times: LeaseTimes, now_ms: float) -> bool:
+    """It was free, or was seen unchanged for a whole lease (where the authority does not expire it)."""
+    if now_ms < state.acquire_not_before_ms:
+        return False
+    if state.seen_free:
+        return True
+    unchanged_ms = now_ms - state.unchanged_since_ms
+    return not times.authority_tracks_expiry and unchanged_ms >= _expiry_wait_ms(state, times)
 
 
-def _send(state: State, ask: Ask, now: float) -> tuple[State, list[Send]]:
-    state = replace(state, out=ask, number=state.number + 1, asked=now)
-    return state, [Send(state.number, ask)]
+def _expiry_wait_ms(state: HolderState, times: LeaseTimes) -> float:
+    """The holder's own time where that is longer, as new settings reach the instances one by one."""
+    return max(times.ttl_ms, state.seen_ttl_ms)
 
 
-def _missed(state: State, times: Times, now: float, draw: float) -> State:
-    wait = min(times.renew, times.renew * BACK_OFF * 2**state.misses)
-    return replace(state, out=None, misses=min(state.misses + 1, 16), due=now + wait * (0.5 + draw / 2))
+def _send(state: HolderState, request: LeaseRequest, now_ms: float) -> tuple[HolderState, list[SendRequest]]:
+    state = replace(
+        state, pending_request=request, request_number=state.request_number + 1, requested_at_ms=now_ms
+    )
+    return state, [SendRequest(state.request_number, request)]
 
 
-def _held(state: State, times: Times, now: float) -> Step:
-    """Held from before it was asked for: the answer may have been long on its way."""
-    news = News.RENEWED if state.acting else News.GRANTED  # also where it had lapsed, and nobody took it
-    until = state.asked + times.acts
-    due = max(now, min(state.asked + times.renew, until))
-    state = replace(state, phase=Phase.HOLDING, until=until, due=due, stamp=None)
-    return replace(state, acting=now < until), [], [news] if now < until else []
+def _record_failure(state: HolderState, times: LeaseTimes, now_ms: float, jitter: float) -> HolderState:
+    first_wait_ms = times.renew_interval_ms * FIRST_BACKOFF_RENEW_INTERVALS
+    wait_ms = min(times.renew_interval_ms, first_wait_ms * 2**state.consecutive_failures)
+    return replace(
+        state,
+        pending_request=None,
+        consecutive_failures=min(state.consecutive_failures + 1, MAX_COUNTED_FAILURES),
+        next_request_at_ms=now_ms + wait_ms * (0.5 + jitter / 2),
+    )
 
 
-def _given_up(state: State, times: Times, now: float, why: News) -> Step:
-    """It stops first; and others have a whole lease's time to take it."""
-    token = state.token
-    state = replace(state, phase=Phase.WATCHING, until=-inf, acting=False, stamp=None, free=False)
-    state, sends = _send(replace(state, rests=now + times.ttl), Release(token), now)
-    return state, sends, [why]
+def _extend(state: HolderState, times: LeaseTimes, now_ms: float) -> Transition:
+    """Hold the lease from before it was requested, as the reply may have taken long."""
+    # It is a grant also where the lease had expired, and nobody acquired it.
+    event = HolderEvent.RENEWED if state.acting else HolderEvent.GRANTED
+    acts_until_ms = state.requested_at_ms + times.acting_window_ms
+    acting = now_ms < acts_until_ms
+    state = replace(
+        state,
+        phase=Phase.HOLDING,
+        acts_until_ms=acts_until_ms,
+        acting=acting,
+        next_request_at_ms=max(now_ms, min(state.requested_at_ms + times.renew_interval_ms, acts_until_ms)),
+        seen_version=None,
+    )
+    return Transition(state, [], [event] if acting else [])
 
 
-def _seen(state: State, times: Times, now: float, sight: Sight, draw: float) -> Step:
-    if sight.holder == state.me and not sight.free:
-        # Guards against a grant whose answer was lost: nobody else would take it for a whole lease. It is
-        # not acted on before a renewal, as when it was granted is not known.
-        state = replace(state, phase=Phase.HOLDING, token=sight.stamp[0], until=-inf, due=now, stamp=None)
-        return replace(state, acting=False), [], []
-    news = [News.LOST] if state.phase is Phase.HOLDING else []
-    since = state.since if sight.stamp == state.stamp else now
-    state = replace(state, ttl=sight.ttl)
-    due = now + times.renew * (0.5 + draw / 2)
-    if sight.free and now >= state.rests:
-        due = now + draw * times.renew / 8
-    elif not times.counts:
-        due = max(now, min(due, since + _wait(state, times)))
+def _give_up(state: HolderState, times: LeaseTimes, now_ms: float, reason: HolderEvent) -> Transition:
+    """Stop acting, release the lease, and leave the others one lease's time to acquire it."""
     state = replace(
         state,
         phase=Phase.WATCHING,
-        until=-inf,
+        acts_until_ms=-inf,
         acting=False,
-        stamp=sight.stamp,
-        free=sight.free,
-        since=since,
-        due=due,
+        seen_version=None,
+        seen_free=False,
+        acquire_not_before_ms=now_ms + times.ttl_ms,
     )
-    return state, [], news
+    state, requests = _send(state, Release(state.token), now_ms)
+    return Transition(state, requests, [reason])
+
+
+def _on_status(
+    state: HolderState, times: LeaseTimes, now_ms: float, status: LeaseStatus, jitter: float
+) -> Transition:
+    if status.holder == state.holder_id and not status.is_free:
+        return Transition(_resume_holding(state, now_ms, status), [], [])
+    events = [HolderEvent.LOST] if state.phase is Phase.HOLDING else []
+    since_ms = state.unchanged_since_ms if status.version == state.seen_version else now_ms
+    state = replace(
+        state,
+        phase=Phase.WATCHING,
+        acts_until_ms=-inf,
+        acting=False,
+        seen_version=status.version,
+        seen_free=status.is_free,
+        unchanged_since_ms=since_ms,
+        seen_ttl_ms=status.ttl_ms,
+    )
+    next_at_ms = _next_check_at_ms(state, times, now_ms, jitter)
+    return Transition(replace(state, next_request_at_ms=next_at_ms), [], events)
+
+
+def _resume_holding(state: HolderState, now_ms: float, status: LeaseStatus) -> HolderState:
+    """Hold a lease whose grant got lost on its way; nobody else could acquire it for its whole time.
+
+    It is not acted on before a renewal, as it is not known when it was granted.
+    """
+    return replace(
+        state,
+        phase=Phase.HOLDING,
+        token=status.version.token,
+        acts_until_ms=-inf,
+        acting=False,
+        next_request_at_ms=now_ms,
+        seen_version=None,
+    )
+
+
+def _next_check_at_ms(state: HolderState, times: LeaseTimes, now_ms: float, jitter: float) -> float:
+    """When a watcher sends its next request, after it has seen the lease at ``now_ms``."""
+    if state.seen_free and now_ms >= state.acquire_not_before_ms:
+        return now_ms + jitter * times.renew_interval_ms * ACQUIRE_JITTER_RENEW_INTERVALS
+    next_at_ms = now_ms + times.renew_interval_ms * (0.5 + jitter / 2)
+    if times.authority_tracks_expiry:
+        return next_at_ms
+    expires_at_ms = state.unchanged_since_ms + _expiry_wait_ms(state, times)
+    return max(now_ms, min(next_at_ms, expires_at_ms))
--- a/sabledyke/lease/leader_tasks.py
+++ b/sabledyke/lease/leader_tasks.py
@@ -15,12 +15,12 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPError
 
 from sabledyke import log
-from sabledyke.errors import Refused as Refused
+from sabledyke.errors import AuthorityFault, Lost, Refused
 from sabledyke.lease import fencing
 from sabledyke.lease.http_calls import post
-from sabledyke.lease.manager import Keeper, Lost
-from sabledyke.lease.section import Duty
-from sabledyke.lease.types import Authority, AuthorityFault
+from sabledyke.lease.manager import LeaseManager
+from sabledyke.lease.section import LeaderTask
+from sabledyke.lease.types import Authority
 from sabledyke.store import maintenance
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import Kind, StoreError, StoreFault
@@ -29,26 +29,26 @@
 PATIENCE = 10.0  # seconds that a called service may take for one act
 AGAIN = 0.5  # seconds before a step that failed is tried again
 
-Act = Callable[[Keeper], Awaitable[None]]
+Action = Callable[[LeaseManager], Awaitable[None]]
 
 
-async def pass_fence(target: Target, duty: str, token: int) -> None:
+async def check_fence(target: Target, duty: str, token: int) -> None:
     """Show the record's database this token; Refused where it has seen a later one."""
     session = await connect(target, create=False)
     try:
-        await session.transact([*fencing.steps(duty, token)])
+        await session.transact([*fencing.token_check_steps(duty, token)])
     except StoreFault as fault:
         if fault.kind is Kind.FENCED:
             raise Refused(f"{duty}: the record has seen a token after {token}") from None
         if fault.kind is not Kind.SCHEMA:
             raise
-        await session.script([fencing.TABLE])  # the first duty on this record
-        await session.transact([*fencing.steps(duty, token)])
+        await session.script([fencing.CREATE_TABLE_SQL])  # the first duty on this record
+        await session.transact([*fencing.token_check_steps(duty, token)])
     finally:
         await session.close()
 
 
-def act_of(duty: Duty, record: Target | None) -> Act:
+def action_of(duty: LeaderTask, record: Target | None) -> Action:
     """What is done under this duty's lease, once."""
     if duty.kind == "call":
         return lambda keeper: _call(duty, keeper)
@@ -60,52 +60,55 @@
 
 
 async def _look_through(
-    duty: Duty, record: Target, keeper: Keeper, work: Callable[[Target, maintenance.Say], Awaitable[bool]]
+    duty: LeaderTask,
+    record: Target,
+    keeper: LeaseManager,
+    work: Callable[[Target, maintenance.Say], Awaitable[bool]],
 ) -> None:
     """Audit or reconcile: its findings count only if nobody else has begun meanwhile."""
     found: list[str] = []
-    await pass_fence(record, duty.name, keeper.token())
+    await check_fence(record, duty.name, keeper.current_token())
     well = await work(record, found.append)
-    token = keeper.token()
-    await pass_fence(record, duty.name, token)
+    token = keeper.current_token()
+    await check_fence(record, duty.name, token)
     verdict = "all is well" if well else f"NOT well: {'; '.join(found[:4])}"
     log.say("duty", f"{duty.name}: {verdict}", duty=duty.name, token=token, well=int(well))
 
 
-async def _backup(duty: Duty, record: Target, keeper: Keeper) -> None:
+async def _backup(duty: LeaderTask, record: Target, keeper: LeaseManager) -> None:
     """A copy under a name of its own.
 
     It is there, and older ones go, only once the fence has let it through.
     """
-    folder, token = Path(duty.folder), keeper.token()
-    await pass_fence(record, duty.name, token)
+    folder, token = Path(duty.folder), keeper.current_token()
+    await check_fence(record, duty.name, token)
     folder.mkdir(parents=True, exist_ok=True)
     made = folder / f"{duty.name}.{token}.{time.time_ns() // 1_000_000}.sqlite3"
     work = made.with_suffix(".working")
     try:
         well = await maintenance.backup(record, str(work), lambda _: None)
-        token = keeper.token()
-        await pass_fence(record, duty.name, token)
+        token = keeper.current_token()
+        await check_fence(record, duty.name, token)
         os.replace(work, made)
     finally:
         work.unlink(missing_ok=True)
     there = sorted(folder.glob(f"{duty.name}.*.*.sqlite3"), key=lambda f: int(f.name.split(".")[-2]))
     for old in there[: -duty.keep]:
-        keeper.token()
+        keeper.current_token()
         old.unlink(missing_ok=True)
     said = made.name if well else f"{made.name}, whose record does not pass its audit"
     log.say("duty", f"{duty.name}: {said}", duty=duty.name, token=token, well=int(well))
 
 
-async def _call(duty: Duty, keeper: Keeper) -> None:
+async def _call(duty: LeaderTask, keeper: LeaseManager) -> None:
     """One POST.
 
     Its headers name the duty, the holder and the token, and 409 says that a later one was seen.
     """
-    host, port, path = duty.call
+    host, port, path = duty.endpoint
     client = AsyncHTTPClient()
-    token = keeper.token()
-    headers = {"Lease-Duty": duty.name, "Lease-Token": str(token), "Lease-Holder": keeper.me}
+    token = keeper.current_token()
+    headers = {"Lease-Duty": duty.name, "Lease-Token": str(token), "Lease-Holder": keeper.holder_id}
     try:
         await post(client, f"http://{host}:{port}{path}", b"", PATIENCE, headers)
     except HTTPError as fault:
@@ -114,26 +117,26 @@
         raise
 
 
-async def perform(duty: Duty, act: Act, keeper: Keeper, authority: Authority) -> None:
+async def run_leader_task(duty: LeaderTask, act: Action, keeper: LeaseManager, authority: Authority) -> None:
     """Do it whenever it is due and the lease is held, until cancelled.
 
     When it was last done is kept by the authority, so that a new holder goes on where the last one was.
     """
     while True:
-        await keeper.held.wait()
+        await keeper.leading.wait()
         try:
-            waits = await authority.last(duty.name) + duty.every - time.time() * 1000
+            waits = await authority.last_completed_unix_ms(duty.name) + duty.interval_ms - time.time() * 1000
             if waits > 0:
-                await asyncio.sleep(min(waits / 1000, duty.every / 1000))
+                await asyncio.sleep(min(waits / 1000, duty.interval_ms / 1000))
                 continue
-            token = keeper.token()
+            token = keeper.current_token()
             await act(keeper)
-            await authority.done(duty.name, token, int(time.time() * 1000))
+            await authority.record_completion(duty.name, token, int(time.time() * 1000))
         except Lost:
-            keeper.notice()
+            keeper.recheck()
         except Refused as refused:
             log.say("duty", str(refused))
-            keeper.fenced(token)
+            keeper.on_fenced(token)
         except (AuthorityFault, StoreFault, StoreError, HTTPError, OSError) as fault:
             log.say("duty", f"{duty.name}: not done, it is tried again: {fault}", duty=duty.name)
             await asyncio.sleep(AGAIN)
--- a/sabledyke/lease/manager.py
+++ b/sabledyke/lease/manager.py
@@ -1,111 +1,145 @@
-"""Drives one lease: carries out what ``holder`` says, and lends the token to the duty for each of its steps.
+"""Drives one lease: carries out what ``holder`` decides, and lends the token to the leader task.
 
-It decides nothing. The clock goes on while the machine sleeps (``CLOCK_BOOTTIME``) and while the process
-stands still; an instance of the laboratory may be given one that is off and runs fast or slow.
+The default clock goes on while the machine sleeps (``CLOCK_BOOTTIME``) and while the process is paused;
+instances of the testbed may be given one that is off, and runs fast or slow.
 """
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import time
 from collections.abc import Callable
 from dataclasses import replace
 from random import Random
 
 from sabledyke import log
-from sabledyke.errors import Lost as Lost
+from sabledyke.errors import AuthorityFault, Lost
 from sabledyke.lease import holder
-from sabledyke.lease.holder import News, Phase, State
-from sabledyke.lease.types import Authority, AuthorityFault, Times
+from sabledyke.lease.holder import HolderEvent, HolderState, Phase
+from sabledyke.lease.types import Authority, LeaseTimes
 
 Clock = Callable[[], float]
-LONGEST = 0.25  # seconds between two looks at the clock: its rate may differ from the loop's
 
+# Between two looks at the clock: its rate may differ from that of the event loop's clock.
+MAX_CLOCK_CHECK_INTERVAL_S = 0.25
 
-def boottime() -> float:
-    """Milliseconds since the machine started, those asleep included."""
+
+def boottime_ms() -> float:
+    """Return the milliseconds since the machine started, including those it was asleep for."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
-def skewed(offset: float, rate: float) -> Clock:
-    """A clock that is off by so many ms, and runs at so many times the true rate."""
-    return lambda: boottime() * rate + offset
+def skewed_clock(offset_ms: float, rate: float) -> Clock:
+    """Return a clock that is off by ``offset_ms``, and runs at ``rate`` times the true rate."""
+    return lambda: boottime_ms() * rate + offset_ms
+
 
+class LeaseManager:
+    """One instance's hold on one lease.
 
-class Keeper:
-    """One instance's hold on one lease."""
+    Attributes:
+        task_name: The leader task that the lease is for.
+        holder_id: The identifier that this instance holds the lease under.
+        times: The times of the lease.
+        state: The state of the holder.
+        leading: Set while the holder may act, as far as was noticed.
+    """
 
     def __init__(
-        self, duty: str, me: str, authority: Authority, times: Times, seed: int, clock: Clock = boottime
+        self,
+        task_name: str,
+        holder_id: str,
+        authority: Authority,
+        times: LeaseTimes,
+        seed: int,
+        clock: Clock = boottime_ms,
     ) -> None:
-        self.duty, self.me, self.times = duty, me, replace(times, counts=authority.counts)
-        self._authority, self._clock, self._random = authority, clock, Random(seed)
-        self.state = State(me)
+        """Make a manager that holds nothing yet; ``run`` begins to acquire the lease."""
+        self.task_name = task_name
+        self.holder_id = holder_id
+        self.times = replace(times, authority_tracks_expiry=authority.tracks_expiry)
+        self.state = HolderState(holder_id)
+        self.leading = asyncio.Event()
+        self._authority = authority
+        self._clock = clock
+        self._random = Random(seed)
         self._changed = asyncio.Event()
-        self._asks: set[asyncio.Task[None]] = set()
-        self.held = asyncio.Event()  # set while it may act, as far as was noticed
+        self._requests: set[asyncio.Task[None]] = set()
+
+    def current_token(self) -> int:
+        """Return the token to act under. To be called before every step.
 
-    def token(self) -> int:
-        """The token to act under, now; Lost where it may not act. To be called before every step."""
+        Raises:
+            Lost: This instance may not act now.
+        """
         if not holder.may_act(self.state, self._clock()):
-            raise Lost(f"the lease {self.duty} is not held")
+            raise Lost(f"the lease {self.task_name} is not held")
         return self.state.token
 
-    def notice(self) -> None:
-        """A step found that it may not act: have the clock looked at now, and ``held`` with it."""
-        self.held.clear()
+    def recheck(self) -> None:
+        """Have the clock checked now, and ``leading`` updated: a step found that it may not act."""
+        self.leading.clear()
         self._changed.set()
 
-    def fenced(self, token: int) -> None:
-        """A resource refused this token for an older one."""
-        self._do(holder.fenced(self.state, self.times, self._clock(), token))
+    def on_fenced(self, token: int) -> None:
+        """Release the lease: a resource rejected this token, as it has seen a later one."""
+        self._apply(holder.on_fenced(self.state, self.times, self._clock(), token))
         self._changed.set()
 
     async def run(self) -> None:
-        """Until ``stop``."""
-        while self.state.phase is not Phase.ENDED:
+        """Acquire the lease and keep it, until ``stop``."""
+        while self.state.phase is not Phase.STOPPED:
             self._changed.clear()
-            now = self._clock()
-            self._do(holder.tick(self.state, self.times, now, self._random.random()))
-            wait = min(LONGEST, max(0.0, holder.alarm(self.state, self.times) - now) / 1000)
-            try:
-                async with asyncio.timeout(wait):
+            now_ms = self._clock()
+            self._apply(holder.on_tick(self.state, self.times, now_ms, self._random.random()))
+            wait_s = max(0.0, holder.next_tick_at_ms(self.state, self.times) - now_ms) / 1000
+            with contextlib.suppress(TimeoutError):
+                async with asyncio.timeout(min(MAX_CLOCK_CHECK_INTERVAL_S, wait_s)):
                     await self._changed.wait()
-            except TimeoutError:
-                pass
 
     async def stop(self) -> None:
-        """Stop acting at once, give up what is held, and wait for that as long as one ask may take."""
-        self._do(holder.stop(self.state, self._clock()))
+        """Stop acting at once, release what is held, and wait as long as one request may take."""
+        self._apply(holder.on_stop(self.state, self._clock()))
         self._changed.set()
-        if self._asks:
-            await asyncio.wait(self._asks)
-
-    def _do(self, step: holder.Step) -> None:
-        self.state, sends, news = step
-        for what in news:
-            self._tell(what)
-        for send in sends:
-            task = asyncio.get_running_loop().create_task(self._ask(send))
-            self._asks.add(task)
-            task.add_done_callback(self._asks.discard)
-
-    async def _ask(self, send: holder.Send) -> None:
+        if self._requests:
+            await asyncio.wait(self._requests)
+
+    def _apply(self, transition: holder.Transition) -> None:
+        self.state = transition.state
+        for event in transition.events:
+            self._publish(event)
+        for request in transition.requests:
+            task = asyncio.get_running_loop().create_task(self._send(request))
+            self._requests.add(task)
+            task.add_done_callback(self._requests.discard)
+
+    async def _send(self, action: holder.SendRequest) -> None:
         try:
-            async with asyncio.timeout(self.times.renew / 1000):
-                reply = await self._authority.ask(self.duty, self.me, send.ask)
-            draw, now = self._random.random(), self._clock()
-            self._do(holder.answered(self.state, self.times, now, send.number, reply, draw))
-        except (AuthorityFault, TimeoutError) as fault:
-            log.say("lease", f"{self.duty}: the authority did not answer: {fault or 'in time'}")
-            self._do(holder.failed(self.state, self.times, self._clock(), send.number, self._random.random()))
+            async with asyncio.timeout(self.times.renew_interval_ms / 1000):
+                reply = await self._authority.request(self.task_name, self.holder_id, action.request)
+            jitter = self._random.random()
+            now_ms = self._clock()
+            self._apply(holder.on_reply(self.state, self.times, now_ms, action.number, reply, jitter))
+        except (AuthorityFault, TimeoutError) as error:
+            log.say("lease", f"{self.task_name}: the authority did not answer: {error or 'in time'}")
+            now_ms = self._clock()
+            jitter = self._random.random()
+            self._apply(holder.on_failure(self.state, self.times, now_ms, action.number, jitter))
         self._changed.set()
 
-    def _tell(self, news: News) -> None:
+    def _publish(self, event: HolderEvent) -> None:
         if self.state.acting:
-            self.held.set()
+            self.leading.set()
         else:
-            self.held.clear()
-        if news is not News.RENEWED:  # too often for a log; a status shows it
-            text, token = f"{self.duty}: {news.value}, token {self.state.token}", self.state.token
-            log.say("lease", text, what=news.value, duty=self.duty, token=token, holder=self.me)
+            self.leading.clear()
+        if event is HolderEvent.RENEWED:  # too frequent for the log; ``lease status`` shows it
+            return
+        log.say(
+            "lease",
+            f"{self.task_name}: {event.value}, token {self.state.token}",
+            what=event.value,
+            duty=self.task_name,
+            token=self.state.token,
+            holder=self.holder_id,
+        )
--- a/sabledyke/lease/sql_authority.py
+++ b/sabledyke/lease/sql_authority.py
@@ -1,9 +1,9 @@
-"""The embedded authority: a row for each lease, in SQLite (or PostgreSQL), each ask one transaction.
+"""The embedded authority: one row for each lease, in SQLite (or PostgreSQL), each request one transaction.
 
-The row holds no time: whoever wants a lease must see its row stand still for a whole lease on a clock of
-its own, so that clocks may differ as they like, and a restart of the database changes nothing. Tokens only
-rise: a row is never deleted. A lease costs one row; the file is in WAL mode, each transaction a ``BEGIN
-IMMEDIATE``, and a look none: those who watch neither wait for a lock nor hold one.
+The row holds no time that a decision depends on: a process that wants a lease must see its row unchanged for
+a whole lease on a clock of its own. So clocks may differ as they like, and a restart of the database changes
+nothing. Tokens only rise, as a row is never deleted. The file is in WAL mode, and each transaction a ``BEGIN
+IMMEDIATE``; an inspection needs none, so that watchers neither wait for a lock nor hold one.
 """
 
 from __future__ import annotations
@@ -13,19 +13,20 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
+from sabledyke.errors import AuthorityFault
 from sabledyke.lease.types import (
-    NOBODY,
-    Ask,
-    AuthorityFault,
+    NEVER_HELD_STATUS,
+    Acquire,
     Granted,
-    Look,
+    Inspect,
+    LeaseReply,
+    LeaseRequest,
+    LeaseStatus,
+    LeaseSummary,
+    LeaseVersion,
     Release,
     Renew,
     Renewed,
-    Reply,
-    Sight,
-    Standing,
-    Take,
 )
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import PASSING, Kind, StoreError, StoreFault
@@ -33,144 +34,179 @@
 from sabledyke.store.session import Session
 from sabledyke.store.types import Row, Step, Value
 
-TABLE = (
+CREATE_TABLE_SQL = (
     "CREATE TABLE IF NOT EXISTS leases (duty TEXT PRIMARY KEY, token BIGINT NOT NULL, beat BIGINT NOT NULL,"
     " holder TEXT NOT NULL, ttl BIGINT NOT NULL, seen BIGINT NOT NULL, recall BIGINT NOT NULL,"
     " done BIGINT NOT NULL)"
 )
-COLUMNS = "token, beat, holder, ttl, seen, recall, done"
-LOOK = f"SELECT {COLUMNS} FROM leases WHERE duty = $1::text"
-ALL = f"SELECT duty, {COLUMNS} FROM leases ORDER BY duty"
-TAKE = (
+STATUS_SQL = "SELECT token, beat, holder, ttl FROM leases WHERE duty = $1::text"
+LAST_COMPLETED_SQL = "SELECT done FROM leases WHERE duty = $1::text"
+SUMMARIES_SQL = "SELECT duty, holder, token, ttl, seen, recall, done FROM leases ORDER BY duty"
+ACQUIRE_SQL = (
     "INSERT INTO leases (duty, token, beat, holder, ttl, seen, recall, done)"
     " VALUES ($1::text, 1, 0, $2::text, $3::bigint, $4::bigint, 0, 0)"
     " ON CONFLICT (duty) DO UPDATE SET token = leases.token + 1, beat = 0, holder = excluded.holder,"
     " ttl = excluded.ttl, seen = excluded.seen, recall = 0"
     " WHERE leases.token = $5::bigint AND leases.beat = $6::bigint RETURNING token"
 )
-MINE = "WHERE duty = $1::text AND holder = $2::text AND token = $3::bigint"
-RENEW = f"UPDATE leases SET beat = beat + 1, ttl = $4::bigint, seen = $5::bigint {MINE} RETURNING recall"
-FREED = "UPDATE leases SET beat = beat + 1, holder = '', recall = 0"
-RELEASE = f"{FREED} {MINE} RETURNING token"
-RECALL = "UPDATE leases SET recall = 1 WHERE duty = $1::text AND holder <> '' RETURNING holder, token"
-FREE = f"{FREED} WHERE duty = $1::text AND holder <> '' RETURNING token"
-DONE = "UPDATE leases SET done = $3::bigint WHERE duty = $1::text AND token = $2::bigint RETURNING token"
-
-
-T = TypeVar("T")
-
+_WHERE_HELD_BY_ME = "WHERE duty = $1::text AND holder = $2::text AND token = $3::bigint"
+_WHERE_HELD = "WHERE duty = $1::text AND holder <> ''"
+_SET_FREE = "UPDATE leases SET beat = beat + 1, holder = '', recall = 0"
+RENEW_SQL = (
+    "UPDATE leases SET beat = beat + 1, ttl = $4::bigint, seen = $5::bigint"
+    f" {_WHERE_HELD_BY_ME} RETURNING recall"
+)
+RELEASE_SQL = f"{_SET_FREE} {_WHERE_HELD_BY_ME} RETURNING token"
+RECALL_SQL = f"UPDATE leases SET recall = 1 {_WHERE_HELD} RETURNING holder, token"
+FREE_SQL = f"{_SET_FREE} {_WHERE_HELD} RETURNING token"
+RECORD_COMPLETION_SQL = (
+    "UPDATE leases SET done = $3::bigint WHERE duty = $1::text AND token = $2::bigint RETURNING token"
+)
 
-def sight(rows: list[Row]) -> Sight:
-    """A row as LOOK reads it; none for a lease that nobody ever held."""
-    if not rows:
-        return Sight(NOBODY, "", True)
-    token, beat, holder, ttl = rows[0][:4]
-    return Sight((int(token), int(beat)), str(holder), holder == "", float(ttl))
+ResultT = TypeVar("ResultT")
 
 
-class TableAuthority:
-    """See ``terms.Authority``."""
+class SqlAuthority:
+    """An authority in a database; see ``types.Authority``."""
 
-    counts = False
+    tracks_expiry = False
 
-    def __init__(self, target: Target, ttl: float) -> None:
-        self.target, self._ttl = target, int(ttl)
+    def __init__(self, target: Target, ttl_ms: float) -> None:
+        """Make an authority in this database; ``open`` connects to it."""
+        self.target = target
+        self._ttl_ms = int(ttl_ms)
         self._session: Session | None = None
-        self._connecting = asyncio.Lock()  # guards against two asks that each open a connection
+        self._connecting = asyncio.Lock()  # guards against two requests that each open a connection
 
     async def open(self) -> None:
-        """Make the table where it is missing; a StoreError in one line where that cannot be done.
+        """Make the table where it is missing.
 
-        Guards against a start that fails because another process stands still inside its transaction: a
-        table that does not answer now is asked again, and made when it first does.
+        Guards against a start that fails because another process is paused inside its transaction: a table
+        that does not answer now is requested again, and made when the database first answers.
+
+        Raises:
+            StoreError: The table cannot be made.
         """
         try:
-            await (await self._connected()).script([TABLE])
-        except StoreFault as fault:
-            self._give_up()
-            if fault.kind not in PASSING:
-                raise StoreError(f"lease {self.target}: {fault}") from None
-
-    async def ask(self, duty: str, me: str, ask: Ask) -> Reply:
-        """See ``terms.Authority``."""
-        look, wall = Step(LOOK, [(duty,)]), int(time.time() * 1000)
-        match ask:
-            case Look():
-                return sight(await self._one(LOOK, duty))
-            case Take((token, beat)):
-                steps = [Step(TAKE, [(duty, me, self._ttl, wall, token, beat)]), look]
+            session = await self._connected_session()
+            await session.script([CREATE_TABLE_SQL])
+        except StoreFault as error:
+            self._discard_session()
+            if error.kind not in PASSING:
+                raise StoreError(f"lease {self.target}: {error}") from error
+
+    async def request(self, task_name: str, holder_id: str, request: LeaseRequest) -> LeaseReply:
+        """See ``types.Authority``."""
+        match request:
+            case Inspect():
+                return _decode_status(await self._query(STATUS_SQL, task_name))
+            case Acquire(version):
+                changed, status = await self._change_and_read(
+                    ACQUIRE_SQL,
+                    task_name,
+                    holder_id,
+                    self._ttl_ms,
+                    _wall_clock_ms(),
+                    version.token,
+                    version.renewals,
+                )
+                return Granted(int(changed[0][0])) if changed else status
             case Renew(token):
-                steps = [Step(RENEW, [(duty, me, token, self._ttl, wall)]), look]
+                changed, status = await self._change_and_read(
+                    RENEW_SQL, task_name, holder_id, token, self._ttl_ms, _wall_clock_ms()
+                )
+                return Renewed(recalled=bool(changed[0][0])) if changed else status
             case Release(token):
-                steps = [Step(RELEASE, [(duty, me, token)]), look]
-        try:
-            done = await self._do(lambda session: session.transact(steps))
-        except StoreFault as fault:
-            self._give_up()
-            raise AuthorityFault(str(fault)) from None
-        if isinstance(ask, Take) and done[0]:
-            return Granted(int(done[0][0][0]))
-        if isinstance(ask, Renew) and done[0]:
-            return Renewed(bool(done[0][0][0]))
-        return sight(done[-1])
-
-    async def done(self, duty: str, token: int, at: int) -> bool:
-        """See ``terms.Authority``."""
-        return bool(await self._one(DONE, duty, token, at))
-
-    async def last(self, duty: str) -> int:
-        """See ``terms.Authority``."""
-        rows = await self._one(LOOK, duty)
-        return int(rows[0][6]) if rows else 0
-
-    async def standing(self) -> list[Standing]:
-        """Every lease, for operators."""
-        now, rows = time.time() * 1000, await self._one(ALL)
-        return [
-            Standing(str(duty), str(holder), int(token), max(0.0, seen + ttl - now), bool(recall), int(done))
-            for duty, token, _, holder, ttl, seen, recall, done in rows
-        ]
+                _, status = await self._change_and_read(RELEASE_SQL, task_name, holder_id, token)
+                return status
 
-    async def recall(self, duty: str, *, at_once: bool) -> bool:
-        """Ask its holder to give it up, or free it at once; False where nobody holds it."""
-        return bool(await self._one(FREE if at_once else RECALL, duty))
+    async def record_completion(self, task_name: str, token: int, at_unix_ms: int) -> bool:
+        """See ``types.Authority``."""
+        return bool(await self._change(RECORD_COMPLETION_SQL, task_name, token, at_unix_ms))
 
-    async def _do(self, what: Callable[[Session], Awaitable[T]]) -> T:
-        session = await self._connected()
-        try:
-            return await what(session)
-        except StoreFault as fault:
-            if fault.kind is not Kind.SCHEMA:
-                raise
-        await session.script([TABLE])  # it could not be made at the start
-        return await what(session)
+    async def last_completed_unix_ms(self, task_name: str) -> int:
+        """See ``types.Authority``."""
+        rows = await self._query(LAST_COMPLETED_SQL, task_name)
+        return int(rows[0][0]) if rows else 0
 
-    async def _one(self, sql: str, *values: Value) -> list[Row]:
-        try:
-            if sql.startswith("SELECT"):
-                return await self._do(lambda session: session.query(sql, *values))
-            return (await self._do(lambda session: session.transact([Step(sql, [values])])))[0]
-        except StoreFault as fault:
-            self._give_up()
-            raise AuthorityFault(str(fault)) from None
+    async def list_leases(self) -> list[LeaseSummary]:
+        """See ``types.Authority``."""
+        now_ms = time.time() * 1000
+        return [
+            LeaseSummary(
+                task_name=str(task_name),
+                holder=str(holder),
+                token=int(token),
+                remaining_ms=max(0.0, seen_ms + ttl_ms - now_ms),
+                recalled=bool(recalled),
+                last_completed_unix_ms=int(completed_ms),
+            )
+            for task_name, holder, token, ttl_ms, seen_ms, recalled, completed_ms in await self._query(
+                SUMMARIES_SQL
+            )
+        ]
+
+    async def recall(self, task_name: str, *, at_once: bool) -> bool:
+        """See ``types.Authority``."""
+        return bool(await self._change(FREE_SQL if at_once else RECALL_SQL, task_name))
 
     async def close(self) -> None:
-        """See ``terms.Authority``."""
+        """See ``types.Authority``."""
         if self._session is not None:
             await self._session.close()
             self._session = None
 
-    async def _connected(self) -> Session:
+    async def _change_and_read(self, sql: str, *values: Value) -> tuple[list[Row], LeaseStatus]:
+        """Change a lease, and read its status in the same transaction; ``values`` begin with its name."""
+        steps = [Step(sql, [values]), Step(STATUS_SQL, [values[:1]])]
+        changed, found = await self._run(lambda session: session.transact(steps))
+        return changed, _decode_status(found)
+
+    async def _change(self, sql: str, *values: Value) -> list[Row]:
+        results = await self._run(lambda session: session.transact([Step(sql, [values])]))
+        return results[0]
+
+    async def _query(self, sql: str, *values: Value) -> list[Row]:
+        return await self._run(lambda session: session.query(sql, *values))
+
+    async def _run(self, operation: Callable[[Session], Awaitable[ResultT]]) -> ResultT:
+        try:
+            return await self._run_with_table(operation)
+        except StoreFault as error:
+            self._discard_session()
+            raise AuthorityFault(str(error)) from error
+
+    async def _run_with_table(self, operation: Callable[[Session], Awaitable[ResultT]]) -> ResultT:
+        session = await self._connected_session()
+        try:
+            return await operation(session)
+        except StoreFault as error:
+            if error.kind is not Kind.SCHEMA:
+                raise
+        await session.script([CREATE_TABLE_SQL])  # it could not be made at the start
+        return await operation(session)
+
+    async def _connected_session(self) -> Session:
         async with self._connecting:
             if self._session is None or self._session.closed:
                 self._session = await connect(self.target)
             return self._session
 
-    def _give_up(self) -> None:
-        """Guards against an answer of one ask being taken for that of the next.
-
-        The connection is not reused.
-        """
+    def _discard_session(self) -> None:
+        """Guards against a late answer to one request being taken for that of the next."""
         if self._session is not None:
             self._session.abort()
             self._session = None
+
+
+def _decode_status(rows: list[Row]) -> LeaseStatus:
+    """Decode the rows of ``STATUS_SQL``; there is none for a lease that nobody ever held."""
+    if not rows:
+        return NEVER_HELD_STATUS
+    token, renewals, holder, ttl_ms = rows[0]
+    version = LeaseVersion(int(token), int(renewals))
+    return LeaseStatus(version, str(holder), is_free=holder == "", ttl_ms=float(ttl_ms))
+
+
+def _wall_clock_ms() -> int:
+    return int(time.time() * 1000)
--- a/sabledyke/lease/types.py
+++ b/sabledyke/lease/types.py
@@ -1,146 +1,189 @@
-"""The terms of leases: times, what a holder asks of the authority, and what that answers. Plain data.
+"""Lease times, the requests a holder sends to the authority, and the replies. Plain data.
 
-All times are milliseconds on the clock of whoever counts them; no two clocks are ever compared. Source:
-Gray and Cheriton, 'Leases' (SOSP 1989), for the bound on rates; Burrows, 'The Chubby lock service' (OSDI
-2006), for sequencers, here called fencing tokens, and for counting a lease from before it was asked for.
+All times are milliseconds on the clock of the process that measures them; clocks of different processes are
+never compared. Sources: Gray and Cheriton, 'Leases' (SOSP 1989), for the bound on clock rates; Burrows, 'The
+Chubby lock service' (OSDI 2006), for sequencers, here called fencing tokens, and for counting a lease from
+before it was requested.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
-from sabledyke.errors import AuthorityFault as AuthorityFault
 
-Stamp = tuple[int, int]  # token and beat of a lease's row: whoever renews or takes it changes them
+class LeaseVersion(NamedTuple):
+    """Identifies one state of a lease: every acquisition and every renewal changes it."""
 
-NOBODY: Stamp = (0, 0)  # of a lease that nobody ever held
+    token: int
+    renewals: int
+
+
+NEVER_HELD = LeaseVersion(0, 0)
 
 
 @dataclass(slots=True, frozen=True)
-class Times:
+class LeaseTimes:
     """How long a lease lasts, and how far clocks are trusted.
 
-    ``ttl``: a lease that is not renewed for so long may be taken by another.
-    ``renew``: a holder renews, and others look, about this often.
-    ``margin``: a holder stops acting so long before its lease ends, for a step that it has begun.
-    ``drift``: the rate of any clock differs from true time by at most this part of it.
-    ``counts``: the authority counts leases out by its own clock; else whoever wants one watches it stand
-    still.
+    Attributes:
+        ttl_ms: A lease that is not renewed for this long may be acquired by another process.
+        renew_interval_ms: How often a holder renews, and the others check, approximately.
+        safety_margin_ms: How long before the end of its lease a holder stops acting, which leaves time for a
+            step that it has begun.
+        max_clock_drift: The rate of any clock differs from true time by at most this fraction.
+        authority_tracks_expiry: Whether the authority expires leases by its own clock. Otherwise a process
+            that wants a lease waits until it has seen it unchanged for the whole time.
     """
 
-    ttl: float = 3000.0
-    renew: float = 750.0
-    margin: float = 300.0
-    drift: float = 0.02
-    counts: bool = False
+    ttl_ms: float = 3000.0
+    renew_interval_ms: float = 750.0
+    safety_margin_ms: float = 300.0
+    max_clock_drift: float = 0.02
+    authority_tracks_expiry: bool = False
 
     @property
-    def acts(self) -> float:
-        """For how long after it asked a holder may act.
+    def acting_window_ms(self) -> float:
+        """For how long after its request a holder may act.
 
-        Its clock may be slow and the one that counts its lease out fast: of ``ttl`` there, (1 - drift) /
-        (1 + drift) is the least that passes here.
+        The holder's clock may be slow, and the one that expires its lease fast. While ``ttl_ms`` pass there,
+        at least (1 - drift) / (1 + drift) of it pass here.
         """
-        return self.ttl * (1 - self.drift) / (1 + self.drift) - self.margin
+        slowest_rate = (1 - self.max_clock_drift) / (1 + self.max_clock_drift)
+        return self.ttl_ms * slowest_rate - self.safety_margin_ms
 
 
 @dataclass(slots=True, frozen=True)
-class Look:
-    """Who holds it?"""
+class Inspect:
+    """Request the status of the lease."""
 
 
 @dataclass(slots=True, frozen=True)
-class Take:
-    """Take it, if it still stands as it was seen."""
+class Acquire:
+    """Acquire the lease, if it is still at the version that was seen."""
 
-    stamp: Stamp
+    version: LeaseVersion
 
 
 @dataclass(slots=True, frozen=True)
 class Renew:
-    """Keep it, if it is still held under this token."""
+    """Renew the lease, if it is still held under this token."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Give it up, if it is still held under this token."""
+    """Release the lease, if it is still held under this token."""
 
     token: int
 
 
-Ask = Look | Take | Renew | Release
+LeaseRequest = Inspect | Acquire | Renew | Release
 
 
 @dataclass(slots=True, frozen=True)
-class Sight:
-    """How the lease stands: the answer to ``Look``, and to any other that could not be done."""
+class LeaseStatus:
+    """The status of a lease: the reply to ``Inspect``, and to any other request that was not granted.
+
+    Attributes:
+        version: The version of the lease.
+        holder: The holder's identifier, "" for none.
+        is_free: Whether it may be acquired at once.
+        ttl_ms: How long its holder may rely on it, where that is known.
+    """
 
-    stamp: Stamp
-    holder: str  # "" for nobody
-    free: bool  # it may be taken at once
-    ttl: float = 0.0  # how long its holder may rely on it, where that is known
+    version: LeaseVersion
+    holder: str
+    is_free: bool
+    ttl_ms: float = 0.0
+
+
+NEVER_HELD_STATUS = LeaseStatus(NEVER_HELD, holder="", is_free=True)
 
 
 @dataclass(slots=True, frozen=True)
 class Granted:
-    """The answer to ``Take``: it is held, under a token higher than any before."""
+    """The reply to ``Acquire``: the lease is held, under a token higher than any before."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Renewed:
-    """The answer to ``Renew``; ``recalled`` where an operator wants it given up."""
+    """The reply to ``Renew``; ``recalled`` where an operator wants the lease released."""
 
     recalled: bool = False
 
 
-Reply = Sight | Granted | Renewed
+LeaseReply = LeaseStatus | Granted | Renewed
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
+class LeaseSummary:
     """A lease as operators see it.
 
-    ``left`` in ms by the authority's clock or the wall's, and not decided by.
+    Attributes:
+        task_name: The leader task that the lease is for.
+        holder: The holder's identifier, "" for none.
+        token: The highest token that was granted.
+        remaining_ms: Time left by the authority's clock or the wall clock; no decision depends on it.
+        recalled: Whether an operator wants it released.
+        last_completed_unix_ms: When the task was last completed; 0 for never.
     """
 
-    duty: str
+    task_name: str
     holder: str
     token: int
-    left: float
+    remaining_ms: float
     recalled: bool
-    done: int  # when the duty was last done, in Unix ms; 0 for never
+    last_completed_unix_ms: int
 
 
 class Authority(Protocol):
-    """Who keeps the leases: it does each ask as one step, or not at all."""
+    """The service that stores leases. It executes each request as one atomic step, or not at all."""
+
+    tracks_expiry: bool  # see ``LeaseTimes.authority_tracks_expiry``
+
+    async def open(self) -> None:
+        """Prepare for use.
 
-    counts: bool  # see ``Times``
+        Raises:
+            ConfigError: It cannot be used as it is configured.
+        """
 
-    async def ask(self, duty: str, me: str, ask: Ask) -> Reply:
-        """Do it; an AuthorityFault where it is not known to be done."""
+    async def request(self, task_name: str, holder_id: str, request: LeaseRequest) -> LeaseReply:
+        """Execute a request on the lease of a leader task.
 
-    async def done(self, duty: str, token: int, at: int) -> bool:
-        """Note that the duty was done, in Unix ms; False where a later token is known: it does not count."""
+        Raises:
+            AuthorityFault: It is not known whether the request was executed.
+        """
 
-    async def last(self, duty: str) -> int:
-        """When it was last done; 0 for never. Only for when to do it next: nothing safe hangs on it."""
+    async def record_completion(self, task_name: str, token: int, at_unix_ms: int) -> bool:
+        """Record when the task was completed.
 
-    async def standing(self) -> list[Standing]:
-        """Every lease, for operators."""
+        Returns:
+            False where the token is not the latest one, so that nothing was recorded.
+        """
 
-    async def recall(self, duty: str, *, at_once: bool) -> bool:
-        """Ask its holder to give it up, or free it at once; False where nobody holds it.
+    async def last_completed_unix_ms(self, task_name: str) -> int:
+        """Return when the task was last completed; 0 for never.
 
-        Freed at once, its holder may go on until it next renews: only fencing keeps the two apart.
+        It only schedules the next run; safety does not depend on it.
         """
 
-    async def open(self) -> None:
-        """Get ready; a ConfigError in one plain line where that cannot be."""
+    async def list_leases(self) -> list[LeaseSummary]:
+        """Return every lease, for operators."""
+
+    async def recall(self, task_name: str, *, at_once: bool) -> bool:
+        """Have its holder release a lease at its next renewal, or free it at once.
+
+        After it was freed at once, the former holder may act until its next renewal; only fencing separates
+        the two.
+
+        Returns:
+            False where nobody holds it.
+        """
 
     async def close(self) -> None:
-        """End what is open."""
+        """Close what is open."""
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -18,8 +18,8 @@
 from sabledyke.toml_tables import Milliseconds, Table, convert, from_file, parsed
 
 if TYPE_CHECKING:
-    from sabledyke.compacted_log.section import Section as BoardSection
-    from sabledyke.lease.section import Section as LeaseSection
+    from sabledyke.compacted_log.section import LogSection as BoardSection
+    from sabledyke.lease.section import LeaseSection
     from sabledyke.placement.volume_placement import Map
     from sabledyke.quota_sharing.section import Section as FleetSection
     from sabledyke.rollout.section import Section as RolloutSection
--- a/sabledyke/placement/evacuation.py
+++ b/sabledyke/placement/evacuation.py
@@ -17,7 +17,7 @@
 
 import orjson
 
-from sabledyke.compacted_log.records import BATCH, Message
+from sabledyke.compacted_log.records import MAX_APPEND_MESSAGES, Message
 from sabledyke.placement.volume_placement import Home, Map, destination, leaves, member
 from sabledyke.rollout.planner import Move
 from sabledyke.rollout.records import STEPS, Plan, Stage, State, View
@@ -52,7 +52,7 @@
         if name in seen.members:
             for volume, load in some.items():
                 most[volume] = max(most.get(volume, (0.0, "")), (load, name))
-    new = [v for v in sorted(most) if v not in homes][:BATCH]
+    new = [v for v in sorted(most) if v not in homes][:MAX_APPEND_MESSAGES]
     made = [(v, most[v][1], seen.members[most[v][1]].site) for v in new]
     return (
         Shift(tuple(Home(v, site, who, site) for v, who, site in made), f"{len(made)} new") if made else None
@@ -70,7 +70,7 @@
         load = total.get(home.name, 0.0)
         used[home.site] = used.get(home.site, 0.0) + load
         held[home.member] = held.get(home.member, 0.0) + load
-    for home in going[:BATCH]:
+    for home in going[:MAX_APPEND_MESSAGES]:
         load = total.get(home.name, 0.0)
         to = (
             plan.retire
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.reader import Follower
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.reader import LogReader
 from sabledyke.compacted_log.records import Draft
 from sabledyke.placement import evacuation
 from sabledyke.placement.evacuation import HOMES, Shift
@@ -26,9 +26,9 @@
 class SiteKeeper:
     """Of one coordinator; what it knows is begun anew with each token."""
 
-    def __init__(self, board: Board, map_: Map) -> None:
+    def __init__(self, board: CompactedLog, map_: Map) -> None:
         self._board, self._map = board, map_
-        self._reader, self._token = Follower(), 0
+        self._reader, self._token = LogReader(), 0
         self._calm = (0, 0)  # answers of the survivors, and those that served nobody, before anybody moved
         self._base = Baseline()
         self._stepped = ("", 0)
@@ -40,10 +40,10 @@
         nothing is to do.
         """
         if token != self._token:
-            self._token, self._pen = token, self._board.pen(HOMES, "coordinator", token)
+            self._token, self._pen = token, self._board.writer(HOMES, "coordinator", token)
             self._base, self._stepped = Baseline(), ("", 0)
         await self._board.catch_up(HOMES, self._reader)
-        homes, total = evacuation.read(self._reader.state), dict[str, float]()
+        homes, total = evacuation.read(self._reader.latest), dict[str, float]()
         loads: dict[str, dict[str, float]] = {
             name.removeprefix(LOADS): orjson.loads(value)
             for name, value in signs.items()
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -16,13 +16,13 @@
 from sabledyke import invariants, log
 from sabledyke.application.extensions import Done, Host, Part, Submit
 from sabledyke.compacted_log import registers
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.records import Cell, register_key, said_of, writer_key
-from sabledyke.compacted_log.section import Section as BoardSection
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.records import Cell, decode_writer_state, register_key, writer_key
+from sabledyke.compacted_log.section import LogSection as BoardSection
 from sabledyke.config import Config, ConfigError
 from sabledyke.core import Work
 from sabledyke.errors import BoardFault, StaleWriter
-from sabledyke.lease.manager import boottime
+from sabledyke.lease.manager import boottime_ms
 from sabledyke.quota_sharing.allocation import TOPIC, Demands, Shares
 from sabledyke.quota_sharing.demand import Meter
 from sabledyke.quota_sharing.section import Section
@@ -38,11 +38,11 @@
     """See ``parts.Part``."""
 
     def __init__(
-        self, host: Host, section: Section, place: BoardSection, clock: Callable[[], float] = boottime
+        self, host: Host, section: Section, place: BoardSection, clock: Callable[[], float] = boottime_ms
     ) -> None:
         self._host, self._section, self._place, self._clock = host, section, place, clock
-        self._name, self._board = host.config.name, Board(place.shelf(), host.config.seed)
-        self._shelf, self.shares = self._board.shelf, Shares(section.policy, section.times)
+        self._name, self._board = host.config.name, CompactedLog(place.create_backend(), host.config.seed)
+        self._shelf, self.shares = self._board.backend, Shares(section.policy, section.times)
         self._meter = Meter(clock())
         self._number = self._stands = 0  # of the last word, and of the one that is known to stand ...
         self._at = 0  # ... the version of its cell, and since when that is known
@@ -109,7 +109,7 @@
 
     async def _begin(self) -> None:
         await self._shelf.open()
-        self._nonce = (await self._board.claim(TOPIC, self._name)).writer.nonce
+        self._nonce = (await self._board.claim_writer(TOPIC, self._name)).identity.nonce
         me, here = writer_key(TOPIC, self._name), register_key(TOPIC, self._name)
         cells = await self._shelf.get([me, here])
         self._mine(cells.get(me))
@@ -118,7 +118,7 @@
         self._writer = cells[me].version
 
     def _mine(self, cell: Cell | None) -> None:
-        said = said_of(cell)
+        said = decode_writer_state(cell)
         if said is None or said.nonce != self._nonce:
             raise StaleWriter(f"{self._name}: another life of it shares")
 
@@ -133,7 +133,7 @@
         self.shares.stands(number, self._clock())
 
     async def _look(self) -> None:
-        began, cells, known = self._clock(), await registers.cells(self._shelf, TOPIC), self._read
+        began, cells, known = self._clock(), await registers.read_cells(self._shelf, TOPIC), self._read
         self._stand(cells.pop(self._name, None))
         same = {n for n, cell in cells.items() if n in known and known[n][0] == cell.version}
         self._read = {n: known[n] if n in same else (cell.version, _word(cell)) for n, cell in cells.items()}
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Callable
 
-from sabledyke.compacted_log.client import Board, Pen
-from sabledyke.compacted_log.reader import Follower
+from sabledyke.compacted_log.client import CompactedLog, LogWriter
+from sabledyke.compacted_log.reader import LogReader
 from sabledyke.compacted_log.records import Draft
 from sabledyke.errors import BoardFault, Conflict
 from sabledyke.rollout.planner import Move
@@ -17,20 +17,20 @@
 OPERATOR = "operator"  # the writer's name
 
 
-async def write(pen: Pen, move: Move) -> None:
+async def write(pen: LogWriter, move: Move) -> None:
     """Carry out a move on the board; Conflict where it no longer stands, StaleWriter under an older token."""
     drafts = [Draft(key(record), pack(record)) for record in move.writes]
     drafts += [Draft(name, None) for name in move.ends]
     await pen.append(drafts, dict(move.expects), move.end)
 
 
-async def look(board: Board, reader: Follower) -> View:
+async def look(board: CompactedLog, reader: LogReader) -> View:
     """The fleet as it stands."""
     await board.catch_up(FLEET, reader)
-    return view(reader.state, reader.position)
+    return view(reader.latest, reader.position)
 
 
-async def say(board: Board, reader: Follower, decide: Callable[[View], Move], again: int = 0) -> Move:
+async def say(board: CompactedLog, reader: LogReader, decide: Callable[[View], Move], again: int = 0) -> Move:
     """The move that was written.
 
     After a BoardFault it may have been written; it is asked for ``again`` so many times, and taken once. What
@@ -38,7 +38,7 @@
     """
     while True:
         move = decide(await look(board, reader))
-        pen = await board.claim(FLEET, OPERATOR)  # another operator's word since then shuts nobody out
+        pen = await board.claim_writer(FLEET, OPERATOR)  # another operator's word since then shuts nobody out
         for left in reversed(range(again + 1)):
             try:
                 await write(pen, move)
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -22,15 +22,15 @@
 from sabledyke import invariants, log
 from sabledyke.application.extensions import Done, Host, Part, Submit
 from sabledyke.compacted_log import registers
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.reader import Follower
-from sabledyke.compacted_log.section import Section as BoardSection
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.reader import LogReader
+from sabledyke.compacted_log.section import LogSection as BoardSection
 from sabledyke.config import PREFIX, Config, ConfigError
 from sabledyke.core import Work
 from sabledyke.errors import AuthorityFault, BoardFault, Conflict, Lost, StaleWriter, WantsFault
-from sabledyke.lease.extension import authority_of
-from sabledyke.lease.manager import Keeper, boottime
-from sabledyke.lease.section import Section as LeaseSection
+from sabledyke.lease.extension import create_authority
+from sabledyke.lease.manager import LeaseManager, boottime_ms
+from sabledyke.lease.section import LeaseSection
 from sabledyke.placement.evacuation import HOMES
 from sabledyke.placement.evacuation_driver import LOADS, MOST_LOADS, SiteKeeper
 from sabledyke.placement.volume_placement import Map
@@ -77,10 +77,10 @@
         self._host, self._section, self._place = host, section, board
         self._name, self._seed = host.config.name, host.config.seed
         self._me = f"{self._name}.{uuid4().hex[:12]}"
-        self._board = Board(board.shelf(), self._seed)
-        self._authority = authority_of(lease)
+        self._board = CompactedLog(board.create_backend(), self._seed)
+        self._authority = create_authority(lease)
         self._times = lease.times
-        self._fleet = Follower(board.most_keys)
+        self._fleet = LogReader(board.max_keys)
         self._seen = View(0)  # as of the last look
         self._participant: Participant | None = None
         self._closing: node_drain.Closing | None = None
@@ -92,7 +92,7 @@
         self._sites = SiteKeeper(self._board, sites) if sites is not None else None
         self._loads: dict[str, float] = {}  # units by volume since the last beat
         self._tasks: list[asyncio.Task[None]] = []
-        self._keeper = Keeper(DUTY, self._me, self._authority, self._times, self._seed)
+        self._keeper = LeaseManager(DUTY, self._me, self._authority, self._times, self._seed)
 
     async def open(self) -> None:
         """See ``parts.Part``: the board is there, and this life of the member has begun."""
@@ -101,7 +101,7 @@
             if self._host.leaving():
                 return
             await asyncio.sleep(AGAIN)
-        life = self._pen.writer.life
+        life = self._pen.identity.incarnation
         self._participant = Participant(self._name, life, self._section.valid)
         self._closing = node_drain.Closing(self._name, life, self._host.config.settings.drain_grace)
         self.in_turn = self._participant.in_turn(seen)
@@ -119,9 +119,9 @@
             loop.create_task(self._always(self._member, pace)),
             loop.create_task(self._always(self._beat, lambda: beat)),
             loop.create_task(self._always(self._coordinate(), pace)),
-            loop.create_task(self._always(self._clean, lambda: self._place.clean)),
+            loop.create_task(self._always(self._clean, lambda: self._place.compaction_interval_s)),
         ]
-        log.say("fleet", f"{self._me} is a member, life {self._pen.writer.life}, {self._section}")
+        log.say("fleet", f"{self._me} is a member, life {self._pen.identity.incarnation}, {self._section}")
 
     async def _joined(self) -> View | None:
         """The board as this life finds it, once all others can know of it; None where it does not answer now.
@@ -130,10 +130,10 @@
         one that takes clients without having heard what is drained.
         """
         try:
-            await self._board.shelf.open()
-            self._pen = await self._board.claim(FLEET, self._name)
-            beats = await self._board.claim(BEATS, self._name)
-            self._signs = registers.Register(self._board.shelf, BEATS, beats.writer)
+            await self._board.backend.open()
+            self._pen = await self._board.claim_writer(FLEET, self._name)
+            beats = await self._board.claim_writer(BEATS, self._name)
+            self._signs = registers.RegisterWriter(self._board.backend, BEATS, beats.identity)
             # It says that it lives before it looks for the first time: see ``boxes``.
             await write(self._pen, Move("warming", (self._me_as(State.WARMING),)))
             return await self._look()
@@ -166,7 +166,7 @@
 
     async def _look(self) -> View:
         if await self._board.catch_up(FLEET, self._fleet) or self._seen.next != self._fleet.position:
-            self._seen = view(self._fleet.state, self._fleet.position)  # else nothing is read anew
+            self._seen = view(self._fleet.latest, self._fleet.position)  # else nothing is read anew
             self._shut_to(
                 node_drain.shut(self._seen)
             )  # what was read is in force, before anything rests on it
@@ -199,7 +199,7 @@
             return
         if (ticket := self._participant.gone(seen)) is not None and state is not State.LEAVING:
             return self._go(ticket)  # what it said is written, though it was not heard to be
-        now = boottime()
+        now = boottime_ms()
         move = self._closing.step(seen, now, lambda box: self._host.busy(box.encode()))
         if move is None and state is State.READY:
             move = self._participant.step(seen, now)
@@ -215,7 +215,9 @@
             self._go(seen.tickets[self._name])
 
     def _me_as(self, state: State) -> Member:
-        return Member(self._name, self._pen.writer.life, self._section.version, self._section.site, state)
+        return Member(
+            self._name, self._pen.identity.incarnation, self._section.version, self._section.site, state
+        )
 
     def _shut_to(self, closed: frozenset[str]) -> None:
         """These boxes are sent nothing fresh from now on, and others again as the list has them."""
@@ -261,7 +263,7 @@
 
     async def _beat(self) -> None:
         answered, bad = self._host.answers()
-        value = orjson.dumps([self._pen.writer.life, answered, bad, round(boottime())])
+        value = orjson.dumps([self._pen.identity.incarnation, answered, bad, round(boottime_ms())])
         signs = {self._name: value}
         if self._sites is not None:
             some, self._loads = self._loads, {}
@@ -288,15 +290,15 @@
             nonlocal token, watch, base, pen, signs, heard
             if self._host.leaving():
                 return
-            held = self._keeper.token()
+            held = self._keeper.current_token()
             if held != token or pen is None:
                 token, watch, base = held, Watch(), Baseline()
-                pen = self._board.pen(FLEET, "coordinator", token)
-            if boottime() - heard >= self._section.beat / 2:
-                signs, heard = await registers.read(self._board.shelf, BEATS), boottime()
-            for _ in range(len(self._fleet.state) + 1):
+                pen = self._board.writer(FLEET, "coordinator", token)
+            if boottime_ms() - heard >= self._section.beat / 2:
+                signs, heard = await registers.read_values(self._board.backend, BEATS), boottime_ms()
+            for _ in range(len(self._fleet.latest) + 1):
                 seen, beats = await self._look(), _beats(signs)
-                now, counts = boottime(), {n: Count(*b[:3]) for n, b in beats.items()}
+                now, counts = boottime_ms(), {n: Count(*b[:3]) for n, b in beats.items()}
                 watch.look(now, planner.stands(seen, beats))
                 bad = bad_plans(seen.active, base.look(counts))
                 patience = self._patience
@@ -304,7 +306,7 @@
                 if move is None and (seen.drains or any(plan.boxes for plan in seen.active)):
                     move = node_drain.decide(seen, token, now, watch, patience, self._boxes())
                 if move is None and self._sites is not None:
-                    self._keeper.token()
+                    self._keeper.current_token()
                     done = await self._sites.turn(seen, token, signs, now, watch, patience)
                     if isinstance(done, str):
                         log.say("fleet", done, token=token)
@@ -312,7 +314,7 @@
                     move = done
                 if move is None:
                     return
-                self._keeper.token()
+                self._keeper.current_token()
                 try:
                     await write(pen, move)
                 except Conflict:
@@ -332,7 +334,7 @@
 
     async def _clean(self) -> None:
         for topic in (FLEET, HOMES, *self._place.topics):
-            await self._board.clean(topic, self._place.policy, self._keeper.token, boottime)
+            await self._board.compact(topic, self._place.compaction, self._keeper.current_token, boottime_ms)
 
     def check(self, operator: Operator) -> None:
         """See ``parts.Part``."""
@@ -343,7 +345,7 @@
         """See ``parts.Part``: its last word is that it is out, as long as the board answers soon."""
         if not self._tasks:  # it never joined
             await self._authority.close()
-            return await self._board.shelf.close()
+            return await self._board.backend.close()
         for task in self._tasks[1:]:
             task.cancel()
         await asyncio.gather(*self._tasks[1:], return_exceptions=True)
@@ -356,7 +358,7 @@
         await self._keeper.stop()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._authority.close()
-        await self._board.shelf.close()
+        await self._board.backend.close()
 
 
 def _beats(signs: Mapping[str, bytes]) -> Mapping[str, tuple[int, int, int, int]]:
--- a/sabledyke/testbed/experiment.py
+++ b/sabledyke/testbed/experiment.py
@@ -203,7 +203,7 @@
             await self.resource.close()
             if self._etcd is not None:
                 await self._etcd.close()
-        verdict, refused = judge(self.resource.acts), self.resource.fence.refused
+        verdict, refused = judge(self.resource.acts), self.resource.fence.rejected
         report = Report(verdict, refused, self._gaps(), statuses, self.cluster.timeline())
         lines = b"".join(orjson.dumps(line) + b"\n" for line in report.timeline)
         (self._folder / "timeline.jsonl").write_bytes(lines)
--- a/sabledyke/testbed/fenced_resource.py
+++ b/sabledyke/testbed/fenced_resource.py
@@ -40,7 +40,7 @@
         """See ``Service``."""
         duty, holder = headers["lease-duty"], headers["lease-holder"]
         token, start = int(headers["lease-token"]), time.monotonic() * 1000
-        if not self.fence.admits(duty, token) and self._fenced:
+        if not self.fence.accepts(duty, token) and self._fenced:
             return 409, b""
         self.last = holder
         await asyncio.sleep(self._takes)
--- a/sabledyke/testbed/fleet_release.py
+++ b/sabledyke/testbed/fleet_release.py
@@ -20,11 +20,11 @@
 from pathlib import Path
 from typing import Any
 
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.etcd_backend import EtcdShelf
-from sabledyke.compacted_log.reader import Follower
-from sabledyke.compacted_log.records import Message, Shelf
-from sabledyke.compacted_log.sqlite_backend import TableShelf
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.etcd_backend import EtcdBackend
+from sabledyke.compacted_log.reader import LogReader
+from sabledyke.compacted_log.records import Backend, Message
+from sabledyke.compacted_log.sqlite_backend import SqliteBackend
 from sabledyke.errors import BoardFault
 from sabledyke.placement import evacuation
 from sabledyke.placement.volume_placement import Home
@@ -128,7 +128,7 @@
         self._versions = ["1"] * setting.size
         self._tasks: list[asyncio.Task[None]] = []
         self.stubborn = False  # whoever starts processes goes on with the version that they have
-        self._reader, self._homes = Follower(), Follower()
+        self._reader, self._homes = LogReader(), LogReader()
 
     async def __aenter__(self) -> Fleet:
         await self.etcd.open()
@@ -146,8 +146,8 @@
                 self.proxies.append(Proxy(self.etcd.port, self._seed + i))
                 await self.proxies[i].open()
             self.cluster.prepare(i, self._operator(i), **dict(more))
-        self.board = Board(self.shelf(), self._seed)
-        await self.board.shelf.open()
+        self.board = CompactedLog(self.shelf(), self._seed)
+        await self.board.backend.open()
         await asyncio.gather(*(self.cluster.start(i) for i in range(self.setting.size)))
         loop = asyncio.get_running_loop()
         for i in range(self.setting.size):
@@ -191,16 +191,16 @@
         for client in self.clients:
             client.close()
         await self.boxes.close()
-        await self.board.shelf.close()
+        await self.board.backend.close()
         for proxy in self.proxies:
             await proxy.close()
         await self.etcd.close()
 
-    def shelf(self) -> Shelf:
+    def shelf(self) -> Backend:
         """One more way to the board."""
         if self.setting.backend == "table":
-            return TableShelf(str(self._folder / "board.sqlite3"))
-        return EtcdShelf([f"127.0.0.1:{self.etcd.port}"], "fleet/")
+            return SqliteBackend(str(self._folder / "board.sqlite3"))
+        return EtcdBackend([f"127.0.0.1:{self.etcd.port}"], "fleet/")
 
     def _operator(self, i: int) -> str:
         s, where = (
@@ -271,11 +271,11 @@
 
     async def _take_away(self) -> None:
         """Whoever cares for the boxes: a drained one is replaced, once for each drain."""
-        known, reader = set[int](), Follower()
+        known, reader = set[int](), LogReader()
         while True:
             with contextlib.suppress(BoardFault):
                 await self.board.catch_up(FLEET, reader)
-            seen = view(reader.state, reader.position)
+            seen = view(reader.latest, reader.position)
             for drain in seen.drains.values():
                 if drain.phase is Phase.DRAINED and drain.begun not in known:
                     known.add(drain.begun)
@@ -399,19 +399,19 @@
     async def log(self) -> list[Message]:
         """All that is kept of the fleet's topic, in order."""
         messages = list[Message]()
-        while page := await self.board.page(FLEET, messages[-1].offset + 1 if messages else 1):
+        while page := await self.board.read_page(FLEET, messages[-1].offset + 1 if messages else 1):
             messages += page
         return messages
 
     def homes(self) -> dict[str, Home]:
         """Where volumes are at home, as clients last read it."""
-        return evacuation.read(self._homes.state)
+        return evacuation.read(self._homes.latest)
 
     async def late(self) -> View:
         """What somebody sees who reads the board for the first time now."""
-        reader = Follower()
+        reader = LogReader()
         await self.board.catch_up(FLEET, reader, 7)
-        return view(reader.state, reader.position)
+        return view(reader.latest, reader.position)
 
     def most_out(self) -> int:
         """By the judge, so far."""
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -10,12 +10,13 @@
 from sabledyke.compacted_log import append, compaction, registers
 from sabledyke.compacted_log import records as board_terms
 from sabledyke.compacted_log import section as board_section
-from sabledyke.compacted_log.client import Board, Pen
-from sabledyke.compacted_log.compaction import Policy
-from sabledyke.compacted_log.etcd_backend import EtcdShelf
-from sabledyke.compacted_log.reader import Follower
-from sabledyke.compacted_log.records import Draft, Message, Shelf, Writer
-from sabledyke.compacted_log.sqlite_backend import TableShelf
+from sabledyke.compacted_log.client import CompactedLog, LogWriter
+from sabledyke.compacted_log.compaction import CompactionPolicy
+from sabledyke.compacted_log.etcd_backend import EtcdBackend as EtcdShelf
+from sabledyke.compacted_log.reader import LogReader
+from sabledyke.compacted_log.records import Backend as Shelf
+from sabledyke.compacted_log.records import Draft, Message, WriterIdentity
+from sabledyke.compacted_log.sqlite_backend import SqliteBackend as TableShelf
 from sabledyke.lease import section as lease_section
 from sabledyke.placement import evacuation, evacuation_driver
 from sabledyke.placement import section as sites_section
@@ -75,45 +76,47 @@
     shelf: Shelf, topic: str, writer: tuple[str, int, str], *drafts: tuple[str, bytes | None]
 ) -> Any:
     """Append to a topic by a new connection of this writer: its name, its life, and what tells it apart."""
-    pen = Pen(Board(shelf), topic, Writer(*writer))
+    pen = LogWriter(CompactedLog(shelf), topic, WriterIdentity(*writer))
     key = board_terms.writer_key(topic, writer[0])
-    before = board_terms.said_of((await shelf.get([key])).get(key))
-    pen._seq = before.seq if before is not None and before.life == writer[1] else 0
+    before = board_terms.decode_writer_state((await shelf.get([key])).get(key))
+    pen._seq = before.sequence if before is not None and before.incarnation == writer[1] else 0
     return await pen.append([Draft(key, value) for key, value in drafts])
 
 
 async def claim(shelf: Shelf, topic: str, name: str, nonce: str) -> tuple[str, int, str]:
     """Begin the next life of a writer."""
     key = board_terms.writer_key(topic, name)
-    writer, commit = append.claim(topic, (await shelf.get([key])).get(key), name, nonce)
+    writer, commit = append.plan_claim(topic, (await shelf.get([key])).get(key), name, nonce)
     assert await shelf.commit(commit.checks, commit.puts)
-    return writer.name, writer.life, writer.nonce
+    return writer.name, writer.incarnation, writer.nonce
 
 
 async def put_registers(
     shelf: Shelf, topic: str, writer: tuple[str, int, str], words: Mapping[str, bytes]
 ) -> None:
     """Write registers of this writer."""
-    await registers.Register(shelf, topic, Writer(*writer)).put(words)
+    await registers.RegisterWriter(shelf, topic, WriterIdentity(*writer)).put(words)
 
 
 async def read_registers(shelf: Shelf, topic: str) -> dict[str, bytes]:
     """All registers of a topic."""
-    return await registers.read(shelf, topic)
+    return await registers.read_values(shelf, topic)
 
 
 async def read_topic(shelf: Shelf, topic: str) -> tuple[dict[str, bytes | None], dict[str, int]]:
     """Values and offsets by key, as a reader that joins now has them."""
-    reader = Follower()
-    await Board(shelf).catch_up(topic, reader)
-    state = reader.state
+    reader = LogReader()
+    await CompactedLog(shelf).catch_up(topic, reader)
+    state = reader.latest
     return {key: m.value for key, m in state.items()}, {key: m.offset for key, m in state.items()}
 
 
 async def clean(shelf: Shelf, topic: str, token: int, now_ms: float) -> None:
     """Compact a topic: all but the two newest messages, and tombstones once they are 50 ms old."""
-    policy = Policy(lag=2, tomb_ms=50, dirty=0.01, bytes_s=1e12)
-    await Board(shelf).clean(topic, policy, lambda: token, lambda: now_ms)
+    policy = CompactionPolicy(
+        min_lag_messages=2, tombstone_retention_ms=50, min_dirty_ratio=0.01, max_bytes_per_s=1e12
+    )
+    await CompactedLog(shelf).compact(topic, policy, lambda: token, lambda: now_ms)
 
 
 def rewritten(key: str, data: bytes) -> bytes:
@@ -121,17 +124,17 @@
     cell = board_terms.Cell(1, data)
     match key.split("/")[1]:
         case "h":
-            return board_terms.pack(*values(board_terms.head_of(cell)))
+            return board_terms.encode_fields(*values(board_terms.decode_head(cell)))
         case "k":
-            return board_terms.pack(*values(board_terms.place_of(cell)))
+            return board_terms.encode_fields(*values(board_terms.decode_position(cell)))
         case "w":
-            said = board_terms.said_of(cell)
+            said = board_terms.decode_writer_state(cell)
             assert said is not None
-            return append._pack(said)
+            return append.encode_writer_state(said)
         case "c":
-            return compaction._pack(compaction.progress_of(cell))
+            return compaction.encode_progress(compaction.decode_progress(cell))
         case "m":
-            return board_terms.pack_message(board_terms.message_of(key, cell))
+            return board_terms.encode_message(board_terms.decode_message(key, cell))
     raise AssertionError(f"unknown kind of cell: {key}")
 
 
@@ -156,7 +159,7 @@
     assert await part._joined() is not None
     part._loads = dict(loads)
     await part._beat()
-    await part._board.shelf.close()
+    await part._board.backend.close()
 
 
 async def sharer_writes(path: str, volume: int) -> None:
--- a/tests/compatibility/program/settings.py
+++ b/tests/compatibility/program/settings.py
@@ -42,7 +42,7 @@
         "store": store_section.StoreTable,
         "tls": tls_section.TlsTable,
         "lease": lease_section.LeaseTable,
-        "board": board_section.BoardTable,
+        "board": board_section.LogTable,
         "rollout": rollout_section.RolloutTable,
         "sites": sites_section.SitesTable,
         "fleet": fleet_section.FleetTable,
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -16,16 +16,33 @@
 from syrupy.assertion import SnapshotAssertion
 
 from sabledyke.compacted_log import client, registers, section
-from sabledyke.compacted_log.client import Board, Pen
-from sabledyke.compacted_log.compaction import Policy
-from sabledyke.compacted_log.etcd_backend import EtcdShelf
-from sabledyke.compacted_log.reader import Again, Caught, Follower, Gone, News, Put
-from sabledyke.compacted_log.records import BATCH, KEY_MOST, VALUE_MOST, Cell, Draft, Shelf, message_key
-from sabledyke.compacted_log.sqlite_backend import TableShelf
+from sabledyke.compacted_log.client import CompactedLog, LogWriter
+from sabledyke.compacted_log.compaction import CompactionPolicy
+from sabledyke.compacted_log.etcd_backend import EtcdBackend
+from sabledyke.compacted_log.reader import (
+    CaughtUp,
+    KeyRemoved,
+    KeyUpdated,
+    LogEvent,
+    LogReader,
+    ReaderRestarted,
+)
+from sabledyke.compacted_log.records import (
+    MAX_APPEND_MESSAGES,
+    MAX_KEY_BYTES,
+    MAX_VALUE_BYTES,
+    Backend,
+    Cell,
+    Draft,
+    message_key,
+)
+from sabledyke.compacted_log.sqlite_backend import SqliteBackend
 from sabledyke.errors import BoardFault, BoardFull, BoardSchema, Conflict, OperatorError, StaleWriter
 from sabledyke.testbed.etcd_server import Etcd
 
-POLICY = Policy(lag=6, tomb_ms=50, dirty=0.3, bytes_s=1e12)
+POLICY = CompactionPolicy(
+    min_lag_messages=6, tombstone_retention_ms=50, min_dirty_ratio=0.3, max_bytes_per_s=1e12
+)
 BACKENDS = ("table", "etcd")
 
 
@@ -37,7 +54,7 @@
 class Faulty:
     """A shelf whose ``dies``-th commit from now is the process's last: done, or not, but never heard of."""
 
-    inner: Shelf
+    inner: Backend
     dies: int = -1
     done: bool = True
     lost: int = 0  # answers of commits that get lost on the way, though they were done
@@ -74,19 +91,19 @@
     """A board on one of the backends, and a clock that the test moves."""
 
     shelf: Faulty
-    board: Board
+    board: CompactedLog
     path: str
     now: float = 0.0
     tokens: list[int] = field(default_factory=lambda: [1])
 
-    async def clean(self, token: int | None = None, policy: Policy = POLICY) -> int:
+    async def clean(self, token: int | None = None, policy: CompactionPolicy = POLICY) -> int:
         given = self.tokens[-1] if token is None else token
-        return await self.board.clean("t", policy, lambda: given, lambda: self.now)
+        return await self.board.compact("t", policy, lambda: given, lambda: self.now)
 
     async def join(self) -> dict[str, bytes | None]:
-        reader = Follower()
+        reader = LogReader()
         await self.board.catch_up("t", reader, 3)
-        return {key: m.value for key, m in reader.state.items()}
+        return {key: m.value for key, m in reader.latest.items()}
 
 
 def on(backend: str, story: Callable[[Setting], Awaitable[None]]) -> None:
@@ -95,13 +112,13 @@
             etcd = Etcd()
             await etcd.open()
             path = str(Path(folder) / "board.sqlite3")
-            inner: Shelf = (
-                TableShelf(path) if backend == "table" else EtcdShelf([f"127.0.0.1:{etcd.port}"], "x/")
+            inner: Backend = (
+                SqliteBackend(path) if backend == "table" else EtcdBackend([f"127.0.0.1:{etcd.port}"], "x/")
             )
             shelf = Faulty(inner)
             await shelf.open()
             async with asyncio.timeout(60):
-                await story(Setting(shelf, Board(shelf, 1), path))
+                await story(Setting(shelf, CompactedLog(shelf, 1), path))
             await shelf.close()
             await etcd.close()
 
@@ -116,12 +133,12 @@
     """Random appends, tombstones, passes killed at a random commit, readers that come late or were long
     away; answers get lost, and are asked for again by the board, or by who wrote.
     """
-    monkeypatch.setattr(client, "PATIENCE", 5.0 * (seed % 2))
+    monkeypatch.setattr(client, "RETRY_TIMEOUT_S", 5.0 * (seed % 2))
 
     async def story(made: Setting) -> None:
         random, model, last = Random(seed), dict[str, bytes](), dict[str, int]()
-        pen = await made.board.claim("t", "w")
-        readers = [Follower() for _ in range(3)]
+        pen = await made.board.claim_writer("t", "w")
+        readers = [LogReader() for _ in range(3)]
         views: list[dict[str, bytes | None]] = [{} for _ in readers]
         offsets: list[int] = []
         for n in range(160):
@@ -136,7 +153,7 @@
                     try:
                         given = await pen.append(drafts)
                     except BoardFault:
-                        assert not client.PATIENCE
+                        assert not client.RETRY_TIMEOUT_S
                         given = await pen.append(drafts)
                     for draft, offset in zip(drafts, given, strict=True):
                         last[draft.key] = offset
@@ -154,9 +171,9 @@
                 case "r":
                     i = random.randrange(3)
                     for news in await made.board.catch_up("t", readers[i], random.randint(1, 5)):
-                        if isinstance(news, Put):
+                        if isinstance(news, KeyUpdated):
                             views[i][news.message.key] = news.message.value
-                        elif isinstance(news, Gone):
+                        elif isinstance(news, KeyRemoved):
                             views[i].pop(news.key, None)
                     assert views[i] == model, (n, i)
             # What was dropped and the key's place go together: an offset that is expected still tells.
@@ -166,10 +183,12 @@
             assert await made.join() == model
             made.now += 100
             await made.clean()
-        kept = await made.board.page("t", 1)
-        assert len(kept) <= len(model) + POLICY.lag + 10  # the latest of each, and the newest part
+        kept = await made.board.read_page("t", 1)
+        assert (
+            len(kept) <= len(model) + POLICY.min_lag_messages + 10
+        )  # the latest of each, and the newest part
         head = await made.board.head("t")
-        assert head.size == sum(m.size for m in kept) and head.dirty >= 0
+        assert head.size_bytes == sum(m.size_bytes for m in kept) and head.dirty_bytes >= 0
 
     on(backend, story)
 
@@ -178,7 +197,7 @@
 def test_conditions_lives_and_repeats(backend: str) -> None:
     async def story(made: Setting) -> None:
         client = made.board
-        pen = await client.claim("t", "w")
+        pen = await client.claim_writer("t", "w")
         (first,) = await pen.append([Draft("k", b"1", 0)])
         with pytest.raises(Conflict):
             await pen.append([Draft("k", b"2", 0)])
@@ -189,20 +208,23 @@
             await pen.append([Draft("k", b"3")], end=second)
         made.shelf.lost = 2  # written, not heard of, asked again: taken once
         (third,) = await pen.append([Draft("k", b"3")])
-        assert [m.value for m in await client.page("t", third)] == [b"3"] and third == second + 1
-        later = await client.claim("t", "w")
-        for stale in (pen, Pen(client, "t", pen.writer)):
+        assert [m.value for m in await client.read_page("t", third)] == [b"3"] and third == second + 1
+        later = await client.claim_writer("t", "w")
+        for stale in (pen, LogWriter(client, "t", pen.identity)):
             with pytest.raises(StaleWriter):
                 await stale.append([Draft("k", b"4")])
         await later.append([Draft("k", b"5")])
-        coordinators = [client.pen("t", "c", life) for life in (7, 9, 9)]
+        coordinators = [client.writer("t", "c", life) for life in (7, 9, 9)]
         await coordinators[0].append([Draft("x", b"")])
         await coordinators[1].append([Draft("x", b"")])
         for behind in (coordinators[0], coordinators[2]):  # an older token, and the same in another's hands
             with pytest.raises(StaleWriter):
                 await behind.append([Draft("x", b"")])
-        large = [Draft("k" * (KEY_MOST + 1), b"")], [Draft("k", b"x" * (VALUE_MOST + 1))]
-        many = [Draft("k", b""), Draft("k", b"")], [Draft(str(n), b"") for n in range(BATCH + 1)]
+        large = [Draft("k" * (MAX_KEY_BYTES + 1), b"")], [Draft("k", b"x" * (MAX_VALUE_BYTES + 1))]
+        many = (
+            [Draft("k", b""), Draft("k", b"")],
+            [Draft(str(n), b"") for n in range(MAX_APPEND_MESSAGES + 1)],
+        )
         for bad in ([], [Draft("", b"")], *large, *many):
             with pytest.raises(BoardFull):
                 await later.append(bad)
@@ -213,26 +235,26 @@
 @pytest.mark.parametrize("backend", BACKENDS)
 def test_a_register_keeps_the_latest_word_of_the_latest_life(backend: str) -> None:
     async def story(made: Setting) -> None:
-        names = [f"w{i}" for i in range(registers.PAGE + 3)]
-        pens = [await made.board.claim("t", name) for name in names]
-        cells = [registers.Register(made.shelf, "t", pen.writer) for pen in pens]
+        names = [f"w{i}" for i in range(registers.PAGE_CELLS + 3)]
+        pens = [await made.board.claim_writer("t", name) for name in names]
+        cells = [registers.RegisterWriter(made.shelf, "t", pen.identity) for pen in pens]
         for cell, name in zip(cells, names, strict=True):
             await cell.put({name: name.encode()})
         await cells[0].put({"w0": b"again", "load/w0": b"7"})
-        found = await registers.read(made.shelf, "t")
+        found = await registers.read_values(made.shelf, "t")
         assert found == {n: n.encode() for n in names} | {"w0": b"again", "load/w0": b"7"}
-        later = registers.Register(made.shelf, "t", (await made.board.claim("t", "w0")).writer)
+        later = registers.RegisterWriter(made.shelf, "t", (await made.board.claim_writer("t", "w0")).identity)
         for _ in range(2):  # the older life is refused, whether or not the later one has written
             with pytest.raises(StaleWriter):
                 await cells[0].put({"w0": b"old"})
             with pytest.raises(StaleWriter):  # also one that had not looked yet
-                await registers.Register(made.shelf, "t", pens[0].writer).put({"w0": b"old"})
+                await registers.RegisterWriter(made.shelf, "t", pens[0].identity).put({"w0": b"old"})
             await later.put({"w0": b"new"})
         with pytest.raises(BoardFull, match="a value has at most"):
-            await later.put({"w0": b"x" * (VALUE_MOST + 1)})
-        await registers.drop(made.shelf, "t", ["w1", "load/w0"])
-        assert (await registers.read(made.shelf, "t")).keys() == set(names) - {"w1"}
-        assert (await registers.read(made.shelf, "t"))["w0"] == b"new" and not await made.join()
+            await later.put({"w0": b"x" * (MAX_VALUE_BYTES + 1)})
+        await registers.delete(made.shelf, "t", ["w1", "load/w0"])
+        assert (await registers.read_values(made.shelf, "t")).keys() == set(names) - {"w1"}
+        assert (await registers.read_values(made.shelf, "t"))["w0"] == b"new" and not await made.join()
 
     on(backend, story)
 
@@ -240,9 +262,9 @@
 @pytest.mark.parametrize("backend", BACKENDS)
 def test_many_writers_at_once_each_get_their_own_offsets(backend: str) -> None:
     async def story(made: Setting) -> None:
-        pens = [await made.board.claim("t", f"w{i}") for i in range(6)]
+        pens = [await made.board.claim_writer("t", f"w{i}") for i in range(6)]
 
-        async def write(pen: Pen, i: int) -> list[int]:
+        async def write(pen: LogWriter, i: int) -> list[int]:
             return [(await pen.append([Draft(f"{i}", b"%d" % n)]))[0] for n in range(10)]
 
         given = await asyncio.gather(*(write(pen, i) for i, pen in enumerate(pens)))
@@ -255,17 +277,20 @@
 @pytest.mark.parametrize("backend", BACKENDS)
 def test_an_older_cleaner_changes_nothing_and_the_newest_part_stays(backend: str) -> None:
     async def story(made: Setting) -> None:
-        pen = await made.board.claim("t", "w")
+        pen = await made.board.claim_writer("t", "w")
         for n in range(30):
             await pen.append([Draft("k", b"%d" % n)])
         await made.clean(5)
-        kept = [m.offset for m in await made.board.page("t", 1)]
-        assert kept[-POLICY.lag :] == list(range(31 - POLICY.lag, 31)) and len(kept) <= POLICY.lag + 1
+        kept = [m.offset for m in await made.board.read_page("t", 1)]
+        assert (
+            kept[-POLICY.min_lag_messages :] == list(range(31 - POLICY.min_lag_messages, 31))
+            and len(kept) <= POLICY.min_lag_messages + 1
+        )
         for n in range(30):
             await pen.append([Draft("k", b"%d" % n)])
         with pytest.raises(StaleWriter):
             await made.clean(4)
-        assert (await made.board.page("t", 1))[-1].offset == 60 and await made.join() == {"k": b"29"}
+        assert (await made.board.read_page("t", 1))[-1].offset == 60 and await made.join() == {"k": b"29"}
 
     on(backend, story)
 
@@ -273,18 +298,18 @@
 @pytest.mark.parametrize("tomb_ms, again", [(50.0, True), (1e9, False)])
 def test_who_was_away_for_longer_than_tombstones_are_kept_is_told_so(tomb_ms: float, again: bool) -> None:
     async def story(made: Setting) -> None:
-        pen, reader = await made.board.claim("t", "w"), Follower()
+        pen, reader = await made.board.claim_writer("t", "w"), LogReader()
         await pen.append([Draft(k, b"1") for k in "abc"])
         await made.board.catch_up("t", reader)
         await pen.append([Draft("b", None)])
         for n in range(20):
             await pen.append([Draft("z", b"%d" % n)])
             made.now += 20
-            await made.clean(policy=Policy(3, tomb_ms, 0.1, 1e12))
+            await made.clean(policy=CompactionPolicy(3, tomb_ms, 0.1, 1e12))
         news = await made.board.catch_up("t", reader)
-        assert (Again() in news) is again and Gone("b") in news and "b" not in reader.state
-        assert set(reader.state) == {"a", "c", "z"} and reader.caught
-        small = Follower(2)
+        assert (ReaderRestarted() in news) is again and KeyRemoved("b") in news and "b" not in reader.latest
+        assert set(reader.latest) == {"a", "c", "z"} and reader.caught_up
+        small = LogReader(2)
         with pytest.raises(BoardFull):
             await made.board.catch_up("t", small)
 
@@ -296,11 +321,11 @@
         inner: Any = made.shelf.inner
         await inner._do(lambda db: db.execute("UPDATE board_about SET schema = 99").fetchall())
         with pytest.raises(BoardSchema, match="schema 99"):
-            await TableShelf(made.path).open()
+            await SqliteBackend(made.path).open()
         spoilt = tmp_path / "spoilt"
         spoilt.write_bytes(b"no database" * 100)
         with pytest.raises(BoardSchema, match="spoilt"):
-            await TableShelf(str(spoilt)).open()
+            await SqliteBackend(str(spoilt)).open()
 
     on("table", story)
 
@@ -323,7 +348,7 @@
             section.read(table)
         return
     made = section.read(table)
-    assert made is not None and made.topics == ("prices", "stock-2") and made.clean == 1.0
+    assert made is not None and made.topics == ("prices", "stock-2") and made.compaction_interval_s == 1.0
 
 
 def test_offsets_sort_as_their_cells_do() -> None:
@@ -332,15 +357,15 @@
     ]
 
 
-def _line(news: News) -> str:
+def _line(news: LogEvent) -> str:
     match news:
-        case Put(message):
+        case KeyUpdated(message):
             return f"{message.key} is {(message.value or b'').decode()}"
-        case Gone(key):
+        case KeyRemoved(key):
             return f"{key} is gone"
-        case Again():
+        case ReaderRestarted():
             return "starts again"
-        case Caught(upto):
+        case CaughtUp(upto):
             return f"knows all up to {upto}"
 
 
@@ -349,13 +374,13 @@
     told = list[str]()
 
     async def story(made: Setting) -> None:
-        pen, early, late = await made.board.claim("t", "w"), Follower(), Follower()
+        pen, early, late = await made.board.claim_writer("t", "w"), LogReader(), LogReader()
 
         async def say(*words: str) -> None:
             for key, _, value in (word.partition("=") for word in words):
                 await pen.append([Draft(key, value.encode() or None)])
 
-        async def hear(who: str, reader: Follower) -> None:
+        async def hear(who: str, reader: LogReader) -> None:
             told.extend(f"{who}: {_line(news)}" for news in await made.board.catch_up("t", reader, 3))
 
         await say("milk=1.20", "bread=2.10", "eggs=3.00", "milk=1.25")
@@ -368,7 +393,7 @@
         await say("oil=6.10", "salt=")
         await hear("late", late)
         await hear("early", early)
-        assert {k: m.value for k, m in early.state.items()} == await made.join()
+        assert {k: m.value for k, m in early.latest.items()} == await made.join()
 
     on("table", story)
     table, told[:] = "\n".join(told), []
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -14,25 +14,25 @@
 from sabledyke import log
 from sabledyke.__main__ import main
 from sabledyke.config import ConfigError
-from sabledyke.errors import OperatorError
+from sabledyke.errors import AuthorityFault, Lost, OperatorError, Refused
 from sabledyke.lease import extension, leader_tasks, section
 from sabledyke.lease.etcd_authority import EtcdAuthority
 from sabledyke.lease.fencing import Fence
-from sabledyke.lease.manager import Keeper, Lost
-from sabledyke.lease.sql_authority import TableAuthority
+from sabledyke.lease.manager import LeaseManager
+from sabledyke.lease.sql_authority import SqlAuthority
 from sabledyke.lease.types import (
-    Ask,
+    Acquire,
     Authority,
-    AuthorityFault,
     Granted,
-    Look,
+    Inspect,
+    LeaseReply,
+    LeaseRequest,
+    LeaseStatus,
+    LeaseTimes,
+    LeaseVersion,
     Release,
     Renew,
     Renewed,
-    Reply,
-    Sight,
-    Take,
-    Times,
 )
 from sabledyke.operator_config import Operator
 from sabledyke.protocol.discovery import ListError
@@ -44,7 +44,7 @@
 from sabledyke.testbed.lease_model import FAST, PAIRS, SLOW, UNBOUND, Setup
 from tests.helpers import FIXED
 
-TIMES = Times(ttl=1000, renew=100, margin=100, drift=0.02)
+TIMES = LeaseTimes(ttl_ms=1000, renew_interval_ms=100, safety_margin_ms=100, max_clock_drift=0.02)
 
 
 def test_no_order_of_faults_has_two_holders_act() -> None:
@@ -80,9 +80,9 @@
     def __init__(self) -> None:
         self.holder, self.token = "", 0
 
-    def ask(self, me: str, ask: Ask) -> str:
+    def ask(self, me: str, ask: LeaseRequest) -> str:
         mine = isinstance(ask, Renew | Release) and self.holder == me and ask.token == self.token
-        if isinstance(ask, Take) and not self.holder:
+        if isinstance(ask, Acquire) and not self.holder:
             self.holder, self.token = me, self.token + 1
             return "granted"
         if isinstance(ask, Renew) and mine:
@@ -92,7 +92,7 @@
         return f"held by {self.holder}"
 
 
-MOVES = st.tuples(st.sampled_from("abc"), st.sampled_from([Look, Take, Renew, Release]))
+MOVES = st.tuples(st.sampled_from("abc"), st.sampled_from([Inspect, Acquire, Renew, Release]))
 
 
 @pytest.mark.parametrize("backend", ["table", "etcd"])
@@ -107,17 +107,23 @@
         table, here = Target(path=str(tmp_path_factory.mktemp("lease") / "l")), f"127.0.0.1:{etcd.port}"
         made: dict[str, Authority] = {}
         for me in "abc":
-            made[me] = TableAuthority(table, 5000)
+            made[me] = SqlAuthority(table, 5000)
             if backend == "etcd":
                 made[me] = EtcdAuthority([here], "x/", 5000, 5000)
             await made[me].open()
         for me, kind in moves:
-            seen = await made[me].ask("d", me, Look())
-            assert isinstance(seen, Sight) and described(seen) == naive.ask(me, Look())
-            if kind is Take and not seen.free:
+            seen = await made[me].request("d", me, Inspect())
+            assert isinstance(seen, LeaseStatus) and described(seen) == naive.ask(me, Inspect())
+            if kind is Acquire and not seen.is_free:
                 continue  # a keeper takes what is free, or what it saw stand still
-            real = Look() if kind is Look else Take(seen.stamp) if kind is Take else kind(tokens[-1])
-            reply = await made[me].ask("d", me, real)
+            real = (
+                Inspect()
+                if kind is Inspect
+                else Acquire(seen.version)
+                if kind is Acquire
+                else kind(tokens[-1])
+            )
+            reply = await made[me].request("d", me, real)
             assert described(reply) == naive.ask(me, kind(naive.token) if kind in (Renew, Release) else real)
             if isinstance(reply, Granted):
                 assert reply.token > tokens[-1]  # tokens only rise
@@ -129,9 +135,9 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def described(reply: Reply) -> str:
-    if isinstance(reply, Sight):
-        assert reply.free == (reply.holder == "")
+def described(reply: LeaseReply) -> str:
+    if isinstance(reply, LeaseStatus):
+        assert reply.is_free == (reply.holder == "")
         return f"held by {reply.holder}"
     return "granted" if isinstance(reply, Granted) else "renewed"
 
@@ -139,13 +145,13 @@
 class Script:
     """An authority that answers as told; a fault for None."""
 
-    counts = True
+    tracks_expiry = True
 
-    def __init__(self, *replies: Reply | None) -> None:
-        self.replies, self.asked = list(replies), list[Ask]()
+    def __init__(self, *replies: LeaseReply | None) -> None:
+        self.replies, self.asked = list(replies), list[LeaseRequest]()
 
-    async def ask(self, duty: str, me: str, ask: Ask) -> Reply:
-        self.asked.append(ask)
+    async def request(self, task_name: str, holder_id: str, request: LeaseRequest) -> LeaseReply:
+        self.asked.append(request)
         reply = self.replies.pop(0) if self.replies else None
         if reply is None:
             raise AuthorityFault("scripted")
@@ -154,9 +160,9 @@
 
 def test_a_grant_that_is_long_on_its_way_is_not_acted_on_and_time_counts_from_the_question() -> None:
     async def run() -> None:
-        now, free = [1000.0], Sight((0, 0), "", True)
-        script = Script(free, Granted(7), Sight((7, 0), "me", False), Renewed())
-        keeper = Keeper("d", "me", script, TIMES, 1, lambda: now[0])  # type: ignore[arg-type]
+        now, free = [1000.0], LeaseStatus(LeaseVersion(0, 0), "", True)
+        script = Script(free, Granted(7), LeaseStatus(LeaseVersion(7, 0), "me", False), Renewed())
+        keeper = LeaseManager("d", "me", script, TIMES, 1, lambda: now[0])  # type: ignore[arg-type]
         task = asyncio.create_task(keeper.run())
         while len(script.asked) < 2:
             now[0] += 5
@@ -164,37 +170,37 @@
         now[0] += 5000  # it stands still before the answer reaches it
         while len(script.asked) < 4:
             with pytest.raises(Lost):
-                keeper.token()
+                keeper.current_token()
             await asyncio.sleep(0)
-        await keeper.held.wait()
-        assert keeper.token() == 7 and keeper.state.until <= now[0] + TIMES.acts
-        now[0] += TIMES.acts
+        await keeper.leading.wait()
+        assert keeper.current_token() == 7 and keeper.state.acts_until_ms <= now[0] + TIMES.acting_window_ms
+        now[0] += TIMES.acting_window_ms
         with pytest.raises(Lost):
-            keeper.token()
+            keeper.current_token()
         await keeper.stop()
         await task
-        assert script.asked[2:4] == [Look(), Renew(7)] and script.asked[-1] == Release(7)
+        assert script.asked[2:4] == [Inspect(), Renew(7)] and script.asked[-1] == Release(7)
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
 def test_a_fence_lets_no_older_token_through_and_stays_bounded() -> None:
-    fence = Fence(most=2)
-    assert [fence.admits("a", token) for token in (3, 3, 5, 4, 5)] == [True, True, True, False, True]
-    assert all(fence.admits(name, 1) for name in "bcd") and fence.refused == 1
-    assert len(fence._seen) == 2
+    fence = Fence(max_tasks=2)
+    assert [fence.accepts("a", token) for token in (3, 3, 5, 4, 5)] == [True, True, True, False, True]
+    assert all(fence.accepts(name, 1) for name in "bcd") and fence.rejected == 1
+    assert len(fence) == 2
 
 
 def test_duties_on_a_record_are_fenced_and_done_once_for_the_fleet(tmp_path: Path) -> None:
     """Two holders of which one was overtaken: what the older one does leaves nothing behind."""
 
     class Held:
-        me = "n0.life"
+        holder_id = "n0.life"
 
         def __init__(self, token: int) -> None:
             self.number = token
 
-        def token(self) -> int:
+        def current_token(self) -> int:
             return self.number
 
     async def run() -> None:
@@ -203,13 +209,13 @@
         await startup.migrate(session)
         await session.close()
         folder = tmp_path / "backups"
-        backup = section.Duty("nightly", "backup", 1000, str(folder), keep=2)
+        backup = section.LeaderTask("nightly", "backup", 1000, str(folder), keep=2)
         for kind in ("audit", "reconcile"):
-            await leader_tasks.act_of(section.Duty(kind, kind, 1000), record)(Held(4))  # type: ignore[arg-type]
-        act = leader_tasks.act_of(backup, record)
+            await leader_tasks.action_of(section.LeaderTask(kind, kind, 1000), record)(Held(4))  # type: ignore[arg-type]
+        act = leader_tasks.action_of(backup, record)
         for token in (4, 5, 7):
             await act(Held(token))  # type: ignore[arg-type]
-        with pytest.raises(leader_tasks.Refused):
+        with pytest.raises(Refused):
             await act(Held(6))  # type: ignore[arg-type]
         names = sorted(f.name.split(".")[1] for f in folder.iterdir())
         assert names == ["5", "7"]  # the newest two, and nothing half done
@@ -259,13 +265,15 @@
         where = f'etcd = ["127.0.0.1:{etcd.port}"]' if backend == "etcd" else f'path = "{tmp_path / "l"}"'
         file.write_text(f"[lease]\n{where}\n")
         text = section.load(str(file))
-        made: Authority = TableAuthority(Target(path=text.path), 1000)
-        made = EtcdAuthority(text.etcd, text.prefix, 1000, 1000) if backend == "etcd" else made
+        made: Authority = SqlAuthority(Target(path=text.path), 1000)
+        made = EtcdAuthority(text.etcd_endpoints, text.prefix, 1000, 1000) if backend == "etcd" else made
         await made.open()
-        keeper = Keeper("sweep", "n0.life", made, TIMES, 1)
+        keeper = LeaseManager("sweep", "n0.life", made, TIMES, 1)
         task = asyncio.create_task(keeper.run())
-        await keeper.held.wait()
-        assert await made.done("sweep", keeper.token(), 12) and not await made.done("sweep", 0, 13)
+        await keeper.leading.wait()
+        assert await made.record_completion(
+            "sweep", keeper.current_token(), 12
+        ) and not await made.record_completion("sweep", 0, 13)
         for arguments, status, said in (
             (["status"], 0, "held by n0.life"),
             (["release", "sweep"], 0, "gives it up when it next renews"),
@@ -273,9 +281,11 @@
         ):
             command = ["lease", *arguments, "--operator", str(file)]
             assert await asyncio.to_thread(main, command) == status and said in capsys.readouterr().out
-        while keeper.held.is_set():  # it finds out when it renews, and others have a lease's time to take it
+        while (
+            keeper.leading.is_set()
+        ):  # it finds out when it renews, and others have a lease's time to take it
             await asyncio.sleep(0.01)
-        assert await made.last("sweep") == 12
+        assert await made.last_completed_unix_ms("sweep") == 12
         await keeper.stop()
         await task
         await made.close()
@@ -292,17 +302,19 @@
     async def run() -> None:
         first, second = told("l"), told("l", ttl_ms=800, duty=[CALL, CALL | {"name": "e"}])
         assert first.lease is not None
-        made = extension.LeasePart("n0", 1, first.lease, None)
+        made = extension.LeaseExtension("n0", 1, first.lease, None)
         await made.open()
-        await made._keepers[0].held.wait()
-        before = made._keepers[0].token()
+        await made._keepers[0].leading.wait()
+        before = made._keepers[0].current_token()
         with pytest.raises(ConfigError, match="takes a restart"):
             made.check(told("other"))
         made.check(second)
         made.retold(second)
-        while len(made._keepers) != 2 or not all(keeper.held.is_set() for keeper in made._keepers):
+        while len(made._keepers) != 2 or not all(keeper.leading.is_set() for keeper in made._keepers):
             await asyncio.sleep(0.01)
-        assert [k.times.ttl for k in made._keepers] == [800, 800] and made._keepers[0].token() > before
+        assert [k.times.ttl_ms for k in made._keepers] == [800, 800] and made._keepers[
+            0
+        ].current_token() > before
         await made.close()
 
     asyncio.run(asyncio.wait_for(run(), 60))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -21,12 +21,12 @@
 from syrupy.assertion import SnapshotAssertion
 
 from sabledyke.__main__ import main as command
-from sabledyke.compacted_log.client import PATIENCE as ASKED_AGAIN
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.reader import Follower, Gone, Put
+from sabledyke.compacted_log.client import RETRY_TIMEOUT_S as ASKED_AGAIN
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.reader import KeyRemoved, KeyUpdated, LogReader
 from sabledyke.compacted_log.records import Draft, Message
-from sabledyke.compacted_log.sqlite_backend import TableShelf
-from sabledyke.compacted_log.subscription import follow
+from sabledyke.compacted_log.sqlite_backend import SqliteBackend
+from sabledyke.compacted_log.subscription import subscribe_to_topic
 from sabledyke.errors import BoardFault, OperatorError, PlanError
 from sabledyke.rollout import node_drain, planner, section
 from sabledyke.rollout.canary_analysis import Baseline, Count, bad_plans, worse
@@ -241,13 +241,13 @@
     where.write_text(f'[board]\npath = "{tmp_path}/board.sqlite3"\n')
 
     async def prepare() -> None:
-        board = Board(TableShelf(f"{tmp_path}/board.sqlite3"))
-        await board.shelf.open()
-        pen = await board.claim(FLEET, "w")
+        board = CompactedLog(SqliteBackend(f"{tmp_path}/board.sqlite3"))
+        await board.backend.open()
+        pen = await board.claim_writer(FLEET, "w")
         seen = fleet(R, R, State.SILENT, sites=1)
         drain = Drain("b9", "gone", 1, 0.0, 3)
         await write(pen, planner.Move("", (Epoch("n0.a", 1), *seen.members.values(), drain)))
-        await board.shelf.close()
+        await board.backend.close()
 
     asyncio.run(prepare())
     told = list[str]()
@@ -849,7 +849,7 @@
 
     async def publish() -> None:
         nonlocal said
-        pen = await made.board.claim(topic, "shop")
+        pen = await made.board.claim_writer(topic, "shop")
         while said < 300:
             key, value = f"article-{random.randrange(30)}", None if random.random() < 0.2 else b"%d" % said
             with contextlib.suppress(BoardFault):  # it stands still: the same again
@@ -864,11 +864,11 @@
         view, shelf = dict[str, bytes | None](), made.shelf()
         views.append(view)
         try:
-            async for news in follow(Board(shelf), topic, Follower(), 0.2, 7):
+            async for news in subscribe_to_topic(CompactedLog(shelf), topic, LogReader(), 0.2, 7):
                 for one in news:
-                    if isinstance(one, Put):
+                    if isinstance(one, KeyUpdated):
                         view[one.message.key] = one.message.value
-                    elif isinstance(one, Gone):
+                    elif isinstance(one, KeyRemoved):
                         view.pop(one.key, None)
                 await asyncio.sleep(away)
                 away = 0.0
@@ -897,11 +897,11 @@
     async with asyncio.timeout(120):
         while len(views) < 8 or any(view != model for view in views):
             await asyncio.sleep(0.05)
-        while len(await made.board.page(topic, 1, 1000)) > 120:
+        while len(await made.board.read_page(topic, 1, 1000)) > 120:
             await asyncio.sleep(0.1)  # 30 articles, the newest 20, and as much again that is superseded
-    late = Follower()
+    late = LogReader()
     await made.board.catch_up(topic, late)
-    assert {key: m.value for key, m in late.state.items()} == model and late.position > 300
+    assert {key: m.value for key, m in late.latest.items()} == model and late.position > 300
     for reader in readers:
         reader.cancel()
     await asyncio.gather(*readers, return_exceptions=True)
