--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -19,7 +19,7 @@
 from sabledyke.lease.etcd_authority import EtcdAuthority
 from sabledyke.lease.manager import LeaseManager
 from sabledyke.lease.sql_authority import SqlAuthority
-from sabledyke.lease.types import NEVER_HELD, Acquire, Authority, Granted, LeaseTimes, Renew
+from sabledyke.lease.types import UNACQUIRED, Acquire, Authority, Granted, LeaseTimes, Renew
 from sabledyke.store.section import Target
 from sabledyke.testbed.etcd_server import Etcd
 from sabledyke.testbed.experiment import Experiment, Fault, Run
@@ -38,8 +38,8 @@
 async def authority(name: str, made: Authority) -> None:
     """Grants and renewals a second, and what a keeper costs the loop."""
     await made.open()
-    grants = await rate(GRANTS, lambda i: made.request(f"grant{i}", "me", Acquire(NEVER_HELD)))
-    granted = await made.request("renewed", "me", Acquire(NEVER_HELD))
+    grants = await rate(GRANTS, lambda i: made.request(f"grant{i}", "me", Acquire(UNACQUIRED)))
+    granted = await made.request("renewed", "me", Acquire(UNACQUIRED))
     assert isinstance(granted, Granted)
     renewals = await rate(RENEWALS, lambda _: made.request("renewed", "me", Renew(granted.token)))
     keeper = LeaseManager(
@@ -64,7 +64,7 @@
     sizes = []
     for first in (0, LEASES):
         for i in range(first, first + LEASES):
-            await made.request(f"duty-{i}", "n0.0123456789ab", Acquire(NEVER_HELD))
+            await made.request(f"duty-{i}", "n0.0123456789ab", Acquire(UNACQUIRED))
         await made.close()  # the last connection moves the log into the file
         await asyncio.sleep(0.2)
         sizes.append(path.stat().st_size)
--- a/sabledyke/lease/__init__.py
+++ b/sabledyke/lease/__init__.py
@@ -1,6 +1,6 @@
-"""Leases for fleet-wide duties: one scheduler of a fleet at a time does what must not be done twice at once.
+"""Leases for leader tasks: one scheduler of a fleet at a time does what must not be done twice at once.
 
-``terms`` and ``holder`` decide and know no clock, socket or database; ``fence`` is what a duty's writes are
-checked by; ``table`` and ``etcd`` are the authorities; ``keeper`` drives one lease; ``duties`` are what is
-done.
+``types`` and ``holder`` are pure: they use no clock, socket or database. ``sql_authority`` and
+``etcd_authority`` store the leases, ``manager`` drives one lease, ``leader_tasks`` are what its holder does,
+and ``fencing`` is what checks their writes.
 """
--- a/sabledyke/lease/etcd_authority.py
+++ b/sabledyke/lease/etcd_authority.py
@@ -13,7 +13,7 @@
 
 from sabledyke.lease.etcd_gateway import EtcdGateway, decode_base64, encode_base64
 from sabledyke.lease.types import (
-    NEVER_HELD_STATUS,
+    UNACQUIRED_STATUS,
     Acquire,
     Granted,
     Inspect,
@@ -153,7 +153,7 @@
     def _status(self, task_name: str, holder_id: str, found: JsonObject) -> LeaseStatus:
         entries = _key_values(found)
         if not entries:
-            return NEVER_HELD_STATUS
+            return UNACQUIRED_STATUS
         holder = _decode_text(entries[0].get("value", ""))
         if holder == holder_id:  # a grant whose reply was lost: this is the etcd lease to renew it by
             self._etcd_leases[task_name] = str(entries[0].get("lease", NO_ETCD_LEASE))
--- a/sabledyke/lease/extension.py
+++ b/sabledyke/lease/extension.py
@@ -1,4 +1,4 @@
-"""Where leases are set up: the authority, a keeper for each duty, and what is done under it."""
+"""Sets up the leases: the authority, a lease manager for each leader task, and the tasks themselves."""
 
 from __future__ import annotations
 
@@ -18,93 +18,106 @@
 if TYPE_CHECKING:
     from sabledyke.operator_config import Operator
 
+MAX_CALLS_PER_REQUEST = 4  # calls to etcd that fit into the time for one request
+INCARNATION_ID_DIGITS = 12
+
+
+def set_up(host: Host, section: Operator) -> Part | None:
+    """Return the extension, where the operator's file has a section ``[lease]``."""
+    if section.lease is None:
+        return None
+    record = section.store.record if section.store is not None else None
+    return LeaseExtension(host.config.name, host.config.seed, section.lease, record)
+
 
 def create_authority(section: LeaseSection) -> Authority:
-    """The authority that a section names; its library is loaded only where it is named."""
+    """Create the authority that a section names; its library is loaded only where it is named."""
     if section.path:
         from sabledyke.lease.sql_authority import SqlAuthority
 
         return SqlAuthority(Target(path=section.path), section.times.ttl_ms)
     from sabledyke.lease.etcd_authority import EtcdAuthority
 
-    return EtcdAuthority(
-        section.etcd_endpoints,
-        section.prefix,
-        section.times.ttl_ms,
-        section.times.renew_interval_ms / MAX_CALLS_PER_REQUEST,
-    )
-
-
-MAX_CALLS_PER_REQUEST = 4  # calls to etcd that fit into the time for one ask
+    timeout_ms = section.times.renew_interval_ms / MAX_CALLS_PER_REQUEST
+    return EtcdAuthority(section.etcd_endpoints, section.prefix, section.times.ttl_ms, timeout_ms)
 
 
 class LeaseExtension(Part):
-    """The duties of the fleet that this instance stands by for."""
+    """The leader tasks that this instance is a candidate for.
+
+    Attributes:
+        managers: The lease managers, in the order of the section's leader tasks.
+    """
 
     def __init__(self, name: str, seed: int, section: LeaseSection, record: Target | None) -> None:
-        self._section, self._record, self._seed = section, record, seed
-        self._me = f"{name}.{uuid4().hex[:12]}"  # a life of its own: what a former one held is not this one's
+        """Make an extension that does nothing before ``open``.
+
+        Args:
+            name: The name of this instance.
+            seed: The seed of all jitter.
+            section: The operator's settings.
+            record: The record that some leader tasks work on.
+        """
+        self.managers: list[LeaseManager] = []
+        self._section = section
+        self._record = record
+        self._seed = seed
+        # An incarnation of its own: what a former one held is not this one's.
+        self._holder_id = f"{name}.{uuid4().hex[:INCARNATION_ID_DIGITS]}"
         self._authority = create_authority(section)
-        self._keepers: list[LeaseManager] = []
-        self._tasks: list[asyncio.Task[None]] = []
+        self._manager_runs: list[asyncio.Task[None]] = []
+        self._leader_task_runs: list[asyncio.Task[None]] = []
+        self._restart: asyncio.Task[None] | None = None  # a reference, so that it is not collected
 
     async def open(self) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         await self._authority.open()
-        self._begin()
-
-    def _begin(self) -> None:
-        section, loop = self._section, asyncio.get_running_loop()
-        clock = skewed_clock(section.clock_offset_ms, section.clock_rate)
-        for i, duty in enumerate(section.leader_tasks):
-            keeper = LeaseManager(duty.name, self._me, self._authority, section.times, self._seed + i, clock)
-            work = run_leader_task(duty, action_of(duty, self._record), keeper, self._authority)
-            self._keepers.append(keeper)
-            self._tasks += [loop.create_task(keeper.run()), loop.create_task(work)]
-        log.say("lease", f"{self._me} stands by at {section}")
-
-    async def _end(self) -> None:
-        for task in self._tasks[1::2]:  # what is being done first: it must not go on without its lease
-            task.cancel()
-        await asyncio.gather(*self._tasks[1::2], return_exceptions=True)
-        await asyncio.gather(*(keeper.stop() for keeper in self._keepers))
-        await asyncio.gather(*self._tasks, return_exceptions=True)
-        self._keepers.clear()
-        self._tasks.clear()
+        self._start()
 
     def check(self, operator: Operator) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         new = operator.lease
-        if new is None or (new.path, new.etcd_endpoints, new.prefix) != (
-            self._section.path,
-            self._section.etcd_endpoints,
-            self._section.prefix,
-        ):
+        if new is None or not new.uses_authority_of(self._section):
             raise ConfigError("the lease authority differs, which takes a restart")
 
     def retold(self, operator: Operator) -> None:
-        """See ``parts.Part``: what is held is given up first, and taken anew under the new times."""
+        """See ``extensions.Part``: what is held is released, and acquired again under the new times."""
         if operator.lease is not None and operator.lease != self._section:
             self._section = operator.lease
-            task = asyncio.get_running_loop().create_task(self._again())
-            self._restart = task  # a reference, so that it is not collected
-
-    async def _again(self) -> None:
-        await self._end()
-        await self._authority.close()
-        self._authority = create_authority(self._section)
-        await self._authority.open()
-        self._begin()
+            self._restart = asyncio.get_running_loop().create_task(self._run_new_section())
 
     async def close(self) -> None:
-        """See ``parts.Part``."""
-        await self._end()
+        """See ``extensions.Part``."""
+        await self._stop()
         await self._authority.close()
 
-
-def set_up(host: Host, section: Operator) -> Part | None:
-    """The leases, where the operator's file has duties for them."""
-    if section.lease is None:
-        return None
-    record = section.store.record if section.store is not None else None
-    return LeaseExtension(host.config.name, host.config.seed, section.lease, record)
+    def _start(self) -> None:
+        section = self._section
+        loop = asyncio.get_running_loop()
+        clock = skewed_clock(section.clock_offset_ms, section.clock_rate)
+        for index, task in enumerate(section.leader_tasks):
+            manager = LeaseManager(
+                task.name, self._holder_id, self._authority, section.times, self._seed + index, clock
+            )
+            work = run_leader_task(task, action_of(task, self._record), manager, self._authority)
+            self.managers.append(manager)
+            self._manager_runs.append(loop.create_task(manager.run()))
+            self._leader_task_runs.append(loop.create_task(work))
+        log.say("lease", f"{self._holder_id} stands by at {section}")
+
+    async def _stop(self) -> None:
+        for run in self._leader_task_runs:  # these first: they must not go on without their leases
+            run.cancel()
+        await asyncio.gather(*self._leader_task_runs, return_exceptions=True)
+        await asyncio.gather(*(manager.stop() for manager in self.managers))
+        await asyncio.gather(*self._manager_runs, return_exceptions=True)
+        self.managers.clear()
+        self._manager_runs.clear()
+        self._leader_task_runs.clear()
+
+    async def _run_new_section(self) -> None:
+        await self._stop()
+        await self._authority.close()
+        self._authority = create_authority(self._section)
+        await self._authority.open()
+        self._start()
--- a/sabledyke/lease/fencing.py
+++ b/sabledyke/lease/fencing.py
@@ -45,8 +45,8 @@
         highest = self._highest_tokens.pop(task_name, 0)
         self._highest_tokens[task_name] = max(highest, token)
         if len(self._highest_tokens) > self._max_tasks:
-            least_recently_used = next(iter(self._highest_tokens))
-            del self._highest_tokens[least_recently_used]
+            oldest_task = next(iter(self._highest_tokens))
+            del self._highest_tokens[oldest_task]
         if token < highest:
             self.rejected += 1
             return False
--- a/sabledyke/lease/leader_tasks.py
+++ b/sabledyke/lease/leader_tasks.py
@@ -1,7 +1,8 @@
-"""What the holder of a lease does: work on the record, or a call to somebody who does the work.
+"""What the holder of a lease does: work on the record, or a call to a service that does the work.
 
-Each step asks the keeper for its token just before it acts, and what takes the effect is fenced: the record's
-database refuses a step under an older token than one it has seen (``fence``), a called service answers 409.
+Each step requests the token from the lease manager just before it acts, and its effect is fenced: the
+record's database rejects a step under an older token than one it has seen (``fencing``), and a called service
+answers 409.
 """
 
 from __future__ import annotations
@@ -26,117 +27,143 @@
 from sabledyke.store.database_errors import Kind, StoreError, StoreFault
 from sabledyke.store.section import Target
 
-PATIENCE = 10.0  # seconds that a called service may take for one act
-AGAIN = 0.5  # seconds before a step that failed is tried again
+CALL_TIMEOUT_S = 10.0
+RETRY_DELAY_S = 0.5
+MAX_LOGGED_FINDINGS = 4
+HTTP_CONFLICT = 409
 
 Action = Callable[[LeaseManager], Awaitable[None]]
+RecordCheck = Callable[[Target, maintenance.Say], Awaitable[bool]]
 
 
-async def check_fence(target: Target, duty: str, token: int) -> None:
-    """Show the record's database this token; Refused where it has seen a later one."""
+async def run_leader_task(
+    task: LeaderTask, action: Action, manager: LeaseManager, authority: Authority
+) -> None:
+    """Run a leader task whenever it is due and the lease is held, until cancelled.
+
+    The authority stores when it was last completed, so that a new holder goes on where the last one was.
+    """
+    while True:
+        await manager.leading.wait()
+        try:
+            wait_ms = await _wait_until_due_ms(task, authority)
+            if wait_ms > 0:
+                await asyncio.sleep(min(wait_ms, task.interval_ms) / 1000)
+                continue
+            token = manager.current_token()
+            await action(manager)
+            await authority.record_completion(task.name, token, int(time.time() * 1000))
+        except Lost:
+            manager.recheck()
+        except Refused as error:
+            log.say("duty", str(error))
+            manager.on_fenced(token)
+        except (AuthorityFault, StoreFault, StoreError, HTTPError, OSError) as error:
+            log.say("duty", f"{task.name}: not done, it is tried again: {error}", duty=task.name)
+            await asyncio.sleep(RETRY_DELAY_S)
+
+
+def action_of(task: LeaderTask, record: Target | None) -> Action:
+    """Return what one run of this task does, under its lease."""
+    if task.kind == "call":
+        return lambda manager: _call_service(task, manager)
+    assert record is not None
+    if task.kind == "backup":
+        return lambda manager: _back_up(task, record, manager)
+    check = maintenance.audit if task.kind == "audit" else maintenance.reconcile
+    return lambda manager: _check_record(task, record, manager, check)
+
+
+async def check_fence(target: Target, task_name: str, token: int) -> None:
+    """Present the token to the record's database.
+
+    Raises:
+        Refused: The database has seen a later token.
+        StoreFault: It did not answer.
+    """
     session = await connect(target, create=False)
     try:
-        await session.transact([*fencing.token_check_steps(duty, token)])
-    except StoreFault as fault:
-        if fault.kind is Kind.FENCED:
-            raise Refused(f"{duty}: the record has seen a token after {token}") from None
-        if fault.kind is not Kind.SCHEMA:
+        await session.transact(fencing.token_check_steps(task_name, token))
+    except StoreFault as error:
+        if error.kind is Kind.FENCED:
+            raise Refused(f"{task_name}: the record has seen a token after {token}") from error
+        if error.kind is not Kind.SCHEMA:
             raise
-        await session.script([fencing.CREATE_TABLE_SQL])  # the first duty on this record
-        await session.transact([*fencing.token_check_steps(duty, token)])
+        await session.script([fencing.CREATE_TABLE_SQL])  # the first leader task on this record
+        await session.transact(fencing.token_check_steps(task_name, token))
     finally:
         await session.close()
 
 
-def action_of(duty: LeaderTask, record: Target | None) -> Action:
-    """What is done under this duty's lease, once."""
-    if duty.kind == "call":
-        return lambda keeper: _call(duty, keeper)
-    assert record is not None
-    if duty.kind == "backup":
-        return lambda keeper: _backup(duty, record, keeper)
-    work = maintenance.audit if duty.kind == "audit" else maintenance.reconcile
-    return lambda keeper: _look_through(duty, record, keeper, work)
+async def _wait_until_due_ms(task: LeaderTask, authority: Authority) -> float:
+    last_completed_ms = await authority.last_completed_unix_ms(task.name)
+    return last_completed_ms + task.interval_ms - time.time() * 1000
 
 
-async def _look_through(
-    duty: LeaderTask,
-    record: Target,
-    keeper: LeaseManager,
-    work: Callable[[Target, maintenance.Say], Awaitable[bool]],
-) -> None:
+async def _check_record(task: LeaderTask, record: Target, manager: LeaseManager, check: RecordCheck) -> None:
     """Audit or reconcile: its findings count only if nobody else has begun meanwhile."""
-    found: list[str] = []
-    await check_fence(record, duty.name, keeper.current_token())
-    well = await work(record, found.append)
-    token = keeper.current_token()
-    await check_fence(record, duty.name, token)
-    verdict = "all is well" if well else f"NOT well: {'; '.join(found[:4])}"
-    log.say("duty", f"{duty.name}: {verdict}", duty=duty.name, token=token, well=int(well))
+    findings: list[str] = []
+    await check_fence(record, task.name, manager.current_token())
+    passed = await check(record, findings.append)
+    token = manager.current_token()
+    await check_fence(record, task.name, token)
+    result = "all is well" if passed else f"NOT well: {'; '.join(findings[:MAX_LOGGED_FINDINGS])}"
+    _log_result(task, token, result, passed=passed)
 
 
-async def _backup(duty: LeaderTask, record: Target, keeper: LeaseManager) -> None:
-    """A copy under a name of its own.
+async def _back_up(task: LeaderTask, record: Target, manager: LeaseManager) -> None:
+    """Copy the record under a name of its own.
 
-    It is there, and older ones go, only once the fence has let it through.
+    The copy appears, and older ones are removed, only once the fence has accepted the token.
     """
-    folder, token = Path(duty.folder), keeper.current_token()
-    await check_fence(record, duty.name, token)
+    folder = Path(task.folder)
+    token = manager.current_token()
+    await check_fence(record, task.name, token)
     folder.mkdir(parents=True, exist_ok=True)
-    made = folder / f"{duty.name}.{token}.{time.time_ns() // 1_000_000}.sqlite3"
-    work = made.with_suffix(".working")
+    backup = folder / f"{task.name}.{token}.{time.time_ns() // 1_000_000}.sqlite3"
+    unfinished = backup.with_suffix(".working")
     try:
-        well = await maintenance.backup(record, str(work), lambda _: None)
-        token = keeper.current_token()
-        await check_fence(record, duty.name, token)
-        os.replace(work, made)
+        passed = await maintenance.backup(record, str(unfinished), lambda _: None)
+        token = manager.current_token()
+        await check_fence(record, task.name, token)
+        os.replace(unfinished, backup)
     finally:
-        work.unlink(missing_ok=True)
-    there = sorted(folder.glob(f"{duty.name}.*.*.sqlite3"), key=lambda f: int(f.name.split(".")[-2]))
-    for old in there[: -duty.keep]:
-        keeper.current_token()
+        unfinished.unlink(missing_ok=True)
+    _remove_old_backups(task, folder, manager)
+    result = backup.name if passed else f"{backup.name}, whose record does not pass its audit"
+    _log_result(task, token, result, passed=passed)
+
+
+def _remove_old_backups(task: LeaderTask, folder: Path, manager: LeaseManager) -> None:
+    backups = sorted(folder.glob(f"{task.name}.*.*.sqlite3"), key=_backup_time_ms)
+    for old in backups[: -task.keep]:
+        manager.current_token()
         old.unlink(missing_ok=True)
-    said = made.name if well else f"{made.name}, whose record does not pass its audit"
-    log.say("duty", f"{duty.name}: {said}", duty=duty.name, token=token, well=int(well))
 
 
-async def _call(duty: LeaderTask, keeper: LeaseManager) -> None:
-    """One POST.
+def _backup_time_ms(backup: Path) -> int:
+    return int(backup.name.split(".")[-2])
 
-    Its headers name the duty, the holder and the token, and 409 says that a later one was seen.
+
+async def _call_service(task: LeaderTask, manager: LeaseManager) -> None:
+    """Send one POST request, whose headers name the task, the holder and the token.
+
+    The service answers 409 where it has seen a later token.
     """
-    host, port, path = duty.endpoint
-    client = AsyncHTTPClient()
-    token = keeper.current_token()
-    headers = {"Lease-Duty": duty.name, "Lease-Token": str(token), "Lease-Holder": keeper.holder_id}
+    token = manager.current_token()
+    headers = {
+        "Lease-Duty": task.name,
+        "Lease-Token": str(token),
+        "Lease-Holder": manager.holder_id,
+    }
+    url = f"http://{task.endpoint.host}:{task.endpoint.port}{task.endpoint.path}"
     try:
-        await post(client, f"http://{host}:{port}{path}", b"", PATIENCE, headers)
-    except HTTPError as fault:
-        if fault.code == 409:
-            raise Refused(f"{duty.name}: the called service has seen a token after {token}") from None
-        raise
-
+        await post(AsyncHTTPClient(), url, b"", CALL_TIMEOUT_S, headers)
+    except HTTPError as error:
+        if error.code != HTTP_CONFLICT:
+            raise
+        raise Refused(f"{task.name}: the called service has seen a token after {token}") from error
 
-async def run_leader_task(duty: LeaderTask, act: Action, keeper: LeaseManager, authority: Authority) -> None:
-    """Do it whenever it is due and the lease is held, until cancelled.
 
-    When it was last done is kept by the authority, so that a new holder goes on where the last one was.
-    """
-    while True:
-        await keeper.leading.wait()
-        try:
-            waits = await authority.last_completed_unix_ms(duty.name) + duty.interval_ms - time.time() * 1000
-            if waits > 0:
-                await asyncio.sleep(min(waits / 1000, duty.interval_ms / 1000))
-                continue
-            token = keeper.current_token()
-            await act(keeper)
-            await authority.record_completion(duty.name, token, int(time.time() * 1000))
-        except Lost:
-            keeper.recheck()
-        except Refused as refused:
-            log.say("duty", str(refused))
-            keeper.on_fenced(token)
-        except (AuthorityFault, StoreFault, StoreError, HTTPError, OSError) as fault:
-            log.say("duty", f"{duty.name}: not done, it is tried again: {fault}", duty=duty.name)
-            await asyncio.sleep(AGAIN)
+def _log_result(task: LeaderTask, token: int, result: str, *, passed: bool) -> None:
+    log.say("duty", f"{task.name}: {result}", duty=task.name, token=token, well=int(passed))
--- a/sabledyke/lease/section.py
+++ b/sabledyke/lease/section.py
@@ -1,13 +1,12 @@
-"""The operator's section ``[lease]``: the authority, the times, and the duties that one of the fleet does
-at a time.
+"""The operator's section ``[lease]``: the authority, the times, and the leader tasks.
 
-Checked whole, at the start and on SIGHUP; every fault is one plain line.
+It is checked as a whole, at the start and on SIGHUP; every error is one plain line.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Annotated, Any, Literal
+from typing import Annotated, Any, Literal, NamedTuple
 
 from msgspec import Meta
 
@@ -17,44 +16,82 @@
 from sabledyke.store.section import Target
 from sabledyke.toml_tables import NAME_RULE, Table, convert, name_like, section_from, wants
 
-Hours = Annotated[float, Meta(gt=0, le=3_600_000)]
+Milliseconds = Annotated[float, Meta(gt=0, le=3_600_000)]
+
+DEFAULT_TIMES = LeaseTimes()
 MAX_LEADER_TASKS = 32
+MIN_RENEW_INTERVAL_MS = 10
+MIN_RENEWALS_PER_ACTING_WINDOW = 2
+URL_SCHEME = "http://"
+
+
+class Endpoint(NamedTuple):
+    """What a leader task of kind ``call`` sends its request to."""
+
+    host: str = ""
+    port: int = 0
+    path: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class LeaderTask:
-    """A periodic duty: every ``every`` ms, counted for the whole fleet."""
+    """A periodic task that one process of the fleet does at a time.
+
+    Attributes:
+        name: The name of the task, and of its lease.
+        kind: ``audit``, ``reconcile``, ``backup`` or ``call``.
+        interval_ms: The time between two runs, counted for the whole fleet.
+        folder: Where a backup is written.
+        keep: How many backups are retained there.
+        endpoint: What is called.
+    """
 
     name: str
     kind: str
     interval_ms: float
-    folder: str = ""  # where a backup goes
-    keep: int = 7  # backups that stay there
-    endpoint: tuple[str, int, str] = ("", 0, "")  # host, port and path of what is called
+    folder: str = ""
+    keep: int = 7
+    endpoint: Endpoint = Endpoint()
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseSection:
-    """What ``[lease]`` says."""
+    """The settings of ``[lease]``.
+
+    Attributes:
+        path: The authority's SQLite file, or "".
+        etcd_endpoints: Addresses of the authority's etcd servers, or none.
+        prefix: What all keys in etcd begin with.
+        times: The times of all leases.
+        leader_tasks: The tasks that this instance is a candidate for.
+        clock_offset_ms: By how much this instance's clock is off, for experiments.
+        clock_rate: At how many times the true rate it runs, for experiments.
+    """
 
     path: str = ""
     etcd_endpoints: tuple[str, ...] = ()
     prefix: str = "sabledyke/"
-    times: LeaseTimes = LeaseTimes()
+    times: LeaseTimes = DEFAULT_TIMES
     leader_tasks: tuple[LeaderTask, ...] = ()
-    clock_offset_ms: float = 0.0  # ms that this instance's clock is off, for experiments
-    clock_rate: float = 1.0  # and how fast it runs
+    clock_offset_ms: float = 0.0
+    clock_rate: float = 1.0
 
     def __str__(self) -> str:
-        where = self.path or f"etcd at {', '.join(self.etcd_endpoints)}"
-        return f"{where}, {len(self.leader_tasks)} duties"
+        """Return the authority and the number of leader tasks, for the log."""
+        authority = self.path or f"etcd at {', '.join(self.etcd_endpoints)}"
+        return f"{authority}, {len(self.leader_tasks)} duties"
 
-
-DEFAULT_TIMES = LeaseTimes()
+    def uses_authority_of(self, other: LeaseSection) -> bool:
+        """Return whether both name the same authority."""
+        return (self.path, self.etcd_endpoints, self.prefix) == (
+            other.path,
+            other.etcd_endpoints,
+            other.prefix,
+        )
 
 
 class LeaderTaskTable(Table, frozen=True, kw_only=True):
-    """A duty, as the file has it."""
+    """A leader task as the file has it."""
 
     name: str
     kind: Literal["audit", "reconcile", "backup", "call"]
@@ -64,89 +101,129 @@
     keep: Annotated[int, Meta(ge=1, le=1000)] = 7
 
     def __post_init__(self) -> None:
+        """Check the keys against each other.
+
+        Raises:
+            ValueError: They do not fit; ``convert`` makes it an OperatorError.
+        """
         if not self.name or not name_like(self.name):
             raise ValueError(f"name {NAME_RULE}")
-        if self.kind == "call" and not self.url.startswith("http://"):
+        if self.kind == "call" and not self.url.startswith(URL_SCHEME):
             raise ValueError("url must begin with http://")
-        if bool(self.folder) != (self.kind == "backup") or self.url and self.kind != "call":
+        has_wrong_folder = bool(self.folder) != (self.kind == "backup")
+        has_wrong_url = bool(self.url) and self.kind != "call"
+        if has_wrong_folder or has_wrong_url:
             raise ValueError("a backup names its folder, a call its url, and no other duty one of them")
 
 
 class ClockTable(Table, frozen=True, kw_only=True):
-    """For experiments."""
+    """The clock of an experiment, as the file has it."""
 
     offset_ms: float = 0.0
     rate: Annotated[float, Meta(ge=0.5, le=2)] = 1.0
 
 
 class LeaseTable(Table, frozen=True, kw_only=True):
-    """As the file has it."""
+    """The section as the file has it."""
 
     path: str = ""
     etcd: tuple[str, ...] = ()
     prefix: str = "sabledyke/"
-    ttl_ms: Hours = DEFAULT_TIMES.ttl_ms
-    renew_ms: Hours = DEFAULT_TIMES.renew_interval_ms
-    margin_ms: Hours = DEFAULT_TIMES.safety_margin_ms
+    ttl_ms: Milliseconds = DEFAULT_TIMES.ttl_ms
+    renew_ms: Milliseconds = DEFAULT_TIMES.renew_interval_ms
+    margin_ms: Milliseconds = DEFAULT_TIMES.safety_margin_ms
     drift: Annotated[float, Meta(ge=0, le=0.2)] = DEFAULT_TIMES.max_clock_drift
     clock: ClockTable = ClockTable()
     duty: Annotated[tuple[LeaderTaskTable, ...], Meta(max_length=MAX_LEADER_TASKS)] = ()
 
 
 def read(data: dict[str, Any], record: Target | None) -> LeaseSection | None:
-    """The section, checked; None where there is none.
+    """Read and check the section.
+
+    Args:
+        data: The section's table.
+        record: The record of ``[store]``, which some leader tasks work on.
 
-    ``record`` is the store's, which some duties work on.
+    Returns:
+        The settings; None where there is no such section.
+
+    Raises:
+        OperatorError: The section cannot be used.
+        ListError: An address in it cannot be read.
     """
     if not data:
         return None
-    said = convert(data, LeaseTable, "lease")
-    if bool(said.path) == bool(said.etcd):
-        raise OperatorError("lease names either path, a SQLite file, or etcd, a list of host:port")
-    if said.etcd:
-        wants("lease", "aiohttp", "etcd")
-    for endpoint in said.etcd:
-        address(endpoint)
-    times = LeaseTimes(
-        ttl_ms=said.ttl_ms,
-        renew_interval_ms=said.renew_ms,
-        safety_margin_ms=said.margin_ms,
-        max_clock_drift=said.drift,
-    )
-    duties = tuple(_duty(row, f"lease.duty[{i}]", record) for i, row in enumerate(said.duty))
+    table = convert(data, LeaseTable, "lease")
+    _check_authority(table)
     section = LeaseSection(
-        said.path, said.etcd, said.prefix, times, duties, said.clock.offset_ms, said.clock.rate
+        path=table.path,
+        etcd_endpoints=table.etcd,
+        prefix=table.prefix,
+        times=LeaseTimes(
+            ttl_ms=table.ttl_ms,
+            renew_interval_ms=table.renew_ms,
+            safety_margin_ms=table.margin_ms,
+            max_clock_drift=table.drift,
+        ),
+        leader_tasks=tuple(
+            _leader_task(row, f"lease.duty[{index}]", record) for index, row in enumerate(table.duty)
+        ),
+        clock_offset_ms=table.clock.offset_ms,
+        clock_rate=table.clock.rate,
     )
-    _check(section)
+    _check_times(section)
+    if len({task.name for task in section.leader_tasks}) < len(section.leader_tasks):
+        raise OperatorError("two lease.duty rows have the same name")
     return section
 
 
-def _check(section: LeaseSection) -> None:
+def load(path: str) -> LeaseSection:
+    """Read the section alone from an operator's file, as the lease commands do.
+
+    Raises:
+        OperatorError: The file or the section cannot be used.
+    """
+
+    def lease_of(data: dict[str, Any]) -> LeaseSection | None:
+        record = Target(path="any") if "store" in data else None  # what leader tasks work on is not opened
+        return read(data.get("lease", {}), record)
+
+    return section_from(path, "lease", lease_of)
+
+
+def _check_authority(table: LeaseTable) -> None:
+    if bool(table.path) == bool(table.etcd):
+        raise OperatorError("lease names either path, a SQLite file, or etcd, a list of host:port")
+    if table.etcd:
+        wants("lease", "aiohttp", "etcd")
+    for endpoint in table.etcd:
+        address(endpoint)
+
+
+def _check_times(section: LeaseSection) -> None:
     times = section.times
-    if times.renew_interval_ms < 10 or times.acting_window_ms < 2 * times.renew_interval_ms:
-        said = f"ttl_ms leaves {times.acting_window_ms:.0f} ms to act in after drift and margin_ms"
-        raise OperatorError(f"lease: {said}, and renew_ms must be from 10 to half of that")
+    max_renew_interval_ms = times.acting_window_ms / MIN_RENEWALS_PER_ACTING_WINDOW
+    if not MIN_RENEW_INTERVAL_MS <= times.renew_interval_ms <= max_renew_interval_ms:
+        window = f"ttl_ms leaves {times.acting_window_ms:.0f} ms to act in after drift and margin_ms"
+        raise OperatorError(f"lease: {window}, and renew_ms must be from 10 to half of that")
     if section.etcd_endpoints and times.ttl_ms % 1000:
         raise OperatorError("lease.ttl_ms must be whole seconds with etcd, which counts them so")
-    if len({d.name for d in section.leader_tasks}) < len(section.leader_tasks):
-        raise OperatorError("two lease.duty rows have the same name")
 
 
-def _duty(row: LeaderTaskTable, where: str, record: Target | None) -> LeaderTask:
-    call = ("", 0, "")
-    if row.kind == "call":
-        host, slash, rest = row.url.removeprefix("http://").partition("/")
-        call = (*address(host), slash + rest)
-    elif record is None:
+def _leader_task(row: LeaderTaskTable, where: str, record: Target | None) -> LeaderTask:
+    if row.kind != "call" and record is None:
         raise OperatorError(f"{where}: {row.kind} works on a record, and [store] names none")
-    return LeaderTask(row.name, row.kind, row.every_s * 1000, row.folder, row.keep, call)
-
-
-def load(path: str) -> LeaseSection:
-    """The section alone, from an operator's file: what the lease commands need, without the deployment."""
+    return LeaderTask(
+        name=row.name,
+        kind=row.kind,
+        interval_ms=row.every_s * 1000,
+        folder=row.folder,
+        keep=row.keep,
+        endpoint=_endpoint(row.url) if row.kind == "call" else Endpoint(),
+    )
 
-    def lease(data: dict[str, Any]) -> LeaseSection | None:
-        record = Target(path="any") if "store" in data else None  # what duties work on is not touched
-        return read(data.get("lease", {}), record)
 
-    return section_from(path, "lease", lease)
+def _endpoint(url: str) -> Endpoint:
+    authority, slash, path = url.removeprefix(URL_SCHEME).partition("/")
+    host, port = address(authority)
+    return Endpoint(host, port, slash + path)
--- a/sabledyke/lease/sql_authority.py
+++ b/sabledyke/lease/sql_authority.py
@@ -15,7 +15,7 @@
 
 from sabledyke.errors import AuthorityFault
 from sabledyke.lease.types import (
-    NEVER_HELD_STATUS,
+    UNACQUIRED_STATUS,
     Acquire,
     Granted,
     Inspect,
@@ -49,16 +49,16 @@
     " ttl = excluded.ttl, seen = excluded.seen, recall = 0"
     " WHERE leases.token = $5::bigint AND leases.beat = $6::bigint RETURNING token"
 )
-_WHERE_HELD_BY_ME = "WHERE duty = $1::text AND holder = $2::text AND token = $3::bigint"
-_WHERE_HELD = "WHERE duty = $1::text AND holder <> ''"
+_WHERE_MINE = "WHERE duty = $1::text AND holder = $2::text AND token = $3::bigint"
+_WHERE_NOT_FREE = "WHERE duty = $1::text AND holder <> ''"
 _SET_FREE = "UPDATE leases SET beat = beat + 1, holder = '', recall = 0"
 RENEW_SQL = (
     "UPDATE leases SET beat = beat + 1, ttl = $4::bigint, seen = $5::bigint"
-    f" {_WHERE_HELD_BY_ME} RETURNING recall"
+    f" {_WHERE_MINE} RETURNING recall"
 )
-RELEASE_SQL = f"{_SET_FREE} {_WHERE_HELD_BY_ME} RETURNING token"
-RECALL_SQL = f"UPDATE leases SET recall = 1 {_WHERE_HELD} RETURNING holder, token"
-FREE_SQL = f"{_SET_FREE} {_WHERE_HELD} RETURNING token"
+RELEASE_SQL = f"{_SET_FREE} {_WHERE_MINE} RETURNING token"
+RECALL_SQL = f"UPDATE leases SET recall = 1 {_WHERE_NOT_FREE} RETURNING holder, token"
+FREE_SQL = f"{_SET_FREE} {_WHERE_NOT_FREE} RETURNING token"
 RECORD_COMPLETION_SQL = (
     "UPDATE leases SET done = $3::bigint WHERE duty = $1::text AND token = $2::bigint RETURNING token"
 )
@@ -202,7 +202,7 @@
 def _decode_status(rows: list[Row]) -> LeaseStatus:
     """Decode the rows of ``STATUS_SQL``; there is none for a lease that nobody ever held."""
     if not rows:
-        return NEVER_HELD_STATUS
+        return UNACQUIRED_STATUS
     token, renewals, holder, ttl_ms = rows[0]
     version = LeaseVersion(int(token), int(renewals))
     return LeaseStatus(version, str(holder), is_free=holder == "", ttl_ms=float(ttl_ms))
--- a/sabledyke/lease/types.py
+++ b/sabledyke/lease/types.py
@@ -19,7 +19,7 @@
     renewals: int
 
 
-NEVER_HELD = LeaseVersion(0, 0)
+UNACQUIRED = LeaseVersion(0, 0)
 
 
 @dataclass(slots=True, frozen=True)
@@ -99,7 +99,7 @@
     ttl_ms: float = 0.0
 
 
-NEVER_HELD_STATUS = LeaseStatus(NEVER_HELD, holder="", is_free=True)
+UNACQUIRED_STATUS = LeaseStatus(UNACQUIRED, holder="", is_free=True)
 
 
 @dataclass(slots=True, frozen=True)
--- a/sabledyke/testbed/lease_model.py
+++ b/sabledyke/testbed/lease_model.py
@@ -23,7 +23,7 @@
 from sabledyke.lease import holder
 from sabledyke.lease.holder import HolderState, Phase
 from sabledyke.lease.types import (
-    NEVER_HELD,
+    UNACQUIRED,
     Acquire,
     Granted,
     Inspect,
@@ -99,7 +99,7 @@
     times = changed(setup.times, authority_tracks_expiry=setup.counts)
     setup = changed(setup, times=times)
     processes = tuple(Process(HolderState(str(i)), rate) for i, rate in enumerate(setup.rates))
-    start = World(processes, NEVER_HELD, "", 0.0, (), setup.budget)
+    start = World(processes, UNACQUIRED, "", 0.0, (), setup.budget)
     search = explore_wide if wide else explore
     return search([start], partial(_follow, setup), _broken, setup.most)
 
@@ -257,7 +257,7 @@
 def _tidy(world: World) -> World:
     """Its canonical form: what has no effect any more is gone, stamps stand by rank."""
     flying = _on_their_way(world)
-    stamps = {NEVER_HELD, world.stamp}
+    stamps = {UNACQUIRED, world.stamp}
     for process in world.processes:
         stamps |= {process.state.seen_version} if process.state.seen_version else set()
         stamps |= {LeaseVersion(process.state.token, 0)} if process.state.phase is Phase.HOLDING else set()
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -304,15 +304,15 @@
         assert first.lease is not None
         made = extension.LeaseExtension("n0", 1, first.lease, None)
         await made.open()
-        await made._keepers[0].leading.wait()
-        before = made._keepers[0].current_token()
+        await made.managers[0].leading.wait()
+        before = made.managers[0].current_token()
         with pytest.raises(ConfigError, match="takes a restart"):
             made.check(told("other"))
         made.check(second)
         made.retold(second)
-        while len(made._keepers) != 2 or not all(keeper.leading.is_set() for keeper in made._keepers):
+        while len(made.managers) != 2 or not all(keeper.leading.is_set() for keeper in made.managers):
             await asyncio.sleep(0.01)
-        assert [k.times.ttl_ms for k in made._keepers] == [800, 800] and made._keepers[
+        assert [k.times.ttl_ms for k in made.managers] == [800, 800] and made.managers[
             0
         ].current_token() > before
         await made.close()
