--- a/sabledyke/compacted_log/append.py
+++ b/sabledyke/compacted_log/append.py
@@ -1,8 +1,8 @@
-"""May this be written, and what does writing it change? Pure: told the cells as read, gives the commit.
+"""Decides whether an append may be written, and what writing it changes. Pure: cells in, a commit out.
 
-Which question it answers: an append's conditions (the key's offset, the topic's end, the writer's life, a
-repeat of its sequence). It never knows a shelf, a clock or what a value means. Every commit checks the
-version of the topic's head, so that two appends never get one offset, and of all that was decided by.
+It checks the conditions of an append: the offsets of keys, the end of the topic, the writer's incarnation,
+and whether it is a retry. Every commit checks the version of the topic's head, so that two appends never get
+one offset, and the versions of all other cells that the decision depends on.
 """
 
 from __future__ import annotations
@@ -16,15 +16,19 @@
     MAX_VALUE_BYTES,
     Cell,
     Draft,
+    KeyPosition,
     Message,
+    TopicHead,
     WriterIdentity,
     WriterState,
     cell_version,
     decode_head,
     decode_position,
     decode_writer_state,
-    encode_fields,
+    encode_head,
     encode_message,
+    encode_position,
+    encode_writer_state,
     head_key,
     message_key,
     position_key,
@@ -33,9 +37,30 @@
 from sabledyke.errors import BoardFull, Conflict, StaleWriter
 
 
+@dataclass(slots=True, frozen=True)
+class AppendRequest:
+    """An append as it is sent, and sent again.
+
+    Attributes:
+        topic: The topic that it is for.
+        writer: Who writes.
+        sequence: Its number within the writer's incarnation; a retry has the same.
+        drafts: The messages.
+        expected_offsets: By key, the offsets of further messages that it depends on.
+        expected_end: The topic's next offset, where the writer's decision depends on all messages up to it.
+    """
+
+    topic: str
+    writer: WriterIdentity
+    sequence: int
+    drafts: Sequence[Draft]
+    expected_offsets: Mapping[str, int]
+    expected_end: int | None = None
+
+
 @dataclass(slots=True, frozen=True)
 class Commit:
-    """One step of the shelf, and the offsets that it gives to the drafts."""
+    """One step of the backend, and the offsets that it gives to the drafts."""
 
     offsets: tuple[int, ...]
     checks: dict[str, int] = field(default_factory=dict)
@@ -43,97 +68,158 @@
     drops: tuple[str, ...] = ()
 
 
-def cells_to_read(
-    topic: str, writer: WriterIdentity, drafts: Sequence[Draft], expects: Mapping[str, int]
-) -> list[str]:
-    """The cells that ``append`` decides by."""
-    keys = dict.fromkeys([*(d.key for d in drafts), *expects])
-    return [head_key(topic), writer_key(topic, writer.name), *(position_key(topic, key) for key in keys)]
-
-
 def validate_drafts(drafts: Sequence[Draft]) -> None:
-    """A BoardFull where there are too many of them, or one is too large; before anything is asked."""
+    """Check the number and the sizes of drafts, before anything is read.
+
+    Raises:
+        BoardFull: There are too many of them, or one is too large.
+    """
     if not 0 < len(drafts) <= MAX_APPEND_MESSAGES:
         raise BoardFull(f"an append has from 1 to {MAX_APPEND_MESSAGES} messages, not {len(drafts)}")
-    if len({d.key for d in drafts}) < len(drafts):
+    if len({draft.key for draft in drafts}) < len(drafts):
         raise BoardFull("an append names a key twice")
     for draft in drafts:
         if not draft.key or len(draft.key.encode()) > MAX_KEY_BYTES:
             raise BoardFull(f"a key has from 1 to {MAX_KEY_BYTES} bytes: {draft.key[:40]!r}")
-        if draft.value is not None and len(draft.value) > MAX_VALUE_BYTES:
-            raise BoardFull(
-                f"{draft.key}: a value has at most {MAX_VALUE_BYTES} bytes, not {len(draft.value)}"
-            )
-
-
-def plan_append(
-    topic: str,
-    found: Mapping[str, Cell],
-    writer: WriterIdentity,
-    seq: int,
-    drafts: Sequence[Draft],
-    expects: Mapping[str, int],
-    end: int | None,
-) -> Commit:
-    """The commit, or one without puts for a repeat; StaleWriter and Conflict where it may not be.
-
-    ``expects`` are offsets of further keys that it rests on; ``end`` the topic's next offset, where the
-    writer decided by everything that was said so far.
+        validate_value(draft.key, draft.value)
+
+
+def validate_value(key: str, value: bytes | None) -> None:
+    """Check the size of a value.
+
+    Raises:
+        BoardFull: It is too large.
+    """
+    if value is not None and len(value) > MAX_VALUE_BYTES:
+        raise BoardFull(f"{key}: a value has at most {MAX_VALUE_BYTES} bytes, not {len(value)}")
+
+
+def cells_to_read(request: AppendRequest) -> list[str]:
+    """Return the keys of the cells that ``plan_append`` decides by."""
+    keys = dict.fromkeys([*(draft.key for draft in request.drafts), *request.expected_offsets])
+    return [
+        head_key(request.topic),
+        writer_key(request.topic, request.writer.name),
+        *(position_key(request.topic, key) for key in keys),
+    ]
+
+
+def plan_append(request: AppendRequest, cells: Mapping[str, Cell]) -> Commit:
+    """Decide an append.
+
+    Args:
+        request: The append.
+        cells: Those of ``cells_to_read`` that exist.
+
+    Returns:
+        The commit; one without puts for a retry of what was written.
+
+    Raises:
+        StaleWriter: A later incarnation of the writer has written.
+        Conflict: A key, or the end of the topic, is not where it is expected.
     """
-    said, me = decode_writer_state(found.get(writer_key(topic, writer.name))), writer_key(topic, writer.name)
-    if said is not None:
-        if (
-            said.incarnation > writer.incarnation
-            or said.incarnation == writer.incarnation
-            and said.nonce != writer.nonce
-        ):
-            raise StaleWriter(
-                f"{writer.name}: life {writer.incarnation} writes after life {said.incarnation}"
-            )
-        if said.incarnation == writer.incarnation and seq <= said.sequence:
-            return Commit(said.offsets if seq == said.sequence else ())
-    cell = found.get(head_key(topic))
-    head = decode_head(cell)
+    topic = request.topic
+    my_key = writer_key(topic, request.writer.name)
+    earlier = _earlier_commit(request, decode_writer_state(cells.get(my_key)))
+    if earlier is not None:
+        return earlier
+    head = decode_head(cells.get(head_key(topic)))
+    end = request.expected_end
     if end is not None and end != head.next_offset:
         raise Conflict(f"{topic} has gone on to {head.next_offset - 1} since it was read up to {end - 1}")
-    checks = {head_key(topic): cell.version if cell else 0, me: cell_version(found, me)}
-    wanted = dict(expects) | {d.key: d.expected_offset for d in drafts if d.expected_offset is not None}
-    for key, offset in wanted.items():
-        at = decode_position(found.get(position_key(topic, key))).offset
-        if at != offset:
-            raise Conflict(f"{topic}: {key} stands at {at}, not at {offset}")
-        checks[position_key(topic, key)] = cell_version(found, position_key(topic, key))
-    puts, offsets = dict[str, bytes](), list[int]()
-    for draft in drafts:
-        old = decode_position(found.get(position_key(topic, draft.key)))
-        said_now = Message(head.next_offset, draft.key, draft.value, writer.name, writer.incarnation, seq)
-        tomb = draft.value is None
-        puts[message_key(topic, head.next_offset)] = encode_message(said_now)
-        puts[position_key(topic, draft.key)] = encode_fields(head.next_offset, said_now.size_bytes, tomb)
-        offsets.append(head.next_offset)
-        head = replace(
-            head,
-            next_offset=head.next_offset + 1,
-            size_bytes=head.size_bytes + said_now.size_bytes,
-            dirty_bytes=head.dirty_bytes + old.size_bytes,
-            tombstones=head.tombstones + tomb - old.is_tombstone,
-        )
-    puts[head_key(topic)] = encode_fields(
-        head.next_offset, head.tombstone_floor, head.size_bytes, head.dirty_bytes, head.tombstones
-    )
-    puts[me] = encode_writer_state(WriterState(writer.incarnation, writer.nonce, seq, tuple(offsets)))
-    return Commit(tuple(offsets), checks, puts)
+    checks = {
+        head_key(topic): cell_version(cells, head_key(topic)),
+        my_key: cell_version(cells, my_key),
+    }
+    checks |= _check_offsets(request, cells)
+    offsets, puts = _write_messages(request, cells, head)
+    state = WriterState(request.writer.incarnation, request.writer.nonce, request.sequence, offsets)
+    puts[my_key] = encode_writer_state(state)
+    return Commit(offsets, checks, puts)
 
 
 def plan_claim(topic: str, cell: Cell | None, name: str, nonce: str) -> tuple[WriterIdentity, Commit]:
-    """The next life of a writer: whoever wrote before is refused from then on."""
-    said, me = decode_writer_state(cell), writer_key(topic, name)
-    if said is not None and said.nonce == nonce:  # it was done, and the answer got lost
-        return WriterIdentity(name, said.incarnation, nonce), Commit(())
-    life = said.incarnation + 1 if said is not None else 1
-    puts = {me: encode_writer_state(WriterState(life, nonce, 0))}
-    return WriterIdentity(name, life, nonce), Commit((), {me: cell.version if cell else 0}, puts)
+    """Begin the next incarnation of a writer: the former ones are rejected from then on.
 
+    Args:
+        topic: The topic to write to.
+        cell: The writer's cell, where it exists.
+        name: The writer's name.
+        nonce: What identifies this claim, so that a retry of it is recognised.
 
-def encode_writer_state(said: WriterState) -> bytes:
-    return encode_fields(said.incarnation, said.nonce, said.sequence, said.offsets)
+    Returns:
+        The new incarnation and the commit, which is without puts for a retry of what was written.
+    """
+    state = decode_writer_state(cell)
+    if state is not None and state.nonce == nonce:  # it was written, and the answer was lost
+        return WriterIdentity(name, state.incarnation, nonce), Commit(())
+    incarnation = state.incarnation + 1 if state is not None else 1
+    my_key = writer_key(topic, name)
+    checks = {my_key: cell.version if cell else 0}
+    puts = {my_key: encode_writer_state(WriterState(incarnation, nonce, 0))}
+    return WriterIdentity(name, incarnation, nonce), Commit((), checks, puts)
+
+
+def _earlier_commit(request: AppendRequest, state: WriterState | None) -> Commit | None:
+    """Return the result of an append that was written before; None where this one is new."""
+    if state is None:
+        return None
+    writer = request.writer
+    same_incarnation = state.incarnation == writer.incarnation
+    if state.incarnation > writer.incarnation or (same_incarnation and state.nonce != writer.nonce):
+        raise StaleWriter(f"{writer.name}: life {writer.incarnation} writes after life {state.incarnation}")
+    if not same_incarnation or request.sequence > state.sequence:
+        return None
+    return Commit(state.offsets if request.sequence == state.sequence else ())
+
+
+def _check_offsets(request: AppendRequest, cells: Mapping[str, Cell]) -> dict[str, int]:
+    """Check the offsets that are expected; returns the versions of the cells that they stand in."""
+    expected = dict(request.expected_offsets)
+    for draft in request.drafts:
+        if draft.expected_offset is not None:
+            expected[draft.key] = draft.expected_offset
+    checks: dict[str, int] = {}
+    for key, expected_offset in expected.items():
+        cell_key = position_key(request.topic, key)
+        offset = decode_position(cells.get(cell_key)).offset
+        if offset != expected_offset:
+            raise Conflict(f"{request.topic}: {key} stands at {offset}, not at {expected_offset}")
+        checks[cell_key] = cell_version(cells, cell_key)
+    return checks
+
+
+def _write_messages(
+    request: AppendRequest, cells: Mapping[str, Cell], head: TopicHead
+) -> tuple[tuple[int, ...], dict[str, bytes]]:
+    """Return the offsets of the messages, and the cells of these, of their keys, and of the topic's head."""
+    topic = request.topic
+    puts: dict[str, bytes] = {}
+    offsets: list[int] = []
+    for draft in request.drafts:
+        message = Message(
+            head.next_offset,
+            draft.key,
+            draft.value,
+            request.writer.name,
+            request.writer.incarnation,
+            request.sequence,
+        )
+        position = KeyPosition(message.offset, message.size_bytes, draft.value is None)
+        puts[message_key(topic, message.offset)] = encode_message(message)
+        puts[position_key(topic, draft.key)] = encode_position(position)
+        offsets.append(message.offset)
+        superseded = decode_position(cells.get(position_key(topic, draft.key)))
+        head = _head_after(head, position, superseded)
+    puts[head_key(topic)] = encode_head(head)
+    return tuple(offsets), puts
+
+
+def _head_after(head: TopicHead, appended: KeyPosition, superseded: KeyPosition) -> TopicHead:
+    return replace(
+        head,
+        next_offset=head.next_offset + 1,
+        size_bytes=head.size_bytes + appended.size_bytes,
+        dirty_bytes=head.dirty_bytes + superseded.size_bytes,
+        tombstones=head.tombstones + appended.is_tombstone - superseded.is_tombstone,
+    )
--- a/sabledyke/compacted_log/client.py
+++ b/sabledyke/compacted_log/client.py
@@ -1,7 +1,7 @@
-"""Drives a board: reads the cells that ``ledger``, ``follower`` and ``compaction`` decide by, and commits.
+"""Drives a compacted log: reads the cells that ``append`` and ``reader`` decide by, and commits.
 
-It decides nothing but when to try again: a commit that another one crossed is begun anew from a new look,
-after a wait with jitter, as long as ``PATIENCE`` allows.
+It decides only when to retry: a commit that conflicted with another one is decided anew from what stands
+there then, after a backoff with jitter, until ``RETRY_TIMEOUT_S`` are over.
 """
 
 from __future__ import annotations
@@ -12,8 +12,10 @@
 from random import Random
 from uuid import uuid4
 
-from sabledyke.compacted_log import append, compaction
+from sabledyke.compacted_log import append
+from sabledyke.compacted_log.append import AppendRequest, Commit
 from sabledyke.compacted_log.compaction import CompactionPolicy
+from sabledyke.compacted_log.compactor import Compactor
 from sabledyke.compacted_log.reader import LogEvent, LogReader
 from sabledyke.compacted_log.records import (
     PAGE_MESSAGES,
@@ -22,174 +24,190 @@
     Message,
     TopicHead,
     WriterIdentity,
-    compaction_key,
-    decode_head,
-    decode_message,
-    head_key,
-    message_key,
-    position_key,
     writer_key,
 )
+from sabledyke.compacted_log.topic_reads import read_head, read_messages
 from sabledyke.errors import BoardFault, Conflict, StaleWriter
 
-RETRY_TIMEOUT_S = 5.0  # seconds in which an append has to get through
-CROSSED = (0.002, 0.1)  # seconds before it is tried again: the first wait, doubled up to the last
-
-
-class LogWriter:
-    """One writer's life on one topic: numbers its appends, so that a repeat is taken once."""
-
-    def __init__(self, board: CompactedLog, topic: str, writer: WriterIdentity) -> None:
-        self._board, self.topic, self.identity, self._seq = board, topic, writer, 0
-        self._turn = asyncio.Lock()
-        self._doubt: object = None  # the last append, where it is not known whether it was written
-
-    async def append(
-        self, drafts: Sequence[Draft], expects: Mapping[str, int] | None = None, end: int | None = None
-    ) -> tuple[int, ...]:
-        """Their offsets. StaleWriter where a later life has written, Conflict where a key or the end has
-        moved.
-
-        After a BoardFault it may have been written: the same again, before anything else, is taken once.
-        """
-        async with self._turn:
-            rests, asked = dict(expects or {}), (tuple(drafts), expects, end)
-            if asked != self._doubt:
-                self._seq += 1
-            self._doubt = asked
-            try:
-                offsets = await self._board.append(self.topic, self.identity, self._seq, drafts, rests, end)
-            except (Conflict, StaleWriter):
-                self._doubt = None  # it was certainly not
-                raise
-            self._doubt = None
-            return offsets
+RETRY_TIMEOUT_S = 5.0
+FIRST_RETRY_DELAY_S = 0.002  # doubled at each retry
+MAX_RETRY_DELAY_S = 0.1
+NONCE_DIGITS = 12
 
 
 class CompactedLog:
-    """A board on a shelf."""
+    """A compacted log on a backend.
 
-    def __init__(self, shelf: Backend, seed: int = 0) -> None:
-        self.backend, self._random = shelf, Random(seed)
+    Attributes:
+        backend: What it is stored in.
+    """
+
+    def __init__(self, backend: Backend, seed: int = 0) -> None:
+        """Make a log on this backend; ``seed`` is for the jitter of retries."""
+        self.backend = backend
+        self._random = Random(seed)
 
     async def claim_writer(self, topic: str, name: str) -> LogWriter:
-        """Begin the next life of a writer."""
-        nonce, key = uuid4().hex[:12], writer_key(topic, name)
-        fault: BoardFault | None = None
-        for wait in self._waits():
-            try:
-                writer, commit = append.plan_claim(
-                    topic, (await self.backend.get([key])).get(key), name, nonce
-                )
-                if not commit.puts or await self.backend.commit(commit.checks, commit.puts):
-                    return LogWriter(self, topic, writer)
-            except BoardFault as said:
-                fault = said
-            await asyncio.sleep(wait)
-        raise fault or BoardFault(f"{topic}: no life for {name} within {RETRY_TIMEOUT_S:.0f} s")
-
-    def writer(self, topic: str, name: str, life: int) -> LogWriter:
-        """A writer whose life is given, as a lease's token is."""
-        return LogWriter(self, topic, WriterIdentity(name, life, uuid4().hex[:12]))
+        """Begin the next incarnation of a writer.
 
-    async def append(
-        self,
-        topic: str,
-        writer: WriterIdentity,
-        seq: int,
-        drafts: Sequence[Draft],
-        expects: Mapping[str, int],
-        end: int | None,
-    ) -> tuple[int, ...]:
-        """See ``Pen.append``; a fault on the way is asked again with the same sequence,
-        so it is taken once.
+        Raises:
+            BoardFault: It did not succeed in time.
+        """
+        nonce = _make_nonce()
+        key = writer_key(topic, name)
+        last_error: BoardFault | None = None
+        for delay_s in self._retry_delays_s():
+            try:
+                cells = await self.backend.get([key])
+                identity, commit = append.plan_claim(topic, cells.get(key), name, nonce)
+                if await self._commit(commit):
+                    return LogWriter(self, topic, identity)
+            except BoardFault as error:
+                last_error = error
+            await asyncio.sleep(delay_s)
+        raise last_error or BoardFault(f"{topic}: no life for {name} within {RETRY_TIMEOUT_S:.0f} s")
+
+    def writer(self, topic: str, name: str, incarnation: int) -> LogWriter:
+        """Return a writer whose incarnation is given, as a lease's token is."""
+        return LogWriter(self, topic, WriterIdentity(name, incarnation, _make_nonce()))
+
+    async def append(self, request: AppendRequest) -> tuple[int, ...]:
+        """Append messages; one whose answer was lost is retried with the same sequence, and written once.
+
+        Raises: see ``LogWriter.append``.
         """
-        append.validate_drafts(drafts)
-        fault: BoardFault | None = None
-        for wait in self._waits():
+        append.validate_drafts(request.drafts)
+        last_error: BoardFault | None = None
+        for delay_s in self._retry_delays_s():
             try:
-                found = await self.backend.get(append.cells_to_read(topic, writer, drafts, expects))
-                commit = append.plan_append(topic, found, writer, seq, drafts, expects, end)
-                if not commit.puts or await self.backend.commit(commit.checks, commit.puts):
+                cells = await self.backend.get(append.cells_to_read(request))
+                commit = append.plan_append(request, cells)
+                if await self._commit(commit):
                     return commit.offsets
-                if end is not None:
-                    continue  # somebody wrote: the next look says so, and what was decided is decided anew
+                if request.expected_end is not None:
+                    continue  # somebody wrote: the next attempt finds that, and the caller decides anew
             except (Conflict, StaleWriter):
                 raise
-            except BoardFault as said:
-                fault = said
-            await asyncio.sleep(wait)
-        raise fault or BoardFault(f"{topic}: others wrote all the time for {RETRY_TIMEOUT_S:.0f} s")
-
-    def _waits(self) -> Iterator[float]:
-        """Waits between tries, with jitter, until ``PATIENCE`` is over: the calls count as well."""
-        ends, wait = time.monotonic() + RETRY_TIMEOUT_S, CROSSED[0]
-        while True:
-            yield wait * (0.5 + self._random.random())
-            wait = min(2 * wait, CROSSED[1])
-            if time.monotonic() >= ends:
-                return
+            except BoardFault as error:
+                last_error = error
+            await asyncio.sleep(delay_s)
+        raise last_error or BoardFault(
+            f"{request.topic}: others wrote all the time for {RETRY_TIMEOUT_S:.0f} s"
+        )
 
     async def head(self, topic: str) -> TopicHead:
-        """How the topic stands."""
-        return decode_head((await self.backend.get([head_key(topic)])).get(head_key(topic)))
+        """Return the topic's head."""
+        return await read_head(self.backend, topic)
 
-    async def read_page(self, topic: str, first: int, most: int = PAGE_MESSAGES) -> list[Message]:
-        """Messages from this offset on, in order."""
-        cells = await self.backend.scan(message_key(topic, first), f"{topic}/m/~", most)
-        return [decode_message(name, cell) for name, cell in cells]
+    async def read_page(
+        self, topic: str, first_offset: int, max_messages: int = PAGE_MESSAGES
+    ) -> list[Message]:
+        """Return messages from this offset on, in order."""
+        return await read_messages(self.backend, topic, first_offset, max_messages)
 
-    async def poll(self, topic: str, reader: LogReader, most: int = PAGE_MESSAGES) -> list[LogEvent]:
-        """The reader's next page, and the head after it (see ``follower``)."""
+    async def poll(self, topic: str, reader: LogReader, max_messages: int = PAGE_MESSAGES) -> list[LogEvent]:
+        """Read the reader's next page, and apply it.
+
+        Returns:
+            What has changed.
+
+        Raises:
+            BoardFault: The backend did not answer.
+            BoardFull: There are more keys than the reader may retain.
+        """
         if not reader.started:
             reader.start(await self.head(topic))
-        elif reader.caught_up:  # the head alone says that nothing is new, as it does at most looks
+        elif reader.caught_up:  # the head alone tells that nothing is new, as in most polls
             head = await self.head(topic)
             if head.next_offset == reader.position:
                 return reader.apply_page([], False, head)
-        page = await self.read_page(topic, reader.position, most)
-        return reader.apply_page(page, len(page) >= most, await self.head(topic))
-
-    async def catch_up(self, topic: str, reader: LogReader, most: int = PAGE_MESSAGES) -> list[LogEvent]:
-        """All pages until the reader has caught up."""
-        news = list[LogEvent]()
+        page = await self.read_page(topic, reader.position, max_messages)
+        return reader.apply_page(page, len(page) >= max_messages, await self.head(topic))
+
+    async def catch_up(
+        self, topic: str, reader: LogReader, max_messages: int = PAGE_MESSAGES
+    ) -> list[LogEvent]:
+        """Poll until the reader has caught up; ``max_messages`` is for one page. Raises as ``poll`` does."""
+        events: list[LogEvent] = []
         while True:
-            news += await self.poll(topic, reader, most)
+            events += await self.poll(topic, reader, max_messages)
             if reader.caught_up and not reader.may_have_more:
-                return news
+                return events
 
     async def compact(
-        self, topic: str, policy: CompactionPolicy, token: Callable[[], int], clock: Callable[[], float]
+        self, topic: str, policy: CompactionPolicy, token: Callable[[], int], clock_ms: Callable[[], float]
     ) -> int:
-        """Clean as far as it is worth it now; bytes that were looked at.
+        """Compact a topic as far as it is worth it now; see ``Compactor``."""
+        return await Compactor(self.backend, topic, policy, token, clock_ms, self._random).run()
 
-        ``token`` gives the lease's token, or raises where it is not held: asked before every step. ``clock``
-        in ms. StaleWriter where a later cleaner is at work, which ends this one's part.
-        """
-        looked = 0
+    async def _commit(self, commit: Commit) -> bool:
+        """Commit, unless it was written before."""
+        return not commit.puts or await self.backend.commit(commit.checks, commit.puts)
+
+    def _retry_delays_s(self) -> Iterator[float]:
+        """Yield a delay for each attempt until ``RETRY_TIMEOUT_S`` are over; the calls count as well."""
+        deadline_s = time.monotonic() + RETRY_TIMEOUT_S
+        delay_s = FIRST_RETRY_DELAY_S
         while True:
-            cells = await self.backend.get([head_key(topic), compaction_key(topic)])
-            progress = compaction.decode_progress(cells.get(compaction_key(topic)))
-            progress = compaction.take_over(progress, token(), clock())
-            begun = compaction.start_pass(progress, decode_head(cells.get(head_key(topic))), policy, clock())
-            if begun is None:
-                return looked
-            page = await self.read_page(topic, begun.at, compaction.PAGE_MESSAGES)
-            whole = len(page) < compaction.PAGE_MESSAGES or page[-1].offset >= begun.limit - 1
-            names = [
-                head_key(topic),
-                compaction_key(topic),
-                *dict.fromkeys(position_key(topic, m.key) for m in page),
-            ]
-            now = await self.backend.get(names)
-            if now.get(compaction_key(topic)) == cells.get(compaction_key(topic)):
-                token()
-                done = compaction.compact_page(topic, now, begun, page, whole, policy, clock())[1]
-                if await self.backend.commit(done.checks, done.puts, done.drops):
-                    size = sum(m.size_bytes for m in page)
-                    looked += size
-                    await asyncio.sleep(size / policy.max_bytes_per_s)
-                    if whole:
-                        return looked
-                    continue
-            await asyncio.sleep(CROSSED[0] * (0.5 + self._random.random()))
+            yield delay_s * (0.5 + self._random.random())
+            delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
+            if time.monotonic() >= deadline_s:
+                return
+
+
+class LogWriter:
+    """One incarnation of a writer on one topic: it numbers its appends, so that a retry is written once.
+
+    Attributes:
+        topic: The topic.
+        identity: The writer's incarnation.
+    """
+
+    def __init__(self, log: CompactedLog, topic: str, identity: WriterIdentity, sequence: int = 0) -> None:
+        """Make a writer whose last append had this sequence number."""
+        self.topic = topic
+        self.identity = identity
+        self._log = log
+        self._sequence = sequence
+        self._lock = asyncio.Lock()
+        self._unconfirmed: object = None  # the last append, where it is not known whether it was written
+
+    async def append(
+        self, drafts: Sequence[Draft], expects: Mapping[str, int] | None = None, end: int | None = None
+    ) -> tuple[int, ...]:
+        """Append messages.
+
+        Args:
+            drafts: The messages.
+            expects: By key, the offsets of further messages that the append depends on.
+            end: The topic's next offset, where the append depends on all messages up to it.
+
+        Returns:
+            The offsets of the messages.
+
+        Raises:
+            BoardFull: There are too many messages, or one is too large.
+            StaleWriter: A later incarnation has written.
+            Conflict: A key, or the end of the topic, has moved.
+            BoardFault: The append may have been written; the same one again, before any other, is written
+                once.
+        """
+        async with self._lock:
+            content = (tuple(drafts), expects, end)
+            if content != self._unconfirmed:
+                self._sequence += 1
+            self._unconfirmed = content
+            request = AppendRequest(
+                self.topic, self.identity, self._sequence, drafts, dict(expects or {}), end
+            )
+            try:
+                offsets = await self._log.append(request)
+            except (Conflict, StaleWriter):
+                self._unconfirmed = None  # it was certainly not written
+                raise
+            self._unconfirmed = None
+            return offsets
+
+
+def _make_nonce() -> str:
+    return uuid4().hex[:NONCE_DIGITS]
--- /dev/null
+++ b/sabledyke/compacted_log/compactor.py
@@ -0,0 +1,122 @@
+"""Drives the compaction of one topic: reads what ``compaction`` decides by, and commits."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+from random import Random
+
+from sabledyke.compacted_log import compaction
+from sabledyke.compacted_log.append import Commit
+from sabledyke.compacted_log.compaction import CompactionPolicy, CompactionProgress
+from sabledyke.compacted_log.records import (
+    Backend,
+    Cell,
+    Message,
+    compaction_key,
+    decode_head,
+    head_key,
+    position_key,
+)
+from sabledyke.compacted_log.topic_reads import read_messages
+
+RETRY_DELAY_S = 0.002
+
+
+@dataclass(slots=True, frozen=True)
+class _Page:
+    """A page of the pass under way; ``progress_cell`` is the cell that its progress was read from."""
+
+    progress: CompactionProgress
+    progress_cell: Cell | None
+    messages: list[Message]
+    ends_pass: bool
+
+    @property
+    def size_bytes(self) -> int:
+        return sum(message.size_bytes for message in self.messages)
+
+
+class Compactor:
+    """Compacts one topic under a lease."""
+
+    def __init__(
+        self,
+        backend: Backend,
+        topic: str,
+        policy: CompactionPolicy,
+        token: Callable[[], int],
+        clock_ms: Callable[[], float],
+        random: Random,
+    ) -> None:
+        """Make a compactor.
+
+        Args:
+            backend: What the log is stored in.
+            topic: The topic.
+            policy: The operator's settings.
+            token: Returns the lease's token, or raises where it is not held; called before every step.
+            clock_ms: Returns the time of this process.
+            random: The source of jitter.
+        """
+        self._backend = backend
+        self._topic = topic
+        self._policy = policy
+        self._token = token
+        self._clock_ms = clock_ms
+        self._random = random
+
+    async def run(self) -> int:
+        """Compact as far as it is worth it now.
+
+        Returns:
+            The size of what was read, in bytes.
+
+        Raises:
+            StaleWriter: A compactor with a later token is at work.
+            BoardFault: The backend did not answer.
+        """
+        read_bytes = 0
+        while (page := await self._next_page()) is not None:
+            commit = await self._plan(page)
+            if commit is None or not await self._backend.commit(commit.checks, commit.puts, commit.drops):
+                await asyncio.sleep(RETRY_DELAY_S * (0.5 + self._random.random()))
+                continue
+            read_bytes += page.size_bytes
+            await asyncio.sleep(page.size_bytes / self._policy.max_bytes_per_s)
+            if page.ends_pass:
+                break
+        return read_bytes
+
+    async def _next_page(self) -> _Page | None:
+        """Read the next page of the pass under way, or of a new one; None where there is nothing to do."""
+        cells = await self._backend.get([head_key(self._topic), compaction_key(self._topic)])
+        progress_cell = cells.get(compaction_key(self._topic))
+        progress = compaction.decode_progress(progress_cell)
+        progress = compaction.continue_under_token(progress, self._token(), self._clock_ms())
+        head = decode_head(cells.get(head_key(self._topic)))
+        started = compaction.start_pass(progress, head, self._policy, self._clock_ms())
+        if started is None:
+            return None
+        limit = compaction.PAGE_MESSAGES
+        messages = await read_messages(self._backend, self._topic, started.position, limit)
+        ends_pass = len(messages) < limit or messages[-1].offset >= started.limit_offset - 1
+        return _Page(started, progress_cell, messages, ends_pass)
+
+    async def _plan(self, page: _Page) -> Commit | None:
+        """Decide what to remove of a page; None where another compactor was at work meanwhile."""
+        positions = dict.fromkeys(position_key(self._topic, message.key) for message in page.messages)
+        cells = await self._backend.get([head_key(self._topic), compaction_key(self._topic), *positions])
+        if cells.get(compaction_key(self._topic)) != page.progress_cell:
+            return None
+        self._token()
+        return compaction.compact_page(
+            self._topic,
+            cells,
+            page.progress,
+            page.messages,
+            ends_pass=page.ends_pass,
+            policy=self._policy,
+            now_ms=self._clock_ms(),
+        )
--- a/sabledyke/compacted_log/etcd_backend.py
+++ b/sabledyke/compacted_log/etcd_backend.py
@@ -1,7 +1,6 @@
-"""A shelf in etcd v3, over its published JSON gateway: a key a cell, ``mod_revision`` its version, a txn a
-commit.
+"""The backend in etcd version 3, for fleets on several machines.
 
-For fleets on several machines. Calls go through the endpoints and faults of ``lease.etcd.Gateway``.
+Each cell is a key, whose ``mod_revision`` is its version, and each commit a transaction.
 """
 
 from __future__ import annotations
@@ -11,58 +10,82 @@
 
 from sabledyke.compacted_log.records import Cell
 from sabledyke.errors import AuthorityFault, BoardFault
-from sabledyke.lease.etcd_gateway import EtcdGateway, decode_base64, encode_base64
+from sabledyke.lease.etcd_gateway import EtcdGateway, JsonObject, decode_base64, encode_base64
+
+DEFAULT_TIMEOUT_MS = 1000.0
 
 
 class EtcdBackend:
-    """See ``terms.Shelf``; ``patience`` in ms is for one call."""
+    """A backend in etcd; see ``records.Backend``."""
+
+    def __init__(self, endpoints: Sequence[str], prefix: str, timeout_ms: float = DEFAULT_TIMEOUT_MS) -> None:
+        """Make a backend.
 
-    def __init__(self, endpoints: Sequence[str], prefix: str, patience: float = 1000.0) -> None:
-        self._gateway, self._prefix = EtcdGateway(endpoints, patience), f"{prefix}board/"
+        Args:
+            endpoints: Addresses (host:port) of the etcd servers.
+            prefix: What all keys begin with.
+            timeout_ms: The limit for one call.
+        """
+        self._gateway = EtcdGateway(endpoints, timeout_ms)
+        self._prefix = f"{prefix}board/"
 
     async def open(self) -> None:
-        """Nothing is needed ahead: an etcd that is down is asked again."""
+        """Do nothing: an etcd that is down is called again."""
 
     async def get(self, keys: Sequence[str]) -> dict[str, Cell]:
-        """See ``terms.Shelf``: one transaction without a condition reads all of them as of one revision."""
-        asks = [{"request_range": {"key": self._key(key)}} for key in keys]
-        done = await self._call("kv/txn", {"compare": [], "success": asks, "failure": []})
-        answers = [answer["response_range"].get("kvs", ()) for answer in done["responses"]]
-        return {key: _cell(kvs[0]) for key, kvs in zip(keys, answers, strict=True) if kvs}
-
-    async def scan(self, first: str, end: str, most: int) -> list[tuple[str, Cell]]:
-        """See ``terms.Shelf``."""
-        ask = {"key": self._key(first), "range_end": self._key(end), "limit": str(most)}
-        found = await self._call("kv/range", ask)
-        cut = len(self._prefix)
-        return [(decode_base64(kv["key"]).decode()[cut:], _cell(kv)) for kv in found.get("kvs", ())]
+        """See ``records.Backend``: one transaction without a condition reads all as of one revision."""
+        reads = [{"request_range": {"key": self._encode_key(key)}} for key in keys]
+        result = await self._call("kv/txn", {"compare": [], "success": reads, "failure": []})
+        found = [response["response_range"].get("kvs", ()) for response in result["responses"]]
+        return {key: _decode_cell(entries[0]) for key, entries in zip(keys, found, strict=True) if entries}
+
+    async def scan(self, first: str, end: str, limit: int) -> list[tuple[str, Cell]]:
+        """See ``records.Backend``."""
+        body = {
+            "key": self._encode_key(first),
+            "range_end": self._encode_key(end),
+            "limit": str(limit),
+        }
+        found = await self._call("kv/range", body)
+        return [(self._decode_key(entry["key"]), _decode_cell(entry)) for entry in found.get("kvs", ())]
 
     async def commit(
         self, checks: Mapping[str, int], puts: Mapping[str, bytes], drops: Collection[str] = ()
     ) -> bool:
-        """See ``terms.Shelf``."""
+        """See ``records.Backend``."""
         compare = [
-            {"key": self._key(key), "target": "MOD", "result": "EQUAL", "mod_revision": str(version)}
+            {
+                "key": self._encode_key(key),
+                "target": "MOD",
+                "result": "EQUAL",
+                "mod_revision": str(version),
+            }
             for key, version in checks.items()
         ]
-        writes: list[dict[str, Any]] = [{"request_delete_range": {"key": self._key(key)}} for key in drops]
-        writes += [{"request_put": {"key": self._key(k), "value": encode_base64(v)}} for k, v in puts.items()]
-        done = await self._call("kv/txn", {"compare": compare, "success": writes, "failure": []})
-        return bool(done.get("succeeded"))
+        writes: list[JsonObject] = [{"request_delete_range": {"key": self._encode_key(key)}} for key in drops]
+        writes += [
+            {"request_put": {"key": self._encode_key(key), "value": encode_base64(data)}}
+            for key, data in puts.items()
+        ]
+        result = await self._call("kv/txn", {"compare": compare, "success": writes, "failure": []})
+        return bool(result.get("succeeded"))
+
+    async def close(self) -> None:
+        """See ``records.Backend``."""
+        await self._gateway.close()
 
-    def _key(self, key: str) -> str:
+    def _encode_key(self, key: str) -> str:
         return encode_base64((self._prefix + key).encode())
 
-    async def _call(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
+    def _decode_key(self, data: str) -> str:
+        return decode_base64(data).decode()[len(self._prefix) :]
+
+    async def _call(self, path: str, body: JsonObject) -> JsonObject:
         try:
             return await self._gateway.call(path, body)
-        except AuthorityFault as fault:
-            raise BoardFault(str(fault)) from None
-
-    async def close(self) -> None:
-        """See ``terms.Shelf``."""
-        await self._gateway.close()
+        except AuthorityFault as error:
+            raise BoardFault(str(error)) from error
 
 
-def _cell(kv: dict[str, Any]) -> Cell:
-    return Cell(int(kv["mod_revision"]), decode_base64(kv.get("value", "")))
+def _decode_cell(entry: dict[str, Any]) -> Cell:
+    return Cell(int(entry["mod_revision"]), decode_base64(entry.get("value", "")))
--- a/sabledyke/compacted_log/reader.py
+++ b/sabledyke/compacted_log/reader.py
@@ -1,12 +1,12 @@
-"""One reader's side of a topic: from nothing, or from where it was, to all that holds, and on. Pure.
+"""One reader's side of a topic: from nothing, or from where it was, to the latest messages, and on. Pure.
 
-Told: pages of messages from ``position`` on, each followed by a look at the head. Gives news in order: what
-was put, what is gone, and when the reader has caught up. It never knows a shelf or a clock.
+It is given pages of messages from ``position`` on, each with the topic's head as read after it, and returns
+events in order: keys that were updated, keys that were removed, and when the reader has caught up.
 
-A tombstone that was cleaned away before this reader came to it would leave a dead key alive here. The head's
-floor tells: one that rose since the last look, to this reader's position or beyond, may have been missed.
-The reader then starts again, and at the end of that drops what it no longer finds. What was cleaned away
-before it started is no matter: all that it superseded had gone before.
+A tombstone that was compacted away before this reader came to it would leave a removed key in ``latest``. The
+head's tombstone floor tells: one that rose since the last page, to this reader's position or beyond, may have
+been missed. The reader then restarts, and at the end of that removes what it no longer finds. What was
+compacted away before it started does not matter: all that it superseded had been removed before.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from sabledyke.compacted_log.records import Message, TopicHead
 from sabledyke.errors import BoardFull
 
-MAX_KEYS = 100_000  # that one reader keeps
+MAX_KEYS = 100_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,21 +29,22 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyRemoved:
-    """A key holds nothing any more."""
+    """A key has no value any more."""
 
     key: str
 
 
 @dataclass(slots=True, frozen=True)
 class ReaderRestarted:
-    """It was away for longer than tombstones are kept: it starts again, and what it has
-    may be out of date.
+    """The reader was away for longer than tombstones are retained.
+
+    It starts again, and what it has may be out of date until it has caught up.
     """
 
 
 @dataclass(slots=True, frozen=True)
 class CaughtUp:
-    """All that was said up to this offset is told."""
+    """All messages up to this offset were processed."""
 
     up_to_offset: int
 
@@ -52,60 +53,85 @@
 
 
 class LogReader:
-    """What one reader knows of a topic; ``state`` has the latest message of each key that holds something."""
+    """What one reader knows of a topic.
+
+    Attributes:
+        position: The next offset to read.
+        latest: The latest message of each key that has a value.
+        caught_up: Whether it has caught up since it last started.
+        may_have_more: Whether more messages may follow the page that was read last.
+    """
 
-    def __init__(self, most_keys: int = MAX_KEYS) -> None:
-        self.position = 1  # the next offset to read
+    def __init__(self, max_keys: int = MAX_KEYS) -> None:
+        """Make a reader that starts from nothing, and retains at most ``max_keys`` keys."""
+        self.position = 1
         self.latest: dict[str, Message] = {}
-        self.caught_up = False  # it has caught up since it last started
-        self.may_have_more = True  # more may follow the page read last
-        self._most = most_keys
-        self._old: dict[str, Message] = {}  # what it had before it started again
-        self._floor: int | None = None  # as of a look before the next page; None before the first
+        self.caught_up = False
+        self.may_have_more = True
+        self._max_keys = max_keys
+        self._before_restart: dict[str, Message] = {}
+        self._tombstone_floor: int | None = None  # as of before the next page; None before the first
 
     @property
     def started(self) -> bool:
-        """A head was looked at since it last started: pages may be read."""
-        return self._floor is not None
+        """Whether a head was read since it last started, so that pages may be applied."""
+        return self._tombstone_floor is not None
 
     def start(self, head: TopicHead) -> None:
-        """The head, as read before the first page."""
-        self._floor = head.tombstone_floor
+        """Start with the topic's head as it was read before the first page."""
+        self._tombstone_floor = head.tombstone_floor
 
     def apply_page(self, page: Sequence[Message], full: bool, head: TopicHead) -> list[LogEvent]:
-        """A page read from ``position`` on (``full`` where more may follow), and the head
-        as read after it.
+        """Apply a page of messages.
+
+        Args:
+            page: Messages from ``position`` on.
+            full: Whether more may follow them.
+            head: The topic's head as it was read after the page.
+
+        Returns:
+            What has changed.
+
+        Raises:
+            BoardFull: There are more keys than the reader may retain.
         """
-        assert self._floor is not None
         self.may_have_more = full
-        if (
-            head.tombstone_floor > self._floor
-            and head.tombstone_floor >= self.position
-            or head.next_offset < self.position
-        ):
-            return self._again()
-        self._floor = head.tombstone_floor
-        news: list[LogEvent] = []
-        for message in page:
-            self.position = message.offset + 1
-            if message.value is not None:
-                if message.key not in self.latest and len(self.latest) >= self._most:
-                    raise BoardFull(f"a reader keeps {self._most} keys at most")
-                self.latest[message.key] = message
-                self._old.pop(message.key, None)
-                news.append(KeyUpdated(message))
-            elif (self.latest.pop(message.key, None) or self._old.pop(message.key, None)) is not None:
-                news.append(KeyRemoved(message.key))
+        if self._may_have_missed_tombstones(head):
+            return self._restart()
+        self._tombstone_floor = head.tombstone_floor
+        events = [event for message in page for event in self._apply(message)]
         if not full and not self.caught_up:
-            news += [KeyRemoved(key) for key in self._old]
-            self._old, self.caught_up = {}, True
-            news.append(CaughtUp(self.position - 1))
+            events += [KeyRemoved(key) for key in self._before_restart]
+            events.append(CaughtUp(self.position - 1))
+            self._before_restart = {}
+            self.caught_up = True
         elif not full and page:
-            news.append(CaughtUp(self.position - 1))
-        return news
-
-    def _again(self) -> list[LogEvent]:
-        self._old = {**self._old, **self.latest}
-        self.position, self.latest, self.caught_up, self._floor = 1, {}, False, None
+            events.append(CaughtUp(self.position - 1))
+        return events
+
+    def _may_have_missed_tombstones(self, head: TopicHead) -> bool:
+        assert self._tombstone_floor is not None
+        if head.next_offset < self.position:
+            return True
+        return head.tombstone_floor > self._tombstone_floor and head.tombstone_floor >= self.position
+
+    def _apply(self, message: Message) -> list[LogEvent]:
+        self.position = message.offset + 1
+        key = message.key
+        if message.value is None:
+            known = self.latest.pop(key, None) or self._before_restart.pop(key, None)
+            return [KeyRemoved(key)] if known is not None else []
+        if key not in self.latest and len(self.latest) >= self._max_keys:
+            raise BoardFull(f"a reader keeps {self._max_keys} keys at most")
+        self.latest[key] = message
+        self._before_restart.pop(key, None)
+        return [KeyUpdated(message)]
+
+    def _restart(self) -> list[LogEvent]:
+        self._before_restart |= self.latest
+        self.position = 1
+        self.latest = {}
+        self.caught_up = False
         self.may_have_more = True
+        self._tombstone_floor = None
         return [ReaderRestarted()]
--- a/sabledyke/compacted_log/records.py
+++ b/sabledyke/compacted_log/records.py
@@ -1,7 +1,8 @@
-"""The board's terms: messages, what a topic's head says, cells of the shelf that it stands on. Plain data.
+"""The records of the compacted log, the cells that they are stored in, and the backend that stores these.
 
-Offsets count from 1 and only rise; 0 stands for a key that was never written. Sizes are bytes. The anchors
-are Kafka's log compaction (minimum lag, delete retention) and etcd's revisions (compare before a write).
+Offsets count from 1 and only rise; 0 stands for a key that was never written. The models are Kafka's log
+compaction (minimum lag, delete retention) and etcd's revisions (compare before a write). Cells are stored as
+JSON arrays, in the order that the functions below give; names of fields are not stored.
 """
 
 from __future__ import annotations
@@ -12,15 +13,25 @@
 
 import orjson
 
-MAX_KEY_BYTES, MAX_VALUE_BYTES = 200, 16 * 1024  # bytes of a key and of a value
-MAX_COMMIT_OPERATIONS = 100  # puts, drops or checks of one commit: etcd takes 128 by default
-MAX_APPEND_MESSAGES = 20  # drafts of one append: each puts its message and its key's place
-PAGE_MESSAGES = 256  # messages of one read
+MAX_KEY_BYTES = 200
+MAX_VALUE_BYTES = 16 * 1024
+MAX_COMMIT_OPERATIONS = 100  # puts, drops or checks of one commit: etcd's default limit is 128
+MAX_APPEND_MESSAGES = 20  # of one append: each writes two cells, the message and its key's position
+PAGE_MESSAGES = 256
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """The latest that was said of a key at its offset; ``value`` None for a tombstone."""
+    """One message of a topic.
+
+    Attributes:
+        offset: Its place in the topic.
+        key: What it is about.
+        value: What it says; None for a tombstone.
+        writer: The name of who wrote it.
+        incarnation: The writer's incarnation.
+        sequence: The number of the append within that.
+    """
 
     offset: int
     key: str
@@ -31,13 +42,19 @@
 
     @property
     def size_bytes(self) -> int:
-        """What it counts for."""
+        """The size that it is counted with, its key and value."""
         return len(self.key) + len(self.value or b"")
 
 
 @dataclass(slots=True, frozen=True)
 class Draft:
-    """What a writer wants to say; ``expects`` is the offset that the key must stand at, None for any."""
+    """A message to be appended.
+
+    Attributes:
+        key: What it is about.
+        value: What it says; None for a tombstone.
+        expected_offset: The offset that the key's latest message must have; None for any.
+    """
 
     key: str
     value: bytes | None
@@ -46,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WriterIdentity:
-    """One life of a writer; ``nonce`` tells two processes apart that took the same life at once."""
+    """One incarnation of a writer; ``nonce`` separates two processes that claimed the same one at once."""
 
     name: str
     incarnation: int
@@ -55,15 +72,21 @@
 
 @dataclass(slots=True, frozen=True)
 class TopicHead:
-    """A topic as a whole: its next offset, up to where tombstones may be missing, and
-    what could be cleaned.
+    """The state of a topic.
+
+    Attributes:
+        next_offset: The offset of the next message.
+        tombstone_floor: The highest offset from which a tombstone was removed.
+        size_bytes: The size of all its messages.
+        dirty_bytes: How much of that is superseded.
+        tombstones: How many keys have a tombstone as their latest message.
     """
 
     next_offset: int = 1
-    tombstone_floor: int = 0  # the last offset from which a tombstone was dropped
+    tombstone_floor: int = 0
     size_bytes: int = 0
-    dirty_bytes: int = 0  # of that, superseded
-    tombstones: int = 0  # keys whose latest is a tombstone
+    dirty_bytes: int = 0
+    tombstones: int = 0
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,7 +100,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WriterState:
-    """What is remembered of a writer: its life, and the offsets of its last append, for a repeat of it."""
+    """What is stored of a writer: its incarnation, and the offsets of its last append, to detect a retry."""
 
     incarnation: int
     nonce: str
@@ -87,104 +110,149 @@
 
 @dataclass(slots=True, frozen=True)
 class Cell:
-    """One entry of the shelf; ``version`` changes with every write to it, and is 0 where there is none."""
+    """One entry of the backend; ``version`` changes with every write to it, and is 0 where there is none."""
 
     version: int
     data: bytes
 
 
 class Backend(Protocol):
-    """What a board stands on: ordered keys, and commits that happen as one step or not at all."""
+    """What a log is stored in: ordered keys, and commits that are executed as one step or not at all."""
+
+    async def open(self) -> None:
+        """Prepare for use.
+
+        Raises:
+            ConfigError: It cannot be used as it is configured.
+        """
 
     async def get(self, keys: Sequence[str]) -> dict[str, Cell]:
-        """Those of them that there are, as of one moment; a BoardFault without an answer."""
+        """Return those of the cells that exist, as of one moment.
+
+        Raises:
+            BoardFault: It did not answer.
+        """
 
-    async def scan(self, first: str, end: str, most: int) -> list[tuple[str, Cell]]:
-        """Cells from ``first`` up to before ``end``, in order, ``most`` at the most."""
+    async def scan(self, first: str, end: str, limit: int) -> list[tuple[str, Cell]]:
+        """Return at most ``limit`` cells from ``first`` up to before ``end``, in order of their keys.
+
+        Raises:
+            BoardFault: It did not answer.
+        """
 
     async def commit(
         self, checks: Mapping[str, int], puts: Mapping[str, bytes], drops: Collection[str] = ()
     ) -> bool:
-        """Write if every checked key has this version (0: is not there); False where one has not.
+        """Write and remove cells, if every checked cell has the version given.
 
-        A BoardFault leaves open whether it was done.
-        """
+        Args:
+            checks: Versions by key; 0 for a cell that must not exist.
+            puts: Data by key.
+            drops: Keys of the cells to remove.
 
-    async def open(self) -> None:
-        """Get ready; a ConfigError in one plain line where that cannot be."""
+        Returns:
+            False where a check failed, so that nothing was written.
+
+        Raises:
+            BoardFault: It is not known whether the commit was executed.
+        """
 
     async def close(self) -> None:
-        """End what is open."""
+        """Close what is open."""
 
 
 def head_key(topic: str) -> str:
-    """The cell of a topic's head."""
+    """Return the key of the cell of a topic's head."""
     return f"{topic}/h"
 
 
 def message_key(topic: str, offset: int) -> str:
-    """The cell of a message, in the order of offsets."""
+    """Return the key of the cell of a message; keys sort as the offsets do."""
     return f"{topic}/m/{offset:016x}"
 
 
 def position_key(topic: str, key: str) -> str:
-    """The cell of where a key's latest message is."""
+    """Return the key of the cell of a key's position."""
     return f"{topic}/k/{key}"
 
 
 def writer_key(topic: str, name: str) -> str:
-    """The cell of a writer."""
+    """Return the key of the cell of a writer's state."""
     return f"{topic}/w/{name}"
 
 
 def register_key(topic: str, name: str) -> str:
-    """The cell of a register (see ``register``)."""
+    """Return the key of the cell of a register (see ``registers``)."""
     return f"{topic}/r/{name}"
 
 
 def compaction_key(topic: str) -> str:
-    """The cell of how far cleaning has come."""
+    """Return the key of the cell of a topic's compaction progress."""
     return f"{topic}/c"
 
 
+def cell_version(cells: Mapping[str, Cell], key: str) -> int:
+    """Return a cell's version among those that were read; 0 where there is none."""
+    return cells[key].version if key in cells else 0
+
+
 def encode_fields(*fields: object) -> bytes:
-    """Fields of one cell."""
+    """Encode the fields of one cell."""
     return orjson.dumps(fields)
 
 
+def encode_head(head: TopicHead) -> bytes:
+    """Encode a topic's head."""
+    return encode_fields(
+        head.next_offset, head.tombstone_floor, head.size_bytes, head.dirty_bytes, head.tombstones
+    )
+
+
 def decode_head(cell: Cell | None) -> TopicHead:
-    """A head as it was packed; that of a topic that nobody wrote to is the first."""
+    """Decode a topic's head; the initial one where nobody has written to the topic."""
     return TopicHead() if cell is None else TopicHead(*orjson.loads(cell.data))
 
 
+def encode_position(position: KeyPosition) -> bytes:
+    """Encode a key's position."""
+    return encode_fields(position.offset, position.size_bytes, position.is_tombstone)
+
+
 def decode_position(cell: Cell | None) -> KeyPosition:
-    """A key's place."""
+    """Decode a key's position; at offset 0 where it was never written."""
     return KeyPosition(0, 0, False) if cell is None else KeyPosition(*orjson.loads(cell.data))
 
 
+def encode_writer_state(state: WriterState) -> bytes:
+    """Encode a writer's state."""
+    return encode_fields(state.incarnation, state.nonce, state.sequence, state.offsets)
+
+
 def decode_writer_state(cell: Cell | None) -> WriterState | None:
-    """A writer's record."""
+    """Decode a writer's state; None where it has never written."""
     if cell is None:
         return None
-    life, nonce, seq, offsets = orjson.loads(cell.data)
-    return WriterState(life, nonce, seq, tuple(offsets))
-
-
-def cell_version(cells: Mapping[str, Cell], key: str) -> int:
-    """A cell's version among those that were read; 0 where there is none."""
-    return cells[key].version if key in cells else 0
-
-
-def decode_message(name: str, cell: Cell) -> Message:
-    """A message from its cell: a line of JSON about it, then its value."""
-    about, _, value = cell.data.partition(b"\n")
-    key, writer, life, seq, tomb = orjson.loads(about)
-    return Message(int(name.rpartition("/")[2], 16), key, None if tomb else value, writer, life, seq)
+    incarnation, nonce, sequence, offsets = orjson.loads(cell.data)
+    return WriterState(incarnation, nonce, sequence, tuple(offsets))
 
 
 def encode_message(message: Message) -> bytes:
-    """The cell of a message."""
-    about = encode_fields(
+    """Encode a message: a line of JSON about it, then its value."""
+    header = encode_fields(
         message.key, message.writer, message.incarnation, message.sequence, message.value is None
     )
-    return about + b"\n" + (message.value or b"")
+    return header + b"\n" + (message.value or b"")
+
+
+def decode_message(cell_key: str, cell: Cell) -> Message:
+    """Decode a message from its cell, whose key has its offset."""
+    header, _, value = cell.data.partition(b"\n")
+    key, writer, incarnation, sequence, is_tombstone = orjson.loads(header)
+    return Message(
+        offset=int(cell_key.rpartition("/")[2], 16),
+        key=key,
+        value=None if is_tombstone else value,
+        writer=writer,
+        incarnation=incarnation,
+        sequence=sequence,
+    )
--- a/sabledyke/compacted_log/registers.py
+++ b/sabledyke/compacted_log/registers.py
@@ -1,16 +1,17 @@
-"""Cells in which a writer keeps its latest word alone: no offset, no past, and in no other writer's way.
+"""Registers: cells in which a writer stores its latest value alone, without an offset or a history.
 
-For what is said often and matters only while it is new, as signs of life. In a log each of them would cross
-all others at the topic's head, and be cleaned a moment later. A write rests on the writer's own cell, which
-only a later life of it changes: one commit without a look before it, and none of an older life.
+They are for what is written often and matters only while it is new, such as heartbeats. In a topic's log,
+each of these would conflict with all other appends at the topic's head, and be compacted a moment later. A
+write depends on the writer's own cell, which only a later incarnation changes: it is one commit without a
+read before it, and an older incarnation is rejected.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection, Mapping
 
+from sabledyke.compacted_log.append import validate_value
 from sabledyke.compacted_log.records import (
-    MAX_VALUE_BYTES,
     Backend,
     Cell,
     WriterIdentity,
@@ -19,57 +20,73 @@
     register_key,
     writer_key,
 )
-from sabledyke.errors import BoardFull, StaleWriter
+from sabledyke.errors import StaleWriter
 
-PAGE_CELLS = 64  # cells of one read: at most 1 MiB
-MAX_CELLS = 4096  # cells that are read of one topic
+PAGE_CELLS = 64  # of one read: at most 1 MiB
+MAX_CELLS = 4096  # that are read of one topic
+
+_AFTER_ALL_NAMES = "~"
 
 
 class RegisterWriter:
-    """One writer's life on one topic's registers."""
+    """One incarnation of a writer on the registers of one topic."""
 
-    def __init__(self, shelf: Backend, topic: str, writer: WriterIdentity) -> None:
-        self._shelf, self._topic, self._writer = shelf, topic, writer
-        self._version = 0  # of the cell in which this life stands; 0 before it was looked for
+    def __init__(self, backend: Backend, topic: str, identity: WriterIdentity) -> None:
+        """Make a writer for this incarnation, which was claimed before."""
+        self._backend = backend
+        self._topic = topic
+        self._identity = identity
+        self._writer_version = 0  # of the cell that has this incarnation; 0 before it was read
 
     async def put(self, values: Mapping[str, bytes]) -> None:
-        """Write these; StaleWriter where a later life has begun. After a BoardFault they may be written."""
+        """Write values by the names of their registers.
+
+        Raises:
+            BoardFull: A value is too large.
+            StaleWriter: A later incarnation has begun.
+            BoardFault: The values may have been written.
+        """
         for name, value in values.items():
-            if len(value) > MAX_VALUE_BYTES:
-                raise BoardFull(f"{name}: a value has at most {MAX_VALUE_BYTES} bytes, not {len(value)}")
-        me = writer_key(self._topic, self._writer.name)
-        if not self._version:
-            read_cells = await self._shelf.get([me])
-            said = decode_writer_state(read_cells.get(me))
-            if said is None or said.nonce != self._writer.nonce:
-                raise self._stale()
-            self._version = cell_version(read_cells, me)
+            validate_value(name, value)
+        writer = writer_key(self._topic, self._identity.name)
+        if not self._writer_version:
+            self._writer_version = await self._read_writer_version(writer)
         puts = {register_key(self._topic, name): value for name, value in values.items()}
-        if not await self._shelf.commit({me: self._version}, puts):
-            raise self._stale()
+        if not await self._backend.commit({writer: self._writer_version}, puts):
+            raise self._stale_error()
+
+    async def _read_writer_version(self, writer: str) -> int:
+        cells = await self._backend.get([writer])
+        state = decode_writer_state(cells.get(writer))
+        if state is None or state.nonce != self._identity.nonce:
+            raise self._stale_error()
+        return cell_version(cells, writer)
 
-    def _stale(self) -> StaleWriter:
-        name, life = self._writer.name, self._writer.incarnation
-        return StaleWriter(f"{name}: life {life} writes after a later one has begun")
+    def _stale_error(self) -> StaleWriter:
+        writer = self._identity
+        return StaleWriter(f"{writer.name}: life {writer.incarnation} writes after a later one has begun")
 
 
-async def read_values(shelf: Backend, topic: str) -> dict[str, bytes]:
-    """All of them as they stand, by name; not as of one moment where they take several pages."""
-    return {name: cell.data for name, cell in (await read_cells(shelf, topic)).items()}
+async def read_values(backend: Backend, topic: str) -> dict[str, bytes]:
+    """Return the values of all registers by name; as of several moments where they take several pages."""
+    return {name: cell.data for name, cell in (await read_cells(backend, topic)).items()}
 
 
-async def read_cells(shelf: Backend, topic: str) -> dict[str, Cell]:
-    """The same, with the version of each."""
-    found, first, end = dict[str, Cell](), register_key(topic, ""), register_key(topic, "~")
+async def read_cells(backend: Backend, topic: str) -> dict[str, Cell]:
+    """Return the cells of all registers by name, as ``read_values`` does."""
+    prefix = register_key(topic, "")
+    end = register_key(topic, _AFTER_ALL_NAMES)
+    first = prefix
+    found: dict[str, Cell] = {}
     while len(found) < MAX_CELLS:
-        page = await shelf.scan(first, end, PAGE_CELLS)
-        found.update((key.removeprefix(register_key(topic, "")), cell) for key, cell in page)
+        page = await backend.scan(first, end, PAGE_CELLS)
+        found.update((key.removeprefix(prefix), cell) for key, cell in page)
         if len(page) < PAGE_CELLS:
             break
         first = page[-1][0] + "\0"
     return found
 
 
-async def delete(shelf: Backend, topic: str, names: Collection[str]) -> None:
-    """They hold nothing any more, until somebody writes there again."""
-    await shelf.commit({}, {}, [register_key(topic, name) for name in names])
+async def delete(backend: Backend, topic: str, names: Collection[str]) -> None:
+    """Remove registers, until somebody writes them again."""
+    await backend.commit({}, {}, [register_key(topic, name) for name in names])
--- a/sabledyke/compacted_log/section.py
+++ b/sabledyke/compacted_log/section.py
@@ -1,5 +1,6 @@
-"""The operator's section ``[board]``: where the board stands, and how it is cleaned. Checked whole, in plain
-lines.
+"""The operator's section ``[board]``: where the compacted log is stored, and how it is compacted.
+
+It is checked as a whole; every error is one plain line.
 """
 
 from __future__ import annotations
@@ -10,33 +11,47 @@
 from msgspec import Meta
 
 from sabledyke.compacted_log.compaction import CompactionPolicy
+from sabledyke.compacted_log.reader import MAX_KEYS
 from sabledyke.compacted_log.records import Backend
 from sabledyke.errors import OperatorError
 from sabledyke.protocol.discovery import address
 from sabledyke.toml_tables import Table, convert, wants
 
 DEFAULT_POLICY = CompactionPolicy()
-RESERVED_TOPICS = ("fleet", "beats", "homes", "shares")  # topics that are the fleet's own
+DEFAULT_COMPACTION_INTERVAL_S = 5.0
+RESERVED_TOPICS = ("fleet", "beats", "homes", "shares")  # the fleet's own
 MAX_TOPICS = 16
+MAX_TOPIC_CHARS = 64
 
 
 @dataclass(slots=True, frozen=True)
 class LogSection:
-    """What ``[board]`` says."""
+    """The settings of ``[board]``.
+
+    Attributes:
+        path: The log's SQLite file, or "".
+        etcd_endpoints: Addresses of the etcd servers, or none.
+        prefix: What all keys in etcd begin with.
+        compaction: When and how topics are compacted.
+        max_keys: How many keys a reader may retain.
+        compaction_interval_s: The time between two checks whether a topic is worth compacting.
+        topics: The operator's own topics, which the fleet compacts.
+    """
 
     path: str = ""
     etcd_endpoints: tuple[str, ...] = ()
     prefix: str = "sabledyke/"
-    compaction: CompactionPolicy = CompactionPolicy()
-    max_keys: int = 100_000
-    compaction_interval_s: float = 5.0  # seconds between looks at whether cleaning is worth it
-    topics: tuple[str, ...] = ()  # of the operator's own, which the fleet cleans
+    compaction: CompactionPolicy = DEFAULT_POLICY
+    max_keys: int = MAX_KEYS
+    compaction_interval_s: float = DEFAULT_COMPACTION_INTERVAL_S
+    topics: tuple[str, ...] = ()
 
     def __str__(self) -> str:
+        """Return where the log is stored."""
         return self.path or f"etcd at {', '.join(self.etcd_endpoints)}"
 
     def create_backend(self) -> Backend:
-        """What it stands on; the driver for etcd is loaded only where it is named."""
+        """Create the backend; the driver for etcd is loaded only where it is named."""
         if self.path:
             from sabledyke.compacted_log.sqlite_backend import SqliteBackend
 
@@ -47,7 +62,7 @@
 
 
 class LogTable(Table, frozen=True, kw_only=True):
-    """As the file has it."""
+    """The section as the file has it."""
 
     path: str = ""
     etcd: tuple[str, ...] = ()
@@ -56,36 +71,54 @@
     tomb_s: Annotated[float, Meta(ge=0, le=1e7)] = DEFAULT_POLICY.tombstone_retention_ms / 1000
     dirty: Annotated[float, Meta(ge=0.01, le=1)] = DEFAULT_POLICY.min_dirty_ratio
     bytes_s: Annotated[float, Meta(ge=1e3, le=1e12)] = DEFAULT_POLICY.max_bytes_per_s
-    most_keys: Annotated[int, Meta(ge=1, le=10_000_000)] = 100_000
-    clean_s: Annotated[float, Meta(ge=0.1, le=3600)] = 5.0
+    most_keys: Annotated[int, Meta(ge=1, le=10_000_000)] = MAX_KEYS
+    clean_s: Annotated[float, Meta(ge=0.1, le=3600)] = DEFAULT_COMPACTION_INTERVAL_S
     topics: tuple[str, ...] = ()
 
 
 def read(data: dict[str, Any]) -> LogSection | None:
-    """The section, checked; None where there is none."""
+    """Read and check the section.
+
+    Returns:
+        The settings; None where there is no such section.
+
+    Raises:
+        OperatorError: The section cannot be used.
+        ListError: An address in it cannot be read.
+    """
     if not data:
         return None
-    said = convert(data, LogTable, "board")
-    if bool(said.path) == bool(said.etcd):
+    table = convert(data, LogTable, "board")
+    if bool(table.path) == bool(table.etcd):
         raise OperatorError("board names either path, a SQLite file, or etcd, a list of host:port")
-    if said.etcd:
+    if table.etcd:
         wants("board", "aiohttp", "etcd")
-    for endpoint in said.etcd:
+    for endpoint in table.etcd:
         address(endpoint)
-    policy = CompactionPolicy(
-        min_lag_messages=said.lag,
-        tombstone_retention_ms=1000 * said.tomb_s,
-        min_dirty_ratio=said.dirty,
-        max_bytes_per_s=said.bytes_s,
+    _check_topics(table.topics)
+    return LogSection(
+        path=table.path,
+        etcd_endpoints=table.etcd,
+        prefix=table.prefix,
+        compaction=CompactionPolicy(
+            min_lag_messages=table.lag,
+            tombstone_retention_ms=1000 * table.tomb_s,
+            min_dirty_ratio=table.dirty,
+            max_bytes_per_s=table.bytes_s,
+        ),
+        max_keys=table.most_keys,
+        compaction_interval_s=table.clean_s,
+        topics=table.topics,
     )
-    section = LogSection(said.path, said.etcd, said.prefix, policy, said.most_keys, said.clean_s, said.topics)
-    for topic in section.topics:
-        if (
-            topic in RESERVED_TOPICS
-            or len(topic) > 64
-            or not topic.replace("-", "").replace("_", "").isalnum()
-        ):
+
+
+def _check_topics(topics: tuple[str, ...]) -> None:
+    for topic in topics:
+        if topic in RESERVED_TOPICS or not _is_topic_name(topic):
             raise OperatorError(f"board.topics: {topic!r} is the fleet's, or not of letters, digits, - and _")
-    if len(set(section.topics)) < len(section.topics) or len(section.topics) > MAX_TOPICS:
+    if len(set(topics)) < len(topics) or len(topics) > MAX_TOPICS:
         raise OperatorError(f"board.topics names one twice, or more than {MAX_TOPICS}")
-    return section
+
+
+def _is_topic_name(topic: str) -> bool:
+    return len(topic) <= MAX_TOPIC_CHARS and topic.replace("-", "").replace("_", "").isalnum()
--- a/sabledyke/compacted_log/sqlite_backend.py
+++ b/sabledyke/compacted_log/sqlite_backend.py
@@ -1,14 +1,15 @@
-"""A shelf in SQLite: one row a cell, each commit one transaction. For processes on one machine or volume.
+"""The backend in SQLite, for processes on one machine or volume: one row a cell, each commit one transaction.
 
-Versions come from one counter that only rises, so that a cell that was dropped and written anew never looks
-as it did. The file is in WAL mode and synced at every commit (``store.session``).
+Versions come from one counter that only rises, so that a cell that was removed and written again never has a
+former version. The file is in WAL mode and synced at every commit (``store.session``).
 """
 
 from __future__ import annotations
 
 import asyncio
 import sqlite3
-from collections.abc import Callable, Collection, Mapping, Sequence
+from collections.abc import Callable, Collection, Iterator, Mapping, Sequence
+from contextlib import contextmanager
 from typing import TypeVar
 
 from sabledyke.compacted_log.records import Cell
@@ -16,118 +17,99 @@
 from sabledyke.store.database_errors import PASSING, StoreFault
 from sabledyke.store.session import SqliteSession
 
-SCHEMA = 1
-TABLES = (
+SCHEMA_VERSION = 1
+CREATE_TABLES_SQL = (
     "CREATE TABLE IF NOT EXISTS board (key TEXT PRIMARY KEY, version INTEGER NOT NULL, data BLOB NOT NULL)",
     "CREATE TABLE IF NOT EXISTS board_about"
     " (one INTEGER PRIMARY KEY CHECK (one = 1), schema INTEGER NOT NULL, version INTEGER NOT NULL)",
-    f"INSERT INTO board_about VALUES (1, {SCHEMA}, 0) ON CONFLICT (one) DO NOTHING",
+    f"INSERT INTO board_about VALUES (1, {SCHEMA_VERSION}, 0) ON CONFLICT (one) DO NOTHING",
 )
-COUNT = "UPDATE board_about SET version = version + 1 RETURNING version"
-ROOM = 500  # keys of one SELECT
-T = TypeVar("T")
+SCAN_SQL = "SELECT key, version, data FROM board WHERE key >= ? AND key < ? ORDER BY key LIMIT ?"
+VERSION_SQL = "SELECT version FROM board WHERE key = ?"
+NEXT_VERSION_SQL = "UPDATE board_about SET version = version + 1 RETURNING version"
+DELETE_SQL = "DELETE FROM board WHERE key = ?"
+PUT_SQL = (
+    "INSERT INTO board VALUES (?, ?, ?) ON CONFLICT (key) DO UPDATE"
+    " SET version = excluded.version, data = excluded.data"
+)
+MAX_KEYS_PER_SELECT = 500
+DEFAULT_TIMEOUT_S = 2.0
+
+ResultT = TypeVar("ResultT")
 
 
 class SqliteBackend:
-    """See ``terms.Shelf``; ``patience`` in seconds is for one call, locks of others included."""
+    """A backend in SQLite; see ``records.Backend``."""
 
-    def __init__(self, path: str, patience: float = 2.0) -> None:
-        self.path, self._patience = path, patience
+    def __init__(self, path: str, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
+        """Make a backend in this file; ``timeout_s`` limits one call, waits for others' locks included."""
+        self.path = path
+        self._timeout_s = timeout_s
         self._session: SqliteSession | None = None
-        self._connecting = asyncio.Lock()
+        self._connecting = asyncio.Lock()  # guards against two calls that each open a connection
 
     async def open(self) -> None:
-        """Make the tables where they are missing; BoardSchema where the file is none, or a newer version's, a
-        BoardFault where it does not answer just now.
+        """Make the tables where they are missing.
+
+        Raises:
+            BoardSchema: The file is no database, or a newer version wrote it.
+            BoardFault: It does not answer now, as it is locked, or others make it at this moment.
         """
         try:
-            session = await self._connected()
-            await session.script(TABLES)
-            schema = await session.run(lambda db: db.execute("SELECT schema FROM board_about").fetchone()[0])
-        except StoreFault as fault:
+            session = await self._connected_session()
+            await session.script(CREATE_TABLES_SQL)
+            schema_version = await session.run(_read_schema_version)
+        except StoreFault as error:
             await self.close()
-            if fault.kind in PASSING:  # locked, or made by others at the same moment
-                raise BoardFault(f"board {self.path}: {fault}") from None
-            raise BoardSchema(f"board {self.path}: {fault}") from None
-        if schema > SCHEMA:
-            raise BoardSchema(f"board {self.path} has schema {schema}, and this version knows {SCHEMA}")
+            if error.kind in PASSING:
+                raise BoardFault(f"board {self.path}: {error}") from error
+            raise BoardSchema(f"board {self.path}: {error}") from error
+        if schema_version > SCHEMA_VERSION:
+            raise BoardSchema(
+                f"board {self.path} has schema {schema_version}, and this version knows {SCHEMA_VERSION}"
+            )
 
     async def get(self, keys: Sequence[str]) -> dict[str, Cell]:
-        """See ``terms.Shelf``."""
-
-        def look(db: sqlite3.Connection) -> dict[str, Cell]:
-            found: dict[str, Cell] = {}
-            several = len(keys) > ROOM  # one statement sees one moment by itself
-            if several:
-                db.execute("BEGIN")
-            try:
-                for i in range(0, len(keys), ROOM):
-                    some = list(keys[i : i + ROOM])
-                    marks = ", ".join("?" * len(some))
-                    rows = db.execute(f"SELECT key, version, data FROM board WHERE key IN ({marks})", some)
-                    found.update((key, Cell(version, data)) for key, version, data in rows)
-            finally:
-                if several:
-                    db.execute("ROLLBACK")
-            return found
-
-        return await self._do(look)
-
-    async def scan(self, first: str, end: str, most: int) -> list[tuple[str, Cell]]:
-        """See ``terms.Shelf``."""
-        sql = "SELECT key, version, data FROM board WHERE key >= ? AND key < ? ORDER BY key LIMIT ?"
-
-        def look(db: sqlite3.Connection) -> list[tuple[str, Cell]]:
-            rows = db.execute(sql, (first, end, most)).fetchall()
+        """See ``records.Backend``."""
+        return await self._run(lambda database: _select(database, keys))
+
+    async def scan(self, first: str, end: str, limit: int) -> list[tuple[str, Cell]]:
+        """See ``records.Backend``."""
+
+        def select(database: sqlite3.Connection) -> list[tuple[str, Cell]]:
+            rows = database.execute(SCAN_SQL, (first, end, limit)).fetchall()
             return [(key, Cell(version, data)) for key, version, data in rows]
 
-        return await self._do(look)
+        return await self._run(select)
 
     async def commit(
         self, checks: Mapping[str, int], puts: Mapping[str, bytes], drops: Collection[str] = ()
     ) -> bool:
-        """See ``terms.Shelf``."""
-
-        def write(db: sqlite3.Connection) -> bool:
-            db.execute("BEGIN IMMEDIATE")
-            try:
-                for key, version in checks.items():
-                    row = db.execute("SELECT version FROM board WHERE key = ?", (key,)).fetchone()
-                    if (row[0] if row else 0) != version:
-                        return False
-                (now,) = db.execute(
-                    "UPDATE board_about SET version = version + 1 RETURNING version"
-                ).fetchone()
-                db.executemany("DELETE FROM board WHERE key = ?", [(key,) for key in drops])
-                db.executemany(
-                    "INSERT INTO board VALUES (?, ?, ?) ON CONFLICT (key) DO UPDATE"
-                    " SET version = excluded.version, data = excluded.data",
-                    [(key, now, data) for key, data in puts.items()],
-                )
-                db.execute("COMMIT")
-                return True
-            finally:
-                if db.in_transaction:
-                    db.execute("ROLLBACK")
-
-        return await self._do(write)
-
-    async def _do(self, what: Callable[[sqlite3.Connection], T]) -> T:
-        """In the connection's thread; one that does not answer in time is given up, and not used again."""
+        """See ``records.Backend``."""
+        return await self._run(lambda database: _commit(database, checks, puts, drops))
+
+    async def close(self) -> None:
+        """See ``records.Backend``."""
+        if self._session is not None:
+            await self._session.close()
+            self._session = None
+
+    async def _run(self, operation: Callable[[sqlite3.Connection], ResultT]) -> ResultT:
+        """Run in the connection's thread; a connection that does not answer in time is not used again."""
         session: SqliteSession | None = None
         try:
-            async with asyncio.timeout(self._patience):
-                session = await self._connected()
-                return await session.run(what)
-        except TimeoutError:
+            async with asyncio.timeout(self._timeout_s):
+                session = await self._connected_session()
+                return await session.run(operation)
+        except TimeoutError as error:
             if session is not None:
                 session.abort()
             self._session = None
-            raise BoardFault(f"board {self.path}: no answer within {self._patience:.1f} s") from None
-        except StoreFault as fault:
-            raise BoardFault(f"board {self.path}: {fault}") from None
+            raise BoardFault(f"board {self.path}: no answer within {self._timeout_s:.1f} s") from error
+        except StoreFault as error:
+            raise BoardFault(f"board {self.path}: {error}") from error
 
-    async def _connected(self) -> SqliteSession:
+    async def _connected_session(self) -> SqliteSession:
         async with self._connecting:
             if self._session is None or self._session.closed:
                 session = SqliteSession(self.path)
@@ -135,8 +117,54 @@
                 self._session = session
             return self._session
 
-    async def close(self) -> None:
-        """See ``terms.Shelf``."""
-        if self._session is not None:
-            await self._session.close()
-            self._session = None
+
+def _read_schema_version(database: sqlite3.Connection) -> int:
+    version: int = database.execute("SELECT schema FROM board_about").fetchone()[0]
+    return version
+
+
+def _select(database: sqlite3.Connection, keys: Sequence[str]) -> dict[str, Cell]:
+    if len(keys) <= MAX_KEYS_PER_SELECT:  # one statement sees one moment by itself
+        return _select_some(database, keys)
+    cells: dict[str, Cell] = {}
+    with _transaction(database, "BEGIN"):
+        for start in range(0, len(keys), MAX_KEYS_PER_SELECT):
+            cells |= _select_some(database, keys[start : start + MAX_KEYS_PER_SELECT])
+    return cells
+
+
+def _select_some(database: sqlite3.Connection, keys: Sequence[str]) -> dict[str, Cell]:
+    if not keys:
+        return {}
+    parameters = ", ".join("?" * len(keys))
+    rows = database.execute(f"SELECT key, version, data FROM board WHERE key IN ({parameters})", list(keys))
+    return {key: Cell(version, data) for key, version, data in rows}
+
+
+def _commit(
+    database: sqlite3.Connection,
+    checks: Mapping[str, int],
+    puts: Mapping[str, bytes],
+    drops: Collection[str],
+) -> bool:
+    with _transaction(database, "BEGIN IMMEDIATE"):
+        for key, expected_version in checks.items():
+            row = database.execute(VERSION_SQL, (key,)).fetchone()
+            if (row[0] if row else 0) != expected_version:
+                return False
+        (new_version,) = database.execute(NEXT_VERSION_SQL).fetchone()
+        database.executemany(DELETE_SQL, [(key,) for key in drops])
+        database.executemany(PUT_SQL, [(key, new_version, data) for key, data in puts.items()])
+        database.execute("COMMIT")
+        return True
+
+
+@contextmanager
+def _transaction(database: sqlite3.Connection, begin_sql: str) -> Iterator[None]:
+    """Begin a transaction, and roll it back unless it was committed inside."""
+    database.execute(begin_sql)
+    try:
+        yield
+    finally:
+        if database.in_transaction:
+            database.execute("ROLLBACK")
--- a/sabledyke/compacted_log/subscription.py
+++ b/sabledyke/compacted_log/subscription.py
@@ -1,8 +1,9 @@
-"""For an operator's own programs: what holds on a topic, as news, also while the board does not answer.
+"""For an operator's own programs: the state of a topic as events, also while the log does not answer.
 
-A program joins late, is told what holds, then what follows; one that was away for longer than tombstones are
-kept is told so (``Again``) and has what is gone told as gone. A subscriber keeps nothing on the board, so
-that a slow one, or one that dies, costs the others nothing.
+A program that joins late gets what there is, and then what follows. One that was away for longer than
+tombstones are retained is notified of that (``ReaderRestarted``), and then of each key that was removed
+meanwhile. A subscriber stores nothing on the log, so that a slow one, or one that dies, costs the others
+nothing.
 """
 
 from __future__ import annotations
@@ -16,33 +17,46 @@
 from sabledyke.compacted_log.records import PAGE_MESSAGES
 from sabledyke.errors import BoardFault, BoardFull
 
-FIRST = 1 / 16  # of ``every``: the first wait after a call without an answer, doubled up to the whole of it
+FIRST_BACKOFF_INTERVALS = 1 / 16  # doubled at each failure, up to one interval
+MAX_COUNTED_FAILURES = 16
 
 
 async def subscribe_to_topic(
-    board: CompactedLog,
+    log: CompactedLog,
     topic: str,
     reader: LogReader,
-    every: float = 1.0,
-    page: int = PAGE_MESSAGES,
+    interval_s: float = 1.0,
+    page_messages: int = PAGE_MESSAGES,
     seed: int = 0,
 ) -> AsyncIterator[list[LogEvent]]:
-    """News as they come, a page at a time; ``every`` in seconds is the time between looks at a topic at rest.
+    """Yield events as they come, a page at a time, without end.
 
-    Never ends by itself. A board that does not answer is asked again, with back-off and jitter; BoardFull
-    where there are more keys than ``reader`` may keep. ``reader.state`` is what holds, after each of them.
+    A log that does not answer is polled again, with backoff and jitter.
+
+    Args:
+        log: The log.
+        topic: The topic.
+        reader: Has the latest message of each key, after each page.
+        interval_s: The time between two polls of a topic that is idle.
+        page_messages: The limit for one page.
+        seed: The seed of the jitter.
+
+    Raises:
+        BoardFull: There are more keys than ``reader`` may retain.
     """
-    random, misses = Random(seed), 0
+    random = Random(seed)
+    failures = 0
     while True:
         try:
-            news = await board.poll(topic, reader, page)
+            events = await log.poll(topic, reader, page_messages)
         except BoardFull:
             raise
         except BoardFault:
-            wait = min(every, every * FIRST * 2**misses)
-            misses = min(misses + 1, 16)
+            wait_s = min(interval_s, interval_s * FIRST_BACKOFF_INTERVALS * 2**failures)
+            failures = min(failures + 1, MAX_COUNTED_FAILURES)
         else:
-            misses, wait = 0, 0.0 if reader.may_have_more or not reader.caught_up else every
-            if news:
-                yield news
-        await asyncio.sleep(wait * (0.5 + random.random() / 2))
+            failures = 0
+            wait_s = 0.0 if reader.may_have_more or not reader.caught_up else interval_s
+            if events:
+                yield events
+        await asyncio.sleep(wait_s * (0.5 + random.random() / 2))
--- a/sabledyke/lease/etcd_authority.py
+++ b/sabledyke/lease/etcd_authority.py
@@ -9,9 +9,8 @@
 
 from collections.abc import Sequence
 from math import ceil
-from typing import Any
 
-from sabledyke.lease.etcd_gateway import EtcdGateway, decode_base64, encode_base64
+from sabledyke.lease.etcd_gateway import EtcdGateway, JsonObject, decode_base64, encode_base64
 from sabledyke.lease.types import (
     UNACQUIRED_STATUS,
     Acquire,
@@ -29,8 +28,6 @@
 
 NO_ETCD_LEASE = "0"
 
-JsonObject = dict[str, Any]
-
 
 class EtcdAuthority:
     """An authority in etcd; see ``types.Authority``."""
--- a/sabledyke/lease/etcd_gateway.py
+++ b/sabledyke/lease/etcd_gateway.py
@@ -16,6 +16,8 @@
 
 MAX_RESPONSE_BYTES = 1 << 20
 JSON_HEADERS = {"Content-Type": "application/json"}
+JsonObject = dict[str, Any]
+
 GRPC_NOT_FOUND = 5
 HTTP_OK = 200
 HTTP_NOT_FOUND = 404
@@ -40,7 +42,7 @@
         self._timeout = aiohttp.ClientTimeout(total=timeout_ms / 1000)
         self._client: aiohttp.ClientSession | None = None  # made in the event loop that it is used in
 
-    async def call(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
+    async def call(self, path: str, body: JsonObject) -> JsonObject:
         """Call a method of etcd.
 
         Returns:
@@ -66,7 +68,7 @@
         if self._client is not None:
             await self._client.close()
 
-    async def _post(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
+    async def _post(self, path: str, body: JsonObject) -> JsonObject:
         if self._client is None:
             self._client = aiohttp.ClientSession(timeout=self._timeout)
         url = f"http://{self._endpoints[0]}/v3/{path}"
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -76,10 +76,10 @@
     shelf: Shelf, topic: str, writer: tuple[str, int, str], *drafts: tuple[str, bytes | None]
 ) -> Any:
     """Append to a topic by a new connection of this writer: its name, its life, and what tells it apart."""
-    pen = LogWriter(CompactedLog(shelf), topic, WriterIdentity(*writer))
     key = board_terms.writer_key(topic, writer[0])
     before = board_terms.decode_writer_state((await shelf.get([key])).get(key))
-    pen._seq = before.sequence if before is not None and before.incarnation == writer[1] else 0
+    sequence = before.sequence if before is not None and before.incarnation == writer[1] else 0
+    pen = LogWriter(CompactedLog(shelf), topic, WriterIdentity(*writer), sequence)
     return await pen.append([Draft(key, value) for key, value in drafts])
 
 
@@ -130,7 +130,7 @@
         case "w":
             said = board_terms.decode_writer_state(cell)
             assert said is not None
-            return append.encode_writer_state(said)
+            return board_terms.encode_writer_state(said)
         case "c":
             return compaction.encode_progress(compaction.decode_progress(cell))
         case "m":
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -5,8 +5,10 @@
 from __future__ import annotations
 
 import asyncio
+import sqlite3
 import tempfile
 from collections.abc import Awaitable, Callable, Collection, Mapping, Sequence
+from contextlib import closing
 from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
@@ -318,8 +320,8 @@
 
 def test_a_file_of_a_newer_version_or_none_at_all_is_one_plain_error(tmp_path: Path) -> None:
     async def story(made: Setting) -> None:
-        inner: Any = made.shelf.inner
-        await inner._do(lambda db: db.execute("UPDATE board_about SET schema = 99").fetchall())
+        with closing(sqlite3.connect(made.path)) as database, database:
+            database.execute("UPDATE board_about SET schema = 99")
         with pytest.raises(BoardSchema, match="schema 99"):
             await SqliteBackend(made.path).open()
         spoilt = tmp_path / "spoilt"
