--- a/sabledyke/compacted_log/append.py
+++ b/sabledyke/compacted_log/append.py
@@ -124,9 +124,7 @@
     if earlier is not None:
         return earlier
     head = decode_head(cells.get(head_key(topic)))
-    end = request.expected_end
-    if end is not None and end != head.next_offset:
-        raise Conflict(f"{topic} has gone on to {head.next_offset - 1} since it was read up to {end - 1}")
+    _check_end(request, head)
     checks = {
         head_key(topic): cell_version(cells, head_key(topic)),
         my_key: cell_version(cells, my_key),
@@ -173,6 +171,13 @@
     return Commit(state.offsets if request.sequence == state.sequence else ())
 
 
+def _check_end(request: AppendRequest, head: TopicHead) -> None:
+    end = request.expected_end
+    if end is not None and end != head.next_offset:
+        last_offset = head.next_offset - 1
+        raise Conflict(f"{request.topic} has gone on to {last_offset} since it was read up to {end - 1}")
+
+
 def _check_offsets(request: AppendRequest, cells: Mapping[str, Cell]) -> dict[str, int]:
     """Check the offsets that are expected; returns the versions of the cells that they stand in."""
     expected = dict(request.expected_offsets)
--- a/sabledyke/compacted_log/client.py
+++ b/sabledyke/compacted_log/client.py
@@ -80,20 +80,19 @@
         last_error: BoardFault | None = None
         for delay_s in self._retry_delays_s():
             try:
-                cells = await self.backend.get(append.cells_to_read(request))
-                commit = append.plan_append(request, cells)
+                commit = await self._decide_append(request)
                 if await self._commit(commit):
                     return commit.offsets
-                if request.expected_end is not None:
-                    continue  # somebody wrote: the next attempt finds that, and the caller decides anew
             except (Conflict, StaleWriter):
                 raise
             except BoardFault as error:
                 last_error = error
+            else:
+                if request.expected_end is not None:
+                    continue  # somebody wrote: the next attempt finds that, and the caller decides anew
             await asyncio.sleep(delay_s)
-        raise last_error or BoardFault(
-            f"{request.topic}: others wrote all the time for {RETRY_TIMEOUT_S:.0f} s"
-        )
+        timeout = f"{RETRY_TIMEOUT_S:.0f} s"
+        raise last_error or BoardFault(f"{request.topic}: others wrote all the time for {timeout}")
 
     async def head(self, topic: str) -> TopicHead:
         """Return the topic's head."""
@@ -120,9 +119,10 @@
         elif reader.caught_up:  # the head alone tells that nothing is new, as in most polls
             head = await self.head(topic)
             if head.next_offset == reader.position:
-                return reader.apply_page([], False, head)
+                return reader.apply_page([], head, full=False)
         page = await self.read_page(topic, reader.position, max_messages)
-        return reader.apply_page(page, len(page) >= max_messages, await self.head(topic))
+        head = await self.head(topic)
+        return reader.apply_page(page, head, full=len(page) >= max_messages)
 
     async def catch_up(
         self, topic: str, reader: LogReader, max_messages: int = PAGE_MESSAGES
@@ -140,6 +140,10 @@
         """Compact a topic as far as it is worth it now; see ``Compactor``."""
         return await Compactor(self.backend, topic, policy, token, clock_ms, self._random).run()
 
+    async def _decide_append(self, request: AppendRequest) -> Commit:
+        cells = await self.backend.get(append.cells_to_read(request))
+        return append.plan_append(request, cells)
+
     async def _commit(self, commit: Commit) -> bool:
         """Commit, unless it was written before."""
         return not commit.puts or await self.backend.commit(commit.checks, commit.puts)
--- a/sabledyke/compacted_log/compaction.py
+++ b/sabledyke/compacted_log/compaction.py
@@ -90,6 +90,35 @@
     marks: tuple[PassMark, ...] = ()
 
 
+@dataclass(slots=True, frozen=True)
+class PassPage:
+    """A page of a pass.
+
+    Attributes:
+        progress: The pass under way.
+        progress_cell: The cell that its progress was read from.
+        messages: Messages from the pass's position on.
+        ends_pass: Whether nothing follows them below the pass's limit.
+    """
+
+    progress: CompactionProgress
+    progress_cell: Cell | None
+    messages: Sequence[Message]
+    ends_pass: bool
+
+    @property
+    def size_bytes(self) -> int:
+        """The size of its messages."""
+        return sum(message.size_bytes for message in self.messages)
+
+
+class Removal(Enum):
+    """Why a message is removed."""
+
+    SUPERSEDED = auto()
+    TOMBSTONE = auto()
+
+
 def encode_progress(progress: CompactionProgress) -> bytes:
     """Encode the progress."""
     marks = [(mark.up_to_offset, mark.since_ms, mark.token) for mark in progress.marks]
@@ -147,23 +176,14 @@
 
 
 def compact_page(
-    topic: str,
-    cells: Mapping[str, Cell],
-    progress: CompactionProgress,
-    page: Sequence[Message],
-    *,
-    ends_pass: bool,
-    policy: CompactionPolicy,
-    now_ms: float,
+    topic: str, cells: Mapping[str, Cell], page: PassPage, policy: CompactionPolicy, now_ms: float
 ) -> Commit:
     """Compact one page.
 
     Args:
         topic: The topic.
         cells: Its head, its progress, and the positions of the page's keys, as they are now.
-        progress: The pass under way.
-        page: Messages from its position on.
-        ends_pass: Whether nothing follows them below the limit.
+        page: The page of the pass under way.
         policy: The operator's settings.
         now_ms: The time on the compactor's clock.
 
@@ -171,21 +191,17 @@
         The commit.
     """
     head = decode_head(cells.get(head_key(topic)))
-    removable_up_to = removable_tombstones_up_to(progress, policy, now_ms)
+    removable_up_to = removable_tombstones_up_to(page.progress, policy, now_ms)
     checks = {key: cell_version(cells, key) for key in (head_key(topic), compaction_key(topic))}
     drops: list[str] = []
-    for message, removal in _removals(topic, cells, progress, page, removable_up_to):
+    for message, removal in _removals(topic, cells, page, removable_up_to):
         drops.append(message_key(topic, message.offset))
         if removal is Removal.TOMBSTONE:
             position = position_key(topic, message.key)
             drops.append(position)
             checks[position] = cell_version(cells, position)
         head = _head_without(head, message, removal)
-    if ends_pass:
-        progress = _end_pass(progress, removable_up_to, now_ms)
-    else:
-        progress = replace(progress, position=page[-1].offset + 1)
-    puts = {compaction_key(topic): encode_progress(progress)}
+    puts = {compaction_key(topic): encode_progress(_progress_after(page, removable_up_to, now_ms))}
     if drops:
         puts[head_key(topic)] = encode_head(head)
     else:
@@ -193,13 +209,6 @@
     return Commit((), checks, puts, tuple(drops))
 
 
-class Removal(Enum):
-    """Why a message is removed."""
-
-    SUPERSEDED = auto()
-    TOMBSTONE = auto()
-
-
 def _has_superseded(
     progress: CompactionProgress, head: TopicHead, policy: CompactionPolicy, limit_offset: int
 ) -> bool:
@@ -210,15 +219,11 @@
 
 
 def _removals(
-    topic: str,
-    cells: Mapping[str, Cell],
-    progress: CompactionProgress,
-    page: Sequence[Message],
-    removable_up_to: int,
+    topic: str, cells: Mapping[str, Cell], page: PassPage, removable_up_to: int
 ) -> Iterator[tuple[Message, Removal]]:
     """Yield the messages to remove."""
-    for message in page:
-        if message.offset >= progress.limit_offset:
+    for message in page.messages:
+        if message.offset >= page.progress.limit_offset:
             return
         latest = decode_position(cells.get(position_key(topic, message.key)))
         if _is_superseded(message, latest):
@@ -243,6 +248,12 @@
     )
 
 
+def _progress_after(page: PassPage, removable_up_to: int, now_ms: float) -> CompactionProgress:
+    if page.ends_pass:
+        return _end_pass(page.progress, removable_up_to, now_ms)
+    return replace(page.progress, position=page.messages[-1].offset + 1)
+
+
 def _end_pass(progress: CompactionProgress, removable_up_to: int, now_ms: float) -> CompactionProgress:
     """Leave a mark at the end of the pass; marks whose tombstones are removed are no longer needed."""
     mark = PassMark(progress.limit_offset - 1, now_ms, progress.token)
--- a/sabledyke/compacted_log/compactor.py
+++ b/sabledyke/compacted_log/compactor.py
@@ -4,16 +4,13 @@
 
 import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
 from random import Random
 
 from sabledyke.compacted_log import compaction
 from sabledyke.compacted_log.append import Commit
-from sabledyke.compacted_log.compaction import CompactionPolicy, CompactionProgress
+from sabledyke.compacted_log.compaction import CompactionPolicy, PassPage
 from sabledyke.compacted_log.records import (
     Backend,
-    Cell,
-    Message,
     compaction_key,
     decode_head,
     head_key,
@@ -24,20 +21,6 @@
 RETRY_DELAY_S = 0.002
 
 
-@dataclass(slots=True, frozen=True)
-class _Page:
-    """A page of the pass under way; ``progress_cell`` is the cell that its progress was read from."""
-
-    progress: CompactionProgress
-    progress_cell: Cell | None
-    messages: list[Message]
-    ends_pass: bool
-
-    @property
-    def size_bytes(self) -> int:
-        return sum(message.size_bytes for message in self.messages)
-
-
 class Compactor:
     """Compacts one topic under a lease."""
 
@@ -89,7 +72,7 @@
                 break
         return read_bytes
 
-    async def _next_page(self) -> _Page | None:
+    async def _next_page(self) -> PassPage | None:
         """Read the next page of the pass under way, or of a new one; None where there is nothing to do."""
         cells = await self._backend.get([head_key(self._topic), compaction_key(self._topic)])
         progress_cell = cells.get(compaction_key(self._topic))
@@ -102,21 +85,13 @@
         limit = compaction.PAGE_MESSAGES
         messages = await read_messages(self._backend, self._topic, started.position, limit)
         ends_pass = len(messages) < limit or messages[-1].offset >= started.limit_offset - 1
-        return _Page(started, progress_cell, messages, ends_pass)
+        return PassPage(started, progress_cell, messages, ends_pass)
 
-    async def _plan(self, page: _Page) -> Commit | None:
+    async def _plan(self, page: PassPage) -> Commit | None:
         """Decide what to remove of a page; None where another compactor was at work meanwhile."""
         positions = dict.fromkeys(position_key(self._topic, message.key) for message in page.messages)
         cells = await self._backend.get([head_key(self._topic), compaction_key(self._topic), *positions])
         if cells.get(compaction_key(self._topic)) != page.progress_cell:
             return None
         self._token()
-        return compaction.compact_page(
-            self._topic,
-            cells,
-            page.progress,
-            page.messages,
-            ends_pass=page.ends_pass,
-            policy=self._policy,
-            now_ms=self._clock_ms(),
-        )
+        return compaction.compact_page(self._topic, cells, page, self._policy, self._clock_ms())
--- a/sabledyke/compacted_log/reader.py
+++ b/sabledyke/compacted_log/reader.py
@@ -81,13 +81,13 @@
         """Start with the topic's head as it was read before the first page."""
         self._tombstone_floor = head.tombstone_floor
 
-    def apply_page(self, page: Sequence[Message], full: bool, head: TopicHead) -> list[LogEvent]:
+    def apply_page(self, page: Sequence[Message], head: TopicHead, *, full: bool) -> list[LogEvent]:
         """Apply a page of messages.
 
         Args:
             page: Messages from ``position`` on.
-            full: Whether more may follow them.
             head: The topic's head as it was read after the page.
+            full: Whether more may follow the page.
 
         Returns:
             What has changed.
--- a/sabledyke/compacted_log/records.py
+++ b/sabledyke/compacted_log/records.py
@@ -220,7 +220,9 @@
 
 def decode_position(cell: Cell | None) -> KeyPosition:
     """Decode a key's position; at offset 0 where it was never written."""
-    return KeyPosition(0, 0, False) if cell is None else KeyPosition(*orjson.loads(cell.data))
+    if cell is None:
+        return KeyPosition(offset=0, size_bytes=0, is_tombstone=False)
+    return KeyPosition(*orjson.loads(cell.data))
 
 
 def encode_writer_state(state: WriterState) -> bytes:
