--- a/sabledyke/lease/leader_tasks.py
+++ b/sabledyke/lease/leader_tasks.py
@@ -12,6 +12,7 @@
 import time
 from collections.abc import Awaitable, Callable
 from pathlib import Path
+from typing import Protocol
 
 from tornado.httpclient import AsyncHTTPClient, HTTPError
 
@@ -32,7 +33,19 @@
 MAX_LOGGED_FINDINGS = 4
 HTTP_CONFLICT = 409
 
-Action = Callable[[LeaseManager], Awaitable[None]]
+
+class TokenSource(Protocol):
+    """What an action needs of a lease manager."""
+
+    @property
+    def holder_id(self) -> str:
+        """The identifier that the lease is held under."""
+
+    def current_token(self) -> int:
+        """See ``LeaseManager.current_token``."""
+
+
+Action = Callable[[TokenSource], Awaitable[None]]
 RecordCheck = Callable[[Target, maintenance.Say], Awaitable[bool]]
 
 
@@ -100,7 +113,7 @@
     return last_completed_ms + task.interval_ms - time.time() * 1000
 
 
-async def _check_record(task: LeaderTask, record: Target, manager: LeaseManager, check: RecordCheck) -> None:
+async def _check_record(task: LeaderTask, record: Target, manager: TokenSource, check: RecordCheck) -> None:
     """Audit or reconcile: its findings count only if nobody else has begun meanwhile."""
     findings: list[str] = []
     await check_fence(record, task.name, manager.current_token())
@@ -111,7 +124,7 @@
     _log_result(task, token, result, passed=passed)
 
 
-async def _back_up(task: LeaderTask, record: Target, manager: LeaseManager) -> None:
+async def _back_up(task: LeaderTask, record: Target, manager: TokenSource) -> None:
     """Copy the record under a name of its own.
 
     The copy appears, and older ones are removed, only once the fence has accepted the token.
@@ -134,7 +147,7 @@
     _log_result(task, token, result, passed=passed)
 
 
-def _remove_old_backups(task: LeaderTask, folder: Path, manager: LeaseManager) -> None:
+def _remove_old_backups(task: LeaderTask, folder: Path, manager: TokenSource) -> None:
     backups = sorted(folder.glob(f"{task.name}.*.*.sqlite3"), key=_backup_time_ms)
     for old in backups[: -task.keep]:
         manager.current_token()
@@ -145,7 +158,7 @@
     return int(backup.name.split(".")[-2])
 
 
-async def _call_service(task: LeaderTask, manager: LeaseManager) -> None:
+async def _call_service(task: LeaderTask, manager: TokenSource) -> None:
     """Send one POST request, whose headers name the task, the holder and the token.
 
     The service answers 409 where it has seen a later token.
--- /dev/null
+++ b/tests/compacted_log/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the compacted log."""
--- /dev/null
+++ b/tests/compacted_log/test_append.py
@@ -0,0 +1,92 @@
+"""Conditions of appends, incarnations of writers, retries and limits."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from sabledyke.compacted_log.client import CompactedLog, LogWriter
+from sabledyke.compacted_log.records import (
+    MAX_APPEND_MESSAGES,
+    MAX_KEY_BYTES,
+    MAX_VALUE_BYTES,
+    Draft,
+    message_key,
+)
+from sabledyke.errors import BoardFull, Conflict, StaleWriter
+from tests.compacted_log.support import BACKENDS, Setup, run_on
+
+INVALID_APPENDS: tuple[list[Draft], ...] = (
+    [],
+    [Draft("", b"")],
+    [Draft("k" * (MAX_KEY_BYTES + 1), b"")],
+    [Draft("k", b"x" * (MAX_VALUE_BYTES + 1))],
+    [Draft("k", b""), Draft("k", b"")],
+    [Draft(str(n), b"") for n in range(MAX_APPEND_MESSAGES + 1)],
+)
+
+
+@pytest.mark.parametrize("backend", BACKENDS)
+def test_conditions_incarnations_and_retries(backend: str) -> None:
+    async def scenario(setup: Setup) -> None:
+        log = setup.log
+        writer = await log.claim_writer("t", "w")
+        last_offset = await _check_conditions(setup, writer)
+        setup.backend.lost_answers = 2  # written, without an answer, requested again: written once
+        (offset,) = await writer.append([Draft("k", b"3")])
+        assert offset == last_offset + 1
+        assert [message.value for message in await log.read_page("t", offset)] == [b"3"]
+        later = await log.claim_writer("t", "w")
+        for stale in (writer, LogWriter(log, "t", writer.identity)):
+            with pytest.raises(StaleWriter):
+                await stale.append([Draft("k", b"4")])
+        await later.append([Draft("k", b"5")])
+        await _check_given_incarnations(log)
+        for invalid in INVALID_APPENDS:
+            with pytest.raises(BoardFull):
+                await later.append(invalid)
+
+    run_on(backend, scenario)
+
+
+async def _check_conditions(setup: Setup, writer: LogWriter) -> int:
+    (first,) = await writer.append([Draft("k", b"1", 0)])
+    with pytest.raises(Conflict):
+        await writer.append([Draft("k", b"2", 0)])
+    with pytest.raises(Conflict):  # it depends on another key, which has moved
+        await writer.append([Draft("l", b"2")], {"k": first + 7})
+    (second,) = await writer.append([Draft("k", b"2", first)], {"k": first}, first + 1)
+    with pytest.raises(Conflict):  # something was written since it was read
+        await writer.append([Draft("k", b"3")], end=second)
+    return second
+
+
+async def _check_given_incarnations(log: CompactedLog) -> None:
+    older, newer, same_as_newer = (log.writer("t", "c", incarnation) for incarnation in (7, 9, 9))
+    await older.append([Draft("x", b"")])
+    await newer.append([Draft("x", b"")])
+    for stale in (older, same_as_newer):  # an older token, and the same one in another's hands
+        with pytest.raises(StaleWriter):
+            await stale.append([Draft("x", b"")])
+
+
+@pytest.mark.parametrize("backend", BACKENDS)
+def test_many_writers_at_once_each_get_their_own_offsets(backend: str) -> None:
+    async def scenario(setup: Setup) -> None:
+        writers = [await setup.log.claim_writer("t", f"w{i}") for i in range(6)]
+
+        async def write(writer: LogWriter, i: int) -> list[int]:
+            return [(await writer.append([Draft(f"{i}", b"%d" % n)]))[0] for n in range(10)]
+
+        given = await asyncio.gather(*(write(writer, i) for i, writer in enumerate(writers)))
+        assert sorted(offset for offsets in given for offset in offsets) == list(range(1, 61))
+        assert await setup.read_as_new() == {f"{i}": b"9" for i in range(6)}
+
+    run_on(backend, scenario)
+
+
+def test_offsets_sort_as_their_cells_do() -> None:
+    offsets = (1, 15, 16, 255, 4096)
+    keys = [message_key("t", offset) for offset in offsets]
+    assert sorted(keys) == keys
--- /dev/null
+++ b/tests/compacted_log/test_random_operations.py
@@ -0,0 +1,118 @@
+"""The log against a plain dict, under random operations and faults."""
+
+from __future__ import annotations
+
+from random import Random
+
+import pytest
+
+from sabledyke.compacted_log import client
+from sabledyke.compacted_log.client import LogWriter
+from sabledyke.compacted_log.reader import KeyRemoved, KeyUpdated, LogReader
+from sabledyke.compacted_log.records import Draft
+from sabledyke.errors import BoardFault
+from tests.compacted_log.support import BACKENDS, POLICY, Killed, Setup, run_on
+
+KEYS = "abcdefghij"
+READERS = 3
+STEPS = 160
+
+
+class RandomOperations:
+    """Appends, tombstones, passes killed at a random commit, and readers that come late or were long away.
+
+    Answers get lost, and are requested again by the log, or by the writer.
+    """
+
+    def __init__(self, setup: Setup, random: Random, writer: LogWriter) -> None:
+        self.setup = setup
+        self.random = random
+        self.writer = writer
+        self.model: dict[str, bytes] = {}
+        self.last_offsets: dict[str, int] = {}
+        self.offsets: list[int] = []
+        self.readers = [LogReader() for _ in range(READERS)]
+        self.views: list[dict[str, bytes | None]] = [{} for _ in self.readers]
+
+    async def run_step(self, step: int) -> None:
+        self.setup.now_ms += self.random.random() * 20
+        match self.random.choice("aaaaaddcr"):
+            case "a":
+                await self._append(step, tombstones=False)
+            case "d":
+                await self._append(step, tombstones=True)
+            case "c":
+                await self._compact_and_die()
+            case "r":
+                await self._read(step)
+        # What was removed and the key's position go together: an expected offset is still checked.
+        self.last_offsets = {key: at for key, at in self.last_offsets.items() if key in self.model}
+
+    async def _append(self, step: int, *, tombstones: bool) -> None:
+        drafts = [self._draft(key, step, tombstones) for key in self.random.sample(KEYS, self._up_to(3))]
+        self.setup.backend.lost_answers = int(self.random.random() < 0.2)
+        try:
+            offsets = await self.writer.append(drafts)
+        except BoardFault:
+            assert not client.RETRY_TIMEOUT_S
+            offsets = await self.writer.append(drafts)
+        for draft, offset in zip(drafts, offsets, strict=True):
+            self.last_offsets[draft.key] = offset
+            self.model.pop(draft.key, None)
+            if draft.value is not None:
+                self.model[draft.key] = draft.value
+        self.offsets += offsets
+
+    def _draft(self, key: str, step: int, tombstone: bool) -> Draft:
+        value = None if tombstone else b"%d" % step + b"x" * self.random.randint(0, 9)
+        return Draft(key, value, self.last_offsets.get(key) if self.random.random() < 0.3 else None)
+
+    def _up_to(self, most: int) -> int:
+        return self.random.randint(1, most)
+
+    async def _compact_and_die(self) -> None:
+        self.setup.backend.commits_to_death = self.random.randint(0, 6)
+        self.setup.backend.last_commit_written = self.random.random() < 0.5
+        try:
+            await self.setup.compact()
+        except Killed:
+            self.setup.tokens.append(self.setup.tokens[-1] + 1)  # another compactor takes over
+        self.setup.backend.commits_to_death = -1
+
+    async def _read(self, step: int) -> None:
+        index = self.random.randrange(READERS)
+        view = self.views[index]
+        for event in await self.setup.log.catch_up("t", self.readers[index], self._up_to(5)):
+            if isinstance(event, KeyUpdated):
+                view[event.message.key] = event.message.value
+            elif isinstance(event, KeyRemoved):
+                view.pop(event.key, None)
+        assert view == self.model, (step, index)
+
+
+@pytest.mark.parametrize("backend", BACKENDS)
+@pytest.mark.parametrize("seed", range(6))
+def test_it_is_as_a_dict_also_when_compactors_and_writers_die_at_any_step(
+    backend: str, seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(client, "RETRY_TIMEOUT_S", 5.0 * (seed % 2))
+
+    async def scenario(setup: Setup) -> None:
+        operations = RandomOperations(setup, Random(seed), await setup.log.claim_writer("t", "w"))
+        for step in range(STEPS):
+            await operations.run_step(step)
+        model = operations.model
+        offsets = operations.offsets
+        assert offsets == sorted(set(offsets))  # they only rise, and none is given twice
+        for _ in range(3):
+            assert await setup.read_as_new() == model
+            setup.now_ms += 100
+            await setup.compact()
+        messages = await setup.log.read_page("t", 1)
+        # The latest message of each key, and the newest ones.
+        assert len(messages) <= len(model) + POLICY.min_lag_messages + 10
+        head = await setup.log.head("t")
+        assert head.size_bytes == sum(message.size_bytes for message in messages)
+        assert head.dirty_bytes >= 0
+
+    run_on(backend, scenario)
--- /dev/null
+++ b/tests/compacted_log/test_settings.py
@@ -0,0 +1,51 @@
+"""The operator's section ``[board]``, and files that cannot be used."""
+
+from __future__ import annotations
+
+import sqlite3
+from contextlib import closing
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from sabledyke.compacted_log import section
+from sabledyke.compacted_log.sqlite_backend import SqliteBackend
+from sabledyke.errors import BoardSchema, OperatorError
+from tests.compacted_log.support import Setup, run_on
+
+
+def test_a_file_of_a_newer_version_or_none_at_all_is_one_plain_error(tmp_path: Path) -> None:
+    async def scenario(setup: Setup) -> None:
+        with closing(sqlite3.connect(setup.path)) as database, database:
+            database.execute("UPDATE board_about SET schema = 99")
+        with pytest.raises(BoardSchema, match="schema 99"):
+            await SqliteBackend(setup.path).open()
+        spoilt = tmp_path / "spoilt"
+        spoilt.write_bytes(b"no database" * 100)
+        with pytest.raises(BoardSchema, match="spoilt"):
+            await SqliteBackend(str(spoilt)).open()
+
+    run_on("table", scenario)
+
+
+@pytest.mark.parametrize(
+    "of, said",
+    [
+        ({"topics": ["prices", "stock-2"], "clean_s": 1}, ""),
+        ({"topics": ["fleet"]}, "'fleet' is the fleet's"),
+        ({"topics": ["a/b"]}, "letters, digits"),
+        ({"topics": ["a", "a"]}, "names one twice"),
+        ({"clean_s": 0}, "board.clean_s must be a number >= 0.1, not 0"),
+        ({"etcd": ["127.0.0.1:1"]}, "either path"),
+    ],
+)
+def test_a_section_is_read_completely_or_not_at_all(of: dict[str, Any], said: str) -> None:
+    table = {"path": "b", **of}
+    if said:
+        with pytest.raises(OperatorError, match=said):
+            section.read(table)
+        return
+    settings = section.read(table)
+    assert settings is not None
+    assert settings.topics == ("prices", "stock-2") and settings.compaction_interval_s == 1.0
--- /dev/null
+++ b/tests/lease/test_leader_tasks.py
@@ -0,0 +1,61 @@
+"""What leader tasks leave behind, and the fence that rejects those of a former holder."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from sabledyke.errors import Refused
+from sabledyke.lease import leader_tasks
+from sabledyke.lease.fencing import Fence
+from sabledyke.lease.section import LeaderTask
+from sabledyke.store import maintenance, startup
+from sabledyke.store.connect import connect
+from sabledyke.store.section import Target
+from tests.lease.support import TIMEOUT_S
+
+
+class FixedToken:
+    """A lease manager that believes it holds the lease, under this token."""
+
+    holder_id = "n0.life"
+
+    def __init__(self, token: int) -> None:
+        self._token = token
+
+    def current_token(self) -> int:
+        return self._token
+
+
+def test_a_fence_accepts_no_older_token_and_stays_bounded() -> None:
+    fence = Fence(max_tasks=2)
+    assert [fence.accepts("a", token) for token in (3, 3, 5, 4, 5)] == [True, True, True, False, True]
+    assert all(fence.accepts(name, 1) for name in "bcd") and fence.rejected == 1
+    assert len(fence) == 2
+
+
+def test_leader_tasks_on_a_record_are_fenced_and_done_once_for_the_fleet(tmp_path: Path) -> None:
+    """Two holders of which one was overtaken: what the older one does leaves nothing behind."""
+
+    async def run() -> None:
+        record = Target(path=str(tmp_path / "record.sqlite3"))
+        session = await connect(record)
+        await startup.migrate(session)
+        await session.close()
+        for kind in ("audit", "reconcile"):
+            await leader_tasks.action_of(LeaderTask(kind, kind, 1000), record)(FixedToken(4))
+        folder = tmp_path / "backups"
+        backup = LeaderTask("nightly", "backup", 1000, str(folder), keep=2)
+        back_up = leader_tasks.action_of(backup, record)
+        for token in (4, 5, 7):
+            await back_up(FixedToken(token))
+        with pytest.raises(Refused):
+            await back_up(FixedToken(6))
+        tokens = sorted(file.name.split(".")[1] for file in folder.iterdir())
+        assert tokens == ["5", "7"]  # the newest two, and nothing unfinished
+        newest = Target(path=str(next(folder.glob("nightly.7.*"))))
+        assert await maintenance.check(newest, lambda _: None)
+
+    asyncio.run(asyncio.wait_for(run(), TIMEOUT_S))
--- /dev/null
+++ b/tests/lease/test_operations.py
@@ -0,0 +1,94 @@
+"""What operators do with leases: the commands, and new settings while the program runs."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from sabledyke import log
+from sabledyke.__main__ import main
+from sabledyke.config import ConfigError
+from sabledyke.lease import section
+from sabledyke.lease.etcd_authority import EtcdAuthority
+from sabledyke.lease.extension import LeaseExtension
+from sabledyke.lease.manager import LeaseManager
+from sabledyke.lease.sql_authority import SqlAuthority
+from sabledyke.lease.types import Authority
+from sabledyke.operator_config import Operator
+from sabledyke.store.section import Target
+from tests.lease.support import CALL, TIMEOUT_S, TIMES, etcd_server
+
+COMMANDS = (
+    (["status"], 0, "held by n0.life"),
+    (["release", "sweep"], 0, "gives it up when it next renews"),
+    (["release", "nothing"], 1, "nobody holds it"),
+)
+
+
+@pytest.mark.parametrize("backend", ["table", "etcd"])
+def test_operators_see_leases_and_have_them_released(
+    backend: str, tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(log, "_limiter", log.Limiter())
+
+    async def run() -> None:
+        async with etcd_server() as etcd:
+            file = tmp_path / "operator.toml"
+            where = f'etcd = ["127.0.0.1:{etcd.port}"]' if backend == "etcd" else f'path = "{tmp_path / "l"}"'
+            file.write_text(f"[lease]\n{where}\n")
+            authority = _authority(section.load(str(file)))
+            await authority.open()
+            manager = LeaseManager("sweep", "n0.life", authority, TIMES, 1)
+            task = asyncio.create_task(manager.run())
+            await manager.leading.wait()
+            assert await authority.record_completion("sweep", manager.current_token(), 12)
+            assert not await authority.record_completion("sweep", 0, 13)
+            for arguments, status, said in COMMANDS:
+                command = ["lease", *arguments, "--operator", str(file)]
+                assert await asyncio.to_thread(main, command) == status
+                assert said in capsys.readouterr().out
+            # It finds out when it renews, and the others have one lease's time to acquire it.
+            while manager.leading.is_set():
+                await asyncio.sleep(0.01)
+            assert await authority.last_completed_unix_ms("sweep") == 12
+            await manager.stop()
+            await task
+            await authority.close()
+
+    asyncio.run(asyncio.wait_for(run(), TIMEOUT_S))
+
+
+def _authority(settings: section.LeaseSection) -> Authority:
+    """The authority of these settings, with leases of 1 s."""
+    if settings.path:
+        return SqlAuthority(Target(path=settings.path), 1000)
+    return EtcdAuthority(settings.etcd_endpoints, settings.prefix, 1000, 1000)
+
+
+def test_new_times_and_leader_tasks_take_no_restart_and_another_authority_does(tmp_path: Path) -> None:
+    def operator(path: str, **more: Any) -> Operator:
+        table = {"path": str(tmp_path / path), "ttl_ms": 500, "renew_ms": 50, "margin_ms": 50, "duty": [CALL]}
+        return Operator(lease=section.read(table | more, None))
+
+    async def run() -> None:
+        first = operator("l")
+        second = operator("l", ttl_ms=800, duty=[CALL, CALL | {"name": "e"}])
+        assert first.lease is not None
+        extension = LeaseExtension("n0", 1, first.lease, None)
+        await extension.open()
+        await extension.managers[0].leading.wait()
+        token_before = extension.managers[0].current_token()
+        with pytest.raises(ConfigError, match="takes a restart"):
+            extension.check(operator("other"))
+        extension.check(second)
+        extension.retold(second)
+        while len(extension.managers) != 2 or not all(m.leading.is_set() for m in extension.managers):
+            await asyncio.sleep(0.01)
+        assert [manager.times.ttl_ms for manager in extension.managers] == [800, 800]
+        assert extension.managers[0].current_token() > token_before
+        await extension.close()
+
+    asyncio.run(asyncio.wait_for(run(), TIMEOUT_S))
