--- a/sabledyke/lease/section.py
+++ b/sabledyke/lease/section.py
@@ -33,6 +33,9 @@
     path: str = ""
 
 
+NO_ENDPOINT = Endpoint()
+
+
 @dataclass(slots=True, frozen=True)
 class LeaderTask:
     """A periodic task that one process of the fleet does at a time.
@@ -51,7 +54,7 @@
     interval_ms: float
     folder: str = ""
     keep: int = 7
-    endpoint: Endpoint = Endpoint()
+    endpoint: Endpoint = NO_ENDPOINT
 
 
 @dataclass(slots=True, frozen=True)
@@ -219,7 +222,7 @@
         interval_ms=row.every_s * 1000,
         folder=row.folder,
         keep=row.keep,
-        endpoint=_endpoint(row.url) if row.kind == "call" else Endpoint(),
+        endpoint=_endpoint(row.url) if row.kind == "call" else NO_ENDPOINT,
     )
 
 
--- a/tests/compacted_log/support.py
+++ b/tests/compacted_log/support.py
@@ -24,7 +24,7 @@
 TIMEOUT_S = 60
 
 
-class Killed(BaseException):
+class ProcessDeathError(BaseException):
     """The process dies at this call."""
 
 
@@ -60,10 +60,10 @@
         self.commits_to_death -= 1
         dies = self.commits_to_death == -1
         if dies and not self.last_commit_written:
-            raise Killed
+            raise ProcessDeathError
         written = await self.inner.commit(checks, puts, drops)
         if dies:
-            raise Killed
+            raise ProcessDeathError
         if self.lost_answers:
             self.lost_answers -= 1
             raise BoardFault("the answer got lost")
--- a/tests/compacted_log/test_append.py
+++ b/tests/compacted_log/test_append.py
@@ -32,7 +32,7 @@
     async def scenario(setup: Setup) -> None:
         log = setup.log
         writer = await log.claim_writer("t", "w")
-        last_offset = await _check_conditions(setup, writer)
+        last_offset = await _check_conditions(writer)
         setup.backend.lost_answers = 2  # written, without an answer, requested again: written once
         (offset,) = await writer.append([Draft("k", b"3")])
         assert offset == last_offset + 1
@@ -50,7 +50,7 @@
     run_on(backend, scenario)
 
 
-async def _check_conditions(setup: Setup, writer: LogWriter) -> int:
+async def _check_conditions(writer: LogWriter) -> int:
     (first,) = await writer.append([Draft("k", b"1", 0)])
     with pytest.raises(Conflict):
         await writer.append([Draft("k", b"2", 0)])
--- a/tests/compacted_log/test_compaction.py
+++ b/tests/compacted_log/test_compaction.py
@@ -33,7 +33,8 @@
             await writer.append([Draft("k", b"%d" % n)])
         await setup.compact(5)
         offsets = [message.offset for message in await setup.log.read_page("t", 1)]
-        assert offsets[-lag:] == list(range(31 - lag, 31)) and len(offsets) <= lag + 1
+        assert offsets[-lag:] == list(range(31 - lag, 31))
+        assert len(offsets) <= lag + 1
         for n in range(30):
             await writer.append([Draft("k", b"%d" % n)])
         with pytest.raises(StaleWriter):
@@ -44,7 +45,7 @@
     run_on(backend, scenario)
 
 
-@pytest.mark.parametrize("retention_ms, restarts", [(50.0, True), (1e9, False)])
+@pytest.mark.parametrize(("retention_ms", "restarts"), [(50.0, True), (1e9, False)])
 def test_a_reader_that_was_away_for_longer_than_tombstones_are_retained_restarts(
     retention_ms: float, restarts: bool
 ) -> None:
@@ -62,8 +63,10 @@
             await setup.compact(policy=policy)
         events = await setup.log.catch_up("t", reader)
         assert (ReaderRestarted() in events) is restarts
-        assert KeyRemoved("b") in events and "b" not in reader.latest
-        assert set(reader.latest) == {"a", "c", "z"} and reader.caught_up
+        assert KeyRemoved("b") in events
+        assert "b" not in reader.latest
+        assert set(reader.latest) == {"a", "c", "z"}
+        assert reader.caught_up
         small = LogReader(2)
         with pytest.raises(BoardFull):
             await setup.log.catch_up("t", small)
--- a/tests/compacted_log/test_random_operations.py
+++ b/tests/compacted_log/test_random_operations.py
@@ -11,7 +11,7 @@
 from sabledyke.compacted_log.reader import KeyRemoved, KeyUpdated, LogReader
 from sabledyke.compacted_log.records import Draft
 from sabledyke.errors import BoardFault
-from tests.compacted_log.support import BACKENDS, POLICY, Killed, Setup, run_on
+from tests.compacted_log.support import BACKENDS, POLICY, ProcessDeathError, Setup, run_on
 
 KEYS = "abcdefghij"
 READERS = 3
@@ -49,7 +49,9 @@
         self.last_offsets = {key: at for key, at in self.last_offsets.items() if key in self.model}
 
     async def _append(self, step: int, *, tombstones: bool) -> None:
-        drafts = [self._draft(key, step, tombstones) for key in self.random.sample(KEYS, self._up_to(3))]
+        drafts = [
+            self._draft(key, step, tombstone=tombstones) for key in self.random.sample(KEYS, self._up_to(3))
+        ]
         self.setup.backend.lost_answers = int(self.random.random() < 0.2)
         try:
             offsets = await self.writer.append(drafts)
@@ -63,19 +65,19 @@
                 self.model[draft.key] = draft.value
         self.offsets += offsets
 
-    def _draft(self, key: str, step: int, tombstone: bool) -> Draft:
+    def _draft(self, key: str, step: int, *, tombstone: bool) -> Draft:
         value = None if tombstone else b"%d" % step + b"x" * self.random.randint(0, 9)
         return Draft(key, value, self.last_offsets.get(key) if self.random.random() < 0.3 else None)
 
-    def _up_to(self, most: int) -> int:
-        return self.random.randint(1, most)
+    def _up_to(self, limit: int) -> int:
+        return self.random.randint(1, limit)
 
     async def _compact_and_die(self) -> None:
         self.setup.backend.commits_to_death = self.random.randint(0, 6)
         self.setup.backend.last_commit_written = self.random.random() < 0.5
         try:
             await self.setup.compact()
-        except Killed:
+        except ProcessDeathError:
             self.setup.tokens.append(self.setup.tokens[-1] + 1)  # another compactor takes over
         self.setup.backend.commits_to_death = -1
 
--- a/tests/compacted_log/test_registers.py
+++ b/tests/compacted_log/test_registers.py
@@ -34,6 +34,7 @@
         await registers.delete(setup.backend, "t", ["w1", "load/w0"])
         values = await registers.read_values(setup.backend, "t")
         assert values.keys() == set(names) - {"w1"}
-        assert values["w0"] == b"new" and not await setup.read_as_new()
+        assert values["w0"] == b"new"
+        assert not await setup.read_as_new()
 
     run_on(backend, scenario)
--- a/tests/compacted_log/test_settings.py
+++ b/tests/compacted_log/test_settings.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "of, said",
+    ("of", "said"),
     [
         ({"topics": ["prices", "stock-2"], "clean_s": 1}, ""),
         ({"topics": ["fleet"]}, "'fleet' is the fleet's"),
@@ -48,4 +48,5 @@
         return
     settings = section.read(table)
     assert settings is not None
-    assert settings.topics == ("prices", "stock-2") and settings.compaction_interval_s == 1.0
+    assert settings.topics == ("prices", "stock-2")
+    assert settings.compaction_interval_s == 1.0
--- a/tests/lease/test_authorities.py
+++ b/tests/lease/test_authorities.py
@@ -82,7 +82,8 @@
     tokens = [0]
     for holder, kind in moves:
         seen = await authorities[holder].request("d", holder, Inspect())
-        assert isinstance(seen, LeaseStatus) and _described(seen) == naive.request(holder, Inspect())
+        assert isinstance(seen, LeaseStatus)
+        assert _described(seen) == naive.request(holder, Inspect())
         if kind is Acquire and not seen.is_free:
             continue  # a manager acquires what is free, or what it saw unchanged
         request = _request(kind, seen, token=tokens[-1])
--- a/tests/lease/test_cluster.py
+++ b/tests/lease/test_cluster.py
@@ -10,10 +10,11 @@
 
 from sabledyke.testbed.experiment import Experiment, Fault, Report, Run
 
-SEEDS, AT_ONCE = (1, 2), 6
+SEEDS = (1, 2)
+MAX_CONCURRENT_RUNS = 6
 PLAIN = Experiment("", length=5.5, ttl=1000, renew=200, margin=300, every=0.05)
 CLOCKS: dict[str, Any] = {"offsets": (0.0, 9e5, -4e5, 3e3, 0.0), "rates": (0.99, 1.01, 1.0, 0.99, 1.01)}
-LATE = (Fault(1.0, "late", "holder", 2.0),)
+LATE_MESSAGES = (Fault(1.0, "late", "holder", 2.0),)
 
 
 @dataclass(frozen=True)
@@ -28,15 +29,17 @@
         return Case(replace(PLAIN, faults=faults, **of), changes)
 
 
+ReportKey = tuple[str, str, int]  # authority, case, seed
+
 CASES = {
     "pause": Case.of(Fault(1.0, "pause", "holder", 2.5)),
     "kill": Case.of(Fault(1.0, "kill", "holder", 1.0)),
     "clocks": Case.of(Fault(1.0, "kill", "holder", 0.0), Fault(3.0, "pause", "holder", 2.0), **CLOCKS),
-    "late": Case.of(*LATE),
+    "late": Case.of(*LATE_MESSAGES),
     "term": Case.of(Fault(1.0, "term", "holder", 0.0)),
 }
-LOCK = {"lock": Case.of(Fault(1.0, "lock", "holder", 3.0))}  # what only a table has
-BETWEEN = {  # what only a network between holder and authority can do
+SQL_CASES = {"lock": Case.of(Fault(1.0, "lock", "holder", 3.0))}  # what only a table has
+NETWORK_CASES = {  # what only a network between holder and authority can do
     "part": Case.of(Fault(1.0, "part", "holder", 3.0)),
     "part_to": Case.of(Fault(1.0, "part_to", "holder", 3.0)),
     "part_from": Case.of(Fault(1.0, "part_from", "holder", 3.0)),
@@ -46,53 +49,56 @@
 }
 ALL = {
     (backend, name): replace(case, experiment=replace(case.experiment, authority=backend))
-    for backend, cases in (("table", CASES | LOCK), ("etcd", CASES | BETWEEN))
+    for backend, cases in (("table", CASES | SQL_CASES), ("etcd", CASES | NETWORK_CASES))
     for name, case in cases.items()
 }
 
-UNFENCED = replace(PLAIN, faults=LATE, fenced=False)
+UNFENCED = replace(PLAIN, faults=LATE_MESSAGES, fenced=False)
 
 
 @pytest.fixture(scope="module")
-def reports(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, str, int], Report]:
+def reports(tmp_path_factory: pytest.TempPathFactory) -> dict[ReportKey, Report]:
     """All of them, some at a time: most of it is waiting."""
-    made: dict[tuple[str, str, int], Report] = {}
-    room = asyncio.Semaphore(AT_ONCE)
+    finished: dict[ReportKey, Report] = {}
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_RUNS)
 
-    async def one(key: tuple[str, str, int], experiment: Experiment) -> None:
-        async with room:
-            made[key] = await Run(experiment, tmp_path_factory.mktemp("run"), key[2]).play()
+    async def run_one(key: ReportKey, experiment: Experiment) -> None:
+        async with semaphore:
+            finished[key] = await Run(experiment, tmp_path_factory.mktemp("run"), key[2]).play()
 
-    async def run() -> None:
-        async with asyncio.TaskGroup() as all_of_them:
+    async def run_all() -> None:
+        async with asyncio.TaskGroup() as group:
             for (backend, name), case in ALL.items():
                 for seed in SEEDS:
-                    all_of_them.create_task(one((backend, name, seed), case.experiment))
-            all_of_them.create_task(one(("table", "unfenced", 1), UNFENCED))
+                    group.create_task(run_one((backend, name, seed), case.experiment))
+            group.create_task(run_one(("table", "unfenced", 1), UNFENCED))
 
-    asyncio.run(run())
-    return made
+    asyncio.run(run_all())
+    return finished
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("backend, name", ALL)
 def test_no_two_act_at_once_and_another_takes_over(
-    reports: dict[tuple[str, str, int], Report], backend: str, name: str, seed: int
+    reports: dict[ReportKey, Report], backend: str, name: str, seed: int
 ) -> None:
-    report, case = reports[backend, name, seed], ALL[backend, name]
-    verdict = report.verdict
-    assert verdict.acts > 10 and verdict.overlaps == 0 and verdict.backwards == 0
-    if case.changes:
-        assert verdict.holders >= 2 and report.gaps  # how soon: benchmarks/lease.py
+    report = reports[backend, name, seed]
+    evaluation = report.verdict
+    assert evaluation.acts > 10
+    assert evaluation.overlaps == 0
+    assert evaluation.backwards == 0
+    if ALL[backend, name].changes:
+        assert evaluation.holders >= 2
+        assert report.gaps  # how soon: benchmarks/lease.py
     if name == "lock":
-        assert verdict.gap > 1500  # nobody can act until its process has ended
+        assert evaluation.gap > 1500  # nobody can act until its process has ended
     if name == "late":
         assert report.refused >= 1  # what the network kept came after another's acts
         assert any("has seen a token after" in str(line.get("event")) for line in report.timeline)
     assert all("life" in line and "mono" in line for line in report.timeline)
 
 
-def test_without_the_fence_the_checker_finds_an_act_out_of_turn(
-    reports: dict[tuple[str, str, int], Report],
+def test_without_the_fence_the_checker_finds_an_act_out_of_order(
+    reports: dict[ReportKey, Report],
 ) -> None:
     assert reports["table", "unfenced", 1].verdict.backwards >= 1
--- a/tests/lease/test_leader_tasks.py
+++ b/tests/lease/test_leader_tasks.py
@@ -32,7 +32,8 @@
 def test_a_fence_accepts_no_older_token_and_stays_bounded() -> None:
     fence = Fence(max_tasks=2)
     assert [fence.accepts("a", token) for token in (3, 3, 5, 4, 5)] == [True, True, True, False, True]
-    assert all(fence.accepts(name, 1) for name in "bcd") and fence.rejected == 1
+    assert all(fence.accepts(name, 1) for name in "bcd")
+    assert fence.rejected == 1
     assert len(fence) == 2
 
 
--- a/tests/lease/test_manager.py
+++ b/tests/lease/test_manager.py
@@ -61,8 +61,8 @@
 def test_a_grant_that_is_long_on_its_way_is_not_acted_on_and_time_counts_from_the_request() -> None:
     async def run() -> None:
         now_ms = [1000.0]
-        free = LeaseStatus(LeaseVersion(0, 0), "", True)
-        mine = LeaseStatus(LeaseVersion(7, 0), "me", False)
+        free = LeaseStatus(LeaseVersion(0, 0), "", is_free=True)
+        mine = LeaseStatus(LeaseVersion(7, 0), "me", is_free=False)
         script = ScriptedAuthority(free, Granted(7), mine, Renewed())
         manager = LeaseManager("d", "me", script, TIMES, 1, lambda: now_ms[0])
         task = asyncio.create_task(manager.run())
@@ -82,6 +82,7 @@
             manager.current_token()
         await manager.stop()
         await task
-        assert script.requests[2:4] == [Inspect(), Renew(7)] and script.requests[-1] == Release(7)
+        assert script.requests[2:4] == [Inspect(), Renew(7)]
+        assert script.requests[-1] == Release(7)
 
     asyncio.run(asyncio.wait_for(run(), TIMEOUT_S))
--- a/tests/lease/test_section.py
+++ b/tests/lease/test_section.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, said",
+    ("change", "said"),
     [
         ({"etcd": ["h:1"]}, "either path"),
         ({"path": ""}, "either path"),
@@ -35,4 +35,5 @@
     assert section.read(GOOD, None) is not None
     with pytest.raises((OperatorError, ListError)) as error:
         section.read(GOOD | change, None)
-    assert said in str(error.value) and "\n" not in str(error.value)
+    assert said in str(error.value)
+    assert "\n" not in str(error.value)
