--- a/sabledyke/compacted_log/registers.py
+++ b/sabledyke/compacted_log/registers.py
@@ -56,11 +56,11 @@
             raise self._stale_error()
 
     async def _read_writer_version(self, writer: str) -> int:
-        cells = await self._backend.get([writer])
-        state = decode_writer_state(cells.get(writer))
+        found = await self._backend.get([writer])
+        state = decode_writer_state(found.get(writer))
         if state is None or state.nonce != self._identity.nonce:
             raise self._stale_error()
-        return cell_version(cells, writer)
+        return cell_version(found, writer)
 
     def _stale_error(self) -> StaleWriter:
         writer = self._identity
