--- a/sabledyke/compacted_log/client.py
+++ b/sabledyke/compacted_log/client.py
@@ -1,7 +1,7 @@
-"""Drives a board: reads the cells that ``ledger``, ``follower`` and ``compaction`` decide by, and commits.
+"""Drives a compacted log: reads the cells that ``append`` and ``reader`` decide by, and commits.
 
-It decides nothing but when to try again: a commit that another one crossed is begun anew from a new look,
-after a wait with jitter, as long as ``PATIENCE`` allows.
+It decides only when to retry: a commit that conflicted with another one is decided anew from what stands
+there then, after a backoff with jitter, until ``RETRY_TIMEOUT_S`` are over.
 """
 
 from __future__ import annotations
@@ -12,182 +12,206 @@
 from random import Random
 from uuid import uuid4
 
-from sabledyke.compacted_log import append, compaction
-from sabledyke.compacted_log.compaction import Policy
-from sabledyke.compacted_log.reader import Follower, News
+from sabledyke.compacted_log import append
+from sabledyke.compacted_log.append import AppendRequest, Commit
+from sabledyke.compacted_log.compaction import CompactionPolicy
+from sabledyke.compacted_log.compactor import Compactor
+from sabledyke.compacted_log.reader import LogEvent, LogReader
 from sabledyke.compacted_log.records import (
-    PAGE,
+    PAGE_MESSAGES,
+    Backend,
     Draft,
-    Head,
     Message,
-    Shelf,
-    Writer,
-    cleaner_key,
-    head_key,
-    head_of,
-    message_key,
-    message_of,
-    place_key,
+    TopicHead,
+    WriterIdentity,
     writer_key,
 )
-from sabledyke.errors import CompactedLogError, StaleWriterError, WriteConflictError
+from sabledyke.compacted_log.topic_reads import read_head, read_messages
+from sabledyke.errors import BoardFault, Conflict, StaleWriter
 
-PATIENCE = 5.0  # seconds in which an append has to get through
-CROSSED = (0.002, 0.1)  # seconds before it is tried again: the first wait, doubled up to the last
+RETRY_TIMEOUT_S = 5.0
+FIRST_RETRY_DELAY_S = 0.002  # doubled at each retry
+MAX_RETRY_DELAY_S = 0.1
+NONCE_DIGITS = 12
 
 
-class Pen:
-    """One writer's life on one topic: numbers its appends, so that a repeat is taken once."""
+class CompactedLog:
+    """A compacted log on a backend.
 
-    def __init__(self, board: Board, topic: str, writer: Writer) -> None:
-        self._board, self.topic, self.writer, self._seq = board, topic, writer, 0
-        self._turn = asyncio.Lock()
-        self._doubt: object = None  # the last append, where it is not known whether it was written
+    Attributes:
+        backend: What it is stored in.
+    """
 
-    async def append(
-        self, drafts: Sequence[Draft], expects: Mapping[str, int] | None = None, end: int | None = None
-    ) -> tuple[int, ...]:
-        """Their offsets. StaleWriter where a later life has written, Conflict where a key or the end has
-        moved.
+    def __init__(self, backend: Backend, seed: int = 0) -> None:
+        """Make a log on this backend; ``seed`` is for the jitter of retries."""
+        self.backend = backend
+        self._random = Random(seed)
+
+    async def claim_writer(self, topic: str, name: str) -> LogWriter:
+        """Begin the next incarnation of a writer.
 
-        After a BoardFault it may have been written: the same again, before anything else, is taken once.
+        Raises:
+            BoardFault: It did not succeed in time.
         """
-        async with self._turn:
-            rests, asked = dict(expects or {}), (tuple(drafts), expects, end)
-            if asked != self._doubt:
-                self._seq += 1
-            self._doubt = asked
+        nonce = _make_nonce()
+        key = writer_key(topic, name)
+        last_error: BoardFault | None = None
+        for delay_s in self._retry_delays_s():
             try:
-                offsets = await self._board.append(self.topic, self.writer, self._seq, drafts, rests, end)
-            except (WriteConflictError, StaleWriterError):
-                self._doubt = None  # it was certainly not
+                cells = await self.backend.get([key])
+                identity, commit = append.plan_claim(topic, cells.get(key), name, nonce)
+                if await self._commit(commit):
+                    return LogWriter(self, topic, identity)
+            except BoardFault as error:
+                last_error = error
+            await asyncio.sleep(delay_s)
+        raise last_error or BoardFault(f"{topic}: no life for {name} within {RETRY_TIMEOUT_S:.0f} s")
+
+    def writer(self, topic: str, name: str, incarnation: int) -> LogWriter:
+        """Return a writer whose incarnation is given, as a lease's token is."""
+        return LogWriter(self, topic, WriterIdentity(name, incarnation, _make_nonce()))
+
+    async def append(self, request: AppendRequest) -> tuple[int, ...]:
+        """Append messages; one whose answer was lost is retried with the same sequence, and written once.
+
+        Raises: see ``LogWriter.append``.
+        """
+        append.validate_drafts(request.drafts)
+        last_error: BoardFault | None = None
+        for delay_s in self._retry_delays_s():
+            try:
+                commit = await self._decide_append(request)
+                if await self._commit(commit):
+                    return commit.offsets
+            except (Conflict, StaleWriter):
                 raise
-            self._doubt = None
-            return offsets
-
+            except BoardFault as error:
+                last_error = error
+            else:
+                if request.expected_end is not None:
+                    continue  # somebody wrote: the next attempt finds that, and the caller decides anew
+            await asyncio.sleep(delay_s)
+        timeout = f"{RETRY_TIMEOUT_S:.0f} s"
+        raise last_error or BoardFault(f"{request.topic}: others wrote all the time for {timeout}")
+
+    async def head(self, topic: str) -> TopicHead:
+        """Return the topic's head."""
+        return await read_head(self.backend, topic)
+
+    async def read_page(
+        self, topic: str, first_offset: int, max_messages: int = PAGE_MESSAGES
+    ) -> list[Message]:
+        """Return messages from this offset on, in order."""
+        return await read_messages(self.backend, topic, first_offset, max_messages)
+
+    async def poll(self, topic: str, reader: LogReader, max_messages: int = PAGE_MESSAGES) -> list[LogEvent]:
+        """Read the reader's next page, and apply it.
+
+        Returns:
+            What has changed.
+
+        Raises:
+            BoardFault: The backend did not answer.
+            BoardFull: There are more keys than the reader may retain.
+        """
+        if not reader.started:
+            reader.start(await self.head(topic))
+        elif reader.caught_up:  # the head alone tells that nothing is new, as in most polls
+            head = await self.head(topic)
+            if head.next_offset == reader.position:
+                return reader.apply_page([], head, full=False)
+        page = await self.read_page(topic, reader.position, max_messages)
+        head = await self.head(topic)
+        return reader.apply_page(page, head, full=len(page) >= max_messages)
+
+    async def catch_up(
+        self, topic: str, reader: LogReader, max_messages: int = PAGE_MESSAGES
+    ) -> list[LogEvent]:
+        """Poll until the reader has caught up; ``max_messages`` is for one page. Raises as ``poll`` does."""
+        events: list[LogEvent] = []
+        while True:
+            events += await self.poll(topic, reader, max_messages)
+            if reader.caught_up and not reader.may_have_more:
+                return events
 
-class Board:
-    """A board on a shelf."""
+    async def compact(
+        self, topic: str, policy: CompactionPolicy, token: Callable[[], int], clock_ms: Callable[[], float]
+    ) -> int:
+        """Compact a topic as far as it is worth it now; see ``Compactor``."""
+        return await Compactor(self.backend, topic, policy, token, clock_ms, self._random).run()
 
-    def __init__(self, shelf: Shelf, seed: int = 0) -> None:
-        self.shelf, self._random = shelf, Random(seed)
+    async def _decide_append(self, request: AppendRequest) -> Commit:
+        cells = await self.backend.get(append.cells_to_read(request))
+        return append.plan_append(request, cells)
 
-    async def claim(self, topic: str, name: str) -> Pen:
-        """Begin the next life of a writer."""
-        nonce, key = uuid4().hex[:12], writer_key(topic, name)
-        fault: CompactedLogError | None = None
-        for wait in self._waits():
-            try:
-                writer, commit = append.claim(topic, (await self.shelf.get([key])).get(key), name, nonce)
-                if not commit.puts or await self.shelf.commit(commit.checks, commit.puts):
-                    return Pen(self, topic, writer)
-            except CompactedLogError as said:
-                fault = said
-            await asyncio.sleep(wait)
-        raise fault or CompactedLogError(f"{topic}: no life for {name} within {PATIENCE:.0f} s")
-
-    def pen(self, topic: str, name: str, life: int) -> Pen:
-        """A writer whose life is given, as a lease's token is."""
-        return Pen(self, topic, Writer(name, life, uuid4().hex[:12]))
+    async def _commit(self, commit: Commit) -> bool:
+        """Commit, unless it was written before."""
+        return not commit.puts or await self.backend.commit(commit.checks, commit.puts)
 
-    async def append(
-        self,
-        topic: str,
-        writer: Writer,
-        seq: int,
-        drafts: Sequence[Draft],
-        expects: Mapping[str, int],
-        end: int | None,
-    ) -> tuple[int, ...]:
-        """See ``Pen.append``; a fault on the way is asked again with the same sequence,
-        so it is taken once.
-        """
-        append.check(drafts)
-        fault: CompactedLogError | None = None
-        for wait in self._waits():
-            try:
-                found = await self.shelf.get(append.needed(topic, writer, drafts, expects))
-                commit = append.append(topic, found, writer, seq, drafts, expects, end)
-                if not commit.puts or await self.shelf.commit(commit.checks, commit.puts):
-                    return commit.offsets
-                if end is not None:
-                    continue  # somebody wrote: the next look says so, and what was decided is decided anew
-            except (WriteConflictError, StaleWriterError):
-                raise
-            except CompactedLogError as said:
-                fault = said
-            await asyncio.sleep(wait)
-        raise fault or CompactedLogError(f"{topic}: others wrote all the time for {PATIENCE:.0f} s")
-
-    def _waits(self) -> Iterator[float]:
-        """Waits between tries, with jitter, until ``PATIENCE`` is over: the calls count as well."""
-        ends, wait = time.monotonic() + PATIENCE, CROSSED[0]
+    def _retry_delays_s(self) -> Iterator[float]:
+        """Yield a delay for each attempt until ``RETRY_TIMEOUT_S`` are over; the calls count as well."""
+        deadline_s = time.monotonic() + RETRY_TIMEOUT_S
+        delay_s = FIRST_RETRY_DELAY_S
         while True:
-            yield wait * (0.5 + self._random.random())
-            wait = min(2 * wait, CROSSED[1])
-            if time.monotonic() >= ends:
+            yield delay_s * (0.5 + self._random.random())
+            delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
+            if time.monotonic() >= deadline_s:
                 return
 
-    async def head(self, topic: str) -> Head:
-        """How the topic stands."""
-        return head_of((await self.shelf.get([head_key(topic)])).get(head_key(topic)))
 
-    async def page(self, topic: str, first: int, most: int = PAGE) -> list[Message]:
-        """Messages from this offset on, in order."""
-        cells = await self.shelf.scan(message_key(topic, first), f"{topic}/m/~", most)
-        return [message_of(name, cell) for name, cell in cells]
+class LogWriter:
+    """One incarnation of a writer on one topic: it numbers its appends, so that a retry is written once.
 
-    async def read(self, topic: str, reader: Follower, most: int = PAGE) -> list[News]:
-        """The reader's next page, and the head after it (see ``follower``)."""
-        if not reader.begun:
-            reader.begin(await self.head(topic))
-        elif reader.caught:  # the head alone says that nothing is new, as it does at most looks
-            head = await self.head(topic)
-            if head.next == reader.position:
-                return reader.read([], False, head)
-        page = await self.page(topic, reader.position, most)
-        return reader.read(page, len(page) >= most, await self.head(topic))
-
-    async def catch_up(self, topic: str, reader: Follower, most: int = PAGE) -> list[News]:
-        """All pages until the reader has caught up."""
-        news = list[News]()
-        while True:
-            news += await self.read(topic, reader, most)
-            if reader.caught and not reader.more:
-                return news
+    Attributes:
+        topic: The topic.
+        identity: The writer's incarnation.
+    """
 
-    async def clean(
-        self, topic: str, policy: Policy, token: Callable[[], int], clock: Callable[[], float]
-    ) -> int:
-        """Clean as far as it is worth it now; bytes that were looked at.
+    def __init__(self, log: CompactedLog, topic: str, identity: WriterIdentity, sequence: int = 0) -> None:
+        """Make a writer whose last append had this sequence number."""
+        self.topic = topic
+        self.identity = identity
+        self._log = log
+        self._sequence = sequence
+        self._lock = asyncio.Lock()
+        self._unconfirmed: object = None  # the last append, where it is not known whether it was written
 
-        ``token`` gives the lease's token, or raises where it is not held: asked before every step. ``clock``
-        in ms. StaleWriter where a later cleaner is at work, which ends this one's part.
+    async def append(
+        self, drafts: Sequence[Draft], expects: Mapping[str, int] | None = None, end: int | None = None
+    ) -> tuple[int, ...]:
+        """Append messages.
+
+        Args:
+            drafts: The messages.
+            expects: By key, the offsets of further messages that the append depends on.
+            end: The topic's next offset, where the append depends on all messages up to it.
+
+        Returns:
+            The offsets of the messages.
+
+        Raises:
+            BoardFull: There are too many messages, or one is too large.
+            StaleWriter: A later incarnation has written.
+            Conflict: A key, or the end of the topic, has moved.
+            BoardFault: The append may have been written; the same one again, before any other, is written
+                once.
         """
-        looked = 0
-        while True:
-            cells = await self.shelf.get([head_key(topic), cleaner_key(topic)])
-            progress = compaction.progress_of(cells.get(cleaner_key(topic)))
-            progress = compaction.taken_over(progress, token(), clock())
-            begun = compaction.begin(progress, head_of(cells.get(head_key(topic))), policy, clock())
-            if begun is None:
-                return looked
-            page = await self.page(topic, begun.at, compaction.STEP)
-            whole = len(page) < compaction.STEP or page[-1].offset >= begun.limit - 1
-            names = [
-                head_key(topic),
-                cleaner_key(topic),
-                *dict.fromkeys(place_key(topic, m.key) for m in page),
-            ]
-            now = await self.shelf.get(names)
-            if now.get(cleaner_key(topic)) == cells.get(cleaner_key(topic)):
-                token()
-                done = compaction.step(topic, now, begun, page, whole, policy, clock())[1]
-                if await self.shelf.commit(done.checks, done.puts, done.drops):
-                    size = sum(m.size for m in page)
-                    looked += size
-                    await asyncio.sleep(size / policy.bytes_s)
-                    if whole:
-                        return looked
-                    continue
-            await asyncio.sleep(CROSSED[0] * (0.5 + self._random.random()))
+        async with self._lock:
+            content = (tuple(drafts), expects, end)
+            if content != self._unconfirmed:
+                self._sequence += 1
+            self._unconfirmed = content
+            request = AppendRequest(
+                self.topic, self.identity, self._sequence, drafts, dict(expects or {}), end
+            )
+            try:
+                offsets = await self._log.append(request)
+            except (Conflict, StaleWriter):
+                self._unconfirmed = None  # it was certainly not written
+                raise
+            self._unconfirmed = None
+            return offsets
+
+
+def _make_nonce() -> str:
+    return uuid4().hex[:NONCE_DIGITS]
