--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -36,8 +36,9 @@
 from sabledyke.errors import BoardFault
 from sabledyke.lease.manager import boottime
 from sabledyke.rollout import node_drain, planner
+from sabledyke.rollout.fleet_view import View
 from sabledyke.rollout.planner import Patience, Watch
-from sabledyke.rollout.records import Ask, Box, Drain, Epoch, Member, Phase, Plan, Stage, State, View
+from sabledyke.rollout.records import Ask, Box, Drain, Epoch, Member, Phase, Plan, Stage, State
 from sabledyke.testbed.fleet_release import Fleet, Setting, plan, play
 
 KEYS, VALUE = 10_000, b"x" * 100
--- a/sabledyke/cli/fleet.py
+++ b/sabledyke/cli/fleet.py
@@ -16,8 +16,9 @@
 from sabledyke.placement.evacuation_driver import LOADS
 from sabledyke.quota_sharing.allocation import TOPIC
 from sabledyke.rollout import commands, node_drain, planner
+from sabledyke.rollout.fleet_view import View
 from sabledyke.rollout.planner import Move
-from sabledyke.rollout.records import BEATS, STEPS, Phase, Plan, Stage, View
+from sabledyke.rollout.records import BEATS, STEPS, Phase, Plan, Stage
 from sabledyke.rollout.section import load_plan
 from sabledyke.toml_tables import section_from
 
--- a/sabledyke/placement/evacuation.py
+++ b/sabledyke/placement/evacuation.py
@@ -19,8 +19,9 @@
 
 from sabledyke.compacted_log.records import BATCH, Message
 from sabledyke.placement.volume_placement import Home, Map, destination, leaves, member
+from sabledyke.rollout.fleet_view import View
 from sabledyke.rollout.planner import Move
-from sabledyke.rollout.records import STEPS, Plan, Stage, State, View
+from sabledyke.rollout.records import STEPS, Plan, Stage, State
 
 HOMES = "homes"  # the topic
 FIELDS = ("site", "member", "origin", "before", "moves")
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -16,8 +16,9 @@
 from sabledyke.placement.evacuation import HOMES, Shift
 from sabledyke.placement.volume_placement import Map
 from sabledyke.rollout.canary_analysis import Baseline, Count, worse
+from sabledyke.rollout.fleet_view import View
 from sabledyke.rollout.planner import Move, Patience, Watch
-from sabledyke.rollout.records import Plan, State, View
+from sabledyke.rollout.records import Plan, State
 
 LOADS = "load/"  # keys of the members' loads, among their beats
 MOST_LOADS = 400  # volumes that one member tells of
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -11,8 +11,10 @@
 from sabledyke.compacted_log.reader import Follower
 from sabledyke.compacted_log.records import Draft
 from sabledyke.errors import BoardFault, Conflict
+from sabledyke.rollout.fleet_view import View, view
 from sabledyke.rollout.planner import Move
-from sabledyke.rollout.records import FLEET, View, key, pack, view
+from sabledyke.rollout.record_codec import key, pack
+from sabledyke.rollout.records import FLEET
 
 OPERATOR = "operator"  # the writer's name
 
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -39,21 +39,11 @@
 from sabledyke.rollout.canary_analysis import Baseline, Count, bad_plans
 from sabledyke.rollout.commands import write
 from sabledyke.rollout.configuration_switch import take_on, wanted
+from sabledyke.rollout.fleet_view import View, view
 from sabledyke.rollout.participant import GOES, Participant
 from sabledyke.rollout.planner import Move, Watch
-from sabledyke.rollout.records import (
-    BEATS,
-    FLEET,
-    TAKEN,
-    Ask,
-    Box,
-    Member,
-    State,
-    Ticket,
-    View,
-    key,
-    view,
-)
+from sabledyke.rollout.record_codec import key
+from sabledyke.rollout.records import BEATS, FLEET, TAKEN, Ask, Box, Member, State, Ticket
 from sabledyke.rollout.section import Section
 
 if TYPE_CHECKING:
--- a/sabledyke/rollout/node_drain.py
+++ b/sabledyke/rollout/node_drain.py
@@ -15,20 +15,10 @@
 from dataclasses import dataclass, field, replace
 from math import floor, inf
 
+from sabledyke.rollout.fleet_view import View
 from sabledyke.rollout.planner import Move, Patience, Watch
-from sabledyke.rollout.records import (
-    Box,
-    Clear,
-    Drain,
-    Member,
-    Phase,
-    Plan,
-    Record,
-    Stage,
-    State,
-    View,
-    key,
-)
+from sabledyke.rollout.record_codec import key
+from sabledyke.rollout.records import Box, Clear, Drain, Member, Phase, Plan, Record, Stage, State
 
 Boxes = Mapping[str, Box]
 SHUT = (Phase.LEAVING, Phase.DRAINED)  # takes nothing fresh
--- a/sabledyke/rollout/participant.py
+++ b/sabledyke/rollout/participant.py
@@ -10,8 +10,10 @@
 from dataclasses import dataclass, replace
 
 from sabledyke.errors import StaleTicket
+from sabledyke.rollout.fleet_view import View
 from sabledyke.rollout.planner import Move, near, wanted
-from sabledyke.rollout.records import EPOCH, Ask, Plan, Ticket, View, key
+from sabledyke.rollout.record_codec import key
+from sabledyke.rollout.records import EPOCH, Ask, Plan, Ticket
 
 
 @dataclass(slots=True, frozen=True)
--- a/sabledyke/rollout/planner.py
+++ b/sabledyke/rollout/planner.py
@@ -19,6 +19,8 @@
 from math import floor, inf
 
 from sabledyke.errors import PlanError
+from sabledyke.rollout.fleet_view import View
+from sabledyke.rollout.record_codec import key
 from sabledyke.rollout.records import (
     ACTIVE,
     MOST_MEMBERS,
@@ -33,8 +35,6 @@
     Stage,
     State,
     Ticket,
-    View,
-    key,
 )
 
 
--- a/sabledyke/rollout/records.py
+++ b/sabledyke/rollout/records.py
@@ -7,14 +7,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from enum import Enum
-from typing import Any
-
-import orjson
-
-from sabledyke.compacted_log.records import Message
 
 FLEET, BEATS = "fleet", "beats"
 EPOCH = "epoch"  # the key that each new coordinator writes first, which shuts the one before out
@@ -186,103 +180,3 @@
 
 
 Record = Member | Plan | Ask | Ticket | Drain | Clear | Epoch
-KINDS: dict[str, type[Member] | type[Plan] | type[Ask] | type[Ticket] | type[Drain] | type[Clear]] = {
-    "member": Member,
-    "plan": Plan,
-    "ask": Ask,
-    "ticket": Ticket,
-    "drain": Drain,
-    "clear": Clear,
-}
-ENUMS: dict[str, type[Enum]] = {"state": State, "stage": Stage, "phase": Phase}
-
-
-def key(record: Record) -> str:
-    """Where it stands."""
-    if isinstance(record, Epoch):
-        return EPOCH
-    kind = next(name for name, made in KINDS.items() if isinstance(record, made))
-    return f"{kind}/{record.name}"
-
-
-def pack(record: Record) -> bytes:
-    """As it is written: an object of its fields."""
-    return orjson.dumps({k: getattr(record, k) for k in record.__dataclass_fields__ if k != OFFSET})
-
-
-def read(message: Message) -> Record | None:
-    """A record from its message; None for what this version does not know."""
-    kind = Epoch if message.key == EPOCH else KINDS.get(message.key.partition("/")[0])
-    if kind is None or message.value is None:
-        return None
-    data: dict[str, Any] = orjson.loads(message.value)
-    known = {k: v for k, v in data.items() if k in kind.__dataclass_fields__}
-    for name, enum in ENUMS.items():
-        if name in known:
-            known[name] = enum(known[name])
-    for name, value in known.items():
-        if isinstance(value, list):
-            known[name] = tuple(value)
-    return kind(**known, offset=message.offset)
-
-
-@dataclass(slots=True)
-class View:
-    """All that holds, up to before ``next``; what a coordinator or a member decides by."""
-
-    next: int = 1
-    members: dict[str, Member] = field(default_factory=dict)
-    plans: dict[str, Plan] = field(default_factory=dict)
-    asks: dict[str, Ask] = field(default_factory=dict)
-    tickets: dict[str, Ticket] = field(default_factory=dict)
-    drains: dict[str, Drain] = field(default_factory=dict)
-    clears: dict[str, Clear] = field(default_factory=dict)
-    epoch: Epoch | None = None
-
-    @property
-    def active(self) -> list[Plan]:
-        """Plans under which somebody may go out, the oldest name first."""
-        return [plan for _, plan in sorted(self.plans.items()) if plan.stage in ACTIVE]
-
-    def at(self, name: str) -> int:
-        """Where a key stands; 0 where it holds nothing."""
-        kind, _, rest = name.partition("/")
-        if name == EPOCH:
-            return self.epoch.offset if self.epoch else 0
-        tables: Mapping[str, Mapping[str, Record]] = {
-            "member": self.members,
-            "plan": self.plans,
-            "ask": self.asks,
-            "ticket": self.tickets,
-            "drain": self.drains,
-            "clear": self.clears,
-        }
-        found = tables[kind].get(rest)
-        return found.offset if found is not None else 0
-
-    def put(self, record: Record) -> None:
-        """It holds from now on."""
-        match record:
-            case Member():
-                self.members[record.name] = record
-            case Plan():
-                self.plans[record.name] = record
-            case Ask():
-                self.asks[record.name] = record
-            case Ticket():
-                self.tickets[record.name] = record
-            case Drain():
-                self.drains[record.name] = record
-            case Clear():
-                self.clears[record.name] = record
-            case Epoch():
-                self.epoch = record
-
-
-def view(state: Mapping[str, Message], next_: int) -> View:
-    """From a reader's state."""
-    made = View(next_)
-    for message in state.values():
-        if (record := read(message)) is not None:
-            made.put(record)
-    return made
--- a/sabledyke/testbed/drain_model.py
+++ b/sabledyke/testbed/drain_model.py
@@ -16,20 +16,9 @@
 from typing import NamedTuple
 
 from sabledyke.rollout import node_drain, planner
+from sabledyke.rollout.fleet_view import View
 from sabledyke.rollout.planner import Move, Patience, Watch
-from sabledyke.rollout.records import (
-    Box,
-    Clear,
-    Drain,
-    Epoch,
-    Member,
-    Phase,
-    Plan,
-    Record,
-    Stage,
-    State,
-    View,
-)
+from sabledyke.rollout.records import Box, Clear, Drain, Epoch, Member, Phase, Plan, Record, Stage, State
 from sabledyke.testbed.model_log import Coordinator, swapped, with_append, with_coordinator, with_process
 from sabledyke.testbed.state_search import Found, explore
 
--- a/sabledyke/testbed/fleet_release.py
+++ b/sabledyke/testbed/fleet_release.py
@@ -30,21 +30,10 @@
 from sabledyke.placement.volume_placement import Home
 from sabledyke.rollout import commands, planner
 from sabledyke.rollout.extension import GONE
+from sabledyke.rollout.fleet_view import View, view
 from sabledyke.rollout.planner import Move
-from sabledyke.rollout.records import (
-    FLEET,
-    Drain,
-    Member,
-    Phase,
-    Plan,
-    Record,
-    Stage,
-    State,
-    Ticket,
-    View,
-    read,
-    view,
-)
+from sabledyke.rollout.record_codec import read
+from sabledyke.rollout.records import FLEET, Drain, Member, Phase, Plan, Record, Stage, State, Ticket
 from sabledyke.testbed import cluster
 from sabledyke.testbed.cluster import Cluster
 from sabledyke.testbed.etcd_server import Etcd
--- a/sabledyke/testbed/model_log.py
+++ b/sabledyke/testbed/model_log.py
@@ -7,7 +7,8 @@
 from typing import Any, NamedTuple, Protocol, TypeVar
 
 from sabledyke.rollout.planner import Move
-from sabledyke.rollout.records import Record, key
+from sabledyke.rollout.record_codec import key
+from sabledyke.rollout.records import Record
 
 T = TypeVar("T")
 
--- a/sabledyke/testbed/scenario.py
+++ b/sabledyke/testbed/scenario.py
@@ -16,7 +16,8 @@
 from msgspec import Meta
 
 from sabledyke.rollout import planner
-from sabledyke.rollout.records import ACTIVE, Plan, Stage, View
+from sabledyke.rollout.fleet_view import View
+from sabledyke.rollout.records import ACTIVE, Plan, Stage
 from sabledyke.rollout.section import plan_of
 from sabledyke.testbed.fleet_release import Fleet, Setting, play
 from sabledyke.testbed.workload import GIVES_UP
--- a/sabledyke/testbed/ticket_model.py
+++ b/sabledyke/testbed/ticket_model.py
@@ -19,9 +19,10 @@
 from typing import NamedTuple
 
 from sabledyke.rollout import planner
+from sabledyke.rollout.fleet_view import View
 from sabledyke.rollout.participant import GOES, Asked, Participant
 from sabledyke.rollout.planner import Move, Patience, Watch
-from sabledyke.rollout.records import ACTIVE, Ask, Member, Plan, Record, Stage, State, Ticket, View
+from sabledyke.rollout.records import ACTIVE, Ask, Member, Plan, Record, Stage, State, Ticket
 from sabledyke.testbed.model_log import Coordinator, with_append, with_coordinator, with_process
 from sabledyke.testbed.state_search import Found, explore
 
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -23,6 +23,7 @@
 from sabledyke.quota_sharing import extension as fleet_part
 from sabledyke.quota_sharing import section as fleet_section
 from sabledyke.rollout import extension as rollout_part
+from sabledyke.rollout import record_codec
 from sabledyke.rollout import records as rollout_terms
 from sabledyke.rollout import section as rollout_section
 from tests.compatibility.program.values import values
@@ -43,12 +44,12 @@
 
 def read_record(key: str, value: bytes, offset: int = 77) -> Any:
     """A record of the fleet's topic, from its key and its stored value."""
-    return rollout_terms.read(message(key, value, offset))
+    return record_codec.read(message(key, value, offset))
 
 
 def write_record(record: Any) -> tuple[str, bytes]:
     """The key and the value that a record is stored by."""
-    return rollout_terms.key(record), rollout_terms.pack(record)
+    return record_codec.key(record), record_codec.pack(record)
 
 
 def read_homes(stored: Mapping[str, bytes]) -> Mapping[str, Any]:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -31,8 +31,10 @@
 from sabledyke.rollout import node_drain, planner, section
 from sabledyke.rollout.canary_analysis import Baseline, Count, bad_plans, worse
 from sabledyke.rollout.commands import write
+from sabledyke.rollout.fleet_view import View, view
 from sabledyke.rollout.participant import GOES, Participant
 from sabledyke.rollout.planner import Patience, Watch
+from sabledyke.rollout.record_codec import key, pack, read
 from sabledyke.rollout.records import (
     FLEET,
     Ask,
@@ -47,11 +49,6 @@
     Stage,
     State,
     Ticket,
-    View,
-    key,
-    pack,
-    read,
-    view,
 )
 from sabledyke.testbed import drain_model, model_log, scenario, ticket_model
 from sabledyke.testbed.fleet_release import Fleet, Seen, Setting, most_out, plan, play, transcript
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -12,7 +12,8 @@
 from sabledyke.errors import OperatorError
 from sabledyke.placement import evacuation, section, volume_placement
 from sabledyke.placement.volume_placement import Home, Map
-from sabledyke.rollout.records import STEPS, Member, Plan, Stage, State, View
+from sabledyke.rollout.fleet_view import View
+from sabledyke.rollout.records import STEPS, Member, Plan, Stage, State
 
 NAMES = ("a", "b", "c", "d")
 FAR = {("a", "b"): 1.0, ("a", "c"): 1.0, ("a", "d"): 5.0, ("b", "c"): 2.0, ("b", "d"): 4.0, ("c", "d"): 4.0}
