--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -36,9 +36,19 @@
 from sabledyke.errors import BoardFault
 from sabledyke.lease.manager import boottime
 from sabledyke.rollout import node_drain, planner
-from sabledyke.rollout.fleet_view import View
-from sabledyke.rollout.planner import Patience, Watch
-from sabledyke.rollout.records import Ask, Box, Drain, Epoch, Member, Phase, Plan, Stage, State
+from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.planner import ChangeTracker, Timeouts
+from sabledyke.rollout.records import (
+    Drain,
+    DrainPhase,
+    Epoch,
+    ListedNode,
+    Member,
+    MemberState,
+    Plan,
+    PlanStage,
+    TicketRequest,
+)
 from sabledyke.testbed.fleet_release import Fleet, Setting, plan, play
 
 KEYS, VALUE = 10_000, b"x" * 100
@@ -142,32 +152,32 @@
 
 def decisions(members: int) -> None:
     """Microseconds of one decision, where the first 100 of a plan are released and all others ask."""
-    seen = View(9999, epoch=Epoch("c", 1, 1))
+    seen = FleetView(9999, epoch=Epoch("c", 1, 1))
     for i in range(members):
         name = f"n{i}"
-        seen.members[name] = Member(name, 1, "1", f"s{i % 10}", State.READY, i + 2)
-        seen.asks[name] = Ask(name, "p", 1, 1, i + 5000)
+        seen.members[name] = Member(name, 1, "1", f"s{i % 10}", MemberState.READY, i + 2)
+        seen.requests[name] = TicketRequest(name, "p", 1, 1, i + 5000)
     first = tuple(f"n{i}" for i in range(min(100, members // 2)))
-    seen.plans["p"] = replace(plan("p", members, most=5, per_site=1), released=first, offset=9000)
+    seen.plans["p"] = replace(plan("p", members, max_out=5, max_out_per_site=1), released=first, offset=9000)
     began = time.perf_counter()
     for _ in range(200):
-        assert planner.decide(seen, "c", 1, 0.0, Watch(), Patience()) is not None
+        assert planner.decide(seen, "c", 1, 0.0, ChangeTracker(), Timeouts()) is not None
     print(f"a decision over {members} members: {(time.perf_counter() - began) / 200 * 1e6:.0f} us")
 
 
 def drains(members: int, count: int) -> None:
     """Microseconds of one decision about boxes, a tenth of which are drained, with nothing to do."""
-    seen = View(9999, epoch=Epoch("c", 1, 1))
-    yard = {f"b{i}": Box(f"b{i}", i % 4, i // 4, True, 0.0) for i in range(count)}
+    seen = FleetView(9999, epoch=Epoch("c", 1, 1))
+    yard = {f"b{i}": ListedNode(f"b{i}", i % 4, i // 4, True, 0.0) for i in range(count)}
     for i in range(members):
-        seen.members[f"n{i}"] = Member(f"n{i}", 1, "1", "", State.READY, i + 2)
+        seen.members[f"n{i}"] = Member(f"n{i}", 1, "1", "", MemberState.READY, i + 2)
     out = tuple(yard)[: count // 10]
-    seen.plans["p"] = Plan("p", (), len(out), boxes=tuple(yard), offset=9000)
+    seen.plans["p"] = Plan("p", (), len(out), nodes=tuple(yard), offset=9000)
     for i, name in enumerate(out):
-        seen.drains[name] = Drain(name, "p", 1, 0.0, 5000 + i, Phase.LEAVING, 5000 + i)
+        seen.drains[name] = Drain(name, "p", 1, 0.0, 5000 + i, DrainPhase.LEAVING, 5000 + i)
     began = time.perf_counter()
     for _ in range(20):
-        assert node_drain.decide(seen, 1, 0.0, Watch(), Patience(), yard) is None
+        assert node_drain.decide(seen, 1, 0.0, ChangeTracker(), Timeouts(), yard) is None
     took = (time.perf_counter() - began) / 20 * 1e6
     print(f"a decision over {count} boxes, {len(out)} of them drained, and {members} members: {took:.0f} us")
 
@@ -191,8 +201,8 @@
             await fleet.begin(plan("p", size))
         else:
             gone = tuple(f"n{i}" for i in range(0, size, 3))
-            await fleet.begin(Plan("p", gone, retire="s0"))
-        over = fleet.until(lambda v: v.plans["p"].stage is Stage.DONE, 600)
+            await fleet.begin(Plan("p", gone, retiring_site="s0"))
+        over = fleet.until(lambda v: v.plans["p"].stage is PlanStage.DONE, 600)
         took, share, slow = await through(over)
         lost = 1 - share / before
         print(f"a {what} in a fleet of {size}, {took:.1f} s: {lost:.2%} lost of a steady {before:.2%}")
@@ -220,10 +230,10 @@
             while len(fleet.seen[i].downs) == downs:
                 await asyncio.sleep(0.005)
             cycles.append(time.monotonic() - began)
-            await fleet.until(lambda v: not planner.out(v))
+            await fleet.until(lambda v: not planner.members_out(v))
         began = time.monotonic()
         await fleet.begin(plan("p", size))
-        await fleet.until(lambda v: v.plans["p"].stage is Stage.DONE, 600)
+        await fleet.until(lambda v: v.plans["p"].stage is PlanStage.DONE, 600)
         took.append(time.monotonic() - began)
         assert fleet.most_out() == 1
 
--- a/sabledyke/cli/fleet.py
+++ b/sabledyke/cli/fleet.py
@@ -16,13 +16,13 @@
 from sabledyke.placement.evacuation_driver import LOADS
 from sabledyke.quota_sharing.allocation import TOPIC
 from sabledyke.rollout import commands, node_drain, planner
-from sabledyke.rollout.fleet_view import View
+from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.planner import Move
-from sabledyke.rollout.records import BEATS, STEPS, Phase, Plan, Stage
+from sabledyke.rollout.records import EVACUATION_STEPS, HEARTBEATS_TOPIC, DrainPhase, Plan, PlanStage
 from sabledyke.rollout.section import load_plan
 from sabledyke.toml_tables import section_from
 
-STAGES = {"halt": Stage.HALTED, "resume": Stage.RUNNING, "back": Stage.BACK}
+STAGES = {"halt": PlanStage.HALTED, "resume": PlanStage.RUNNING, "back": PlanStage.ROLLING_BACK}
 
 
 def main(said: Mapping[str, Any]) -> int:
@@ -47,56 +47,56 @@
     await board.shelf.open()
     try:
         if said["status"]:
-            print("\n".join(status(await commands.look(board, reader))))
+            print("\n".join(status(await commands.read_view(board, reader))))
             return
-        move = await commands.say(board, reader, lambda seen: _wanted(said, seen, plan))
+        move = await commands.apply(board, reader, lambda seen: _wanted(said, seen, plan))
         if said["forget"]:
-            await registers.drop(board.shelf, BEATS, [said["MEMBER"], f"{LOADS}{said['MEMBER']}"])
+            await registers.drop(board.shelf, HEARTBEATS_TOPIC, [said["MEMBER"], f"{LOADS}{said['MEMBER']}"])
             await registers.drop(board.shelf, TOPIC, [said["MEMBER"]])
-        print(move.what)
+        print(move.description)
     finally:
         await board.shelf.close()
 
 
-def _wanted(said: Mapping[str, Any], seen: View, plan: Plan | None) -> Move:
+def _wanted(said: Mapping[str, Any], seen: FleetView, plan: Plan | None) -> Move:
     if said["forget"]:
-        return planner.forgotten(said["MEMBER"], seen)
+        return planner.forget_member(said["MEMBER"], seen)
     new = _plan(said, seen, plan)
-    return Move(f"plan {new.name}: {new.stage.value}", (new,), end=seen.next)
+    return Move(f"plan {new.name}: {new.stage.value}", (new,), expected_end=seen.next_offset)
 
 
-def _plan(said: Mapping[str, Any], seen: View, plan: Plan | None) -> Plan:
+def _plan(said: Mapping[str, Any], seen: FleetView, plan: Plan | None) -> Plan:
     if plan is not None:
-        if plan.retire:  # all that is there now
-            here = (m.name for m in seen.members.values() if m.site == plan.retire)
+        if plan.retiring_site:  # all that is there now
+            here = (m.name for m in seen.members.values() if m.site == plan.retiring_site)
             plan = replace(plan, members=tuple(sorted(here)))
-        planner.check(plan, seen)
+        planner.validate(plan, seen)
         return plan
     said_is = next(name for name in STAGES if said[name])
     known = seen.plans.get(said["PLAN"])
     if known is None:
         raise PlanError(f"there is no plan {said['PLAN']}")
-    return planner.changed(known, STAGES[said_is], "by an operator")
+    return planner.change_stage(known, STAGES[said_is], "by an operator")
 
 
-def status(seen: View) -> list[str]:
+def status(seen: FleetView) -> list[str]:
     """Members, tickets and plans, a line each."""
     epoch = f"{seen.epoch.name}, token {seen.epoch.token}" if seen.epoch else "nobody yet"
-    lines = [f"coordinator: {epoch}; {len(planner.out(seen))} of {len(seen.members)} out or going"]
+    lines = [f"coordinator: {epoch}; {len(planner.members_out(seen))} of {len(seen.members)} out or going"]
     for _, m in sorted(seen.members.items()):
         ticket = seen.tickets.get(m.name)
-        told = f", ticket of {ticket.plan}{', going' if ticket.going else ''}" if ticket else ""
+        told = f", ticket of {ticket.plan}{', going' if ticket.used else ''}" if ticket else ""
         where = f"version {m.version or '-'}, site {m.site or '-'}"
-        lines.append(f"{m.name}: {m.state.value}, life {m.life}, {where}{told}")
+        lines.append(f"{m.name}: {m.state.value}, life {m.incarnation}, {where}{told}")
     for _, d in sorted(seen.drains.items()):
-        waits = ", ".join(node_drain.waits_for(seen, d)) if d.phase is Phase.LEAVING else ""
+        waits = ", ".join(node_drain.unacknowledged_by(seen, d)) if d.phase is DrainPhase.LEAVING else ""
         lines.append(f"box {d.name}: {d.phase.value} under {d.plan}{', waits for ' if waits else ''}{waits}")
     for _, p in sorted(seen.plans.items()):
-        why = f" ({p.why})" if p.why else ""
-        if p.retire:
-            why += f", site {p.retire} retires, step {p.step} of {STEPS}"
-        if mute := [name for name in planner.wanted(p) if name in p.later]:
+        why = f" ({p.reason})" if p.reason else ""
+        if p.retiring_site:
+            why += f", site {p.retiring_site} retires, step {p.step} of {EVACUATION_STEPS}"
+        if mute := [name for name in planner.remaining_members(p) if name in p.deferred]:
             why += f", no ask in their turn: {', '.join(mute)}"
-        done = f"{len(p.released)} of {len(p.boxes or p.members)} released, most {p.most}"
+        done = f"{len(p.released)} of {len(p.nodes or p.members)} released, most {p.max_out}"
         lines.append(f"plan {p.name}: {p.stage.value}{why}, {done}")
     return lines
--- a/sabledyke/placement/evacuation.py
+++ b/sabledyke/placement/evacuation.py
@@ -19,9 +19,9 @@
 
 from sabledyke.compacted_log.records import BATCH, Message
 from sabledyke.placement.volume_placement import Home, Map, destination, leaves, member
-from sabledyke.rollout.fleet_view import View
+from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.planner import Move
-from sabledyke.rollout.records import STEPS, Plan, Stage, State
+from sabledyke.rollout.records import EVACUATION_STEPS, MemberState, Plan, PlanStage
 
 HOMES = "homes"  # the topic
 FIELDS = ("site", "member", "origin", "before", "moves")
@@ -46,7 +46,9 @@
     what: str
 
 
-def settle(seen: View, homes: Mapping[str, Home], loads: Mapping[str, Mapping[str, float]]) -> Shift | None:
+def settle(
+    seen: FleetView, homes: Mapping[str, Home], loads: Mapping[str, Mapping[str, float]]
+) -> Shift | None:
     """Homes for volumes that have none yet: where their clients come, by the load that members tell of."""
     most: dict[str, tuple[float, str]] = {}
     for name, some in loads.items():
@@ -61,7 +63,7 @@
 
 
 def shift(
-    plan: Plan, seen: View, homes: Mapping[str, Home], total: Mapping[str, float], map_: Map
+    plan: Plan, seen: FleetView, homes: Mapping[str, Home], total: Mapping[str, float], map_: Map
 ) -> Shift | None:
     """The volumes that this step moves and that have not moved yet, as many as one append takes."""
     left = _left(plan)
@@ -74,11 +76,11 @@
     for home in going[:BATCH]:
         load = total.get(home.name, 0.0)
         to = (
-            plan.retire
-            if plan.stage is Stage.BACK
+            plan.retiring_site
+            if plan.stage is PlanStage.ROLLING_BACK
             else destination(home.name, load, home.site, map_, used, _closed(seen))
         )
-        ready = [m.name for m in seen.members.values() if m.site == to and m.state is State.READY]
+        ready = [m.name for m in seen.members.values() if m.site == to and m.state is MemberState.READY]
         who = member(home.name, load, ready, held) if to is not None else None
         if to is None or who is None:
             continue  # no room, or nobody there: it stays, and the step waits
@@ -87,47 +89,54 @@
         moved.append(replace(home, site=to, member=who, before=home.member, moves=home.moves + 1))
     if not moved:
         return None
-    return Shift(tuple(moved), f"{len(moved)} volumes move {'home' if plan.stage is Stage.BACK else 'away'}")
+    return Shift(
+        tuple(moved),
+        f"{len(moved)} volumes move {'home' if plan.stage is PlanStage.ROLLING_BACK else 'away'}",
+    )
 
 
-def _closed(seen: View) -> list[str]:
+def _closed(seen: FleetView) -> list[str]:
     """Sites that take nobody: those that retire as well."""
     return [
-        p.retire
+        p.retiring_site
         for p in seen.plans.values()
-        if p.retire and p.stage in (Stage.RUNNING, Stage.HALTED, Stage.DONE)
+        if p.retiring_site and p.stage in (PlanStage.RUNNING, PlanStage.HALTED, PlanStage.DONE)
     ]
 
 
 def _left(plan: Plan) -> float:
     """The part of its weight that the site has at this step; beyond the last one, all have moved."""
-    return 1 - min(STEPS, max(0, plan.step)) / STEPS
+    return 1 - min(EVACUATION_STEPS, max(0, plan.step)) / EVACUATION_STEPS
 
 
 def _going(plan: Plan, homes: Mapping[str, Home], left: float) -> list[Home]:
     """Volumes that move while ``left`` of the site's weight is left, and have not moved yet."""
-    out, site = [], plan.retire
+    out, site = [], plan.retiring_site
     for _, home in sorted(homes.items()):
         gone = leaves(home.name, site, left)
-        away = plan.stage is Stage.RUNNING and home.site == site and gone
-        if away or plan.stage is Stage.BACK and home.origin == site != home.site and not gone:
+        away = plan.stage is PlanStage.RUNNING and home.site == site and gone
+        if away or plan.stage is PlanStage.ROLLING_BACK and home.origin == site != home.site and not gone:
             out.append(home)
     return out
 
 
 def step(
-    plan: Plan, seen: View, homes: Mapping[str, Home], stood: float, soak: float, well: bool
+    plan: Plan, seen: FleetView, homes: Mapping[str, Home], stood: float, soak: float, well: bool
 ) -> Move | None:
     """The next step of a plan all of whose moves are done, once the last has stood for ``soak`` ms."""
-    if not plan.retire or _going(plan, homes, _left(plan)) or stood < soak or not well:
+    if not plan.retiring_site or _going(plan, homes, _left(plan)) or stood < soak or not well:
         return None
-    survivors = [m for m in seen.members.values() if m.site != plan.retire]
-    if any(m.state is not State.READY for m in survivors if m.state is not State.RETIRED):
+    survivors = [m for m in seen.members.values() if m.site != plan.retiring_site]
+    if any(m.state is not MemberState.READY for m in survivors if m.state is not MemberState.RETIRED):
         return None
-    if plan.stage is Stage.RUNNING and plan.step <= STEPS:
+    if plan.stage is PlanStage.RUNNING and plan.step <= EVACUATION_STEPS:
         to = plan.step + 1
-    elif plan.stage is Stage.BACK and plan.step >= 0:
+    elif plan.stage is PlanStage.ROLLING_BACK and plan.step >= 0:
         to = plan.step - 1
     else:
         return None
-    return Move(f"site {plan.retire}: step {to} of {STEPS}", (replace(plan, step=to),), end=seen.next)
+    return Move(
+        f"site {plan.retiring_site}: step {to} of {EVACUATION_STEPS}",
+        (replace(plan, step=to),),
+        expected_end=seen.next_offset,
+    )
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -15,10 +15,10 @@
 from sabledyke.placement import evacuation
 from sabledyke.placement.evacuation import HOMES, Shift
 from sabledyke.placement.volume_placement import Map
-from sabledyke.rollout.canary_analysis import Baseline, Count, worse
-from sabledyke.rollout.fleet_view import View
-from sabledyke.rollout.planner import Move, Patience, Watch
-from sabledyke.rollout.records import Plan, State
+from sabledyke.rollout.canary_analysis import AnswerCount, Baseline, is_worse
+from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.planner import ChangeTracker, Move, Timeouts
+from sabledyke.rollout.records import MemberState, Plan
 
 LOADS = "load/"  # keys of the members' loads, among their beats
 MOST_LOADS = 400  # volumes that one member tells of
@@ -35,7 +35,13 @@
         self._stepped = ("", 0)
 
     async def turn(
-        self, seen: View, token: int, signs: Mapping[str, bytes], now: float, watch: Watch, patience: Patience
+        self,
+        seen: FleetView,
+        token: int,
+        signs: Mapping[str, bytes],
+        now: float,
+        watch: ChangeTracker,
+        patience: Timeouts,
     ) -> Move | str | None:
         """A move for the fleet's topic, what was written on the homes' own, or None where
         nothing is to do.
@@ -53,15 +59,15 @@
         for some in loads.values():
             for volume, load in some.items():
                 total[volume] = total.get(volume, 0.0) + load
-        plans = [plan for plan in seen.active if plan.retire]
+        plans = [plan for plan in seen.active if plan.retiring_site]
         shift = evacuation.settle(seen, homes, loads)
         for plan in plans:
             shift = shift or evacuation.shift(plan, seen, homes, total, self._map)
         if shift is not None:
             return await self._write(shift)
         for plan in plans:
-            well, stood = self._well(plan, seen, signs), watch.stood(now, f"step/{plan.name}")
-            move = evacuation.step(plan, seen, homes, stood, patience.soak, well)
+            well, stood = self._well(plan, seen, signs), watch.unchanged_ms(now, f"step/{plan.name}")
+            move = evacuation.step(plan, seen, homes, stood, patience.canary_soak_ms, well)
             if move is not None:
                 return move
         return None
@@ -71,16 +77,18 @@
         await self._pen.append(drafts, end=self._reader.position)
         return shift.what
 
-    def _well(self, plan: Plan, seen: View, state: Mapping[str, bytes]) -> bool:
+    def _well(self, plan: Plan, seen: FleetView, state: Mapping[str, bytes]) -> bool:
         """Do the survivors refuse and fail no more, since the last step, than before anybody moved?"""
         survivors = [
-            m for m in seen.members.values() if m.site != plan.retire and m.state is not State.RETIRED
+            m
+            for m in seen.members.values()
+            if m.site != plan.retiring_site and m.state is not MemberState.RETIRED
         ]
-        counts = {m.name: Count(*orjson.loads(state[m.name])[:3]) for m in survivors if m.name in state}
+        counts = {m.name: AnswerCount(*orjson.loads(state[m.name])[:3]) for m in survivors if m.name in state}
         if self._stepped != (plan.name, plan.step):
             self._stepped, self._base = (plan.name, plan.step), Baseline()
-        since = self._base.look(counts).values()
+        since = self._base.since_first_seen(counts).values()
         now = sum(n for n, _ in since), sum(bad for _, bad in since)
         if plan.step == 0:
             self._calm = now
-        return not worse(now, self._calm)
+        return not is_worse(now, self._calm)
--- a/sabledyke/rollout/canary_analysis.py
+++ b/sabledyke/rollout/canary_analysis.py
@@ -17,15 +17,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Count:
+class AnswerCount:
     """Answers of one life so far, and how many of them were refusals or failures."""
 
-    life: int
+    incarnation: int
     answered: int
-    bad: int
+    failed: int
 
 
-def worse(released: tuple[int, int], others: tuple[int, int]) -> bool:
+def is_worse(released: tuple[int, int], others: tuple[int, int]) -> bool:
     """(answered, bad) of each side."""
     (n, x), (m, y) = released, others
     if n < ENOUGH or m < ENOUGH or x / n - y / m < LEAST:
@@ -39,23 +39,23 @@
     """Counts of each life when it was first seen: what came before a plan is not held against anybody."""
 
     def __init__(self) -> None:
-        self._first: dict[str, Count] = {}
+        self._first: dict[str, AnswerCount] = {}
 
-    def look(self, counts: Mapping[str, Count]) -> dict[str, tuple[int, int]]:
+    def since_first_seen(self, counts: Mapping[str, AnswerCount]) -> dict[str, tuple[int, int]]:
         """Answered and bad of each member since then; a new life counts from its start."""
         out = {}
         for name, count in counts.items():
             first = self._first.get(name)
             if first is None:
                 self._first[name] = first = count
-            elif first.life != count.life:
-                self._first[name] = first = Count(count.life, 0, 0)
-            out[name] = count.answered - first.answered, count.bad - first.bad
+            elif first.incarnation != count.incarnation:
+                self._first[name] = first = AnswerCount(count.incarnation, 0, 0)
+            out[name] = count.answered - first.answered, count.failed - first.failed
         self._first = {name: first for name, first in self._first.items() if name in counts}
         return out
 
 
-def bad_plans(plans: Iterable[Plan], since: Mapping[str, tuple[int, int]]) -> list[str]:
+def failing_plans(plans: Iterable[Plan], since: Mapping[str, tuple[int, int]]) -> list[str]:
     """Names of plans whose released members do worse than the members that they have yet to release."""
     bad = []
     for plan in plans:
@@ -64,6 +64,6 @@
             n, x = since.get(name, (0, 0))
             side = name not in plan.released
             sides[side] = sides[side][0] + n, sides[side][1] + x
-        if worse(sides[0], sides[1]):
+        if is_worse(sides[0], sides[1]):
             bad.append(plan.name)
     return bad
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -11,39 +11,39 @@
 from sabledyke.compacted_log.reader import Follower
 from sabledyke.compacted_log.records import Draft
 from sabledyke.errors import BoardFault, Conflict
-from sabledyke.rollout.fleet_view import View, view
+from sabledyke.rollout.fleet_view import FleetView, view_of
 from sabledyke.rollout.planner import Move
-from sabledyke.rollout.record_codec import key, pack
-from sabledyke.rollout.records import FLEET
+from sabledyke.rollout.record_codec import encode, key_of
+from sabledyke.rollout.records import FLEET_TOPIC
 
 OPERATOR = "operator"  # the writer's name
 
 
-async def write(pen: Pen, move: Move) -> None:
+async def append_move(pen: Pen, move: Move) -> None:
     """Carry out a move on the board; Conflict where it no longer stands, StaleWriter under an older token."""
-    drafts = [Draft(key(record), pack(record)) for record in move.writes]
-    drafts += [Draft(name, None) for name in move.ends]
-    await pen.append(drafts, dict(move.expects), move.end)
+    drafts = [Draft(key_of(record), encode(record)) for record in move.records]
+    drafts += [Draft(name, None) for name in move.deleted_keys]
+    await pen.append(drafts, dict(move.expected_offsets), move.expected_end)
 
 
-async def look(board: Board, reader: Follower) -> View:
+async def read_view(board: Board, reader: Follower) -> FleetView:
     """The fleet as it stands."""
-    await board.catch_up(FLEET, reader)
-    return view(reader.state, reader.position)
+    await board.catch_up(FLEET_TOPIC, reader)
+    return view_of(reader.state, reader.position)
 
 
-async def say(board: Board, reader: Follower, decide: Callable[[View], Move], again: int = 0) -> Move:
+async def apply(board: Board, reader: Follower, decide: Callable[[FleetView], Move], again: int = 0) -> Move:
     """The move that was written.
 
     After a BoardFault it may have been written; it is asked for ``again`` so many times, and taken once. What
     ``decide`` raises ends it.
     """
     while True:
-        move = decide(await look(board, reader))
-        pen = await board.claim(FLEET, OPERATOR)  # another operator's word since then shuts nobody out
+        move = decide(await read_view(board, reader))
+        pen = await board.claim(FLEET_TOPIC, OPERATOR)  # another operator's word since then shuts nobody out
         for left in reversed(range(again + 1)):
             try:
-                await write(pen, move)
+                await append_move(pen, move)
                 return move
             except Conflict:
                 break  # the fleet has moved on: look again
--- a/sabledyke/rollout/configuration_switch.py
+++ b/sabledyke/rollout/configuration_switch.py
@@ -14,7 +14,7 @@
 from sabledyke.errors import WantsFault
 
 
-def take_on(path: str, label: str, reload: Callable[[], str]) -> str:
+def switch_settings(path: str, label: str, reload: Callable[[], str]) -> str:
     """Put the file of this label in force; "" where it is, else why not, in one line. Done twice it changes
     nothing.
     """
@@ -23,16 +23,16 @@
     here, new = Path(path), Path(f"{path}.{label}")
     try:
         before = here.read_bytes()
-        put(here, new.read_bytes())
+        write_atomically(here, new.read_bytes())
         why = reload()
         if why:
-            put(here, before)
+            write_atomically(here, before)
         return why
     except OSError as fault:
         return f"{fault.filename}: {fault.strerror}"
 
 
-def put(path: Path, data: bytes) -> None:
+def write_atomically(path: Path, data: bytes) -> None:
     """Whole or not at all, also where the machine dies."""
     os.replace(prepare(path, data), path)
 
@@ -47,9 +47,9 @@
     return work
 
 
-def wanted(path: Path, version: str, *, ready: bool = False) -> None:
+def announce_version(path: Path, version: str, *, ready: bool = False) -> None:
     """Have the file say which version to start next; ``ready``: see that it could. A WantsFault where not."""
     try:
-        (prepare if ready else put)(path, f"{version}\n".encode())
+        (prepare if ready else write_atomically)(path, f"{version}\n".encode())
     except OSError as fault:
         raise WantsFault(f"{fault.filename}: {fault.strerror}") from None
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -36,14 +36,23 @@
 from sabledyke.placement.volume_placement import Map
 from sabledyke.policy import interface as api
 from sabledyke.rollout import node_drain, planner
-from sabledyke.rollout.canary_analysis import Baseline, Count, bad_plans
-from sabledyke.rollout.commands import write
-from sabledyke.rollout.configuration_switch import take_on, wanted
-from sabledyke.rollout.fleet_view import View, view
-from sabledyke.rollout.participant import GOES, Participant
-from sabledyke.rollout.planner import Move, Watch
-from sabledyke.rollout.record_codec import key
-from sabledyke.rollout.records import BEATS, FLEET, TAKEN, Ask, Box, Member, State, Ticket
+from sabledyke.rollout.canary_analysis import AnswerCount, Baseline, failing_plans
+from sabledyke.rollout.commands import append_move
+from sabledyke.rollout.configuration_switch import announce_version, switch_settings
+from sabledyke.rollout.fleet_view import FleetView, view_of
+from sabledyke.rollout.participant import GOES_OUT, Participant
+from sabledyke.rollout.planner import ChangeTracker, Move
+from sabledyke.rollout.record_codec import key_of
+from sabledyke.rollout.records import (
+    FLEET_TOPIC,
+    HEARTBEATS_TOPIC,
+    SETTINGS_APPLIED,
+    ListedNode,
+    Member,
+    MemberState,
+    Ticket,
+    TicketRequest,
+)
 from sabledyke.rollout.section import Section
 
 if TYPE_CHECKING:
@@ -71,9 +80,9 @@
         self._authority = authority_of(lease)
         self._times = lease.times
         self._fleet = Follower(board.most_keys)
-        self._seen = View(0)  # as of the last look
+        self._seen = FleetView(0)  # as of the last look
         self._participant: Participant | None = None
-        self._closing: node_drain.Closing | None = None
+        self._closing: node_drain.DrainAcknowledger | None = None
         self._shut: frozenset[str] = frozenset()  # boxes that are sent nothing fresh by the board's word
         self._list: dict[api.NodeId, api.NodeEntry] = {}  # boxes as discovery has them
         self._file = os.environ.get(f"{PREFIX}CONFIG", "")
@@ -92,18 +101,18 @@
                 return
             await asyncio.sleep(AGAIN)
         life = self._pen.writer.life
-        self._participant = Participant(self._name, life, self._section.valid)
-        self._closing = node_drain.Closing(self._name, life, self._host.config.settings.drain_grace)
-        self.in_turn = self._participant.in_turn(seen)
+        self._participant = Participant(self._name, life, self._section.request_validity_ms)
+        self._closing = node_drain.DrainAcknowledger(self._name, life, self._host.config.settings.drain_grace)
+        self.in_turn = self._participant.replaces_released(seen)
         again = self._participant.unfinished(seen, self._section.version)
-        if again is not None and self._wanted() not in (None, again.to):  # else its starter was told
-            log.say("fleet", f"{self._name} was to come back as {again.to}, and ends once more")
+        if again is not None and self._wanted() not in (None, again.target):  # else its starter was told
+            log.say("fleet", f"{self._name} was to come back as {again.target}, and ends once more")
             self._go(again)
-        loop, every = asyncio.get_running_loop(), self._section.every / 1000
-        beat = self._section.beat / 1000
+        loop, every = asyncio.get_running_loop(), self._section.poll_interval_ms / 1000
+        beat = self._section.heartbeat_interval_ms / 1000
 
         def pace() -> float:
-            return every if planner.under_way(self._seen) else max(every, min(beat, REST))
+            return every if planner.has_work_under_way(self._seen) else max(every, min(beat, REST))
 
         self._tasks = [loop.create_task(self._keeper.run())] + [
             loop.create_task(self._always(self._member, pace)),
@@ -113,7 +122,7 @@
         ]
         log.say("fleet", f"{self._me} is a member, life {self._pen.writer.life}, {self._section}")
 
-    async def _joined(self) -> View | None:
+    async def _joined(self) -> FleetView | None:
         """The board as this life finds it, once all others can know of it; None where it does not answer now.
 
         Guards against two harms: a start that fails for good because the board stood still for a moment, and
@@ -121,11 +130,11 @@
         """
         try:
             await self._board.shelf.open()
-            self._pen = await self._board.claim(FLEET, self._name)
-            beats = await self._board.claim(BEATS, self._name)
-            self._signs = registers.Register(self._board.shelf, BEATS, beats.writer)
+            self._pen = await self._board.claim(FLEET_TOPIC, self._name)
+            beats = await self._board.claim(HEARTBEATS_TOPIC, self._name)
+            self._signs = registers.Register(self._board.shelf, HEARTBEATS_TOPIC, beats.writer)
             # It says that it lives before it looks for the first time: see ``boxes``.
-            await write(self._pen, Move("warming", (self._me_as(State.WARMING),)))
+            await append_move(self._pen, Move("warming", (self._me_as(MemberState.WARMING),)))
             return await self._look()
         except StaleWriter as fault:
             raise ConfigError(f"board {self._place}: {fault}") from None
@@ -154,57 +163,70 @@
                 invariants.check(False, "a turn in the fleet", repr(fault))
             await asyncio.sleep(max(0.01, pace() - (time.monotonic() - began)))
 
-    async def _look(self) -> View:
-        if await self._board.catch_up(FLEET, self._fleet) or self._seen.next != self._fleet.position:
-            self._seen = view(self._fleet.state, self._fleet.position)  # else nothing is read anew
+    async def _look(self) -> FleetView:
+        if (
+            await self._board.catch_up(FLEET_TOPIC, self._fleet)
+            or self._seen.next_offset != self._fleet.position
+        ):
+            self._seen = view_of(self._fleet.state, self._fleet.position)  # else nothing is read anew
             self._shut_to(
-                node_drain.shut(self._seen)
+                node_drain.closed_nodes(self._seen)
             )  # what was read is in force, before anything rests on it
         return self._seen
 
     async def _member(self) -> None:
         """Say how it is, ask for a ticket, go."""
         assert self._participant is not None and self._closing is not None
-        for _ in range(int(self._section.every / READY_MS)):  # that its doors are open is said at once
-            if self._state() is not State.WARMING:
+        for _ in range(
+            int(self._section.poll_interval_ms / READY_MS)
+        ):  # that its doors are open is said at once
+            if self._state() is not MemberState.WARMING:
                 break
             await asyncio.sleep(READY_MS / 1000)
         seen, state = await self._look(), self._state()
         me = self._me_as(state)
         known = seen.members.get(self._name)
-        if known is None or (known.life, known.version, known.site, known.state) != (
-            me.life,
+        if known is None or (known.incarnation, known.version, known.site, known.state) != (
+            me.incarnation,
             me.version,
             me.site,
             me.state,
         ):
-            await write(self._pen, Move(state.value, (me,)))
+            await append_move(self._pen, Move(state.value, (me,)))
             seen = await self._look()
-        if (due := self._participant.due(seen)) is not None:
-            why = take_on(self._file, due.to, self._host.reload)[:WHY_MOST]
-            done = replace(due, took=why or TAKEN)
-            said = Move(f"settings {due.to}: {done.took}", (done,), expects=((key(due), due.offset),))
-            await write(self._pen, said)
-            log.say("fleet", said.what, member=self._name)
+        if (due := self._participant.due_settings(seen)) is not None:
+            why = switch_settings(self._file, due.target, self._host.reload)[:WHY_MOST]
+            done = replace(due, settings_result=why or SETTINGS_APPLIED)
+            said = Move(
+                f"settings {due.target}: {done.settings_result}",
+                (done,),
+                expected_offsets=((key_of(due), due.offset),),
+            )
+            await append_move(self._pen, said)
+            log.say("fleet", said.description, member=self._name)
             return
-        if (ticket := self._participant.gone(seen)) is not None and state is not State.LEAVING:
+        if (ticket := self._participant.used_ticket(seen)) is not None and state is not MemberState.LEAVING:
             return self._go(ticket)  # what it said is written, though it was not heard to be
         now = boottime()
         move = self._closing.step(seen, now, lambda box: self._host.busy(box.encode()))
-        if move is None and state is State.READY:
+        if move is None and state is MemberState.READY:
             move = self._participant.step(seen, now)
         if move is None:
             return
-        for ask in (record for record in move.writes if isinstance(record, Ask)):
+        for ask in (record for record in move.records if isinstance(record, TicketRequest)):
             plan = seen.plans[ask.plan]
             if not plan.settings:  # who could not tell its starter does not ask
-                self._tell(GONE if plan.retire else planner.next_version(plan), ready=True)
-        await write(self._pen, move)
-        log.say("fleet", move.what if move.what != GOES else f"{self._name} goes out", member=self._name)
-        if move.what == GOES and not seen.tickets[self._name].settings:
+                self._tell(GONE if plan.retiring_site else planner.current_target(plan), ready=True)
+        await append_move(self._pen, move)
+        log.say(
+            "fleet",
+            move.description if move.description != GOES_OUT else f"{self._name} goes out",
+            member=self._name,
+        )
+        if move.description == GOES_OUT and not seen.tickets[self._name].settings:
             self._go(seen.tickets[self._name])
 
-    def _me_as(self, state: State) -> Member:
+    def _me_as(self, state: MemberState) -> Member:
         return Member(self._name, self._pen.writer.life, self._section.version, self._section.site, state)
 
     def _shut_to(self, closed: frozenset[str]) -> None:
@@ -229,25 +251,25 @@
 
     def _go(self, ticket: Ticket) -> None:
         """Leave: who starts this member finds in the file which version it is to be, or that it retires."""
-        self._tell(GONE if ticket.last else ticket.to)
-        self._last = ticket.last
+        self._tell(GONE if ticket.is_final else ticket.target)
+        self._last = ticket.is_final
         self._host.leave()
 
     def _tell(self, version: str, *, ready: bool = False) -> None:
-        if self._section.wants and version:
-            wanted(Path(self._section.wants), version, ready=ready)
+        if self._section.version_file and version:
+            announce_version(Path(self._section.version_file), version, ready=ready)
 
     def _wanted(self) -> str | None:
         """What that file says now; None where there is no such file to tell anybody by."""
-        path = Path(self._section.wants)
-        if not self._section.wants:
+        path = Path(self._section.version_file)
+        if not self._section.version_file:
             return None
         return path.read_text().strip() if path.exists() else ""
 
-    def _state(self) -> State:
+    def _state(self) -> MemberState:
         if self._host.leaving():
-            return State.LEAVING
-        return State.READY if self._host.ready() else State.WARMING
+            return MemberState.LEAVING
+        return MemberState.READY if self._host.ready() else MemberState.WARMING
 
     async def _beat(self) -> None:
         answered, bad = self._host.answers()
@@ -256,7 +278,7 @@
         if self._sites is not None:
             some, self._loads = self._loads, {}
             most = sorted(some, key=lambda v: -some[v])[:MOST_LOADS]
-            seconds = self._section.beat / 1000
+            seconds = self._section.heartbeat_interval_ms / 1000
             rates = {volume: round(some[volume] / seconds, 3) for volume in most}
             signs[f"{LOADS}{self._name}"] = orjson.dumps(rates)
         await self._signs.put(signs)
@@ -271,7 +293,7 @@
 
     def _coordinate(self) -> Callable[[], Awaitable[None]]:
         """Its moves while it holds the lease; what it watched is begun anew with each token."""
-        token, watch, base, pen = 0, Watch(), Baseline(), None
+        token, watch, base, pen = 0, ChangeTracker(), Baseline(), None
         signs, heard = dict[str, bytes](), -inf
 
         async def turn() -> None:
@@ -280,18 +302,18 @@
                 return
             held = self._keeper.token()
             if held != token or pen is None:
-                token, watch, base = held, Watch(), Baseline()
-                pen = self._board.pen(FLEET, "coordinator", token)
-            if boottime() - heard >= self._section.beat / 2:
-                signs, heard = await registers.read(self._board.shelf, BEATS), boottime()
+                token, watch, base = held, ChangeTracker(), Baseline()
+                pen = self._board.pen(FLEET_TOPIC, "coordinator", token)
+            if boottime() - heard >= self._section.heartbeat_interval_ms / 2:
+                signs, heard = await registers.read(self._board.shelf, HEARTBEATS_TOPIC), boottime()
             for _ in range(len(self._fleet.state) + 1):
                 seen, beats = await self._look(), _beats(signs)
-                now, counts = boottime(), {n: Count(*b[:3]) for n, b in beats.items()}
-                watch.look(now, planner.stands(seen, beats))
-                bad = bad_plans(seen.active, base.look(counts))
+                now, counts = boottime(), {n: AnswerCount(*b[:3]) for n, b in beats.items()}
+                watch.observe(now, planner.tracked_values(seen, beats))
+                bad = failing_plans(seen.active, base.since_first_seen(counts))
                 patience = self._patience
                 move = planner.decide(seen, self._me, token, now, watch, patience, bad)
-                if move is None and (seen.drains or any(plan.boxes for plan in seen.active)):
+                if move is None and (seen.drains or any(plan.nodes for plan in seen.active)):
                     move = node_drain.decide(seen, token, now, watch, patience, self._boxes())
                 if move is None and self._sites is not None:
                     self._keeper.token()
@@ -304,24 +326,24 @@
                     return
                 self._keeper.token()
                 try:
-                    await write(pen, move)
+                    await append_move(pen, move)
                 except Conflict:
                     continue  # decided anew by what was said meanwhile, and at once: a fleet is never still
-                log.say("fleet", move.what, token=token)
+                log.say("fleet", move.description, token=token)
 
         return turn
 
-    def _boxes(self) -> dict[str, Box]:
+    def _boxes(self) -> dict[str, ListedNode]:
         some = ((api.name_of(e.node), e) for e in self._list.values())
         ready = api.NodeState.READY
-        return {n: Box(n, e.zone, e.shard, e.state is ready, e.started) for n, e in some}
+        return {n: ListedNode(n, e.zone, e.shard, e.state is ready, e.started) for n, e in some}
 
     def adopt(self, config: Config) -> None:
         """See ``parts.Part``: how long a box warms up is the deployment's."""
-        self._patience = replace(self._section.patience, warm=config.settings.warm_up)
+        self._patience = replace(self._section.timeouts, warm_up_ms=config.settings.warm_up)
 
     async def _clean(self) -> None:
-        for topic in (FLEET, HOMES, *self._place.topics):
+        for topic in (FLEET_TOPIC, HOMES, *self._place.topics):
             await self._board.clean(topic, self._place.policy, self._keeper.token, boottime)
 
     def check(self, operator: Operator) -> None:
@@ -339,8 +361,8 @@
         await asyncio.gather(*self._tasks[1:], return_exceptions=True)
         try:
             async with asyncio.timeout(LAST_WORD):
-                state = State.RETIRED if self._last else State.OUT
-                await write(self._pen, Move("out", (self._me_as(state),)))
+                state = MemberState.RETIRED if self._last else MemberState.OUT
+                await append_move(self._pen, Move("out", (self._me_as(state),)))
         except (BoardFault, TimeoutError) as fault:
             log.say("fleet", f"{self._name} could not say that it is out: {fault or 'no answer'}")
         await self._keeper.stop()
--- a/sabledyke/rollout/record_codec.py
+++ b/sabledyke/rollout/record_codec.py
@@ -14,34 +14,34 @@
 
 from sabledyke.compacted_log.records import Message
 from sabledyke.rollout.records import (
-    EPOCH,
-    Ask,
-    Clear,
+    EPOCH_KEY,
     Drain,
+    DrainAcknowledgement,
+    DrainPhase,
     Epoch,
     Member,
-    Phase,
+    MemberState,
     Plan,
+    PlanStage,
     Record,
-    Stage,
-    State,
     Ticket,
+    TicketRequest,
 )
 
 KEY_PREFIXES: dict[type[Record], str] = {
     Member: "member",
     Plan: "plan",
-    Ask: "ask",
+    TicketRequest: "ask",
     Ticket: "ticket",
     Drain: "drain",
-    Clear: "clear",
+    DrainAcknowledgement: "clear",
 }
 """Record types by the first segment of their key; an ``Epoch`` has the whole key ``EPOCH``."""
 
 STORED_NAMES: dict[type[Record], dict[str, str]] = {
     Member: {
         "name": "name",
-        "life": "life",
+        "incarnation": "life",
         "version": "version",
         "site": "site",
         "state": "state",
@@ -49,52 +49,52 @@
     Plan: {
         "name": "name",
         "members": "members",
-        "most": "most",
-        "per_site": "per_site",
-        "share": "share",
-        "to": "to",
-        "before": "before",
+        "max_out": "most",
+        "max_out_per_site": "per_site",
+        "max_out_fraction": "share",
+        "target": "to",
+        "previous": "before",
         "canary": "canary",
         "settings": "settings",
-        "boxes": "boxes",
-        "gone": "gone",
-        "retire": "retire",
-        "then": "then",
+        "nodes": "boxes",
+        "removes_nodes": "gone",
+        "retiring_site": "retire",
+        "nodes_removed_next": "then",
         "step": "step",
         "stage": "stage",
         "released": "released",
-        "later": "later",
-        "why": "why",
+        "deferred": "later",
+        "reason": "why",
     },
-    Ask: {
+    TicketRequest: {
         "name": "name",
         "plan": "plan",
-        "life": "life",
-        "number": "number",
+        "incarnation": "life",
+        "request_number": "number",
     },
     Ticket: {
         "name": "name",
         "plan": "plan",
-        "life": "life",
-        "number": "number",
+        "incarnation": "life",
+        "request_number": "number",
         "token": "token",
-        "to": "to",
-        "last": "last",
+        "target": "to",
+        "is_final": "last",
         "settings": "settings",
-        "going": "going",
-        "took": "took",
+        "used": "going",
+        "settings_result": "took",
     },
     Drain: {
         "name": "name",
         "plan": "plan",
         "token": "token",
-        "started": "started",
-        "begun": "begun",
+        "node_started": "started",
+        "begun_offset": "begun",
         "phase": "phase",
     },
-    Clear: {
+    DrainAcknowledgement: {
         "name": "name",
-        "life": "life",
+        "incarnation": "life",
         "drains": "drains",
     },
     Epoch: {
@@ -104,26 +104,26 @@
 }
 """Dataclass field to stored name, in stored order. ``offset`` is the record's place, and is not stored."""
 
-STORED_ENUMS: dict[str, type[Enum]] = {"state": State, "stage": Stage, "phase": Phase}
+STORED_ENUMS: dict[str, type[Enum]] = {"state": MemberState, "stage": PlanStage, "phase": DrainPhase}
 """Stored names whose values are members of an enumeration."""
 
 _TYPES_BY_PREFIX = {prefix: record_type for record_type, prefix in KEY_PREFIXES.items()}
 
 
-def key(record: Record) -> str:
+def key_of(record: Record) -> str:
     """Return the key that a record stands under."""
     if isinstance(record, Epoch):
-        return EPOCH
+        return EPOCH_KEY
     return f"{KEY_PREFIXES[type(record)]}/{record.name}"
 
 
-def pack(record: Record) -> bytes:
+def encode(record: Record) -> bytes:
     """Encode a record as a JSON object of its stored names."""
     names = STORED_NAMES[type(record)]
     return orjson.dumps({stored: getattr(record, field) for field, stored in names.items()})
 
 
-def read(message: Message) -> Record | None:
+def decode(message: Message) -> Record | None:
     """Decode a record from its message.
 
     Returns:
@@ -142,7 +142,7 @@
 
 
 def _type_of(stored_key: str) -> type[Record] | None:
-    if stored_key == EPOCH:
+    if stored_key == EPOCH_KEY:
         return Epoch
     return _TYPES_BY_PREFIX.get(stored_key.partition("/")[0])
 
--- a/sabledyke/rollout/records.py
+++ b/sabledyke/rollout/records.py
@@ -10,15 +10,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-FLEET, BEATS = "fleet", "beats"
-EPOCH = "epoch"  # the key that each new coordinator writes first, which shuts the one before out
-MOST_MEMBERS, MOST_PLANS = 1000, 64
-TAKEN = "taken"
-STEPS = 4  # in which a site's weight goes down, or comes back
+FLEET_TOPIC, HEARTBEATS_TOPIC = "fleet", "beats"
+EPOCH_KEY = "epoch"  # the key that each new coordinator writes first, which shuts the one before out
+MAX_MEMBERS, MAX_PLANS = 1000, 64
+SETTINGS_APPLIED = "taken"
+EVACUATION_STEPS = 4  # in which a site's weight goes down, or comes back
 OFFSET = "offset"  # which says where a record stands, and is not part of it
 
 
-class State(Enum):
+class MemberState(Enum):
     """Where a member is."""
 
     READY = "ready"
@@ -29,20 +29,20 @@
     RETIRED = "retired"  # for good: it counts nowhere any more
 
 
-class Stage(Enum):
+class PlanStage(Enum):
     """Where a plan is."""
 
     RUNNING = "running"
     HALTED = "halted"
-    BACK = "back"  # on its way back
+    ROLLING_BACK = "back"  # on its way back
     DONE = "done"
-    UNDONE = "undone"
+    ROLLED_BACK = "undone"
 
 
-ACTIVE = (Stage.RUNNING, Stage.BACK)
+ACTIVE_STAGES = (PlanStage.RUNNING, PlanStage.ROLLING_BACK)
 
 
-class Phase(Enum):
+class DrainPhase(Enum):
     """Where the drain of a box is."""
 
     LEAVING = "leaving"  # nothing fresh for it any more; members may still wait for answers of it
@@ -55,10 +55,10 @@
     """What an instance says of itself, or a coordinator of one that is silent."""
 
     name: str
-    life: int
+    incarnation: int
     version: str = ""
     site: str = ""
-    state: State = State.WARMING
+    state: MemberState = MemberState.WARMING
     offset: int = 0
 
 
@@ -74,46 +74,58 @@
 
     name: str
     members: tuple[str, ...]
-    most: int = 1
-    per_site: int | None = None
-    share: float | None = None
-    to: str = ""
-    before: str = ""
+    max_out: int = 1
+    max_out_per_site: int | None = None
+    max_out_fraction: float | None = None
+    target: str = ""
+    previous: str = ""
     canary: bool = False
     settings: bool = False  # ``to`` and ``before`` are labels of settings, which members take on in service
-    boxes: tuple[str, ...] = ()  # these are drained instead, and come back as later starts
-    gone: bool = False  # the boxes go for good
-    retire: str = ""  # the site that goes for good, once its volumes have moved, ``step`` of ``STEPS`` by now
-    then: tuple[str, ...] = ()  # boxes that go for good, by a plan of their own, once the site's members have
+    nodes: tuple[str, ...] = ()  # these are drained instead, and come back as later starts
+    removes_nodes: bool = False  # the boxes go for good
+    retiring_site: str = (
+        ""  # the site that goes for good, once its volumes have moved, ``step`` of ``STEPS`` by now
+    )
+    nodes_removed_next: tuple[
+        str, ...
+    ] = ()  # boxes that go for good, by a plan of their own, once the site's members have
     step: int = 0  # beyond ``STEPS`` once all have moved, below 0 once all are at home again
-    stage: Stage = Stage.RUNNING
+    stage: PlanStage = PlanStage.RUNNING
     released: tuple[str, ...] = ()
-    later: tuple[str, ...] = ()  # who did not ask in its turn comes after all others, in this order
-    why: str = ""
+    deferred: tuple[str, ...] = ()  # who did not ask in its turn comes after all others, in this order
+    reason: str = ""
     offset: int = 0
 
     @property
-    def drains_after(self) -> Plan | None:
+    def follow_up(self) -> Plan | None:
         """What follows the retirement of a site: its boxes go, inside the same budgets."""
-        if not self.then:
+        if not self.nodes_removed_next:
             return None
         name = f"{self.name}.boxes"
-        return Plan(name, (), self.most, self.per_site, self.share, boxes=self.then, gone=True)
+        return Plan(
+            name,
+            (),
+            self.max_out,
+            self.max_out_per_site,
+            self.max_out_fraction,
+            nodes=self.nodes_removed_next,
+            removes_nodes=True,
+        )
 
     @property
-    def rest(self) -> list[str]:
+    def remaining(self) -> list[str]:
         """Who has still to go out, in order."""
-        return [name for name in self.boxes or self.members if name not in self.released]
+        return [name for name in self.nodes or self.members if name not in self.released]
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class TicketRequest:
     """A member of a running plan asks to go out; ``number`` is new with each ask of a life."""
 
     name: str
     plan: str
-    life: int
-    number: int
+    incarnation: int
+    request_number: int
     offset: int = 0
 
 
@@ -125,14 +137,14 @@
 
     name: str
     plan: str
-    life: int
-    number: int  # of the ask that it answers
+    incarnation: int
+    request_number: int  # of the ask that it answers
     token: int  # of the coordinator that granted it
-    to: str = ""  # the version to come back as
-    last: bool = False  # it does not come back
+    target: str = ""  # the version to come back as
+    is_final: bool = False  # it does not come back
     settings: bool = False  # it takes on settings, and does not go
-    going: bool = False
-    took: str = ""  # of settings, once they were read: ``TAKEN``, or why they are not in force
+    used: bool = False
+    settings_result: str = ""  # of settings, once they were read: ``TAKEN``, or why they are not in force
     offset: int = 0
 
 
@@ -143,24 +155,24 @@
     name: str
     plan: str
     token: int  # of the coordinator that began it
-    started: float  # as the list said then: another start is another life of it
-    begun: int  # the offset at which it was begun, which tells it from every other drain
-    phase: Phase = Phase.LEAVING
+    node_started: float  # as the list said then: another start is another life of it
+    begun_offset: int  # the offset at which it was begun, which tells it from every other drain
+    phase: DrainPhase = DrainPhase.LEAVING
     offset: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Clear:
+class DrainAcknowledgement:
     """A life of a member has nothing out under these drains (``Drain.begun``), and sends nothing more."""
 
     name: str  # the member's
-    life: int
+    incarnation: int
     drains: tuple[int, ...] = ()
     offset: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Box:
+class ListedNode:
     """A box as the coordinator's own list has it; not on the board."""
 
     name: str
@@ -179,4 +191,4 @@
     offset: int = 0
 
 
-Record = Member | Plan | Ask | Ticket | Drain | Clear | Epoch
+Record = Member | Plan | TicketRequest | Ticket | Drain | DrainAcknowledgement | Epoch
--- a/sabledyke/rollout/section.py
+++ b/sabledyke/rollout/section.py
@@ -8,7 +8,7 @@
 from msgspec import Meta
 
 from sabledyke.errors import OperatorError, PlanError
-from sabledyke.rollout.planner import Patience
+from sabledyke.rollout.planner import Timeouts
 from sabledyke.rollout.records import Plan
 from sabledyke.toml_tables import NAME_RULE, Table, convert, from_file, name_like, parsed
 
@@ -23,11 +23,11 @@
 
     site: str = ""
     version: str = ""
-    wants: str = ""  # the file that says which version to start next, for whoever starts this member
-    every: float = 200.0  # between looks at the board
-    beat: float = 1000.0  # between signs of life
-    valid: float = 10_000.0  # for which an ask may be granted
-    patience: Patience = Patience()
+    version_file: str = ""  # the file that says which version to start next, for whoever starts this member
+    poll_interval_ms: float = 200.0  # between looks at the board
+    heartbeat_interval_ms: float = 1000.0  # between signs of life
+    request_validity_ms: float = 10_000.0  # for which an ask may be granted
+    timeouts: Timeouts = Timeouts()
 
     def __str__(self) -> str:
         return f"site {self.site or '-'}, version {self.version or '-'}"
@@ -42,12 +42,12 @@
     site: str = ""
     version: str = ""
     wants: str = ""
-    every_ms: Seconds = PLAIN.every
-    beat_ms: Seconds = PLAIN.beat
-    valid_ms: Hours = PLAIN.valid
-    silent_ms: Hours = PLAIN.patience.silent
-    back_ms: Days = PLAIN.patience.back
-    soak_ms: Days = PLAIN.patience.soak
+    every_ms: Seconds = PLAIN.poll_interval_ms
+    beat_ms: Seconds = PLAIN.heartbeat_interval_ms
+    valid_ms: Hours = PLAIN.request_validity_ms
+    silent_ms: Hours = PLAIN.timeouts.heartbeat_timeout_ms
+    back_ms: Days = PLAIN.timeouts.return_timeout_ms
+    soak_ms: Days = PLAIN.timeouts.canary_soak_ms
 
     def __post_init__(self) -> None:
         _names(site=self.site, version=self.version)
@@ -92,7 +92,7 @@
     if not data:
         return None
     said = convert(data, RolloutTable, "rollout")
-    patience = Patience(said.silent_ms, said.back_ms, said.soak_ms)
+    patience = Timeouts(said.silent_ms, said.back_ms, said.soak_ms)
     return Section(said.site, said.version, said.wants, said.every_ms, said.beat_ms, said.valid_ms, patience)
 
 
@@ -125,14 +125,14 @@
     )
     if not plan.name:
         raise OperatorError("plan.name is missing")
-    if plan.retire and (plan.members or plan.to):
+    if plan.retiring_site and (plan.members or plan.target):
         raise OperatorError("a plan that retires a site names neither members nor versions")
-    if plan.boxes and (plan.members or plan.to):
+    if plan.nodes and (plan.members or plan.target):
         raise OperatorError("a plan that drains boxes names neither members nor versions")
-    if plan.gone and not plan.boxes:
+    if plan.removes_nodes and not plan.nodes:
         raise OperatorError("plan.gone is said of boxes, and it names none")
-    if plan.settings and not plan.to:
+    if plan.settings and not plan.target:
         raise OperatorError("a plan of new settings names both labels, to and before")
-    if bool(plan.to) != bool(plan.before):
+    if bool(plan.target) != bool(plan.previous):
         raise OperatorError("a release names both versions, to and before; a restart names neither")
     return plan
--- a/sabledyke/testbed/drain_model.py
+++ b/sabledyke/testbed/drain_model.py
@@ -16,14 +16,25 @@
 from typing import NamedTuple
 
 from sabledyke.rollout import node_drain, planner
-from sabledyke.rollout.fleet_view import View
-from sabledyke.rollout.planner import Move, Patience, Watch
-from sabledyke.rollout.records import Box, Clear, Drain, Epoch, Member, Phase, Plan, Record, Stage, State
+from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.planner import ChangeTracker, Move, Timeouts
+from sabledyke.rollout.records import (
+    Drain,
+    DrainAcknowledgement,
+    DrainPhase,
+    Epoch,
+    ListedNode,
+    Member,
+    MemberState,
+    Plan,
+    PlanStage,
+    Record,
+)
 from sabledyke.testbed.model_log import Coordinator, swapped, with_append, with_coordinator, with_process
 from sabledyke.testbed.state_search import Found, explore
 
 PLAN = "p"
-NEVER = Patience(silent=1e18, back=1e18, soak=0.0, warm=0.0)
+NEVER = Timeouts(heartbeat_timeout_ms=1e18, return_timeout_ms=1e18, canary_soak_ms=0.0, warm_up_ms=0.0)
 
 
 class Budget(NamedTuple):
@@ -64,7 +75,7 @@
     records: tuple[Record, ...]
     next: int
     written: int  # the highest token that has written
-    boxes: tuple[Box, ...]
+    boxes: tuple[ListedNode, ...]
     processes: tuple[Process, ...]
     coordinators: tuple[Coordinator, ...]
     budget: Budget
@@ -73,9 +84,9 @@
 
 def start(size: int, names: int, most: int, budget: Budget) -> Model:
     """A fleet at rest, boxes of one shard with one more that stays, and a plan to drain the others."""
-    members = [Member(f"n{i}", 1, state=State.READY, offset=i + 2) for i in range(size)]
-    some = tuple(Box(f"b{i}", 0, 0, True, 0.0) for i in range(names + 1))
-    plan = Plan(PLAN, (), most, boxes=tuple(b.name for b in some[:names]), offset=size + 2)
+    members = [Member(f"n{i}", 1, state=MemberState.READY, offset=i + 2) for i in range(size)]
+    some = tuple(ListedNode(f"b{i}", 0, 0, True, 0.0) for i in range(names + 1))
+    plan = Plan(PLAN, (), most, nodes=tuple(b.name for b in some[:names]), offset=size + 2)
     records: tuple[Record, ...] = (Epoch("c0", 1, 1), *members, plan)
     return Model(records, size + 3, 1, some, (Process(),) * size, (Coordinator(1),), budget)
 
@@ -98,7 +109,7 @@
 
 
 def _wrong(model: Model) -> str:
-    drained = {r.name for r in model.records if isinstance(r, Drain) and r.phase is Phase.DRAINED}
+    drained = {r.name for r in model.records if isinstance(r, Drain) and r.phase is DrainPhase.DRAINED}
     for i, process in enumerate(model.processes):
         if process.up and process.out & drained:
             return f"something of n{i} is out at a drained box"
@@ -107,8 +118,8 @@
     return model.wrong
 
 
-def _view(model: Model) -> View:
-    seen = View(model.next)
+def _view(model: Model) -> FleetView:
+    seen = FleetView(model.next)
     for record in model.records:
         seen.put(record)
     return seen
@@ -121,15 +132,18 @@
             known = seen if rules.silent_counts else _unheard_away(seen)
             epoch = seen.epoch is not None and seen.epoch.token == one.token
             move = (
-                node_drain.decide(known, one.token, 0.0, Watch(), NEVER, listed)
-                or planner.decide(known, f"c{i}", one.token, 0.0, Watch(), NEVER)
+                node_drain.decide(known, one.token, 0.0, ChangeTracker(), NEVER, listed)
+                or planner.decide(known, f"c{i}", one.token, 0.0, ChangeTracker(), NEVER)
                 if epoch
-                else Move("coordinates", (Epoch(f"c{i}", one.token),), end=seen.next)
+                else Move("coordinates", (Epoch(f"c{i}", one.token),), expected_end=seen.next_offset)
             )
             if move is not None:
-                yield f"c{i} decides: {move.what}", with_coordinator(model, i, one._replace(pending=move))
+                yield (
+                    f"c{i} decides: {move.description}",
+                    with_coordinator(model, i, one._replace(pending=move)),
+                )
         else:
-            yield f"c{i} writes: {one.pending.what}", _write(model, i, one.pending, rules)
+            yield f"c{i} writes: {one.pending.description}", _write(model, i, one.pending, rules)
     if budget.takeovers and len(model.coordinators) == 1:
         spent = model._replace(budget=budget._replace(takeovers=budget.takeovers - 1))
         yield "another coordinator", spent._replace(coordinators=(*model.coordinators, Coordinator(2)))
@@ -137,21 +151,23 @@
         yield from _member(model, i, process, seen, rules)
     for n, box in enumerate(model.boxes):
         drain = seen.drains.get(box.name)
-        if drain is not None and drain.phase is Phase.DRAINED and box.started == drain.started:
+        if drain is not None and drain.phase is DrainPhase.DRAINED and box.started == drain.node_started:
             again = swapped(model.boxes, n, replace(box, started=box.started + 1))
             yield f"{box.name} is taken away and comes back", model._replace(boxes=again)
     plan = seen.plans[PLAN]
-    if budget.halts and plan.stage is Stage.RUNNING:
+    if budget.halts and plan.stage is PlanStage.RUNNING:
         spent = model._replace(budget=budget._replace(halts=budget.halts - 1))
-        for stage in (Stage.HALTED, Stage.BACK):
+        for stage in (PlanStage.HALTED, PlanStage.ROLLING_BACK):
             yield f"the operator: {stage.value}", with_append(spent, (replace(plan, stage=stage),), ())
 
 
-def _member(model: Model, i: int, process: Process, seen: View, rules: Rules) -> Iterator[tuple[str, Model]]:
+def _member(
+    model: Model, i: int, process: Process, seen: FleetView, rules: Rules
+) -> Iterator[tuple[str, Model]]:
     name, budget, known = f"n{i}", model.budget, seen.members[f"n{i}"]
     if not process.up:
-        if known.state is State.READY:
-            silent = replace(known, state=State.SILENT)
+        if known.state is MemberState.READY:
+            silent = replace(known, state=MemberState.SILENT)
             yield f"{name} is noticed to be silent", with_append(model, (silent,), ())
         again = Process(process.life + 1, True, False)
         said = with_append(with_process(model, i, again), (Member(name, again.life),), ())
@@ -161,48 +177,58 @@
         spent = model._replace(budget=budget._replace(deaths=budget.deaths - 1))
         gone = with_process(spent, i, process._replace(up=False, serves=False, out=frozenset(), pending=None))
         yield f"{name} dies", gone
-        if not process.out and process.pending is None and known.life == process.life:
-            yield f"{name} leaves", with_append(gone, (replace(known, state=State.OUT),), ())
-    if budget.silences and known.state is State.READY:
+        if not process.out and process.pending is None and known.incarnation == process.life:
+            yield f"{name} leaves", with_append(gone, (replace(known, state=MemberState.OUT),), ())
+    if budget.silences and known.state is MemberState.READY:
         spent = model._replace(budget=budget._replace(silences=budget.silences - 1))
-        yield f"{name} is not heard", with_append(spent, (replace(known, state=State.SILENT),), ())
+        yield f"{name} is not heard", with_append(spent, (replace(known, state=MemberState.SILENT),), ())
     for box in sorted(process.out):
         left = process._replace(out=process.out - {box})
         yield f"{name} is answered by {box}", with_process(model, i, left)
     if process.serves and budget.sends:
-        for box in seen.plans[PLAN].boxes:
+        for box in seen.plans[PLAN].nodes:
             if box not in process.shut | process.out:
                 spent = model._replace(budget=budget._replace(sends=budget.sends - 1))
                 sent = process._replace(out=process.out | {box})
                 yield f"{name} sends to {box}", with_process(spent, i, sent)
     if process.pending is not None:
         written = with_process(model, i, process._replace(pending=None))
-        yield f"{name} writes: {process.pending.what}", with_append(written, process.pending.writes, ())
+        yield (
+            f"{name} writes: {process.pending.description}",
+            with_append(written, process.pending.records, ()),
+        )
         return
-    closing = node_drain.Closing(name, process.life, 0.0, dict.fromkeys(process.since, 0.0))
+    closing = node_drain.DrainAcknowledger(name, process.life, 0.0, dict.fromkeys(process.since, 0.0))
     move = closing.step(seen, 1.0, lambda box: rules.busy and box in process.out)
-    looked = process._replace(shut=node_drain.shut(seen), since=frozenset(closing.since), serves=True)
-    if (known.life, known.state) != (process.life, State.READY):
-        ready = Move("is ready", (Member(name, process.life, state=State.READY),))
+    looked = process._replace(
+        shut=node_drain.closed_nodes(seen), since=frozenset(closing.closed_since_ms), serves=True
+    )
+    if (known.incarnation, known.state) != (process.life, MemberState.READY):
+        ready = Move("is ready", (Member(name, process.life, state=MemberState.READY),))
         yield f"{name} looks, and serves", with_process(model, i, looked._replace(pending=ready))
     elif move is not None or looked != process:
-        what = move.what if move else "nothing to say"
+        what = move.description if move else "nothing to say"
         yield f"{name} looks: {what}", with_process(model, i, looked._replace(pending=move))
 
 
 def _write(model: Model, i: int, move: Move, rules: Rules) -> Model:
     one = model.coordinators[i]
     model = with_coordinator(model, i, one._replace(pending=None))
-    if rules.order and (one.token < model.written or move.end != model.next):
+    if rules.order and (one.token < model.written or move.expected_end != model.next):
         return model
-    after = with_append(model._replace(written=max(model.written, one.token)), move.writes, move.ends)
-    begun = [w for w in move.writes if isinstance(w, Drain) and w.phase is Phase.LEAVING]
-    away, plan = node_drain.out(_view(after), {}), _view(after).plans[PLAN]
-    return after._replace(wrong=f"{sorted(away)} are out") if begun and len(away) > plan.most else after
+    after = with_append(
+        model._replace(written=max(model.written, one.token)), move.records, move.deleted_keys
+    )
+    begun = [w for w in move.records if isinstance(w, Drain) and w.phase is DrainPhase.LEAVING]
+    away, plan = node_drain.nodes_out(_view(after), {}), _view(after).plans[PLAN]
+    return after._replace(wrong=f"{sorted(away)} are out") if begun and len(away) > plan.max_out else after
 
 
-def _unheard_away(seen: View) -> View:
-    away = {n: replace(m, state=State.OUT) if m.state is State.SILENT else m for n, m in seen.members.items()}
+def _unheard_away(seen: FleetView) -> FleetView:
+    away = {
+        n: replace(m, state=MemberState.OUT) if m.state is MemberState.SILENT else m
+        for n, m in seen.members.items()
+    }
     return replace(seen, members=away)
 
 
@@ -210,24 +236,26 @@
     """Offsets and lives by rank: only whether they are the same, or which is later, matters."""
     pending = [p.pending for p in model.processes] + [c.pending for c in model.coordinators]
     moves = [move for move in pending if move is not None]
-    records = [*model.records, *(w for move in moves for w in move.writes)]
-    used = {r.offset for r in records} | {0, model.next} | {move.end or 0 for move in moves}
-    used |= {r.begun for r in records if isinstance(r, Drain)}
-    used |= {n for r in records if isinstance(r, Clear) for n in r.drains}
+    records = [*model.records, *(w for move in moves for w in move.records)]
+    used = {r.offset for r in records} | {0, model.next} | {move.expected_end or 0 for move in moves}
+    used |= {r.begun_offset for r in records if isinstance(r, Drain)}
+    used |= {n for r in records if isinstance(r, DrainAcknowledgement) for n in r.drains}
     used |= {n for p in model.processes for n in p.since}
     rank = {offset: n for n, offset in enumerate(sorted(used))}
 
     def record(r: Record) -> Record:
         r = replace(r, offset=rank[r.offset])
         if isinstance(r, Drain):
-            return replace(r, begun=rank[r.begun])
-        return replace(r, drains=tuple(rank[n] for n in r.drains)) if isinstance(r, Clear) else r
+            return replace(r, begun_offset=rank[r.begun_offset])
+        return (
+            replace(r, drains=tuple(rank[n] for n in r.drains)) if isinstance(r, DrainAcknowledgement) else r
+        )
 
     def ranked(move: Move | None) -> Move | None:
         if move is None:
             return None
-        end = None if move.end is None else rank[move.end]
-        return replace(move, writes=tuple(record(w) for w in move.writes), end=end)
+        end = None if move.expected_end is None else rank[move.expected_end]
+        return replace(move, records=tuple(record(w) for w in move.records), expected_end=end)
 
     return model._replace(
         records=tuple(record(r) for r in model.records),
--- a/sabledyke/testbed/fleet_release.py
+++ b/sabledyke/testbed/fleet_release.py
@@ -30,10 +30,20 @@
 from sabledyke.placement.volume_placement import Home
 from sabledyke.rollout import commands, planner
 from sabledyke.rollout.extension import GONE
-from sabledyke.rollout.fleet_view import View, view
+from sabledyke.rollout.fleet_view import FleetView, view_of
 from sabledyke.rollout.planner import Move
-from sabledyke.rollout.record_codec import read
-from sabledyke.rollout.records import FLEET, Drain, Member, Phase, Plan, Record, Stage, State, Ticket
+from sabledyke.rollout.record_codec import decode
+from sabledyke.rollout.records import (
+    FLEET_TOPIC,
+    Drain,
+    DrainPhase,
+    Member,
+    MemberState,
+    Plan,
+    PlanStage,
+    Record,
+    Ticket,
+)
 from sabledyke.testbed import cluster
 from sabledyke.testbed.cluster import Cluster
 from sabledyke.testbed.etcd_server import Etcd
@@ -142,7 +152,9 @@
         for i in range(self.setting.size):
             self._tasks += [loop.create_task(self._keep(i)), loop.create_task(self._probe(i))]
         await self.until(
-            lambda v: len(v.members) == self.setting.size and not planner.out(v) and v.epoch is not None
+            lambda v: len(v.members) == self.setting.size
+            and not planner.members_out(v)
+            and v.epoch is not None
         )
         if self.setting.copies > 1:
             self._tasks.append(loop.create_task(self._take_away()))
@@ -263,13 +275,13 @@
         known, reader = set[int](), Follower()
         while True:
             with contextlib.suppress(BoardFault):
-                await self.board.catch_up(FLEET, reader)
-            seen = view(reader.state, reader.position)
+                await self.board.catch_up(FLEET_TOPIC, reader)
+            seen = view_of(reader.state, reader.position)
             for drain in seen.drains.values():
-                if drain.phase is Phase.DRAINED and drain.begun not in known:
-                    known.add(drain.begun)
+                if drain.phase is DrainPhase.DRAINED and drain.begun_offset not in known:
+                    known.add(drain.begun_offset)
                     self.replaced.append(drain.name)
-                    number, gone = int(drain.name.removeprefix("box")), seen.plans[drain.plan].gone
+                    number, gone = int(drain.name.removeprefix("box")), seen.plans[drain.plan].removes_nodes
                     task = self.boxes.remove(number) if gone else self.boxes.replace(number, AWAY)
                     self._tasks.append(asyncio.get_running_loop().create_task(task))
             await asyncio.sleep(AGAIN)
@@ -303,11 +315,11 @@
         except (OSError, TimeoutError):
             return False
 
-    async def look(self) -> View:
+    async def look(self) -> FleetView:
         """The board as it stands."""
-        return await commands.look(self.board, self._reader)
+        return await commands.read_view(self.board, self._reader)
 
-    async def until(self, holds: Callable[[View], Any], seconds: float = SLOW) -> View:
+    async def until(self, holds: Callable[[FleetView], Any], seconds: float = SLOW) -> FleetView:
         """Wait until something holds on the board; a TimeoutError where it does not in time."""
         async with asyncio.timeout(seconds):
             while True:
@@ -316,31 +328,31 @@
                         return seen
                 await asyncio.sleep(AGAIN)
 
-    async def _say(self, decide: Callable[[View], Move]) -> None:
+    async def _say(self, decide: Callable[[FleetView], Move]) -> None:
         """An operator's word, for as long as the board may stand still."""
-        await commands.say(self.board, self._reader, decide, again=20)
+        await commands.apply(self.board, self._reader, decide, again=20)
 
     async def begin(self, plan: Plan) -> None:
         """Put a plan on the board, as an operator does."""
 
-        def decide(seen: View) -> Move:
-            planner.check(plan, seen)
-            return Move("plan", (plan,), end=seen.next)
+        def decide(seen: FleetView) -> Move:
+            planner.validate(plan, seen)
+            return Move("plan", (plan,), expected_end=seen.next_offset)
 
         await self._say(decide)
 
-    async def word(self, name: str, stage: Stage) -> None:
+    async def word(self, name: str, stage: PlanStage) -> None:
         """Halt it, resume it, or have it go back."""
 
-        def decide(seen: View) -> Move:
-            said = planner.changed(seen.plans[name], stage, "by the experiment")
-            return Move("word", (said,), end=seen.next)
+        def decide(seen: FleetView) -> Move:
+            said = planner.change_stage(seen.plans[name], stage, "by the experiment")
+            return Move("word", (said,), expected_end=seen.next_offset)
 
         await self._say(decide)
 
     async def forget(self, name: str) -> None:
         """A member is gone for good."""
-        await self._say(lambda seen: planner.forgotten(name, seen))
+        await self._say(lambda seen: planner.forget_member(name, seen))
 
     async def coordinator(self) -> int:
         """Which instance coordinates."""
@@ -388,7 +400,7 @@
     async def log(self) -> list[Message]:
         """All that is kept of the fleet's topic, in order."""
         messages = list[Message]()
-        while page := await self.board.page(FLEET, messages[-1].offset + 1 if messages else 1):
+        while page := await self.board.page(FLEET_TOPIC, messages[-1].offset + 1 if messages else 1):
             messages += page
         return messages
 
@@ -396,11 +408,11 @@
         """Where volumes are at home, as clients last read it."""
         return evacuation.read(self._homes.state)
 
-    async def late(self) -> View:
+    async def late(self) -> FleetView:
         """What somebody sees who reads the board for the first time now."""
         reader = Follower()
-        await self.board.catch_up(FLEET, reader, 7)
-        return view(reader.state, reader.position)
+        await self.board.catch_up(FLEET_TOPIC, reader, 7)
+        return view_of(reader.state, reader.position)
 
     def most_out(self) -> int:
         """By the judge, so far."""
@@ -420,30 +432,36 @@
     """
     lines, held, grants = list[str](), dict[str, Record](), dict[str, int]()
     for message in messages:
-        record, before = read(message), held.get(message.key)
+        record, before = decode(message), held.get(message.key)
         match record:
             case Plan():
-                why = f" ({record.why})" if record.why else ""
+                why = f" ({record.reason})" if record.reason else ""
                 done = ", ".join(record.released) or "-"
-                step = f", step {record.step}" if record.retire else ""
+                step = f", step {record.step}" if record.retiring_site else ""
                 lines.append(f"plan {record.name}: {record.stage.value}{why}{step}, released {done}")
             case Drain():
                 lines.append(f"{record.name}: {record.phase.value}")
             case None if isinstance(before, Drain):
                 lines.append(f"{before.name}: its drain is over")
             case Ticket():
-                what = record.took or ("is used" if record.going else "is granted")
-                if not record.going:
+                what = record.settings_result or ("is used" if record.used else "is granted")
+                if not record.used:
                     grants[record.name] = len(lines)
-                to = f"take on {record.to}" if record.settings else f"come back as {record.to or 'it is'}"
+                to = (
+                    f"take on {record.target}"
+                    if record.settings
+                    else f"come back as {record.target or 'it is'}"
+                )
                 lines.append(f"ticket of {record.name}, to {to}: {what}")
-            case Member(state=State.READY) if isinstance(before, Member) and record.life > before.life:
+            case Member(state=MemberState.READY) if isinstance(
+                before, Member
+            ) and record.incarnation > before.incarnation:
                 lines.append(f"{record.name}: ready in a later life, as version {record.version}")
-            case None if isinstance(before, Ticket) and before.going:
+            case None if isinstance(before, Ticket) and before.used:
                 lines.append(f"ticket of {before.name}: over")
             case None if isinstance(before, Ticket):  # it came too late, and was asked for anew
                 lines[grants[before.name]] = ""
-        if record is not None and not (isinstance(record, Member) and record.state is not State.READY):
+        if record is not None and not (isinstance(record, Member) and record.state is not MemberState.READY):
             held[message.key] = record
         elif record is None:
             held.pop(message.key, None)
--- a/sabledyke/testbed/model_log.py
+++ b/sabledyke/testbed/model_log.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple, Protocol, TypeVar
 
 from sabledyke.rollout.planner import Move
-from sabledyke.rollout.record_codec import key
+from sabledyke.rollout.record_codec import key_of
 from sabledyke.rollout.records import Record
 
 T = TypeVar("T")
@@ -24,9 +24,9 @@
     records: tuple[Record, ...], next_: int, writes: Iterable[Record], ends: Iterable[str]
 ) -> tuple[tuple[Record, ...], int]:
     """The records after one append, in the order of their keys, and the next offset."""
-    table = {key(r): r for r in records}
+    table = {key_of(r): r for r in records}
     for record in writes:
-        table[key(record)] = replace(record, offset=next_)
+        table[key_of(record)] = replace(record, offset=next_)
         next_ += 1
     for name in ends:
         table.pop(name, None)
--- a/sabledyke/testbed/scenario.py
+++ b/sabledyke/testbed/scenario.py
@@ -16,14 +16,14 @@
 from msgspec import Meta
 
 from sabledyke.rollout import planner
-from sabledyke.rollout.fleet_view import View
-from sabledyke.rollout.records import ACTIVE, Plan, Stage
+from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.records import ACTIVE_STAGES, Plan, PlanStage
 from sabledyke.rollout.section import plan_of
 from sabledyke.testbed.fleet_release import Fleet, Setting, play
 from sabledyke.testbed.workload import GIVES_UP
 from sabledyke.toml_tables import Table, convert, from_file, parsed
 
-WORDS = {"halt": Stage.HALTED, "resume": Stage.RUNNING, "back": Stage.BACK}
+WORDS = {"halt": PlanStage.HALTED, "resume": PlanStage.RUNNING, "back": PlanStage.ROLLING_BACK}
 LOST = 0.01  # part of the requests that may find nobody, or a door that closes
 
 
@@ -123,7 +123,7 @@
         between=any("part" in step.what for step in steps),
     )
     told = plan_of({"name": "p", **said.plan})
-    if not (told.members or told.boxes or told.retire):
+    if not (told.members or told.nodes or told.retiring_site):
         told = replace(told, members=tuple(f"n{i}" for i in range(setting.size)))
     return Story(said.name, setting, told, steps, said.most_out, said.length_s)
 
@@ -134,8 +134,8 @@
 
     async def told(fleet: Fleet) -> None:
         plan, began = story.plan, time.monotonic()
-        if plan.retire:
-            here = (m.name for m in (await fleet.look()).members.values() if m.site == plan.retire)
+        if plan.retiring_site:
+            here = (m.name for m in (await fleet.look()).members.values() if m.site == plan.retiring_site)
             plan = replace(plan, members=tuple(sorted(here)))
             await fleet.until(lambda v: len(fleet.homes()) >= 20, story.length)
         await fleet.begin(plan)
@@ -155,31 +155,33 @@
     return report
 
 
-async def _through(fleet: Fleet, story: Story, random: Random) -> View:
+async def _through(fleet: Fleet, story: Story, random: Random) -> FleetView:
     """Until the plan is over; whatever halts it by itself is resumed once all are back."""
     name, steps, under_way = story.plan.name, list(story.steps), list[asyncio.Task[None]]()
     while True:
         seen = await fleet.until(
-            lambda v: v.plans[name].stage not in ACTIVE or steps and _moved(v.plans[name]) >= steps[0].after,
+            lambda v: v.plans[name].stage not in ACTIVE_STAGES
+            or steps
+            and _moved(v.plans[name]) >= steps[0].after,
             story.length,
         )
         plan = seen.plans[name]
-        if steps and _moved(plan) >= steps[0].after and plan.stage is not Stage.DONE:
+        if steps and _moved(plan) >= steps[0].after and plan.stage is not PlanStage.DONE:
             step = steps.pop(0)
             if step.what in WORDS:
                 await fleet.word(name, WORDS[step.what])
             else:
                 under_way.append(asyncio.create_task(_fault(fleet, step, random)))
-        elif plan.stage is Stage.HALTED:
-            await fleet.until(lambda v: not planner.out(v), story.length)
-            await fleet.word(name, Stage.RUNNING)
-        elif plan.stage not in ACTIVE:
+        elif plan.stage is PlanStage.HALTED:
+            await fleet.until(lambda v: not planner.members_out(v), story.length)
+            await fleet.word(name, PlanStage.RUNNING)
+        elif plan.stage not in ACTIVE_STAGES:
             await asyncio.gather(*under_way)
-            return await fleet.until(lambda v: not planner.out(v), story.length)
+            return await fleet.until(lambda v: not planner.members_out(v), story.length)
 
 
 def _moved(plan: Plan) -> int:
-    return max(plan.step, 0) if plan.retire and not plan.released else len(plan.released)
+    return max(plan.step, 0) if plan.retiring_site and not plan.released else len(plan.released)
 
 
 async def _fault(fleet: Fleet, step: Step, random: Random) -> None:
@@ -193,7 +195,7 @@
         await fleet.fault(step.what, who, step.lasts)
 
 
-def _judge(story: Story, fleet: Fleet, seen: View, took: float, report: Report) -> None:
+def _judge(story: Story, fleet: Fleet, seen: FleetView, took: float, report: Report) -> None:
     plan, ends, boxes = seen.plans[story.plan.name], fleet.count.ends, fleet.boxes
     downs = [end - begin for one in fleet.seen for begin, end in one.downs]
     most, asked = fleet.most_out(), max(1, ends.total())
@@ -217,7 +219,8 @@
         f"{boxes.late} requests were at a drained box": bool(boxes.late),
         f"{boxes.beyond} keys ran beyond their window or shard": bool(boxes.beyond),
         "a box was taken away twice": len(set(fleet.replaced)) < len(fleet.replaced),
-        "a volume moved twice": any(h.moves > 1 for h in fleet.homes().values()) and plan.stage is Stage.DONE,
+        "a volume moved twice": any(h.moves > 1 for h in fleet.homes().values())
+        and plan.stage is PlanStage.DONE,
         "tickets or drains are left": bool(seen.tickets or seen.drains),
     }
     report.wrong += [said for said, true in wrong.items() if true]
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -30,11 +30,11 @@
 
 __all__ = ["EtcdShelf", "Shelf", "TableShelf"]
 
-FLEET_TOPIC, BEATS_TOPIC = rollout_terms.FLEET, rollout_terms.BEATS
+FLEET_TOPIC, BEATS_TOPIC = rollout_terms.FLEET_TOPIC, rollout_terms.HEARTBEATS_TOPIC
 HOMES_TOPIC, SHARES_TOPIC = evacuation.HOMES, allocation.TOPIC
 LOAD_PREFIX = evacuation_driver.LOADS
 INCOMPLETE = TypeError  # what a reader raises where a field is missing that it insists on
-STATES, STAGES, PHASES = rollout_terms.State, rollout_terms.Stage, rollout_terms.Phase
+STATES, STAGES, PHASES = rollout_terms.MemberState, rollout_terms.PlanStage, rollout_terms.DrainPhase
 
 
 def message(key: str, value: bytes, offset: int) -> Message:
@@ -44,12 +44,12 @@
 
 def read_record(key: str, value: bytes, offset: int = 77) -> Any:
     """A record of the fleet's topic, from its key and its stored value."""
-    return record_codec.read(message(key, value, offset))
+    return record_codec.decode(message(key, value, offset))
 
 
 def write_record(record: Any) -> tuple[str, bytes]:
     """The key and the value that a record is stored by."""
-    return record_codec.key(record), record_codec.pack(record)
+    return record_codec.key_of(record), record_codec.encode(record)
 
 
 def read_homes(stored: Mapping[str, bytes]) -> Mapping[str, Any]:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -29,93 +29,117 @@
 from sabledyke.compacted_log.subscription import follow
 from sabledyke.errors import BoardFault, OperatorError, PlanError
 from sabledyke.rollout import node_drain, planner, section
-from sabledyke.rollout.canary_analysis import Baseline, Count, bad_plans, worse
-from sabledyke.rollout.commands import write
-from sabledyke.rollout.fleet_view import View, view
-from sabledyke.rollout.participant import GOES, Participant
-from sabledyke.rollout.planner import Patience, Watch
-from sabledyke.rollout.record_codec import key, pack, read
+from sabledyke.rollout.canary_analysis import AnswerCount, Baseline, failing_plans, is_worse
+from sabledyke.rollout.commands import append_move
+from sabledyke.rollout.fleet_view import FleetView, view_of
+from sabledyke.rollout.participant import GOES_OUT, Participant
+from sabledyke.rollout.planner import ChangeTracker, Timeouts
+from sabledyke.rollout.record_codec import decode, encode, key_of
 from sabledyke.rollout.records import (
-    FLEET,
-    Ask,
-    Box,
-    Clear,
+    FLEET_TOPIC,
     Drain,
+    DrainAcknowledgement,
+    DrainPhase,
     Epoch,
+    ListedNode,
     Member,
-    Phase,
+    MemberState,
     Plan,
+    PlanStage,
     Record,
-    Stage,
-    State,
     Ticket,
+    TicketRequest,
 )
 from sabledyke.testbed import drain_model, model_log, scenario, ticket_model
 from sabledyke.testbed.fleet_release import Fleet, Seen, Setting, most_out, plan, play, transcript
 from sabledyke.testbed.ticket_model import Budget, Rules
 from sabledyke.testbed.workload import CAPACITY, COLD, FALL, TIP, YOUNG, Boxes
 
-PATIENCE = Patience(silent=100, back=1000, soak=50)
+PATIENCE = Timeouts(heartbeat_timeout_ms=100, return_timeout_ms=1000, canary_soak_ms=50)
 QUIET = Budget(0, 0, 0, 0)
 
 
-def fleet(*states: State, sites: int = 1, **of: Any) -> View:
+def fleet(*states: MemberState, sites: int = 1, **of: Any) -> FleetView:
     """Members n0, n1, ... in these states, a plan for all of them (``of``), and asks of those that are
     ready.
     """
-    seen = View(100, epoch=Epoch("c", 1, 1))
+    seen = FleetView(100, epoch=Epoch("c", 1, 1))
     for i, state in enumerate(states):
         seen.members[f"n{i}"] = Member(f"n{i}", 1, "1", f"s{i % sites}", state, i + 2)
     names = tuple(seen.members)
     seen.plans["p"] = replace(Plan("p", names, offset=50), **of)
     for i, name in enumerate(names):
-        if states[i] is State.READY:
-            seen.asks[name] = Ask(name, "p", 1, 1, 60 + i)
+        if states[i] is MemberState.READY:
+            seen.requests[name] = TicketRequest(name, "p", 1, 1, 60 + i)
     return seen
 
 
-def decide(seen: View, now: float = 0.0, watch: Watch | None = None, **of: Any) -> planner.Move | None:
-    return planner.decide(seen, "c", 1, now, watch or Watch(), PATIENCE, **of)
+def decide(
+    seen: FleetView, now: float = 0.0, watch: ChangeTracker | None = None, **of: Any
+) -> planner.Move | None:
+    return planner.decide(seen, "c", 1, now, watch or ChangeTracker(), PATIENCE, **of)
 
 
-R, L, O, W, X = State.READY, State.LEAVING, State.OUT, State.WARMING, State.RETIRED  # noqa: E741
+READY = MemberState.READY
+LEAVING = MemberState.LEAVING
+OUT = MemberState.OUT
+WARMING = MemberState.WARMING
+RETIRED = MemberState.RETIRED
 
 
 @pytest.mark.parametrize(
     "states, of, granted",
     [
-        ((R, R, R), {}, "n0"),
-        ((R, R, R), {"most": 0}, ""),
-        ((R, L, R), {}, ""),  # one is out, planned or not
-        ((R, O, R), {}, ""),
-        ((R, W, R), {"most": 2}, "n0"),
-        ((O, R, R), {"most": 2}, "n1"),  # who is out already keeps nobody waiting
-        ((R, R, R), {"most": 3, "share": 0.3}, ""),  # a third of three, rounded down
-        ((R, R, R), {"most": 3, "share": 1 / 3}, "n0"),
-        ((R, O, R, R), {"most": 4, "per_site": 1, "sites": 2}, "n0"),  # n1 and n3 share a site
-        ((R, O, R, R), {"most": 4, "per_site": 1, "sites": 2, "released": ("n0", "n2")}, ""),
-        ((R,), {}, "n0"),  # a fleet, or a site, of one
-        ((R, R), {"stage": Stage.HALTED}, ""),
-        ((R, R, R), {"released": ("n0",)}, "n1"),
-        ((R, R, R), {"released": ("n0",), "canary": True}, ""),  # the canary is still looked at
-        ((R, R, R), {"released": ("n0", "n1"), "stage": Stage.BACK, "to": "2", "before": "1"}, "n1"),
+        ((READY, READY, READY), {}, "n0"),
+        ((READY, READY, READY), {"max_out": 0}, ""),
+        ((READY, LEAVING, READY), {}, ""),  # one is out, planned or not
+        ((READY, OUT, READY), {}, ""),
+        ((READY, WARMING, READY), {"max_out": 2}, "n0"),
+        ((OUT, READY, READY), {"max_out": 2}, "n1"),  # who is out already keeps nobody waiting
+        (
+            (READY, READY, READY),
+            {"max_out": 3, "max_out_fraction": 0.3},
+            "",
+        ),  # a third of three, rounded down
+        ((READY, READY, READY), {"max_out": 3, "max_out_fraction": 1 / 3}, "n0"),
+        (
+            (READY, OUT, READY, READY),
+            {"max_out": 4, "max_out_per_site": 1, "sites": 2},
+            "n0",
+        ),  # n1 and n3 share a site
+        (
+            (READY, OUT, READY, READY),
+            {"max_out": 4, "max_out_per_site": 1, "sites": 2, "released": ("n0", "n2")},
+            "",
+        ),
+        ((READY,), {}, "n0"),  # a fleet, or a site, of one
+        ((READY, READY), {"stage": PlanStage.HALTED}, ""),
+        ((READY, READY, READY), {"released": ("n0",)}, "n1"),
+        ((READY, READY, READY), {"released": ("n0",), "canary": True}, ""),  # the canary is still looked at
+        (
+            (READY, READY, READY),
+            {"released": ("n0", "n1"), "stage": PlanStage.ROLLING_BACK, "target": "2", "previous": "1"},
+            "n1",
+        ),
     ],
 )
 def test_a_ticket_is_granted_inside_all_budgets_and_in_order(
-    states: tuple[State, ...], of: dict[str, Any], granted: str
+    states: tuple[MemberState, ...], of: dict[str, Any], granted: str
 ) -> None:
     sites = of.pop("sites", 1) if "sites" in of else 1
     move = decide(fleet(*states, sites=sites, **of))
-    tickets = [w for w in move.writes if isinstance(w, Ticket)] if move else []
+    tickets = [w for w in move.records if isinstance(w, Ticket)] if move else []
     assert [t.name for t in tickets] == ([granted] if granted else [])
-    assert move is None or move.end == 100  # written only if nothing was said since
+    assert move is None or move.expected_end == 100  # written only if nothing was said since
 
 
 def test_a_member_is_waited_for_in_its_turn_but_not_for_ever() -> None:
-    seen, watch = fleet(R, R), Watch()
-    del seen.asks["n0"]
+    seen, watch = fleet(READY, READY), ChangeTracker()
+    del seen.requests["n0"]
     for now, granted in ((0.0, False), (99.0, False), (101.0, True)):
-        watch.look(now, {k: v for k, v in planner.stands(seen, {}).items() if not k.startswith("beat")})
+        watch.observe(
+            now, {k: v for k, v in planner.tracked_values(seen, {}).items() if not k.startswith("beat")}
+        )
         assert (decide(seen, now, watch) is not None) is granted
 
 
@@ -125,12 +149,16 @@
     never asks keeps nobody from going out, and goes once it asks.
     """
     size, out = 200, 4
-    seen, said, watch = fleet(*[R] * size, sites=5, most=out, per_site=1), Counter[str](), Watch()
-    seen.asks.clear()
+    seen, said, watch = (
+        fleet(*[READY] * size, sites=5, max_out=out, max_out_per_site=1),
+        Counter[str](),
+        ChangeTracker(),
+    )
+    seen.requests.clear()
     parts = {name: Participant(name, 1) for name in seen.members}
 
     def put(*records: Record, ends: tuple[str, ...] = ()) -> None:
-        kept, seen.next = model_log.put((), seen.next, records, ends)
+        kept, seen.next_offset = model_log.put((), seen.next_offset, records, ends)
         for record in kept:
             seen.put(record)
         for name in ends:
@@ -140,32 +168,32 @@
         done_but = size - len(seen.plans["p"].released)
         for name, part in list(parts.items())[mute if done_but > mute else 0 :]:
             if (move := part.step(seen, look * 1000.0)) is not None:
-                said[move.what if move.what == GOES else "asks"] += 1
-                put(*move.writes, ends=move.ends)
-                if move.what == GOES:
+                said[move.description if move.description == GOES_OUT else "asks"] += 1
+                put(*move.records, ends=move.deleted_keys)
+                if move.description == GOES_OUT:
                     parts[name] = Participant(name, 2)
-                    put(replace(seen.members[name], life=2))
+                    put(replace(seen.members[name], incarnation=2))
         while True:
-            watch.look(look * 1000.0, planner.stands(seen, dict.fromkeys(parts, look)))
+            watch.observe(look * 1000.0, planner.tracked_values(seen, dict.fromkeys(parts, look)))
             if (done := decide(seen, look * 1000.0, watch)) is None:
                 break
-            assert len(planner.out(seen)) <= out
-            said["passes"] += "no ask in its turn" in done.what
-            put(*done.writes, ends=done.ends)
-        if seen.plans["p"].stage is Stage.DONE:
+            assert len(planner.members_out(seen)) <= out
+            said["passes"] += "no ask in its turn" in done.description
+            put(*done.records, ends=done.deleted_keys)
+        if seen.plans["p"].stage is PlanStage.DONE:
             break
-    assert said["asks"] < 1.3 * size and said[GOES] == size == len(seen.plans["p"].released)
-    assert set(seen.plans["p"].later) == set(list(parts)[:mute]) and said["passes"] < 10
+    assert said["asks"] < 1.3 * size and said[GOES_OUT] == size == len(seen.plans["p"].released)
+    assert set(seen.plans["p"].deferred) == set(list(parts)[:mute]) and said["passes"] < 10
 
 
 def test_budgets_of_two_plans_hold_together() -> None:
-    seen = fleet(R, R, R, R, most=3)
+    seen = fleet(READY, READY, READY, READY, max_out=3)
     seen.plans["p"] = replace(seen.plans["p"], members=("n0", "n1"))
-    seen.plans["q"] = Plan("q", ("n2", "n3"), most=1, offset=51)
+    seen.plans["q"] = Plan("q", ("n2", "n3"), max_out=1, offset=51)
     seen.tickets["n2"] = Ticket("n2", "q", 1, 1, 1, offset=70)
     assert decide(seen) is None  # the stricter one's is spent
     with pytest.raises(PlanError, match="in plan p"):
-        planner.check(Plan("r", ("n0",)), seen)
+        planner.validate(Plan("r", ("n0",)), seen)
 
 
 @pytest.mark.parametrize(
@@ -174,23 +202,23 @@
         ({"members": ()}, "names nobody"),
         ({"members": ("n0", "n0")}, "twice"),
         ({"members": ("n7",)}, "no such member: n7"),
-        ({"most": 4}, "from 0 to 3"),
-        ({"most": -1}, "from 0 to 3"),
-        ({"per_site": -1}, "per_site"),
-        ({"share": 1.5}, "share"),
+        ({"max_out": 4}, "from 0 to 3"),
+        ({"max_out": -1}, "from 0 to 3"),
+        ({"max_out_per_site": -1}, "per_site"),
+        ({"max_out_fraction": 1.5}, "share"),
         ({"name": "p"}, "is there already"),
-        ({"boxes": ("b0", "b0")}, "names a box twice"),
-        ({"boxes": ("b7",)}, "b7: in plan r, which is not over"),
+        ({"nodes": ("b0", "b0")}, "names a box twice"),
+        ({"nodes": ("b7",)}, "b7: in plan r, which is not over"),
     ],
 )
 def test_a_plan_that_cannot_be_is_one_plain_error(of: dict[str, Any], said: str) -> None:
-    seen = fleet(R, R, R, stage=Stage.DONE)
-    seen.plans["r"] = Plan("r", (), retire="s9", then=("b7",))
+    seen = fleet(READY, READY, READY, stage=PlanStage.DONE)
+    seen.plans["r"] = Plan("r", (), retiring_site="s9", nodes_removed_next=("b7",))
     with pytest.raises(PlanError, match=said):
-        planner.check(replace(Plan("q", ("n0",)), **of), seen)
+        planner.validate(replace(Plan("q", ("n0",)), **of), seen)
     seen.members["n1"] = replace(seen.members["n1"], version="2")
     with pytest.raises(PlanError, match="three versions at once: 1, 2, 3"):
-        planner.check(Plan("q", ("n0",), to="3", before="2"), seen)
+        planner.validate(Plan("q", ("n0",), target="3", previous="2"), seen)
 
 
 @pytest.mark.parametrize("text", ["", 'name = "a b"', 'name = "p"\nmembers = 3', 'name = "p"\nto = "2"'])
@@ -240,10 +268,10 @@
     async def prepare() -> None:
         board = Board(TableShelf(f"{tmp_path}/board.sqlite3"))
         await board.shelf.open()
-        pen = await board.claim(FLEET, "w")
-        seen = fleet(R, R, State.SILENT, sites=1)
+        pen = await board.claim(FLEET_TOPIC, "w")
+        seen = fleet(READY, READY, MemberState.SILENT, sites=1)
         drain = Drain("b9", "gone", 1, 0.0, 3)
-        await write(pen, planner.Move("", (Epoch("n0.a", 1), *seen.members.values(), drain)))
+        await append_move(pen, planner.Move("", (Epoch("n0.a", 1), *seen.members.values(), drain)))
         await board.shelf.close()
 
     asyncio.run(prepare())
@@ -263,22 +291,32 @@
 
 
 def test_records_are_read_as_they_were_written() -> None:
-    seen = fleet(R, O, most=2, per_site=1, share=0.5, released=("n1",), canary=True)
-    seen.tickets["n0"] = Ticket("n0", "p", 3, 4, 5, "2", going=True, offset=71)
-    records: list[Record] = [*seen.members.values(), *seen.plans.values(), *seen.asks.values()]
-    seen.drains["b"], seen.clears["n0"] = Drain("b", "p", 3, 7.5, 60, DR, 72), Clear("n0", 3, (60, 4), 73)
-    records += [*seen.tickets.values(), *seen.drains.values(), *seen.clears.values(), Epoch("c", 1, 1)]
-    state = {key(r): Message(r.offset, key(r), pack(r), "w", 1, 1) for r in records}
+    seen = fleet(
+        READY, OUT, max_out=2, max_out_per_site=1, max_out_fraction=0.5, released=("n1",), canary=True
+    )
+    seen.tickets["n0"] = Ticket("n0", "p", 3, 4, 5, "2", used=True, offset=71)
+    records: list[Record] = [*seen.members.values(), *seen.plans.values(), *seen.requests.values()]
+    seen.drains["b"], seen.acknowledgements["n0"] = (
+        Drain("b", "p", 3, 7.5, 60, DR, 72),
+        DrainAcknowledgement("n0", 3, (60, 4), 73),
+    )
+    records += [
+        *seen.tickets.values(),
+        *seen.drains.values(),
+        *seen.acknowledgements.values(),
+        Epoch("c", 1, 1),
+    ]
+    state = {key_of(r): Message(r.offset, key_of(r), encode(r), "w", 1, 1) for r in records}
     state["later/x"] = Message(99, "later/x", b"{}", "w", 1, 1)  # what a newer version adds
-    assert view(state, 100) == seen
-    assert read(Message(1, "member/n0", None, "w", 1, 1)) is None
-    assert all(seen.at(key(r)) == r.offset for r in records)
+    assert view_of(state, 100) == seen
+    assert decode(Message(1, "member/n0", None, "w", 1, 1)) is None
+    assert all(seen.offset_of(key_of(r)) == r.offset for r in records)
 
 
 def test_time_is_counted_from_before_the_ask_and_only_stands_still_on_one_clock() -> None:
-    seen, part = fleet(R, R), Participant("n0", 1, valid=100)
+    seen, part = fleet(READY, READY), Participant("n0", 1, request_validity_ms=100)
     asks = part.step(seen, 0.0)
-    assert asks is not None and isinstance(asks.writes[0], Ask)
+    assert asks is not None and isinstance(asks.records[0], TicketRequest)
     for now, token, number, goes in (
         (99, 1, 1, True),
         (101, 1, 1, False),
@@ -288,45 +326,53 @@
         mine = replace(part)
         seen.tickets["n0"] = Ticket("n0", "p", 1, number, token, offset=70)
         move = mine.step(seen, now)
-        assert move is not None and (move.what == GOES) is goes, (now, token, number)
-        assert ("ticket/n0", 70) in move.expects
-        assert goes or move.ends == ("ticket/n0",) and mine.asked is None  # given back, and asked for anew
-    watch = Watch()
+        assert move is not None and (move.description == GOES_OUT) is goes, (now, token, number)
+        assert ("ticket/n0", 70) in move.expected_offsets
+        assert (
+            goes or move.deleted_keys == ("ticket/n0",) and mine.last_request is None
+        )  # given back, and asked for anew
+    watch = ChangeTracker()
     for now in (0, 50, 101):
-        watch.look(now, {"beat/n1": 7, "beat/n0": now})
-    assert decide(seen, 101, watch) is not None and watch.stood(101, "beat/n1") == 101
+        watch.observe(now, {"beat/n1": 7, "beat/n0": now})
+    assert decide(seen, 101, watch) is not None and watch.unchanged_ms(101, "beat/n1") == 101
     silent = decide(replace(seen, tickets={}), 101, watch)
-    assert silent is not None and silent.writes == (replace(seen.members["n1"], state=State.SILENT),)
+    assert silent is not None and silent.records == (replace(seen.members["n1"], state=MemberState.SILENT),)
 
 
 @pytest.mark.parametrize(
     "change, why",
     [
-        ({"tickets": {"n0": Ticket("n0", "p", 1, 1, 1, going=True, offset=70)}}, "not back in its time"),
+        ({"tickets": {"n0": Ticket("n0", "p", 1, 1, 1, used=True, offset=70)}}, "not back in its time"),
         ({"bad": ["p"]}, "fail more than the others"),
-        ({"states": (R, O, O)}, "2 are out unplanned"),
+        ({"states": (READY, OUT, OUT)}, "2 are out unplanned"),
     ],
 )
 def test_a_plan_halts_by_itself(change: dict[str, Any], why: str) -> None:
-    seen, watch = fleet(*change.get("states", (R, R, R))), Watch()
+    seen, watch = fleet(*change.get("states", (READY, READY, READY))), ChangeTracker()
     seen.tickets.update(change.get("tickets", {}))
     for now in (0.0, 1001.0):
-        watch.look(now, {k: v for k, v in planner.stands(seen, {}).items() if not k.startswith("beat")})
+        watch.observe(
+            now, {k: v for k, v in planner.tracked_values(seen, {}).items() if not k.startswith("beat")}
+        )
     move = decide(seen, 1001.0, watch, bad=change.get("bad", ()))
-    assert move is not None and why in move.what
-    assert isinstance(move.writes[0], Plan) and move.writes[0].stage is Stage.HALTED
+    assert move is not None and why in move.description
+    assert isinstance(move.records[0], Plan) and move.records[0].stage is PlanStage.HALTED
 
 
 def test_who_comes_back_as_another_version_halts_the_plan_and_frees_its_ticket() -> None:
-    seen = fleet(R, R, to="2", before="1")
-    seen.tickets["n0"] = Ticket("n0", "p", 1, 1, 1, "2", going=True, offset=70)
+    seen = fleet(READY, READY, target="2", previous="1")
+    seen.tickets["n0"] = Ticket("n0", "p", 1, 1, 1, "2", used=True, offset=70)
     assert decide(seen) is None  # the same life: it has not gone yet, or is on its way
-    seen.members["n0"] = replace(seen.members["n0"], life=2)
+    seen.members["n0"] = replace(seen.members["n0"], incarnation=2)
     move = decide(seen)
-    assert move is not None and "came back as 1, not 2" in move.what and move.ends == ("ticket/n0",)
+    assert (
+        move is not None
+        and "came back as 1, not 2" in move.description
+        and move.deleted_keys == ("ticket/n0",)
+    )
     seen.members["n0"] = replace(seen.members["n0"], version="2")
     done = decide(seen)
-    assert done is not None and isinstance(done.writes[0], Plan) and done.writes[0].released == ("n0",)
+    assert done is not None and isinstance(done.records[0], Plan) and done.records[0].released == ("n0",)
 
 
 @pytest.mark.parametrize(
@@ -334,16 +380,16 @@
     [
         (2, {}, True),
         (1, {}, False),
-        (2, {"going": False}, False),
-        (2, {"to": "1"}, False),
-        (2, {"to": ""}, False),
+        (2, {"used": False}, False),
+        (2, {"target": "1"}, False),
+        (2, {"target": ""}, False),
     ],
 )
 def test_who_died_before_its_starter_was_told_the_version_goes_once_more(
     life: int, of: dict[str, Any], again: bool
 ) -> None:
-    seen = fleet(R, R)
-    seen.tickets["n0"] = replace(Ticket("n0", "p", 1, 1, 1, "2", going=True, offset=70), **of)
+    seen = fleet(READY, READY)
+    seen.tickets["n0"] = replace(Ticket("n0", "p", 1, 1, 1, "2", used=True, offset=70), **of)
     assert (Participant("n0", life).unfinished(seen, "1") is not None) is again
 
 
@@ -355,7 +401,7 @@
             for side, n in ((0, 60), (1, 20)):
                 counts[side][0] += n
                 counts[side][1] += sum(random.random() < rates[side] for _ in range(n))
-            if worse((counts[1][0], counts[1][1]), (counts[0][0], counts[0][1])):
+            if is_worse((counts[1][0], counts[1][1]), (counts[0][0], counts[0][1])):
                 halts += trial < 300
                 seen_after += [look] if trial >= 300 else []
                 break
@@ -364,9 +410,9 @@
 
 def test_a_new_life_counts_from_its_start_and_an_old_one_from_when_it_was_first_seen() -> None:
     base, p = Baseline(), Plan("p", ("n0", "n1"), released=("n0",))
-    base.look({"n0": Count(1, 5000, 5000), "n1": Count(1, 900, 900)})
-    since = base.look({"n0": Count(2, 1000, 500), "n1": Count(1, 1900, 900)})
-    assert since == {"n0": (1000, 500), "n1": (1000, 0)} and bad_plans([p], since) == ["p"]
+    base.since_first_seen({"n0": AnswerCount(1, 5000, 5000), "n1": AnswerCount(1, 900, 900)})
+    since = base.since_first_seen({"n0": AnswerCount(2, 1000, 500), "n1": AnswerCount(1, 1900, 900)})
+    assert since == {"n0": (1000, 500), "n1": (1000, 0)} and failing_plans([p], since) == ["p"]
 
 
 @pytest.mark.parametrize(
@@ -396,60 +442,68 @@
     assert said in found.broken and len(found.trace) > 3
 
 
-Z = Box("b0", 0, 0, True, 0.0)
+Z = ListedNode("b0", 0, 0, True, 0.0)
 YARD = {f"b{i}": replace(Z, name=f"b{i}", zone=i % 2, shard=i // 2) for i in range(6)}  # two of each shard
 
 
-def drains(*phases: tuple[str, Phase], clear: tuple[str, ...] = (), **of: Any) -> View:
+def drains(*phases: tuple[str, DrainPhase], clear: tuple[str, ...] = (), **of: Any) -> FleetView:
     """Two members, a plan to drain all but one box of the yard, and drains under it."""
-    seen = fleet(R, R, members=(), boxes=("b0", "b2", "b4", "b1", "b3"), **of)
+    seen = fleet(READY, READY, members=(), nodes=("b0", "b2", "b4", "b1", "b3"), **of)
     for i, (name, phase) in enumerate(phases):
         seen.drains[name] = Drain(name, "p", 1, 0.0, 80 + i, phase, 90 + i)
     for name in clear:
-        seen.clears[name] = Clear(name, 1, (80, 81))
+        seen.acknowledgements[name] = DrainAcknowledgement(name, 1, (80, 81))
     return seen
 
 
-LV, DR, WM = Phase.LEAVING, Phase.DRAINED, Phase.WARMING
+LV, DR, WM = DrainPhase.LEAVING, DrainPhase.DRAINED, DrainPhase.WARMING
 
 
 @pytest.mark.parametrize(
     "seen, changed, said",
     [
         (drains(), {}, "b0 is to be drained"),
-        (drains(most=0), {}, ""),
+        (drains(max_out=0), {}, ""),
         (drains(("b0", LV)), {}, ""),  # the budget is spent
-        (drains(("b0", LV), most=2), {}, "b2 is to be drained"),
+        (drains(("b0", LV), max_out=2), {}, "b2 is to be drained"),
         (
-            drains(("b0", LV), most=2, per_site=1),
+            drains(("b0", LV), max_out=2, max_out_per_site=1),
             {},
             "b3 is to",
         ),  # b2 and b4 are in its zone, b1 in its shard
-        (drains(("b0", LV), most=6, share=0.2), {}, ""),
-        (drains(most=1), {"b5": {"ready": False}}, ""),  # one is out unplanned
-        (drains(most=1), {"b5": {"ready": False}, "b3": {"ready": False}}, "2 boxes are out unplanned"),
-        (drains(most=2), {"b0": {"ready": False}}, "b2 is to be drained"),  # who is out keeps nobody waiting
+        (drains(("b0", LV), max_out=6, max_out_fraction=0.2), {}, ""),
+        (drains(max_out=1), {"b5": {"ready": False}}, ""),  # one is out unplanned
+        (drains(max_out=1), {"b5": {"ready": False}, "b3": {"ready": False}}, "2 boxes are out unplanned"),
+        (
+            drains(max_out=2),
+            {"b0": {"ready": False}},
+            "b2 is to be drained",
+        ),  # who is out keeps nobody waiting
         (drains(("b0", LV), clear=("n0",)), {}, ""),
         (drains(("b0", LV), clear=("n0", "n1")), {}, "b0 is drained"),
-        (drains(("b0", LV), stage=Stage.HALTED), {}, "b0 is not drained any more"),
-        (drains(("b0", DR), stage=Stage.HALTED), {}, ""),  # it may be away
-        (drains(("b0", DR), stage=Stage.BACK), {}, "b0 is not drained any more"),
+        (drains(("b0", LV), stage=PlanStage.HALTED), {}, "b0 is not drained any more"),
+        (drains(("b0", DR), stage=PlanStage.HALTED), {}, ""),  # it may be away
+        (drains(("b0", DR), stage=PlanStage.ROLLING_BACK), {}, "b0 is not drained any more"),
         (drains(("b0", DR)), {"b0": {"ready": False}}, ""),
         (drains(("b0", DR)), {"b0": {"started": 7.0}}, "b0 is listed as a later start"),
         (drains(("b0", DR)), {"b0": None}, ""),
-        (drains(("b0", DR), gone=True), {"b0": None}, "b0 is gone"),
-        (drains(gone=True), {"b0": None}, "b0 is gone"),
+        (drains(("b0", DR), removes_nodes=True), {"b0": None}, "b0 is gone"),
+        (drains(removes_nodes=True), {"b0": None}, "b0 is gone"),
         (drains(released=("b0",), canary=True), {}, ""),
     ],
 )
 def test_a_box_goes_out_inside_its_budgets_and_only_when_nobody_sends_to_it(
-    seen: View, changed: dict[str, dict[str, Any] | None], said: str
+    seen: FleetView, changed: dict[str, dict[str, Any] | None], said: str
 ) -> None:
     yard = {
         n: replace(b, **(changed.get(n) or {})) for n, b in YARD.items() if changed.get(n, {}) is not None
     }
-    move = node_drain.decide(seen, 1, 0.0, Watch(), PATIENCE, yard)
-    assert move is None if not said else move is not None and said in move.what and move.end == 100
+    move = node_drain.decide(seen, 1, 0.0, ChangeTracker(), PATIENCE, yard)
+    assert (
+        move is None
+        if not said
+        else move is not None and said in move.description and move.expected_end == 100
+    )
 
 
 @pytest.mark.parametrize(
@@ -461,29 +515,33 @@
         (drains(("b0", DR)), YARD, "not back in its time"),
     ],
 )
-def test_a_drain_that_does_not_go_on_halts_its_plan(seen: View, yard: dict[str, Box], why: str) -> None:
-    watch = Watch()
+def test_a_drain_that_does_not_go_on_halts_its_plan(
+    seen: FleetView, yard: dict[str, ListedNode], why: str
+) -> None:
+    watch = ChangeTracker()
     for now in (0.0, 1001.0):
         assert node_drain.decide(seen, 1, now, watch, PATIENCE, yard) is None or now
-        watch.look(now, planner.stands(seen, {}))
+        watch.observe(now, planner.tracked_values(seen, {}))
     move = node_drain.decide(seen, 1, 1001.0, watch, PATIENCE, yard)
-    assert move is not None and why in move.what and "halts" in move.what
+    assert move is not None and why in move.description and "halts" in move.description
 
 
 def test_a_member_says_that_it_is_clear_after_its_grace_and_once_nothing_is_out() -> None:
-    seen, closing, told = drains(("b0", LV), ("b2", DR)), node_drain.Closing("n0", 1, 50.0), []
+    seen, closing, told = drains(("b0", LV), ("b2", DR)), node_drain.DrainAcknowledger("n0", 1, 50.0), []
     for now, busy in ((0.0, ""), (40.0, ""), (50.0, "b0"), (60.0, "b0"), (70.0, "")):
         move = closing.step(seen, now, busy.__eq__)
-        for clear in move.writes if move else ():
-            assert isinstance(clear, Clear)
-            seen.clears["n0"] = clear
+        for clear in move.records if move else ():
+            assert isinstance(clear, DrainAcknowledgement)
+            seen.acknowledgements["n0"] = clear
             told.append((now, clear.drains))
-    assert told == [(50.0, (81,)), (70.0, (80, 81))] and node_drain.waits_for(seen, seen.drains["b0"]) == [
-        "n1"
-    ]
+    assert told == [(50.0, (81,)), (70.0, (80, 81))] and node_drain.unacknowledged_by(
+        seen, seen.drains["b0"]
+    ) == ["n1"]
     seen.drains.clear()
     move = closing.step(seen, 80.0, lambda _: False)
-    assert move is not None and move.writes == (Clear("n0", 1),) and not closing.since
+    assert (
+        move is not None and move.records == (DrainAcknowledgement("n0", 1),) and not closing.closed_since_ms
+    )
 
 
 @pytest.mark.parametrize(
@@ -564,10 +622,10 @@
 BACKENDS, AT_ONCE = ("table", "etcd"), 5
 
 
-async def released(made: Fleet, name: str = "p", **of: Any) -> View:
+async def released(made: Fleet, name: str = "p", **of: Any) -> FleetView:
     """Release everybody, and wait for it."""
     await made.begin(plan(name, made.setting.size, **of))
-    return await made.until(lambda v: v.plans[name].stage is Stage.DONE)
+    return await made.until(lambda v: v.plans[name].stage is PlanStage.DONE)
 
 
 async def under(made: Fleet, *faults: tuple[str, bool, float], most: int) -> None:
@@ -575,19 +633,19 @@
 
     A fault is what happens, whether to the coordinator (else to the last member), and for how long.
     """
-    await made.begin(plan("p", made.setting.size, to="2", before="1"))
+    await made.begin(plan("p", made.setting.size, target="2", previous="1"))
     await made.until(lambda v: v.tickets and v.plans["p"].released)
     leads = await made.coordinator()
     last = made.setting.size - 1 - (leads == made.setting.size - 1)
     await asyncio.gather(*(made.fault(what, leads if lead else last, lasts) for what, lead, lasts in faults))
-    seen = await made.until(lambda v: v.plans["p"].stage is not Stage.RUNNING)
+    seen = await made.until(lambda v: v.plans["p"].stage is not PlanStage.RUNNING)
     while (
-        seen.plans["p"].stage is Stage.HALTED
+        seen.plans["p"].stage is PlanStage.HALTED
     ):  # by itself, while too many are out: an operator goes on with it
-        assert "unplanned" in seen.plans["p"].why or "not back" in seen.plans["p"].why
-        await made.until(lambda v: not planner.out(v))
-        await made.word("p", Stage.RUNNING)
-        seen = await made.until(lambda v: v.plans["p"].stage is not Stage.RUNNING)
+        assert "unplanned" in seen.plans["p"].reason or "not back" in seen.plans["p"].reason
+        await made.until(lambda v: not planner.members_out(v))
+        await made.word("p", PlanStage.RUNNING)
+        seen = await made.until(lambda v: v.plans["p"].stage is not PlanStage.RUNNING)
     assert {m.version for m in seen.members.values()} == {"2"} and not seen.tickets
     assert made.most_out() <= most, [one.downs for one in made.seen]
     assert await made.late() == await made.look()
@@ -602,39 +660,42 @@
 
 async def back(made: Fleet) -> None:
     """The canary goes, an operator halts and has it go back, twice: each word changes something once."""
-    await made.begin(plan("p", 3, to="2", before="1", canary=True))
+    await made.begin(plan("p", 3, target="2", previous="1", canary=True))
     seen = await made.until(lambda v: v.plans["p"].released)
     assert [m.version for _, m in sorted(seen.members.items())] == ["2", "1", "1"]
     for _ in range(2):
-        await made.word("p", Stage.HALTED)
+        await made.word("p", PlanStage.HALTED)
     await asyncio.sleep(1)
     assert not (await made.look()).tickets
     for _ in range(2):
-        await made.word("p", Stage.BACK)
-    seen = await made.until(lambda v: v.plans["p"].stage is Stage.UNDONE)
+        await made.word("p", PlanStage.ROLLING_BACK)
+    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.ROLLED_BACK)
     assert {m.version for m in seen.members.values()} == {"1"} and made.most_out() == 1
     with pytest.raises(PlanError, match="is undone"):
-        await made.word("p", Stage.RUNNING)
+        await made.word("p", PlanStage.RUNNING)
 
 
 async def stubborn(made: Fleet) -> None:
     """Whoever starts them goes on with the old version: the first one shows it, and no other goes out."""
     made.stubborn = True
-    await made.begin(plan("p", 3, to="2", before="1"))
-    seen = await made.until(lambda v: v.plans["p"].stage is Stage.HALTED)
-    assert seen.plans["p"].why == "n0 came back as 1, not 2"
+    await made.begin(plan("p", 3, target="2", previous="1"))
+    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.HALTED)
+    assert seen.plans["p"].reason == "n0 came back as 1, not 2"
     assert [one.starts for one in made.cluster.instances] == [2, 1, 1] and sum(made.outs()) <= 1
 
 
 async def young(made: Fleet) -> None:
     """Members that die while the board stands still wait for it, and come back at their first start."""
-    lives = {name: m.life for name, m in (await made.look()).members.items()}
+    lives = {name: m.incarnation for name, m in (await made.look()).members.items()}
     logs = [made.cluster.instances[i].folder / "log.2" for i in (1, 2)]
     async with made.stalled(), asyncio.timeout(120):
         await asyncio.gather(*(made.fault("kill", i) for i in (1, 2)))
         while not all(log.exists() and "waits for the board" in log.read_text() for log in logs):
             await asyncio.sleep(0.1)
-    await made.until(lambda v: all(v.members[n].life > lives[n] for n in ("n1", "n2")) and not planner.out(v))
+    await made.until(
+        lambda v: all(v.members[n].incarnation > lives[n] for n in ("n1", "n2"))
+        and not planner.members_out(v)
+    )
     assert [one.starts for one in made.cluster.instances] == [1, 2, 2]
 
 
@@ -643,13 +704,13 @@
     blocked = [made.cluster.instances[i].folder / "wants.working" for i in (0, 1)]
     for path in blocked:
         path.mkdir()
-    await made.begin(plan("p", 4, to="2", before="1"))
+    await made.begin(plan("p", 4, target="2", previous="1"))
     seen = await made.until(lambda v: len(v.plans["p"].released) == 2)
-    assert set(seen.plans["p"].released) == {"n2", "n3"} and {"n0", "n1"} <= set(seen.plans["p"].later)
+    assert set(seen.plans["p"].released) == {"n2", "n3"} and {"n0", "n1"} <= set(seen.plans["p"].deferred)
     assert all('"code":"wants"' in path.with_name("log.1").read_text().replace(": ", ":") for path in blocked)
     for path in blocked:
         path.rmdir()
-    seen = await made.until(lambda v: v.plans["p"].stage is Stage.DONE)
+    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
     assert {m.version for m in seen.members.values()} == {"2"} and made.most_out() == 1
 
 
@@ -667,19 +728,19 @@
         return said
 
     setattr(made.etcd, "answer", once)  # noqa: B010
-    await made.begin(plan("p", made.setting.size, to="2", before="1"))
+    await made.begin(plan("p", made.setting.size, target="2", previous="1"))
     await heard.wait()
     await asyncio.sleep(ASKED_AGAIN + 3)
-    assert (await made.look()).tickets[f"n{who}"].going and made.cluster.instances[who].starts == 1
+    assert (await made.look()).tickets[f"n{who}"].used and made.cluster.instances[who].starts == 1
     made.proxies[who].heal()
-    seen = await made.until(lambda v: v.plans["p"].stage is not Stage.RUNNING)
-    assert seen.plans["p"].stage is Stage.DONE and made.most_out() == 1
+    seen = await made.until(lambda v: v.plans["p"].stage is not PlanStage.RUNNING)
+    assert seen.plans["p"].stage is PlanStage.DONE and made.most_out() == 1
 
 
 async def two(made: Fleet) -> None:
     for name, members in (("p", ("n0", "n1")), ("q", ("n2", "n3"))):
         await made.begin(Plan(name, members))
-    await made.until(lambda v: all(p.stage is Stage.DONE for p in v.plans.values()))
+    await made.until(lambda v: all(p.stage is PlanStage.DONE for p in v.plans.values()))
     assert made.most_out() == 1
 
 
@@ -688,11 +749,11 @@
     await made.begin(plan("p", 4))
     await made.until(lambda v: v.plans["p"].released)
     await asyncio.gather(*(made.fault("kill", i) for i in range(4)))
-    seen = await made.until(lambda v: v.plans["p"].stage is not Stage.RUNNING)
-    if seen.plans["p"].stage is Stage.HALTED:
-        await made.until(lambda v: not planner.out(v))
-        await made.word("p", Stage.RUNNING)
-    await made.until(lambda v: v.plans["p"].stage is Stage.DONE)
+    seen = await made.until(lambda v: v.plans["p"].stage is not PlanStage.RUNNING)
+    if seen.plans["p"].stage is PlanStage.HALTED:
+        await made.until(lambda v: not planner.members_out(v))
+        await made.word("p", PlanStage.RUNNING)
+    await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
 
 
 def nobody_lost_anything(made: Fleet) -> None:
@@ -718,12 +779,17 @@
     """A site hands its clients over and goes for good; its volumes move once each."""
     await made.until(lambda v: len(made.homes()) >= 20)
     gone = ("box0", "box5")
-    await made.begin(Plan("p", ("n0", "n2"), retire="s0", then=gone))
-    seen = await made.until(lambda v: v.plans["p"].stage is Stage.DONE)
-    await made.until(lambda v: v.plans["p.boxes"].stage is Stage.DONE)
+    await made.begin(Plan("p", ("n0", "n2"), retiring_site="s0", nodes_removed_next=gone))
+    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
+    await made.until(lambda v: v.plans["p.boxes"].stage is PlanStage.DONE)
     assert made.replaced == list(gone) and not {"box0", "box5"} & {h["host"] for h in made.boxes.hosts()}
-    assert {m.name: m.state for m in seen.members.values()} == {"n0": X, "n1": R, "n2": X, "n3": R}
-    assert not planner.out(seen) and {h.site for h in made.homes().values()} == {"s1"}
+    assert {m.name: m.state for m in seen.members.values()} == {
+        "n0": RETIRED,
+        "n1": READY,
+        "n2": RETIRED,
+        "n3": READY,
+    }
+    assert not planner.members_out(seen) and {h.site for h in made.homes().values()} == {"s1"}
     assert all(h.moves == (h.origin == "s0") for h in made.homes().values())
     nobody_lost_anything(made)
     with pytest.raises(PlanError, match="no such member: n7"):
@@ -733,10 +799,10 @@
 async def stays(made: Fleet) -> None:
     """A retirement that an operator takes back in the middle: all volumes are at home again, nobody went."""
     await made.until(lambda v: len(made.homes()) >= 20)
-    await made.begin(Plan("p", ("n0", "n2"), retire="s0"))
+    await made.begin(Plan("p", ("n0", "n2"), retiring_site="s0"))
     await made.until(lambda v: v.plans["p"].step >= 2)
-    await made.word("p", Stage.BACK)
-    await made.until(lambda v: v.plans["p"].stage is Stage.UNDONE)
+    await made.word("p", PlanStage.ROLLING_BACK)
+    await made.until(lambda v: v.plans["p"].stage is PlanStage.ROLLED_BACK)
     await made.until(lambda v: all(h.site == h.origin for h in made.homes().values()))
     assert {h.moves for h in made.homes().values()} == {0, 2} and made.most_out() == 0
     assert [one.starts for one in made.cluster.instances] == [1, 1, 1, 1]
@@ -749,12 +815,12 @@
 async def drained(made: Fleet, *faults: tuple[str, bool, float]) -> None:
     """Boxes are taken away one after the other of a kind, as long as all members agree."""
     names = ("box0", "box1", "box4", "box5")
-    await made.begin(Plan("p", (), most=2, boxes=names))
+    await made.begin(Plan("p", (), max_out=2, nodes=names))
     await made.until(lambda v: len(v.plans["p"].released) >= 1)
     leads = await made.coordinator()
     other = (leads + 1) % made.setting.size
     await asyncio.gather(*(made.fault(what, leads if lead else other, lasts) for what, lead, lasts in faults))
-    seen = await made.until(lambda v: v.plans["p"].stage is Stage.DONE)
+    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
     assert sorted(made.replaced) == sorted(names) == sorted(seen.plans["p"].released) and not seen.drains
     assert made.most_out() <= len(faults)
     nobody_lost_anything(made)
@@ -764,22 +830,22 @@
     """A member that cannot hear of a drain still sends there: the box is not taken away before it can."""
     who = (await made.coordinator() + 1) % made.setting.size
     made.proxies[who].part()
-    await made.until(lambda v: v.members[f"n{who}"].state is State.SILENT)
-    await made.begin(Plan("p", (), boxes=("box0",)))
+    await made.until(lambda v: v.members[f"n{who}"].state is MemberState.SILENT)
+    await made.begin(Plan("p", (), nodes=("box0",)))
     await made.until(
-        lambda v: node_drain.waits_for(v, v.drains["box0"]) == [f"n{who}"] if v.drains else False
+        lambda v: node_drain.unacknowledged_by(v, v.drains["box0"]) == [f"n{who}"] if v.drains else False
     )
     asked = made.boxes.asked
     await asyncio.sleep(1)
     assert made.boxes.asked > asked and not made.replaced
     made.proxies[who].heal()
-    await made.until(lambda v: v.plans["p"].stage is Stage.DONE)
+    await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
     nobody_lost_anything(made)
 
 
 async def dead(made: Fleet) -> None:
     """A member that never comes back holds its plan up until an operator says that it is gone."""
-    await made.begin(plan("p", 3, to="2", before="1"))
+    await made.begin(plan("p", 3, target="2", previous="1"))
     await made.until(lambda v: v.plans["p"].released)
     leads = await made.coordinator()
     last = f"n{2 - (leads == 2)}"
@@ -787,12 +853,12 @@
     await made.fault("kill", int(last[1:]))
     with pytest.raises(PlanError, match="only who is out"):
         await made.forget("n0")
-    await made.until(lambda v: v.members[last].state is State.SILENT)
-    assert (await made.look()).plans["p"].stage is not Stage.DONE
+    await made.until(lambda v: v.members[last].state is MemberState.SILENT)
+    assert (await made.look()).plans["p"].stage is not PlanStage.DONE
     await made.forget(last)
-    if (await made.look()).plans["p"].stage is Stage.HALTED:
-        await made.word("p", Stage.RUNNING)
-    seen = await made.until(lambda v: v.plans["p"].stage is Stage.DONE)
+    if (await made.look()).plans["p"].stage is PlanStage.HALTED:
+        await made.word("p", PlanStage.RUNNING)
+    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
     assert len(seen.plans["p"].released) == 2 and last not in seen.members
 
 
@@ -802,15 +868,16 @@
     first, then = (i for i in range(3) if i != leads)
     made.parts = {f"n{first}": "first", f"n{then}": "then", f"n{leads}": "coordinator"}
     made.held.add(first)
-    await made.begin(Plan("p", (f"n{first}", f"n{then}", f"n{leads}"), to="2", before="1"))
-    await made.until(lambda v: f"n{first}" in v.tickets and v.tickets[f"n{first}"].going)
-    life = (await made.look()).members[f"n{leads}"].life
+    await made.begin(Plan("p", (f"n{first}", f"n{then}", f"n{leads}"), target="2", previous="1"))
+    await made.until(lambda v: f"n{first}" in v.tickets and v.tickets[f"n{first}"].used)
+    life = (await made.look()).members[f"n{leads}"].incarnation
     await made.fault("kill", leads)
     await made.until(
-        lambda v: v.members[f"n{leads}"].life > life and v.members[f"n{leads}"].state is State.READY
+        lambda v: v.members[f"n{leads}"].incarnation > life
+        and v.members[f"n{leads}"].state is MemberState.READY
     )
     made.held.clear()
-    await made.until(lambda v: v.plans["p"].stage is Stage.DONE)
+    await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
     assert made.most_out() <= 2
 
 
@@ -822,17 +889,17 @@
     for i, file in enumerate(files):
         file.with_name("config.json.7").write_bytes(old[i])
         file.with_name("config.json.8").write_bytes(new[i] if i != 1 else b"{")
-    of: dict[str, Any] = {"settings": True, "to": "8", "before": "7"}
+    of: dict[str, Any] = {"settings": True, "target": "8", "previous": "7"}
     await made.begin(plan("p", 3, **of))
-    seen = await made.until(lambda v: v.plans["p"].stage is Stage.HALTED)
-    assert seen.plans["p"].released == ("n0",) and "n1 did not take on 8" in seen.plans["p"].why
+    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.HALTED)
+    assert seen.plans["p"].released == ("n0",) and "n1 did not take on 8" in seen.plans["p"].reason
     assert [file.read_bytes() for file in files] == [new[0], old[1], old[2]]
-    await made.word("p", Stage.BACK)
-    await made.until(lambda v: v.plans["p"].stage is Stage.UNDONE)
+    await made.word("p", PlanStage.ROLLING_BACK)
+    await made.until(lambda v: v.plans["p"].stage is PlanStage.ROLLED_BACK)
     assert [file.read_bytes() for file in files] == old
     files[1].with_name("config.json.8").write_bytes(new[1])
     await made.begin(plan("q", 3, **of))
-    await made.until(lambda v: v.plans["q"].stage is Stage.DONE)
+    await made.until(lambda v: v.plans["q"].stage is PlanStage.DONE)
     assert [file.read_bytes() for file in files] == new and made.most_out() == 0
     assert [one.starts for one in made.cluster.instances] == [1, 1, 1]
     logs = [(one.folder / "log.1").read_text() for one in made.cluster.instances]
@@ -882,10 +949,10 @@
     for who in range(made.setting.size):
         seen = await made.look()
         await made.fault("kill", who)
-        before = seen.members[f"n{who}"].life
+        before = seen.members[f"n{who}"].incarnation
 
-        def again(v: View, name: str = f"n{who}", before: int = before) -> bool:
-            return v.members[name].life > before and not planner.out(v)
+        def again(v: FleetView, name: str = f"n{who}", before: int = before) -> bool:
+            return v.members[name].incarnation > before and not planner.members_out(v)
 
         await made.until(again)
     await made.fault("pause", await made.coordinator(), 2.5)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -12,21 +12,21 @@
 from sabledyke.errors import OperatorError
 from sabledyke.placement import evacuation, section, volume_placement
 from sabledyke.placement.volume_placement import Home, Map
-from sabledyke.rollout.fleet_view import View
-from sabledyke.rollout.records import STEPS, Member, Plan, Stage, State
+from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.records import EVACUATION_STEPS, Member, MemberState, Plan, PlanStage
 
 NAMES = ("a", "b", "c", "d")
 FAR = {("a", "b"): 1.0, ("a", "c"): 1.0, ("a", "d"): 5.0, ("b", "c"): 2.0, ("b", "d"): 4.0, ("c", "d"): 4.0}
 DISTANCE = FAR | {(y, x): ms for (x, y), ms in FAR.items()}
-World = tuple[View, dict[str, Home], dict[str, float], Map]
+World = tuple[FleetView, dict[str, Home], dict[str, float], Map]
 
 
 def world(volumes: int = 400) -> World:
     """Four sites of three members each, and volumes that are at home in a member of theirs."""
-    seen, made = View(50), dict[str, Home]()
+    seen, made = FleetView(50), dict[str, Home]()
     for i, site in enumerate(NAMES):
         for k in range(3):
-            seen.members[f"{site}{k}"] = Member(f"{site}{k}", 1, "1", site, State.READY, 3 * i + k + 1)
+            seen.members[f"{site}{k}"] = Member(f"{site}{k}", 1, "1", site, MemberState.READY, 3 * i + k + 1)
     random = Random(3)
     for n in range(volumes):
         name, site = f"{n:016x}", NAMES[n % 4]
@@ -35,7 +35,7 @@
     return seen, made, loads, Map(dict.fromkeys(NAMES, 1e9), DISTANCE)
 
 
-def shifts(plan: Plan, seen: View, made: dict[str, Home], loads: dict[str, float], where: Map) -> None:
+def shifts(plan: Plan, seen: FleetView, made: dict[str, Home], loads: dict[str, float], where: Map) -> None:
     """All that this step moves, an append after the other."""
     while (moves := evacuation.shift(plan, seen, made, loads, where)) is not None:
         made.update((home.name, home) for home in moves.homes)
@@ -43,20 +43,20 @@
 
 def play(plan: Plan, *of: Any) -> Plan:
     """All shifts and steps that can be, as if each were written at once."""
-    for _ in range(2 * STEPS + 4):
+    for _ in range(2 * EVACUATION_STEPS + 4):
         shifts(plan, *of)
         step = evacuation.step(plan, of[0], of[1], 1.0, 1.0, True)
         if step is None:
             return plan
-        assert isinstance(step.writes[0], Plan)
-        plan = step.writes[0]
+        assert isinstance(step.records[0], Plan)
+        plan = step.records[0]
     raise AssertionError("it never ends")
 
 
 def test_each_volume_of_a_retiring_site_moves_once_to_the_nearest_and_back_to_where_it_was() -> None:
     seen, made, loads, where = world()
-    first, sizes, plan = dict(made), list[int](), Plan("p", ("a0", "a1", "a2"), retire="a")
-    for step in range(1, STEPS + 1):
+    first, sizes, plan = dict(made), list[int](), Plan("p", ("a0", "a1", "a2"), retiring_site="a")
+    for step in range(1, EVACUATION_STEPS + 1):
         plan = replace(plan, step=step)
         shifts(plan, seen, made, loads, where)
         sizes.append(sum(h.site == "a" for h in made.values()))
@@ -71,7 +71,7 @@
         if home.site in "bc":
             held[home.member] += loads[home.name]
     assert max(held.values()) < 1.5 * sum(held.values()) / len(held)  # loads are bounded
-    back = play(replace(plan, stage=Stage.BACK), seen, made, loads, where)
+    back = play(replace(plan, stage=PlanStage.ROLLING_BACK), seen, made, loads, where)
     assert back.step == -1 and all(made[n].site == first[n].site for n in made)
     assert all(made[n].moves == 2 for n in moved)
 
@@ -80,28 +80,39 @@
     seen, made, loads, where = world()
     used = {s: sum(loads[n] for n, h in made.items() if h.site == s) for s in NAMES}
     tight = replace(where, room={"a": 1e9, "b": used["b"] + 10, "c": used["c"] + 10, "d": 1e9})
-    plan = play(Plan("p", ("a0",), retire="a"), seen, made, loads, tight)
-    assert plan.step == STEPS + 1 and Counter(h.site for h in made.values())["d"] > 150
+    plan = play(Plan("p", ("a0",), retiring_site="a"), seen, made, loads, tight)
+    assert plan.step == EVACUATION_STEPS + 1 and Counter(h.site for h in made.values())["d"] > 150
     for site in "bc":
         assert sum(loads[n] for n, h in made.items() if h.site == site) <= tight.room[site]
     seen, made, loads, where = world()
     full = replace(where, room=dict.fromkeys(NAMES, 1.0))
-    plan = play(Plan("p", ("a0",), retire="a"), seen, made, loads, full)
+    plan = play(Plan("p", ("a0",), retiring_site="a"), seen, made, loads, full)
     assert plan.step == 1 and sum(h.site == "a" for h in made.values()) == 100  # nobody moved, nothing lost
 
 
 @pytest.mark.parametrize(
     "change",
-    [{"stood": 0.5}, {"well": False}, {"state": State.OUT}, {"stage": Stage.HALTED}, {"step": STEPS + 1}],
+    [
+        {"stood": 0.5},
+        {"well": False},
+        {"state": MemberState.OUT},
+        {"stage": PlanStage.HALTED},
+        {"step": EVACUATION_STEPS + 1},
+    ],
 )
 def test_a_step_waits_for_the_survivors(change: dict[str, Any]) -> None:
     seen, made, _, _ = world(0)
     if "state" in change:
         seen.members["b0"] = replace(seen.members["b0"], state=change["state"])
-    plan = Plan("p", (), retire="a", stage=change.get("stage", Stage.RUNNING), step=change.get("step", 0))
+    plan = Plan(
+        "p", (), retiring_site="a", stage=change.get("stage", PlanStage.RUNNING), step=change.get("step", 0)
+    )
     assert evacuation.step(plan, seen, made, change.get("stood", 1.0), 1.0, change.get("well", True)) is None
-    seen.members["b0"] = replace(seen.members["b0"], state=State.READY)
-    assert evacuation.step(replace(plan, stage=Stage.RUNNING, step=0), seen, made, 1.0, 1.0, True) is not None
+    seen.members["b0"] = replace(seen.members["b0"], state=MemberState.READY)
+    assert (
+        evacuation.step(replace(plan, stage=PlanStage.RUNNING, step=0), seen, made, 1.0, 1.0, True)
+        is not None
+    )
 
 
 def test_rendezvous_moves_only_what_it_must_and_follows_weights() -> None:
