--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -35,9 +35,9 @@
 from sabledyke.compacted_log.sqlite_backend import TableShelf
 from sabledyke.errors import BoardFault
 from sabledyke.lease.manager import boottime
-from sabledyke.rollout import node_drain, planner
+from sabledyke.rollout import disruption_budget, node_drain, planner
+from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.planner import ChangeTracker, Timeouts
 from sabledyke.rollout.records import (
     Drain,
     DrainPhase,
@@ -49,6 +49,7 @@
     PlanStage,
     TicketRequest,
 )
+from sabledyke.rollout.timeouts import Timeouts
 from sabledyke.testbed.fleet_release import Fleet, Setting, plan, play
 
 KEYS, VALUE = 10_000, b"x" * 100
@@ -230,7 +231,7 @@
             while len(fleet.seen[i].downs) == downs:
                 await asyncio.sleep(0.005)
             cycles.append(time.monotonic() - began)
-            await fleet.until(lambda v: not planner.members_out(v))
+            await fleet.until(lambda v: not disruption_budget.members_out(v))
         began = time.monotonic()
         await fleet.begin(plan("p", size))
         await fleet.until(lambda v: v.plans["p"].stage is PlanStage.DONE, 600)
--- a/sabledyke/cli/fleet.py
+++ b/sabledyke/cli/fleet.py
@@ -13,13 +13,13 @@
 from sabledyke.compacted_log.client import Board
 from sabledyke.compacted_log.reader import Follower
 from sabledyke.errors import Fault, PlanError
-from sabledyke.placement.evacuation_driver import LOADS
 from sabledyke.quota_sharing.allocation import TOPIC
-from sabledyke.rollout import commands, node_drain, planner
+from sabledyke.rollout import commands, disruption_budget, node_drain, plan_changes, release_order
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.planner import Move
+from sabledyke.rollout.heartbeats import LOAD_KEY_PREFIX
+from sabledyke.rollout.moves import Move
+from sabledyke.rollout.plan_file import load_plan
 from sabledyke.rollout.records import EVACUATION_STEPS, HEARTBEATS_TOPIC, DrainPhase, Plan, PlanStage
-from sabledyke.rollout.section import load_plan
 from sabledyke.toml_tables import section_from
 
 STAGES = {"halt": PlanStage.HALTED, "resume": PlanStage.RUNNING, "back": PlanStage.ROLLING_BACK}
@@ -51,7 +51,8 @@
             return
         move = await commands.apply(board, reader, lambda seen: _wanted(said, seen, plan))
         if said["forget"]:
-            await registers.drop(board.shelf, HEARTBEATS_TOPIC, [said["MEMBER"], f"{LOADS}{said['MEMBER']}"])
+            keys = [said["MEMBER"], f"{LOAD_KEY_PREFIX}{said['MEMBER']}"]
+            await registers.drop(board.shelf, HEARTBEATS_TOPIC, keys)
             await registers.drop(board.shelf, TOPIC, [said["MEMBER"]])
         print(move.description)
     finally:
@@ -60,7 +61,7 @@
 
 def _wanted(said: Mapping[str, Any], seen: FleetView, plan: Plan | None) -> Move:
     if said["forget"]:
-        return planner.forget_member(said["MEMBER"], seen)
+        return plan_changes.forget_member(said["MEMBER"], seen)
     new = _plan(said, seen, plan)
     return Move(f"plan {new.name}: {new.stage.value}", (new,), expected_end=seen.next_offset)
 
@@ -70,19 +71,20 @@
         if plan.retiring_site:  # all that is there now
             here = (m.name for m in seen.members.values() if m.site == plan.retiring_site)
             plan = replace(plan, members=tuple(sorted(here)))
-        planner.validate(plan, seen)
+        plan_changes.validate(plan, seen)
         return plan
     said_is = next(name for name in STAGES if said[name])
     known = seen.plans.get(said["PLAN"])
     if known is None:
         raise PlanError(f"there is no plan {said['PLAN']}")
-    return planner.change_stage(known, STAGES[said_is], "by an operator")
+    return plan_changes.change_stage(known, STAGES[said_is], "by an operator")
 
 
 def status(seen: FleetView) -> list[str]:
     """Members, tickets and plans, a line each."""
     epoch = f"{seen.epoch.name}, token {seen.epoch.token}" if seen.epoch else "nobody yet"
-    lines = [f"coordinator: {epoch}; {len(planner.members_out(seen))} of {len(seen.members)} out or going"]
+    out = len(disruption_budget.members_out(seen))
+    lines = [f"coordinator: {epoch}; {out} of {len(seen.members)} out or going"]
     for _, m in sorted(seen.members.items()):
         ticket = seen.tickets.get(m.name)
         told = f", ticket of {ticket.plan}{', going' if ticket.used else ''}" if ticket else ""
@@ -95,7 +97,7 @@
         why = f" ({p.reason})" if p.reason else ""
         if p.retiring_site:
             why += f", site {p.retiring_site} retires, step {p.step} of {EVACUATION_STEPS}"
-        if mute := [name for name in planner.remaining_members(p) if name in p.deferred]:
+        if mute := [name for name in release_order.remaining_members(p) if name in p.deferred]:
             why += f", no ask in their turn: {', '.join(mute)}"
         done = f"{len(p.released)} of {len(p.nodes or p.members)} released, most {p.max_out}"
         lines.append(f"plan {p.name}: {p.stage.value}{why}, {done}")
--- a/sabledyke/placement/evacuation.py
+++ b/sabledyke/placement/evacuation.py
@@ -20,7 +20,7 @@
 from sabledyke.compacted_log.records import BATCH, Message
 from sabledyke.placement.volume_placement import Home, Map, destination, leaves, member
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.planner import Move
+from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import EVACUATION_STEPS, MemberState, Plan, PlanStage
 
 HOMES = "homes"  # the topic
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -16,12 +16,12 @@
 from sabledyke.placement.evacuation import HOMES, Shift
 from sabledyke.placement.volume_placement import Map
 from sabledyke.rollout.canary_analysis import AnswerCount, Baseline, is_worse
+from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.planner import ChangeTracker, Move, Timeouts
+from sabledyke.rollout.heartbeats import decode_loads
+from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import MemberState, Plan
-
-LOADS = "load/"  # keys of the members' loads, among their beats
-MOST_LOADS = 400  # volumes that one member tells of
+from sabledyke.rollout.timeouts import Timeouts
 
 
 class SiteKeeper:
@@ -51,11 +51,7 @@
             self._base, self._stepped = Baseline(), ("", 0)
         await self._board.catch_up(HOMES, self._reader)
         homes, total = evacuation.read(self._reader.state), dict[str, float]()
-        loads: dict[str, dict[str, float]] = {
-            name.removeprefix(LOADS): orjson.loads(value)
-            for name, value in signs.items()
-            if name.startswith(LOADS)
-        }
+        loads = decode_loads(signs)
         for some in loads.values():
             for volume, load in some.items():
                 total[volume] = total.get(volume, 0.0) + load
--- a/sabledyke/rollout/canary_analysis.py
+++ b/sabledyke/rollout/canary_analysis.py
@@ -1,8 +1,8 @@
-"""Do released members fail more than those not released? Pure: told counts, says yes or no.
+"""Whether released members fail more than those that are not released yet. Pure.
 
-A one-sided two-proportion test at ``Z``, far out because it is asked again and again while a release runs:
-noise alone halts fewer than one plan in a hundred (a test counts it). A difference must also matter:
-``LEAST`` of all answers, and ``ENOUGH`` answers on either side.
+A one-sided two-proportion test, whose threshold is far out because it is repeated while a release runs:
+noise alone halts fewer than one plan in a hundred (a test counts it). A difference must also matter, and
+either side must have answered enough requests.
 """
 
 from __future__ import annotations
@@ -13,12 +13,17 @@
 
 from sabledyke.rollout.records import Plan
 
-Z, LEAST, ENOUGH = 4.5, 0.02, 200
+Z_THRESHOLD = 4.5
+"""Standard deviations that the difference of the failure rates must exceed."""
+MIN_RATE_DIFFERENCE = 0.02
+"""Difference of the failure rates, as a fraction of all answers, below which nothing is concluded."""
+MIN_ANSWERS = 200
+"""Answers of either side below which nothing is concluded."""
 
 
 @dataclass(slots=True, frozen=True)
 class AnswerCount:
-    """Answers of one life so far, and how many of them were refusals or failures."""
+    """Answers of one incarnation so far, and how many of them were rejections or failures."""
 
     incarnation: int
     answered: int
@@ -26,44 +31,60 @@
 
 
 def is_worse(released: tuple[int, int], others: tuple[int, int]) -> bool:
-    """(answered, bad) of each side."""
-    (n, x), (m, y) = released, others
-    if n < ENOUGH or m < ENOUGH or x / n - y / m < LEAST:
+    """Return whether the released side fails more than the others; each side is (answered, failed)."""
+    answered, failed = released
+    others_answered, others_failed = others
+    if answered < MIN_ANSWERS or others_answered < MIN_ANSWERS:
         return False
-    mean = (x + y) / (n + m)
-    spread = sqrt(mean * (1 - mean) * (1 / n + 1 / m))
-    return spread > 0 and (x / n - y / m) / spread > Z
+    difference = failed / answered - others_failed / others_answered
+    if difference < MIN_RATE_DIFFERENCE:
+        return False
+    mean = (failed + others_failed) / (answered + others_answered)
+    deviation = sqrt(mean * (1 - mean) * (1 / answered + 1 / others_answered))
+    return deviation > 0 and difference / deviation > Z_THRESHOLD
 
 
 class Baseline:
-    """Counts of each life when it was first seen: what came before a plan is not held against anybody."""
+    """Counts of each incarnation when it was first seen: what came before a plan is held against nobody."""
 
     def __init__(self) -> None:
         self._first: dict[str, AnswerCount] = {}
 
     def since_first_seen(self, counts: Mapping[str, AnswerCount]) -> dict[str, tuple[int, int]]:
-        """Answered and bad of each member since then; a new life counts from its start."""
-        out = {}
+        """Return (answered, failed) by member since then; a new incarnation counts from its start."""
+        since = {}
         for name, count in counts.items():
-            first = self._first.get(name)
-            if first is None:
-                self._first[name] = first = count
-            elif first.incarnation != count.incarnation:
-                self._first[name] = first = AnswerCount(count.incarnation, 0, 0)
-            out[name] = count.answered - first.answered, count.failed - first.failed
+            first = self._first_count(name, count)
+            since[name] = (count.answered - first.answered, count.failed - first.failed)
         self._first = {name: first for name, first in self._first.items() if name in counts}
-        return out
+        return since
+
+    def _first_count(self, name: str, count: AnswerCount) -> AnswerCount:
+        first = self._first.get(name)
+        if first is None:
+            first = count
+        elif first.incarnation != count.incarnation:
+            first = AnswerCount(count.incarnation, 0, 0)
+        self._first[name] = first
+        return first
 
 
 def failing_plans(plans: Iterable[Plan], since: Mapping[str, tuple[int, int]]) -> list[str]:
-    """Names of plans whose released members do worse than the members that they have yet to release."""
-    bad = []
+    """Return the names of plans whose released members fail more than those that are yet to be released.
+
+    Args:
+        plans: Plans that are under way.
+        since: (answered, failed) by member, see ``Baseline``.
+    """
+    failing = []
     for plan in plans:
-        sides = [(0, 0), (0, 0)]
-        for name in plan.members:
-            n, x = since.get(name, (0, 0))
-            side = name not in plan.released
-            sides[side] = sides[side][0] + n, sides[side][1] + x
-        if is_worse(sides[0], sides[1]):
-            bad.append(plan.name)
-    return bad
+        released = _total(since, (name for name in plan.members if name in plan.released))
+        others = _total(since, (name for name in plan.members if name not in plan.released))
+        if is_worse(released, others):
+            failing.append(plan.name)
+    return failing
+
+
+def _total(since: Mapping[str, tuple[int, int]], names: Iterable[str]) -> tuple[int, int]:
+    counts = [since[name] for name in names if name in since]
+    return sum(answered for answered, _ in counts), sum(failed for _, failed in counts)
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -1,6 +1,6 @@
-"""What an operator says of a fleet: decided by all that was said so far, and anew where something crossed it.
+"""Moves of an operator: decided by the current view, and decided anew where another write came between.
 
-Told: a board, a reader of it, and what to decide by the view. Used by the command line, and by experiments.
+Used by the command line and by experiments.
 """
 
 from __future__ import annotations
@@ -12,41 +12,60 @@
 from sabledyke.compacted_log.records import Draft
 from sabledyke.errors import BoardFault, Conflict
 from sabledyke.rollout.fleet_view import FleetView, view_of
-from sabledyke.rollout.planner import Move
+from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import encode, key_of
 from sabledyke.rollout.records import FLEET_TOPIC
 
-OPERATOR = "operator"  # the writer's name
+OPERATOR = "operator"
+"""Name of the writer."""
 
 
 async def append_move(pen: Pen, move: Move) -> None:
-    """Carry out a move on the board; Conflict where it no longer stands, StaleWriter under an older token."""
+    """Write a move to the log.
+
+    Raises:
+        Conflict: What the move rests on no longer stands.
+        StaleWriter: Another writer holds a later token.
+    """
     drafts = [Draft(key_of(record), encode(record)) for record in move.records]
-    drafts += [Draft(name, None) for name in move.deleted_keys]
+    drafts += [Draft(key, None) for key in move.deleted_keys]
     await pen.append(drafts, dict(move.expected_offsets), move.expected_end)
 
 
 async def read_view(board: Board, reader: Follower) -> FleetView:
-    """The fleet as it stands."""
+    """Read the log to its end, and return all records that hold there."""
     await board.catch_up(FLEET_TOPIC, reader)
     return view_of(reader.state, reader.position)
 
 
-async def apply(board: Board, reader: Follower, decide: Callable[[FleetView], Move], again: int = 0) -> Move:
-    """The move that was written.
+async def apply(
+    board: Board, reader: Follower, decide: Callable[[FleetView], Move], retries: int = 0
+) -> Move:
+    """Write the move that is decided by the current view, and return it.
 
-    After a BoardFault it may have been written; it is asked for ``again`` so many times, and taken once. What
-    ``decide`` raises ends it.
+    Args:
+        board: The log.
+        reader: A reader of the fleet's topic.
+        decide: Called with the view, again after a conflict; what it raises ends the call.
+        retries: How often one move is tried again after a BoardFault, after which it may have been written;
+            it takes effect once.
     """
     while True:
         move = decide(await read_view(board, reader))
-        pen = await board.claim(FLEET_TOPIC, OPERATOR)  # another operator's word since then shuts nobody out
-        for left in reversed(range(again + 1)):
-            try:
-                await append_move(pen, move)
-                return move
-            except Conflict:
-                break  # the fleet has moved on: look again
-            except BoardFault:
-                if not left:
-                    raise
+        pen = await board.claim(FLEET_TOPIC, OPERATOR)  # takes over from an operator that wrote before
+        if await _written(pen, move, retries):
+            return move
+
+
+async def _written(pen: Pen, move: Move, retries: int) -> bool:
+    """Return whether the move was written; False where it is to be decided anew."""
+    for retries_left in reversed(range(retries + 1)):
+        try:
+            await append_move(pen, move)
+            return True
+        except Conflict:
+            return False
+        except BoardFault:
+            if not retries_left:
+                raise
+    raise AssertionError("the last attempt returns or raises")
--- a/sabledyke/rollout/configuration_switch.py
+++ b/sabledyke/rollout/configuration_switch.py
@@ -1,8 +1,7 @@
-"""Files that a plan has a member write: settings in the place of others, and which version to start next.
+"""Files that a plan has a member write: its settings, and the version to start next.
 
-Beside the file that ``GW_CONFIG`` names stand those that a plan may name, each with its label behind a dot:
-``config.json.8``. Told: the file, a label, and how to have it read; knows no board and no plan. What was in
-force is put back where the new one is not taken.
+Beside the settings file that ``GW_CONFIG`` names stand those that a plan may name, each with its label after
+a dot: ``config.json.8``.
 """
 
 from __future__ import annotations
@@ -13,43 +12,87 @@
 
 from sabledyke.errors import WantsFault
 
+RETIRED_VERSION = "gone"
+"""What the version file says of a member that has retired, and is not to be started again."""
+
 
 def switch_settings(path: str, label: str, reload: Callable[[], str]) -> str:
-    """Put the file of this label in force; "" where it is, else why not, in one line. Done twice it changes
-    nothing.
+    """Put the settings of a label in force, and the former ones back where they are not accepted.
+
+    Switching twice to one label changes nothing.
+
+    Args:
+        path: The settings file, "" for none.
+        label: Suffix of the file to put in its place.
+        reload: Has the settings file read; returns "", or why it was not accepted.
+
+    Returns:
+        "" where the settings are in force, else the reason in one line.
     """
-    if not path or "/" in label:
-        return "no file of settings is named" if not path else f"{label} is no label"
-    here, new = Path(path), Path(f"{path}.{label}")
+    if not path:
+        return "no file of settings is named"
+    if "/" in label:
+        return f"{label} is no label"
+    settings_file = Path(path)
     try:
-        before = here.read_bytes()
-        write_atomically(here, new.read_bytes())
-        why = reload()
-        if why:
-            write_atomically(here, before)
-        return why
+        former = settings_file.read_bytes()
+        write_atomically(settings_file, Path(f"{path}.{label}").read_bytes())
+        reason = reload()
+        if reason:
+            write_atomically(settings_file, former)
+        return reason
     except OSError as fault:
         return f"{fault.filename}: {fault.strerror}"
 
 
+class VersionFile:
+    """The file that says which version to start next, for whoever starts this member."""
+
+    def __init__(self, path: str) -> None:
+        """Use the file at this path; "" for none, in which case nothing is announced."""
+        self._path = Path(path) if path else None
+
+    def read(self) -> str | None:
+        """Return what the file says, "" before it is first written; None where there is no such file."""
+        if self._path is None:
+            return None
+        return self._path.read_text().strip() if self._path.exists() else ""
+
+    def announce(self, version: str) -> None:
+        """Have the file say which version is to be started next; "" leaves it as it is.
+
+        Raises:
+            WantsFault: It cannot be written.
+        """
+        self._write(version, write_atomically)
+
+    def check_writable(self, version: str) -> None:
+        """Check that ``announce`` could write the file.
+
+        Raises:
+            WantsFault: It could not.
+        """
+        self._write(version, _prepare)
+
+    def _write(self, version: str, write: Callable[[Path, bytes], object]) -> None:
+        if self._path is None or not version:
+            return
+        try:
+            write(self._path, f"{version}\n".encode())
+        except OSError as fault:
+            raise WantsFault(f"{fault.filename}: {fault.strerror}") from None
+
+
 def write_atomically(path: Path, data: bytes) -> None:
-    """Whole or not at all, also where the machine dies."""
-    os.replace(prepare(path, data), path)
+    """Replace a file as a whole or not at all, also where the machine fails."""
+    os.replace(_prepare(path, data), path)
 
 
-def prepare(path: Path, data: bytes) -> Path:
-    """All but the last step: that there is room for it, and a right to write it, is known from here on."""
+def _prepare(path: Path, data: bytes) -> Path:
+    """Do all but the last step: from here on it is known that there is space, and permission to write."""
     work = path.with_name(f"{path.name}.working")
     with open(work, "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
     return work
-
-
-def announce_version(path: Path, version: str, *, ready: bool = False) -> None:
-    """Have the file say which version to start next; ``ready``: see that it could. A WantsFault where not."""
-    try:
-        (prepare if ready else write_atomically)(path, f"{version}\n".encode())
-    except OSError as fault:
-        raise WantsFault(f"{fault.filename}: {fault.strerror}") from None
--- /dev/null
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -0,0 +1,150 @@
+"""Drives the coordinator while this process holds its lease: writes planners' moves, and cleans topics."""
+
+from __future__ import annotations
+
+from math import inf
+
+from sabledyke import log
+from sabledyke.application.extensions import Host
+from sabledyke.compacted_log import registers
+from sabledyke.compacted_log.client import Board, Pen
+from sabledyke.compacted_log.section import Section as BoardSection
+from sabledyke.errors import Conflict
+from sabledyke.lease.manager import Keeper, boottime
+from sabledyke.placement.evacuation import HOMES
+from sabledyke.placement.evacuation_driver import SiteKeeper
+from sabledyke.rollout import node_drain, planner
+from sabledyke.rollout.canary_analysis import Baseline, failing_plans
+from sabledyke.rollout.change_tracker import ChangeTracker, tracked_values
+from sabledyke.rollout.commands import append_move
+from sabledyke.rollout.fleet_log import FleetLog
+from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.heartbeats import decode_heartbeats
+from sabledyke.rollout.moves import Move
+from sabledyke.rollout.node_list import NodeList
+from sabledyke.rollout.records import FLEET_TOPIC, HEARTBEATS_TOPIC
+from sabledyke.rollout.timeouts import Timeouts
+
+COORDINATOR = "coordinator"
+"""Name of the writer."""
+
+
+class CoordinatorDriver:
+    """What this process does as the coordinator; it decides nothing.
+
+    What was observed is begun anew with each token, as it was observed under another lease.
+    """
+
+    def __init__(
+        self,
+        host: Host,
+        name: str,
+        board: Board,
+        board_section: BoardSection,
+        fleet_log: FleetLog,
+        lease: Keeper,
+        nodes: NodeList,
+        sites: SiteKeeper | None,
+        heartbeat_interval_ms: float,
+    ) -> None:
+        """Create a driver that holds no lease yet.
+
+        Args:
+            host: The server around it.
+            name: Name of this coordinator, different in each incarnation.
+            board: The log.
+            board_section: The operator's section of the log.
+            fleet_log: The fleet's topic as this process reads it.
+            lease: The coordinator's lease.
+            nodes: Storage nodes as discovery has them.
+            sites: Drives evacuations; None where the operator names no sites.
+            heartbeat_interval_ms: Between heartbeats of a member.
+        """
+        self.timeouts = Timeouts()
+        self._host = host
+        self._name = name
+        self._board = board
+        self._board_section = board_section
+        self._fleet_log = fleet_log
+        self._lease = lease
+        self._nodes = nodes
+        self._sites = sites
+        self._heartbeat_interval_ms = heartbeat_interval_ms
+        self._token = 0
+        self._pen: Pen | None = None
+        self._tracker = ChangeTracker()
+        self._baseline = Baseline()
+        self._registers: dict[str, bytes] = {}
+        self._registers_read_at_ms = -inf
+
+    async def step(self) -> None:
+        """Write moves until none is left to decide.
+
+        Raises:
+            Lost: The lease is another's.
+        """
+        if self._host.leaving():
+            return
+        pen = self._pen_of(self._lease.token())
+        await self._read_registers()
+        for _ in range(self._fleet_log.record_count + 1):
+            view = await self._fleet_log.read()
+            now_ms = boottime()
+            move = self._decide(view, now_ms)
+            if move is None and self._sites is not None:
+                self._lease.token()
+                done = await self._sites.turn(
+                    view, self._token, self._registers, now_ms, self._tracker, self.timeouts
+                )
+                if isinstance(done, str):
+                    log.say("fleet", done, token=self._token)
+                    continue
+                move = done
+            if move is None:
+                return
+            await self._write(pen, move)
+
+    async def clean_topics(self) -> None:
+        """Compact the topics that the coordinator is responsible for.
+
+        Raises:
+            Lost: The lease is another's.
+        """
+        for topic in (FLEET_TOPIC, HOMES, *self._board_section.topics):
+            await self._board.clean(topic, self._board_section.policy, self._lease.token, boottime)
+
+    def _pen_of(self, token: int) -> Pen:
+        if token != self._token or self._pen is None:
+            self._token = token
+            self._tracker = ChangeTracker()
+            self._baseline = Baseline()
+            self._pen = self._board.pen(FLEET_TOPIC, COORDINATOR, token)
+        return self._pen
+
+    async def _read_registers(self) -> None:
+        if boottime() - self._registers_read_at_ms >= self._heartbeat_interval_ms / 2:
+            self._registers = await registers.read(self._board.shelf, HEARTBEATS_TOPIC)
+            self._registers_read_at_ms = boottime()
+
+    def _decide(self, view: FleetView, now_ms: float) -> Move | None:
+        heartbeats = decode_heartbeats(self._registers)
+        values = {name: heartbeat.values for name, heartbeat in heartbeats.items()}
+        self._tracker.observe(now_ms, tracked_values(view, values))
+        counts = {name: heartbeat.count for name, heartbeat in heartbeats.items()}
+        failing = failing_plans(view.active, self._baseline.since_first_seen(counts))
+        move = planner.decide(view, self._name, self._token, now_ms, self._tracker, self.timeouts, failing)
+        if move is not None:
+            return move
+        if not view.drains and not any(plan.nodes for plan in view.active):
+            return None
+        nodes = self._nodes.by_name()
+        return node_drain.decide(view, self._token, now_ms, self._tracker, self.timeouts, nodes)
+
+    async def _write(self, pen: Pen, move: Move) -> None:
+        """Write a move; after a conflict the next one is decided at once, as a fleet is never still."""
+        self._lease.token()
+        try:
+            await append_move(pen, move)
+        except Conflict:
+            return
+        log.say("fleet", move.description, token=self._token)
--- a/sabledyke/rollout/fleet_view.py
+++ b/sabledyke/rollout/fleet_view.py
@@ -1,4 +1,4 @@
-"""All records of the fleet's topic that hold at one offset."""
+"""All records of the fleet's topic that hold at one offset: what coordinators and members decide by."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class FleetView:
-    """All that holds, up to before ``next``; what a coordinator or a member decides by."""
+    """Records by the name that they are of, as of all offsets below ``next_offset``."""
 
     next_offset: int = 1
     members: dict[str, Member] = field(default_factory=dict)
@@ -36,14 +36,14 @@
 
     @property
     def active(self) -> list[Plan]:
-        """Plans under which somebody may go out, the oldest name first."""
+        """Plans under which somebody may go out, by name."""
         return [plan for _, plan in sorted(self.plans.items()) if plan.stage in ACTIVE_STAGES]
 
-    def offset_of(self, name: str) -> int:
-        """Where a key stands; 0 where it holds nothing."""
-        kind, _, rest = name.partition("/")
-        if name == EPOCH_KEY:
+    def offset_of(self, key: str) -> int:
+        """Return the offset that a key stands at, 0 where it holds nothing."""
+        if key == EPOCH_KEY:
             return self.epoch.offset if self.epoch else 0
+        kind, _, name = key.partition("/")
         tables: Mapping[str, Mapping[str, Record]] = {
             "member": self.members,
             "plan": self.plans,
@@ -52,11 +52,11 @@
             "drain": self.drains,
             "clear": self.acknowledgements,
         }
-        found = tables[kind].get(rest)
+        found = tables[kind].get(name)
         return found.offset if found is not None else 0
 
     def put(self, record: Record) -> None:
-        """It holds from now on."""
+        """Have a record hold from now on, in place of the one under its key."""
         match record:
             case Member():
                 self.members[record.name] = record
@@ -74,10 +74,11 @@
                 self.epoch = record
 
 
-def view_of(state: Mapping[str, Message], next_: int) -> FleetView:
-    """From a reader's state."""
-    made = FleetView(next_)
+def view_of(state: Mapping[str, Message], next_offset: int) -> FleetView:
+    """Return the view of a reader's state, leaving out records that this version does not know."""
+    view = FleetView(next_offset)
     for message in state.values():
-        if (record := decode(message)) is not None:
-            made.put(record)
-    return made
+        record = decode(message)
+        if record is not None:
+            view.put(record)
+    return view
--- /dev/null
+++ b/sabledyke/rollout/member_driver.py
@@ -0,0 +1,219 @@
+"""Drives this process as a member: writes the moves of the participant, and leaves by a used ticket."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from dataclasses import replace
+
+from sabledyke import log
+from sabledyke.application.extensions import Host
+from sabledyke.compacted_log import registers
+from sabledyke.compacted_log.client import Board
+from sabledyke.compacted_log.section import Section as BoardSection
+from sabledyke.config import PREFIX, ConfigError
+from sabledyke.errors import BoardFault, StaleWriter
+from sabledyke.lease.manager import boottime
+from sabledyke.rollout.canary_analysis import AnswerCount
+from sabledyke.rollout.commands import append_move
+from sabledyke.rollout.configuration_switch import RETIRED_VERSION, VersionFile, switch_settings
+from sabledyke.rollout.fleet_log import FleetLog
+from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.heartbeats import LOAD_KEY_PREFIX, VolumeLoads, encode_heartbeat
+from sabledyke.rollout.moves import Move
+from sabledyke.rollout.node_drain import DrainAcknowledger
+from sabledyke.rollout.participant import GOES_OUT, Participant
+from sabledyke.rollout.record_codec import key_of
+from sabledyke.rollout.records import (
+    FLEET_TOPIC,
+    HEARTBEATS_TOPIC,
+    SETTINGS_APPLIED,
+    Member,
+    MemberState,
+    Ticket,
+    TicketRequest,
+)
+from sabledyke.rollout.release_order import current_target
+from sabledyke.rollout.section import Section
+
+READY_POLL_INTERVAL_MS = 10
+"""Between checks of this process's own listeners, while they are not open yet."""
+MAX_REASON_LENGTH = 300
+"""Characters of the reason why settings were not accepted."""
+FINAL_WRITE_TIMEOUT_S = 0.5
+"""For the last record that a member writes."""
+
+
+class MemberDriver:
+    """One incarnation of a member; it decides nothing."""
+
+    def __init__(
+        self,
+        host: Host,
+        section: Section,
+        board: Board,
+        board_section: BoardSection,
+        fleet_log: FleetLog,
+        loads: VolumeLoads | None,
+    ) -> None:
+        """Create a driver that has not joined yet.
+
+        Args:
+            host: The server around it.
+            section: The operator's section of releases.
+            board: The log.
+            board_section: The operator's section of the log, for messages.
+            fleet_log: The fleet's topic as this process reads it.
+            loads: Loads of volumes to publish; None where the operator names no sites.
+        """
+        self._host = host
+        self._section = section
+        self._board = board
+        self._board_section = board_section
+        self._fleet_log = fleet_log
+        self._loads = loads
+        self._name = host.config.name
+        self._settings_file = os.environ.get(f"{PREFIX}CONFIG", "")
+        self._version_file = VersionFile(section.version_file)
+        self._retires = False
+
+    @property
+    def incarnation(self) -> int:
+        """The incarnation that this process has joined as."""
+        return self._pen.writer.life
+
+    async def join(self) -> FleetView | None:
+        """Begin a new incarnation on the log, and return the view that it finds.
+
+        Returns:
+            The view, once all others can know of this incarnation; None where the log does not answer now. A
+            start is not to fail for good because the log stood still for a moment, nor to accept clients
+            before it knows which nodes are drained.
+
+        Raises:
+            ConfigError: Another incarnation of this name took over.
+        """
+        try:
+            await self._board.shelf.open()
+            self._pen = await self._board.claim(FLEET_TOPIC, self._name)
+            heartbeats = await self._board.claim(HEARTBEATS_TOPIC, self._name)
+            self._heartbeats = registers.Register(self._board.shelf, HEARTBEATS_TOPIC, heartbeats.writer)
+            # It writes that it lives before it reads for the first time: see ``node_drain``.
+            await append_move(self._pen, Move("warming", (self._record(MemberState.WARMING),)))
+            return await self._fleet_log.read()
+        except StaleWriter as fault:
+            raise ConfigError(f"board {self._board_section}: {fault}") from None
+        except BoardFault as fault:
+            message = f"{self._name} waits for the board, its listeners are closed: {fault}"
+            log.say("fleet", message, **fault.fields)
+            return None
+
+    def begin(self, view: FleetView) -> bool:
+        """Begin to take part, as of the view that it joined with.
+
+        Returns:
+            Whether this start replaces an incarnation that went out by a ticket.
+        """
+        grace_ms = self._host.config.settings.drain_grace
+        self._participant = Participant(self._name, self.incarnation, self._section.request_validity_ms)
+        self._acknowledger = DrainAcknowledger(self._name, self.incarnation, grace_ms)
+        replaces_released = self._participant.replaces_released(view)
+        unfinished = self._participant.unfinished(view, self._section.version)
+        if unfinished is not None and self._version_file.read() not in (None, unfinished.target):
+            log.say("fleet", f"{self._name} was to come back as {unfinished.target}, and ends once more")
+            self._leave(unfinished)
+        return replaces_released
+
+    async def step(self) -> None:
+        """Publish this member's state, then do what is due: settings, drains, a ticket, or leaving by it."""
+        await self._wait_until_ready()
+        view = await self._fleet_log.read()
+        state = self._state()
+        if self._record_differs(view, state):
+            await append_move(self._pen, Move(state.value, (self._record(state),)))
+            view = await self._fleet_log.read()
+        due = self._participant.due_settings(view)
+        if due is not None:
+            await self._switch_settings(due)
+            return
+        ticket = self._participant.used_ticket(view)
+        if ticket is not None and state is not MemberState.LEAVING:
+            self._leave(ticket)  # its use stands on the log, though the answer to that write was lost
+            return
+        now_ms = boottime()
+        move = self._acknowledger.step(view, now_ms, lambda node: self._host.busy(node.encode()))
+        if move is None and state is MemberState.READY:
+            move = self._participant.step(view, now_ms)
+        if move is not None:
+            await self._write(move, view)
+
+    async def send_heartbeat(self) -> None:
+        """Write the heartbeat, and the loads of volumes since the last one."""
+        answered, failed = self._host.answers()
+        count = AnswerCount(self.incarnation, answered, failed)
+        values = {self._name: encode_heartbeat(count, boottime())}
+        if self._loads is not None:
+            interval_s = self._section.heartbeat_interval_ms / 1000
+            values[f"{LOAD_KEY_PREFIX}{self._name}"] = self._loads.encode_and_reset(interval_s)
+        await self._heartbeats.put(values)
+
+    async def write_final_state(self) -> None:
+        """Write that this member is out, as long as the log answers soon."""
+        try:
+            async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
+                state = MemberState.RETIRED if self._retires else MemberState.OUT
+                await append_move(self._pen, Move("out", (self._record(state),)))
+        except (BoardFault, TimeoutError) as fault:
+            log.say("fleet", f"{self._name} could not say that it is out: {fault or 'no answer'}")
+
+    async def _wait_until_ready(self) -> None:
+        """Wait for one poll interval at most, so that open listeners are published at once."""
+        for _ in range(int(self._section.poll_interval_ms / READY_POLL_INTERVAL_MS)):
+            if self._state() is not MemberState.WARMING:
+                return
+            await asyncio.sleep(READY_POLL_INTERVAL_MS / 1000)
+
+    async def _switch_settings(self, ticket: Ticket) -> None:
+        reason = switch_settings(self._settings_file, ticket.target, self._host.reload)[:MAX_REASON_LENGTH]
+        done = replace(ticket, settings_result=reason or SETTINGS_APPLIED)
+        description = f"settings {ticket.target}: {done.settings_result}"
+        expected = ((key_of(ticket), ticket.offset),)
+        await append_move(self._pen, Move(description, (done,), expected_offsets=expected))
+        log.say("fleet", description, member=self._name)
+
+    async def _write(self, move: Move, view: FleetView) -> None:
+        self._check_version_file(move, view)
+        await append_move(self._pen, move)
+        goes_out = move.description == GOES_OUT
+        message = f"{self._name} goes out" if goes_out else move.description
+        log.say("fleet", message, member=self._name)
+        if goes_out and not view.tickets[self._name].settings:
+            self._leave(view.tickets[self._name])
+
+    def _check_version_file(self, move: Move, view: FleetView) -> None:
+        """Check that the version file can be written, before a ticket is requested that needs it."""
+        for record in move.records:
+            if not isinstance(record, TicketRequest):
+                continue
+            plan = view.plans[record.plan]
+            if not plan.settings:
+                version = RETIRED_VERSION if plan.retiring_site else current_target(plan)
+                self._version_file.check_writable(version)
+
+    def _leave(self, ticket: Ticket) -> None:
+        """Have the server end; the version file says what is started next, or that this member retires."""
+        self._version_file.announce(RETIRED_VERSION if ticket.is_final else ticket.target)
+        self._retires = ticket.is_final
+        self._host.leave()
+
+    def _record(self, state: MemberState) -> Member:
+        return Member(self._name, self.incarnation, self._section.version, self._section.site, state)
+
+    def _record_differs(self, view: FleetView, state: MemberState) -> bool:
+        known = view.members.get(self._name)
+        return known is None or replace(known, offset=0) != self._record(state)
+
+    def _state(self) -> MemberState:
+        if self._host.leaving():
+            return MemberState.LEAVING
+        return MemberState.READY if self._host.ready() else MemberState.WARMING
--- a/sabledyke/rollout/node_drain.py
+++ b/sabledyke/rollout/node_drain.py
@@ -1,22 +1,24 @@
-"""Drains of boxes as plans: which box may go out next, when it is drained, when it is back. Pure.
+"""Drains of storage nodes by plans: which node may go out next, when it is drained, when it is back. Pure.
 
-Told: the view of the board, the coordinator's own list of boxes as discovery tells it, its token and the time
-on its clock. It never knows a socket or what a box says. A box is drained only when every member that may
-live has said, after it took the drain in, that nothing of its is out there; one that is silent may live. It
-is never freed by a timer alone: it is out until it is listed as a later start and warm, or is gone for good.
+The coordinator decides by the view of the log, its own list of nodes as discovery has it, its token and the
+time on its clock. A node is drained only when every member that may live has acknowledged, after it read the
+drain, that it has nothing in flight there; one that is silent may live. A timer alone never frees a node: it
+is out until it is listed as a later start and warm, or is removed for good.
 
-Members say that they live on the board before they read it for the first time, and read it before they take
-a client: a drain that they do not find there was begun after that, and waits for them.
+Members write that they live before they read the log for the first time, and read it before they accept a
+client: a drain that they do not find there was begun after that, and waits for them.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
-from math import floor, inf
+from math import inf
 
+from sabledyke.rollout.change_tracker import ChangeTracker
+from sabledyke.rollout.disruption_budget import max_nodes_out
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.planner import ChangeTracker, Move, Timeouts
+from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import key_of
 from sabledyke.rollout.records import (
     Drain,
@@ -27,195 +29,261 @@
     MemberState,
     Plan,
     PlanStage,
-    Record,
 )
+from sabledyke.rollout.timeouts import Timeouts
 
-Boxes = Mapping[str, ListedNode]
-SHUT = (DrainPhase.LEAVING, DrainPhase.DRAINED)  # takes nothing fresh
-AWAY = (MemberState.OUT, MemberState.RETIRED)  # by its own last word: it has nothing out anywhere
+Nodes = Mapping[str, ListedNode]
+CLOSED_PHASES = (DrainPhase.LEAVING, DrainPhase.DRAINED)
+"""Phases in which a node is sent no new requests."""
+ABSENT_STATES = (MemberState.OUT, MemberState.RETIRED)
+"""States that a member writes itself when it has nothing in flight anywhere."""
+MAX_NAMED_IN_REASON = 3
 
 
-def closed_nodes(seen: FleetView) -> frozenset[str]:
-    """Boxes that members send nothing fresh."""
-    return frozenset(d.name for d in seen.drains.values() if d.phase in SHUT)
+def closed_nodes(view: FleetView) -> frozenset[str]:
+    """Return the nodes that members send no new requests."""
+    return frozenset(drain.name for drain in view.drains.values() if drain.phase in CLOSED_PHASES)
 
 
-def unacknowledged_by(seen: FleetView, drain: Drain) -> list[str]:
-    """Members that have not said that nothing of theirs is out at this box."""
-    return sorted(m.name for m in seen.members.values() if m.state not in AWAY and not _clear(seen, m, drain))
+def unacknowledged_by(view: FleetView, drain: Drain) -> list[str]:
+    """Return the members that have not acknowledged that they have nothing in flight at this node."""
+    return sorted(
+        member.name
+        for member in view.members.values()
+        if member.state not in ABSENT_STATES and not _has_acknowledged(view, member, drain)
+    )
+
 
+def nodes_out(view: FleetView, nodes: Nodes) -> set[str]:
+    """Return the nodes that are out, or may be taken away at any moment."""
+    return {node.name for node in nodes.values() if not node.ready} | set(view.drains)
 
-def _clear(seen: FleetView, member: Member, drain: Drain) -> bool:
-    said = seen.acknowledgements.get(member.name)
-    return said is not None and said.incarnation == member.incarnation and drain.begun_offset in said.drains
+
+def has_capacity(view: FleetView, node: ListedNode, nodes: Nodes) -> bool:
+    """Return whether the budgets of all active plans of nodes let this one go out as well."""
+    out = nodes_out(view, nodes) | {node.name}
+    if len(out) > _max_out(view, nodes, out):
+        return False
+    out_of_zone = sum(name in nodes and nodes[name].zone == node.zone for name in out)
+    limits = [plan.max_out_per_site for plan in view.active if plan.nodes]
+    return all(limit is None or out_of_zone <= limit for limit in limits)
+
+
+def is_last_of_shard(view: FleetView, node: ListedNode, nodes: Nodes) -> bool:
+    """Return whether no other node in service holds this node's shard."""
+    out = nodes_out(view, nodes)
+    return not any(
+        other.shard == node.shard and other.name != node.name and other.name not in out
+        for other in nodes.values()
+    )
+
+
+def decide(
+    view: FleetView, token: int, now_ms: float, tracker: ChangeTracker, timeouts: Timeouts, nodes: Nodes
+) -> Move | None:
+    """Return the coordinator's next move for storage nodes, None where there is none.
+
+    Args:
+        view: All records as of the end of the log.
+        token: Fencing token of the coordinator's lease.
+        now_ms: Time on its own clock.
+        tracker: For how long things have stood still on that clock.
+        timeouts: How long it waits for what.
+        nodes: The nodes as its own list has them.
+    """
+    move = _DrainPlanner(view, token, now_ms, tracker, timeouts, nodes).next_move()
+    return replace(move, expected_end=view.next_offset) if move is not None else None
 
 
 @dataclass(slots=True)
 class DrainAcknowledger:
-    """One member's side: since when it has sent a box nothing fresh; ``grace`` ms after that it counts.
+    """One member's side: acknowledges drains of nodes at which it has nothing in flight.
+
+    A drain may be acknowledged ``grace_ms`` after this member stopped sending new requests. Within the grace
+    it may still send what no other node can serve.
 
-    In the grace the module may still send what no other box can serve. Entries end with their drains.
+    Attributes:
+        name: The member's name.
+        incarnation: Its incarnation.
+        grace_ms: Time after which a closed node counts as closed.
+        closed_since_ms: When this member closed each node, by the offset at which its drain began; entries
+            end with their drains.
     """
 
     name: str
     incarnation: int
     grace_ms: float
-    closed_since_ms: dict[int, float] = field(default_factory=dict)  # by drain
+    closed_since_ms: dict[int, float] = field(default_factory=dict)
 
-    def step(self, seen: FleetView, now: float, busy: Callable[[str], bool]) -> Move | None:
-        """What to say of the drains that hold, where that is not what the board says; ``busy``: something of
-        this member's is out at that box.
+    def step(self, view: FleetView, now_ms: float, busy: Callable[[str], bool]) -> Move | None:
+        """Return the acknowledgement of the drains that hold, None where the log has it already.
+
+        Args:
+            view: The fleet's records.
+            now_ms: Time on this member's clock.
+            busy: Returns whether this member has something in flight at a node.
         """
-        closed = [drain for _, drain in sorted(seen.drains.items()) if drain.phase in SHUT]
-        self.closed_since_ms = {d.begun_offset: self.closed_since_ms.get(d.begun_offset, now) for d in closed}
-        after = {
-            d.begun_offset: now - self.closed_since_ms[d.begun_offset] for d in closed
-        }  # 0 at the look that took it in
-        done = [d for d in closed if 0 < after[d.begun_offset] >= self.grace_ms and not busy(d.name)]
-        mine = DrainAcknowledgement(self.name, self.incarnation, tuple(d.begun_offset for d in done))
-        known = seen.acknowledgements.get(self.name)
-        if (known.incarnation, known.drains) == (mine.incarnation, mine.drains) if known else not mine.drains:
+        closed = [drain for _, drain in sorted(view.drains.items()) if drain.phase in CLOSED_PHASES]
+        self.closed_since_ms = {
+            drain.begun_offset: self.closed_since_ms.get(drain.begun_offset, now_ms) for drain in closed
+        }
+        done = [drain for drain in closed if self._grace_is_over(drain, now_ms) and not busy(drain.name)]
+        offsets = tuple(drain.begun_offset for drain in done)
+        if offsets == self._acknowledged(view):
             return None
-        return Move(f"{self.name} has nothing out at {', '.join(d.name for d in done) or 'no box'}", (mine,))
-
-
-def nodes_out(seen: FleetView, boxes: Boxes) -> set[str]:
-    """Boxes that are out, or may be taken away at any moment."""
-    return {b.name for b in boxes.values() if not b.ready} | set(seen.drains)
+        names = ", ".join(drain.name for drain in done) or "no box"
+        acknowledgement = DrainAcknowledgement(self.name, self.incarnation, offsets)
+        return Move(f"{self.name} has nothing out at {names}", (acknowledgement,))
+
+    def _grace_is_over(self, drain: Drain, now_ms: float) -> bool:
+        closed_ms = now_ms - self.closed_since_ms[drain.begun_offset]
+        return closed_ms > 0 and closed_ms >= self.grace_ms  # never at the step that closed the node
+
+    def _acknowledged(self, view: FleetView) -> tuple[int, ...] | None:
+        """Return what the log has of this incarnation; None where it has another one's."""
+        known = view.acknowledgements.get(self.name)
+        if known is None:
+            return ()
+        return known.drains if known.incarnation == self.incarnation else None
+
+
+@dataclass(slots=True, frozen=True)
+class _DrainPlanner:
+    """One decision: the view, the list of nodes and the clock that it is made by."""
+
+    view: FleetView
+    token: int
+    now_ms: float
+    tracker: ChangeTracker
+    timeouts: Timeouts
+    nodes: Nodes
+
+    def next_move(self) -> Move | None:
+        for drain in self.view.drains.values():
+            plan = self.view.plans.get(drain.plan)
+            move = _withdrawn(drain, plan) or self._advanced(drain, plan)
+            if move is not None:
+                return move
+        for plan in self.view.active:
+            if not plan.nodes or plan.stage is not PlanStage.RUNNING:
+                continue
+            move = self._halt(plan) or self._begin_drain(plan)
+            if move is not None:
+                return move
+        return None
 
+    def _unchanged_ms(self, name: str) -> float:
+        return self.tracker.unchanged_ms(self.now_ms, name)
+
+    def _advanced(self, drain: Drain, plan: Plan | None) -> Move | None:
+        """Return the move by which a drain enters its next phase, or ends."""
+        if drain.phase is DrainPhase.LEAVING:
+            if unacknowledged_by(self.view, drain):
+                return None
+            return Move(f"{drain.name} is drained", (replace(drain, phase=DrainPhase.DRAINED),))
+        node = self.nodes.get(drain.name)
+        if plan is not None and (self._is_removed(plan, node) or self._is_warm(drain)):
+            released = replace(plan, released=(*plan.released, drain.name))
+            what = "is gone" if node is None else "is warm again"
+            return Move(f"{drain.name} {what}", (released,), (key_of(drain),))
+        if drain.phase is not DrainPhase.DRAINED or node is None or not node.ready:
+            return None
+        if node.started == drain.node_started:
+            return None
+        return Move(f"{drain.name} is listed as a later start", (replace(drain, phase=DrainPhase.WARMING),))
 
-def has_capacity(seen: FleetView, box: ListedNode, boxes: Boxes) -> bool:
-    """Do the budgets of all active plans of boxes let this one go out as well?"""
-    gone = nodes_out(seen, boxes) | {box.name}
-    here = sum(name in boxes and boxes[name].zone == box.zone for name in gone)
-    if len(gone) > _most(seen, boxes, gone):
-        return False
-    return all(p.max_out_per_site is None or here <= p.max_out_per_site for p in seen.active if p.nodes)
+    def _is_removed(self, plan: Plan, node: ListedNode | None) -> bool:
+        return plan.removes_nodes and node is None and bool(self.nodes)
 
+    def _is_warm(self, drain: Drain) -> bool:
+        if drain.phase is not DrainPhase.WARMING:
+            return False
+        return self._unchanged_ms(f"warm/{drain.name}") >= self.timeouts.warm_up_ms
 
-def _most(seen: FleetView, boxes: Boxes, gone: set[str]) -> float:
-    """How many boxes may be out, by the least budget of all active plans of boxes."""
-    plans, size = [p for p in seen.active if p.nodes], len({*boxes, *gone})
-    shares = [floor(p.max_out_fraction * size + 1e-9) for p in plans if p.max_out_fraction is not None]
-    return min([*(p.max_out for p in plans), *shares], default=inf)
+    def _halt(self, plan: Plan) -> Move | None:
+        reason = self._too_many_unplanned(plan) or self._drain_too_slow(plan) or self._first_node_unfit(plan)
+        if not reason:
+            return None
+        halted = replace(plan, stage=PlanStage.HALTED, reason=reason)
+        return Move(f"plan {plan.name} halts: {reason}", (halted,))
+
+    def _too_many_unplanned(self, plan: Plan) -> str:
+        unplanned = nodes_out(self.view, self.nodes) - set(self.view.drains)
+        return f"{len(unplanned)} boxes are out unplanned" if len(unplanned) > plan.max_out > 0 else ""
+
+    def _drain_too_slow(self, plan: Plan) -> str:
+        for drain in self.view.drains.values():
+            if drain.plan != plan.name:
+                continue
+            if self._unchanged_ms(key_of(drain)) <= self.timeouts.return_timeout_ms:
+                continue
+            if drain.phase is not DrainPhase.LEAVING:
+                return f"{drain.name} is not back in its time: it is {drain.phase.value}"
+            members = ", ".join(unacknowledged_by(self.view, drain)[:MAX_NAMED_IN_REASON])
+            return f"{drain.name} is not drained in time: {members} may send to it"
+        return ""
+
+    def _first_node_unfit(self, plan: Plan) -> str:
+        """Return why the node that is first cannot go out, where no drain of the plan is under way."""
+        if not self.nodes or not plan.remaining or self._drains_of(plan):
+            return ""
+        if self._unchanged_ms(f"released/{plan.name}") <= self.timeouts.heartbeat_timeout_ms:
+            return ""
+        name = plan.remaining[0]
+        node = self.nodes.get(name)
+        if node is None:
+            return "" if plan.removes_nodes else f"no box {name} is listed"
+        if node.ready and is_last_of_shard(self.view, node, self.nodes):
+            return f"{name} alone holds shard {node.shard}"
+        return ""
+
+    def _begin_drain(self, plan: Plan) -> Move | None:
+        soaked_ms = self._unchanged_ms(f"released/{plan.name}")
+        if plan.canary and len(plan.released) == 1 and soaked_ms < self.timeouts.canary_soak_ms:
+            return None
+        out = nodes_out(self.view, self.nodes)
+        is_budget_spent = len(out) + 1 > _max_out(self.view, self.nodes, out)
+        names = plan.remaining[:1] if plan.canary and not plan.released else plan.remaining
+        for name in names:
+            if name in self.view.drains:
+                continue
+            node = self.nodes.get(name)
+            if node is None and self._is_removed(plan, node):
+                return Move(f"{name} is gone", (replace(plan, released=(*plan.released, name)),))
+            # Nodes are looked at one by one only where the budget lets any of them out.
+            if node is None or is_budget_spent or not self._may_go_out(node):
+                continue  # who is out keeps nobody waiting
+            drain = Drain(name, plan.name, self.token, node.started, self.view.next_offset)
+            description = f"{name} is to be drained, {self._drains_of(plan) + 1} under way"
+            return Move(description, (drain,))
+        return None
 
+    def _may_go_out(self, node: ListedNode) -> bool:
+        if not node.ready or is_last_of_shard(self.view, node, self.nodes):
+            return False
+        return has_capacity(self.view, node, self.nodes)
 
-def is_last_of_shard(seen: FleetView, box: ListedNode, boxes: Boxes) -> bool:
-    """It alone holds its shard: what it holds would have no box."""
-    away = nodes_out(seen, boxes)
-    return not any(b.shard == box.shard and b.name != box.name and b.name not in away for b in boxes.values())
+    def _drains_of(self, plan: Plan) -> int:
+        return sum(drain.plan == plan.name for drain in self.view.drains.values())
 
 
-def decide(
-    seen: FleetView, token: int, now: float, watch: ChangeTracker, patience: Timeouts, boxes: Boxes
-) -> Move | None:
-    """The coordinator's next move for boxes, None where there is none."""
-    for drain in seen.drains.values():
-        plan = seen.plans.get(drain.plan)
-        move = _given_back(drain, plan) or _next(seen, drain, plan, now, watch, patience, boxes)
-        if move is not None:
-            return replace(move, expected_end=seen.next_offset)
-    for plan in (p for p in seen.active if p.nodes and p.stage is PlanStage.RUNNING):
-        move = _halt(seen, plan, now, watch, patience, boxes)
-        move = move or _begin(seen, plan, token, now, watch, patience, boxes)
-        if move is not None:
-            return replace(move, expected_end=seen.next_offset)
-    return None
-
-
-def _given_back(drain: Drain, plan: Plan | None) -> Move | None:
-    """A halt frees a box that nobody took away yet; on the way back all of them are taken in again."""
-    back = plan is None or plan.stage in (PlanStage.ROLLING_BACK, PlanStage.ROLLED_BACK)
-    halted = plan is not None and plan.stage is PlanStage.HALTED and drain.phase is DrainPhase.LEAVING
-    return (
-        Move(f"{drain.name} is not drained any more", deleted_keys=(key_of(drain),))
-        if back or halted
-        else None
-    )
+def _withdrawn(drain: Drain, plan: Plan | None) -> Move | None:
+    """Return the move that withdraws a drain: on the way back, or by a halt before the node was drained."""
+    is_back = plan is None or plan.stage in (PlanStage.ROLLING_BACK, PlanStage.ROLLED_BACK)
+    is_halted = plan is not None and plan.stage is PlanStage.HALTED and drain.phase is DrainPhase.LEAVING
+    if not is_back and not is_halted:
+        return None
+    return Move(f"{drain.name} is not drained any more", deleted_keys=(key_of(drain),))
 
 
-def _next(
-    seen: FleetView,
-    drain: Drain,
-    plan: Plan | None,
-    now: float,
-    watch: ChangeTracker,
-    patience: Timeouts,
-    boxes: Boxes,
-) -> Move | None:
-    box, writes, ends = boxes.get(drain.name), tuple[Record, ...](), tuple[str, ...]()
-    if drain.phase is DrainPhase.LEAVING:
-        what = f"{drain.name} is drained"
-        writes = () if unacknowledged_by(seen, drain) else (replace(drain, phase=DrainPhase.DRAINED),)
-    elif plan is not None and (_gone(plan, box, boxes) or _warm(drain, now, watch, patience)):
-        what, ends = f"{drain.name} {'is gone' if box is None else 'is warm again'}", (key_of(drain),)
-        writes = (replace(plan, released=(*plan.released, drain.name)),)
-    elif (
-        drain.phase is DrainPhase.DRAINED
-        and box is not None
-        and box.ready
-        and box.started != drain.node_started
-    ):
-        what, writes = f"{drain.name} is listed as a later start", (replace(drain, phase=DrainPhase.WARMING),)
-    return Move(what, writes, ends) if writes else None
-
-
-def _gone(plan: Plan, box: ListedNode | None, boxes: Boxes) -> bool:
-    return plan.removes_nodes and box is None and bool(boxes)
-
-
-def _warm(drain: Drain, now: float, watch: ChangeTracker, patience: Timeouts) -> bool:
-    return (
-        drain.phase is DrainPhase.WARMING
-        and watch.unchanged_ms(now, f"warm/{drain.name}") >= patience.warm_up_ms
-    )
+def _has_acknowledged(view: FleetView, member: Member, drain: Drain) -> bool:
+    known = view.acknowledgements.get(member.name)
+    if known is None or known.incarnation != member.incarnation:
+        return False
+    return drain.begun_offset in known.drains
 
 
-def _halt(
-    seen: FleetView, plan: Plan, now: float, watch: ChangeTracker, patience: Timeouts, boxes: Boxes
-) -> Move | None:
-    unplanned = nodes_out(seen, boxes) - set(seen.drains)
-    why = f"{len(unplanned)} boxes are out unplanned" if len(unplanned) > plan.max_out > 0 else ""
-    for drain in seen.drains.values():
-        if drain.plan == plan.name and watch.unchanged_ms(now, key_of(drain)) > patience.return_timeout_ms:
-            slow = f"not back in its time: it is {drain.phase.value}"
-            if drain.phase is DrainPhase.LEAVING:
-                slow = f"not drained in time: {', '.join(unacknowledged_by(seen, drain)[:3])} may send to it"
-            why = why or f"{drain.name} is {slow}"
-    stood, ours = watch.unchanged_ms(now, f"released/{plan.name}"), {d.plan for d in seen.drains.values()}
-    if not why and boxes and plan.name not in ours and stood > patience.heartbeat_timeout_ms:
-        for name in plan.remaining[:1]:  # it stands first in its order, and nothing of the plan is under way
-            if name not in boxes and not plan.removes_nodes:
-                why = f"no box {name} is listed"
-            elif name in boxes and boxes[name].ready and is_last_of_shard(seen, boxes[name], boxes):
-                why = f"{name} alone holds shard {boxes[name].shard}"
-    halted = replace(plan, stage=PlanStage.HALTED, reason=why)
-    return Move(f"plan {plan.name} halts: {why}", (halted,)) if why else None
-
-
-def _begin(
-    seen: FleetView,
-    plan: Plan,
-    token: int,
-    now: float,
-    watch: ChangeTracker,
-    patience: Timeouts,
-    boxes: Boxes,
-) -> Move | None:
-    stood = watch.unchanged_ms(now, f"released/{plan.name}")
-    if plan.canary and len(plan.released) == 1 and stood < patience.canary_soak_ms:
-        return None
-    under_way = sum(d.plan == plan.name for d in seen.drains.values())
-    away = nodes_out(seen, boxes)
-    spent = len(away) + 1 > _most(seen, boxes, away)  # then no box has to be looked at by itself
-    for name in plan.remaining[: 1 if plan.canary and not plan.released else None]:
-        box = boxes.get(name)
-        if name in seen.drains or box is None and not (plan.removes_nodes and boxes):
-            continue
-        if box is None:  # it is gone already
-            return Move(f"{name} is gone", (replace(plan, released=(*plan.released, name)),))
-        if spent or not box.ready or is_last_of_shard(seen, box, boxes) or not has_capacity(seen, box, boxes):
-            continue  # who is out keeps nobody waiting
-        what = f"{name} is to be drained, {under_way + 1} under way"
-        return Move(what, (Drain(name, plan.name, token, box.started, seen.next_offset),))
-    return None
+def _max_out(view: FleetView, nodes: Nodes, out: set[str]) -> float:
+    """Return how many nodes may be out, by the smallest budget of all active plans of nodes."""
+    node_count = len({*nodes, *out})
+    return min((max_nodes_out(plan, node_count) for plan in view.active if plan.nodes), default=inf)
--- /dev/null
+++ b/sabledyke/rollout/node_list.py
@@ -0,0 +1,57 @@
+"""The endpoint list as a member uses it: nodes that a plan drains are draining, whatever discovery says."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from dataclasses import replace
+
+from sabledyke.policy import interface as api
+from sabledyke.rollout.records import ListedNode
+
+
+class NodeList:
+    """Nodes as discovery has them, and those among them that plans have closed."""
+
+    def __init__(self, relist: Callable[[Sequence[api.NodeEntry]], None]) -> None:
+        """Create an empty list.
+
+        Args:
+            relist: Has the scheduler use these entries in place of the ones that it has.
+        """
+        self._relist = relist
+        self._entries: dict[api.NodeId, api.NodeEntry] = {}
+        self._closed: frozenset[str] = frozenset()
+
+    def close(self, names: frozenset[str]) -> None:
+        """Have only these nodes closed: they are sent no new requests, and others as the list has them."""
+        changed = names ^ self._closed
+        self._closed = names
+        entries = [self._entries.get(name.encode()) for name in sorted(changed)]
+        relisted = [self._effective(entry) for entry in entries if entry is not None]
+        if relisted:
+            self._relist(relisted)
+
+    def on_update(self, update: api.NodeList) -> api.NodeList:
+        """Take an update of discovery, and return it as the scheduler is to have it."""
+        if update.kind is not api.ListKind.DELTA:
+            self._entries = {}
+        self._entries.update((entry.node, entry) for entry in update.entries)
+        for entry in update.entries:
+            if entry.state is api.NodeState.GONE:
+                del self._entries[entry.node]
+        return replace(update, entries=tuple(self._effective(entry) for entry in update.entries))
+
+    def by_name(self) -> dict[str, ListedNode]:
+        """Return the nodes as discovery has them, by name."""
+        nodes = (_listed_node(entry) for entry in self._entries.values())
+        return {node.name: node for node in nodes}
+
+    def _effective(self, entry: api.NodeEntry) -> api.NodeEntry:
+        if entry.state is api.NodeState.READY and api.name_of(entry.node) in self._closed:
+            return replace(entry, state=api.NodeState.DRAINING)
+        return entry
+
+
+def _listed_node(entry: api.NodeEntry) -> ListedNode:
+    is_ready = entry.state is api.NodeState.READY
+    return ListedNode(api.name_of(entry.node), entry.zone, entry.shard, is_ready, entry.started)
--- a/sabledyke/rollout/records.py
+++ b/sabledyke/rollout/records.py
@@ -1,8 +1,10 @@
-"""The terms of releases: members, plans, asks and tickets, as they stand on the board. Plain data.
+"""Records of releases: members, plans, requests, tickets and drains, as they stand on the log. Plain data.
 
-All of them are keys of one topic (``FLEET``); the members' beats are registers of another (``BEATS``), which
-have no end that they could cross, and no past. No time stands on the board: whoever judges how long
-something lasts watches it stand still on its own clock.
+All of them are keys of one topic. The members' heartbeats are registers of another one, which have no end
+that moves could conflict on, and no past. No time stands on the log: whoever judges how long something lasts
+watches it stand still on its own clock.
+
+``offset`` says where a record stands, and is not stored with it (see ``record_codec``).
 """
 
 from __future__ import annotations
@@ -10,49 +12,59 @@
 from dataclasses import dataclass
 from enum import Enum
 
-FLEET_TOPIC, HEARTBEATS_TOPIC = "fleet", "beats"
-EPOCH_KEY = "epoch"  # the key that each new coordinator writes first, which shuts the one before out
-MAX_MEMBERS, MAX_PLANS = 1000, 64
+FLEET_TOPIC = "fleet"
+HEARTBEATS_TOPIC = "beats"
+EPOCH_KEY = "epoch"
+"""Key that each new coordinator writes first, by which the one before is fenced off."""
+MAX_MEMBERS = 1000
+MAX_PLANS = 64
 SETTINGS_APPLIED = "taken"
-EVACUATION_STEPS = 4  # in which a site's weight goes down, or comes back
-OFFSET = "offset"  # which says where a record stands, and is not part of it
+"""``Ticket.settings_result`` of settings that are in force."""
+EVACUATION_STEPS = 4
+"""Steps in which the weight of a site goes down, or comes back."""
 
 
 class MemberState(Enum):
-    """Where a member is."""
+    """State of a member."""
 
     READY = "ready"
     LEAVING = "leaving"
     OUT = "out"
     WARMING = "warming"
-    SILENT = "silent"  # by the coordinator's word alone: it may still serve, unheard
-    RETIRED = "retired"  # for good: it counts nowhere any more
+    SILENT = "silent"
+    """Without heartbeats, as only a coordinator says: the member may still serve."""
+    RETIRED = "retired"
+    """Out for good: it counts nowhere any more."""
 
 
 class PlanStage(Enum):
-    """Where a plan is."""
+    """Stage of a plan."""
 
     RUNNING = "running"
     HALTED = "halted"
-    ROLLING_BACK = "back"  # on its way back
+    ROLLING_BACK = "back"
     DONE = "done"
     ROLLED_BACK = "undone"
 
 
 ACTIVE_STAGES = (PlanStage.RUNNING, PlanStage.ROLLING_BACK)
+"""Stages in which members or nodes may go out."""
 
 
 class DrainPhase(Enum):
-    """Where the drain of a box is."""
+    """Phase of the drain of a storage node."""
 
-    LEAVING = "leaving"  # nothing fresh for it any more; members may still wait for answers of it
-    DRAINED = "drained"  # nobody has anything out there: it may be taken away
-    WARMING = "warming"  # it is listed again as a later start, and takes work as the list allows
+    LEAVING = "leaving"
+    """It gets no new requests; members may still wait for responses of it."""
+    DRAINED = "drained"
+    """Nobody has anything in flight there: it may be taken away."""
+    WARMING = "warming"
+    """It is listed again as a later start, and accepts requests as the list allows."""
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """What an instance says of itself, or a coordinator of one that is silent."""
+    """What an instance publishes of itself, or a coordinator of one that is silent."""
 
     name: str
     incarnation: int
@@ -64,12 +76,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A restart or release of ``members`` in this order, or a drain of ``boxes``; at most ``most`` members
-    (or boxes) are out at once, planned or not.
-
-    ``to`` is the version to come back as (any, where it is ""), ``before`` the one to go back to.
-    ``per_site`` and ``share`` (of all members) bound what is out as well. With ``canary`` the first one goes
-    alone, and is looked at.
+    """A restart or release of members, a drain of storage nodes, or the retirement of a site.
+
+    Attributes:
+        name: The plan's name.
+        members: Members that go out, in this order.
+        max_out: Members (or nodes) that may be out at once, planned or not.
+        max_out_per_site: The same of one site (or zone); None for no such bound.
+        max_out_fraction: The same as a fraction of all; None for no such bound.
+        target: Version, or label of settings, to come back as; "" for any.
+        previous: Version or label to go back to.
+        canary: The first one goes alone, and is observed before others follow.
+        settings: ``target`` and ``previous`` are labels of settings, which members switch to in service.
+        nodes: Storage nodes that are drained instead, and come back as later starts.
+        removes_nodes: The nodes go for good.
+        retiring_site: The site that goes for good, once its volumes have moved; "" for none.
+        nodes_removed_next: Nodes that go for good by a plan of their own, once the site's members have.
+        step: Evacuation step, of ``EVACUATION_STEPS``; beyond them once all volumes have moved, below 0 once
+            all are back.
+        stage: Stage of the plan.
+        released: Who has gone out and is back, in this order.
+        deferred: Who did not request a ticket in its turn and follows all others, in this order.
+        reason: Why the plan is in its stage.
     """
 
     name: str
@@ -80,34 +108,29 @@
     target: str = ""
     previous: str = ""
     canary: bool = False
-    settings: bool = False  # ``to`` and ``before`` are labels of settings, which members take on in service
-    nodes: tuple[str, ...] = ()  # these are drained instead, and come back as later starts
-    removes_nodes: bool = False  # the boxes go for good
-    retiring_site: str = (
-        ""  # the site that goes for good, once its volumes have moved, ``step`` of ``STEPS`` by now
-    )
-    nodes_removed_next: tuple[
-        str, ...
-    ] = ()  # boxes that go for good, by a plan of their own, once the site's members have
-    step: int = 0  # beyond ``STEPS`` once all have moved, below 0 once all are at home again
+    settings: bool = False
+    nodes: tuple[str, ...] = ()
+    removes_nodes: bool = False
+    retiring_site: str = ""
+    nodes_removed_next: tuple[str, ...] = ()
+    step: int = 0
     stage: PlanStage = PlanStage.RUNNING
     released: tuple[str, ...] = ()
-    deferred: tuple[str, ...] = ()  # who did not ask in its turn comes after all others, in this order
+    deferred: tuple[str, ...] = ()
     reason: str = ""
     offset: int = 0
 
     @property
     def follow_up(self) -> Plan | None:
-        """What follows the retirement of a site: its boxes go, inside the same budgets."""
+        """The plan that removes the nodes of a retired site, inside the same budgets."""
         if not self.nodes_removed_next:
             return None
-        name = f"{self.name}.boxes"
         return Plan(
-            name,
-            (),
-            self.max_out,
-            self.max_out_per_site,
-            self.max_out_fraction,
+            name=f"{self.name}.boxes",
+            members=(),
+            max_out=self.max_out,
+            max_out_per_site=self.max_out_per_site,
+            max_out_fraction=self.max_out_fraction,
             nodes=self.nodes_removed_next,
             removes_nodes=True,
         )
@@ -120,7 +143,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TicketRequest:
-    """A member of a running plan asks to go out; ``number`` is new with each ask of a life."""
+    """A member requests to go out under a plan; each request of an incarnation has a new number."""
 
     name: str
     plan: str
@@ -131,41 +154,67 @@
 
 @dataclass(slots=True, frozen=True)
 class Ticket:
-    """May ``name`` go out? Spent from its grant until a later life of it is ready, or it gives it back
+    """Permission of a member to go out.
+
+    It is spent from its grant until a later incarnation of the member is ready, or the member gives it back
     unused.
+
+    Attributes:
+        name: The member.
+        plan: The plan that it goes out under.
+        incarnation: The member's incarnation.
+        request_number: The request that the ticket answers.
+        token: Fencing token of the coordinator that granted it.
+        target: Version, or label of settings, to come back as; "" for any.
+        is_final: The member does not come back.
+        settings: The member switches its settings, and does not go.
+        used: The member goes out, or switches its settings.
+        settings_result: ``SETTINGS_APPLIED``, or why they are not in force; "" while it is not known.
     """
 
     name: str
     plan: str
     incarnation: int
-    request_number: int  # of the ask that it answers
-    token: int  # of the coordinator that granted it
-    target: str = ""  # the version to come back as
-    is_final: bool = False  # it does not come back
-    settings: bool = False  # it takes on settings, and does not go
+    request_number: int
+    token: int
+    target: str = ""
+    is_final: bool = False
+    settings: bool = False
     used: bool = False
-    settings_result: str = ""  # of settings, once they were read: ``TAKEN``, or why they are not in force
+    settings_result: str = ""
     offset: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """A box that goes out under a plan. It counts as out until it is warm again, or gone for good."""
+    """A storage node that goes out under a plan; it counts as out until it is warm again, or removed.
+
+    Attributes:
+        name: The node.
+        plan: The plan that it goes out under.
+        token: Fencing token of the coordinator that began it.
+        node_started: When the node started, as the list had it then; another start is another incarnation.
+        begun_offset: The offset at which the drain began, which tells it from every other drain.
+        phase: Phase of the drain.
+    """
 
     name: str
     plan: str
-    token: int  # of the coordinator that began it
-    node_started: float  # as the list said then: another start is another life of it
-    begun_offset: int  # the offset at which it was begun, which tells it from every other drain
+    token: int
+    node_started: float
+    begun_offset: int
     phase: DrainPhase = DrainPhase.LEAVING
     offset: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class DrainAcknowledgement:
-    """A life of a member has nothing out under these drains (``Drain.begun``), and sends nothing more."""
+    """An incarnation of a member has nothing in flight under these drains, and sends nothing more.
 
-    name: str  # the member's
+    ``name`` is the member's; ``drains`` are their ``Drain.begun_offset``.
+    """
+
+    name: str
     incarnation: int
     drains: tuple[int, ...] = ()
     offset: int = 0
@@ -173,7 +222,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedNode:
-    """A box as the coordinator's own list has it; not on the board."""
+    """A storage node as the coordinator's own list has it; not on the log."""
 
     name: str
     zone: int
@@ -184,7 +233,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Epoch:
-    """Who coordinates, under which token."""
+    """Who coordinates, under which fencing token."""
 
     name: str
     token: int
--- a/sabledyke/rollout/section.py
+++ b/sabledyke/rollout/section.py
@@ -1,4 +1,7 @@
-"""The operator's section ``[rollout]``: who this member is, and how long things may take. Checked whole."""
+"""The operator's section ``[rollout]``, which says who this member is and how long things may take.
+
+Files that hold a plan are read in ``plan_file``.
+"""
 
 from __future__ import annotations
 
@@ -7,132 +10,95 @@
 
 from msgspec import Meta
 
-from sabledyke.errors import OperatorError, PlanError
-from sabledyke.rollout.planner import Timeouts
-from sabledyke.rollout.records import Plan
-from sabledyke.toml_tables import NAME_RULE, Table, convert, from_file, name_like, parsed
+from sabledyke.rollout.timeouts import Timeouts
+from sabledyke.toml_tables import NAME_RULE, Table, convert, name_like
 
-Seconds = Annotated[float, Meta(gt=0, le=60_000)]
-Hours = Annotated[float, Meta(gt=0, le=3_600_000)]
-Days = Annotated[float, Meta(gt=0, le=86_400_000)]
+UpToAMinuteMs = Annotated[float, Meta(gt=0, le=60_000)]
+UpToAnHourMs = Annotated[float, Meta(gt=0, le=3_600_000)]
+UpToADayMs = Annotated[float, Meta(gt=0, le=86_400_000)]
 
 
 @dataclass(slots=True, frozen=True)
 class Section:
-    """What ``[rollout]`` says; times in ms."""
+    """What ``[rollout]`` says.
+
+    Attributes:
+        site: The site that this member is at.
+        version: The version that it runs.
+        version_file: The file that says which version to start next, for whoever starts this member.
+        poll_interval_ms: Between polls of the log while a plan is under way.
+        heartbeat_interval_ms: Between heartbeats.
+        request_validity_ms: How long after its request a ticket may be used.
+        timeouts: How long a coordinator waits.
+    """
 
     site: str = ""
     version: str = ""
-    version_file: str = ""  # the file that says which version to start next, for whoever starts this member
-    poll_interval_ms: float = 200.0  # between looks at the board
-    heartbeat_interval_ms: float = 1000.0  # between signs of life
-    request_validity_ms: float = 10_000.0  # for which an ask may be granted
+    version_file: str = ""
+    poll_interval_ms: float = 200.0
+    heartbeat_interval_ms: float = 1000.0
+    request_validity_ms: float = 10_000.0
     timeouts: Timeouts = Timeouts()
 
     def __str__(self) -> str:
         return f"site {self.site or '-'}, version {self.version or '-'}"
 
 
-PLAIN = Section()
+DEFAULTS = Section()
 
 
 class RolloutTable(Table, frozen=True, kw_only=True):
-    """As the file has it."""
+    """The section's keys, as they stand in the file."""
 
     site: str = ""
     version: str = ""
     wants: str = ""
-    every_ms: Seconds = PLAIN.poll_interval_ms
-    beat_ms: Seconds = PLAIN.heartbeat_interval_ms
-    valid_ms: Hours = PLAIN.request_validity_ms
-    silent_ms: Hours = PLAIN.timeouts.heartbeat_timeout_ms
-    back_ms: Days = PLAIN.timeouts.return_timeout_ms
-    soak_ms: Days = PLAIN.timeouts.canary_soak_ms
+    every_ms: UpToAMinuteMs = DEFAULTS.poll_interval_ms
+    beat_ms: UpToAMinuteMs = DEFAULTS.heartbeat_interval_ms
+    valid_ms: UpToAnHourMs = DEFAULTS.request_validity_ms
+    silent_ms: UpToAnHourMs = DEFAULTS.timeouts.heartbeat_timeout_ms
+    back_ms: UpToADayMs = DEFAULTS.timeouts.return_timeout_ms
+    soak_ms: UpToADayMs = DEFAULTS.timeouts.canary_soak_ms
 
     def __post_init__(self) -> None:
-        _names(site=self.site, version=self.version)
+        check_names(site=self.site, version=self.version)
         if self.silent_ms < 2 * self.beat_ms:
             raise ValueError("silent_ms must be twice beat_ms or more")
 
 
-class BudgetTable(Table, frozen=True, kw_only=True):
-    """Of a plan; what the fleet allows is for ``planner.check``."""
-
-    most: int = 1
-    per_site: int | None = None
-    share: float | None = None
-
-
-class PlanTable(Table, frozen=True, kw_only=True):
-    """A plan's file."""
+def check_names(**values: str) -> None:
+    """Check values that must be names.
 
-    name: str
-    members: tuple[str, ...] = ()
-    to: str = ""
-    before: str = ""
-    canary: bool = False
-    settings: bool = False
-    boxes: tuple[str, ...] = ()
-    gone: bool = False
-    retire: str = ""
-    budget: BudgetTable = BudgetTable()
-
-    def __post_init__(self) -> None:
-        _names(name=self.name, to=self.to, before=self.before, retire=self.retire)
+    Args:
+        values: The values by their keys.
 
-
-def _names(**said: str) -> None:
-    for what, name in said.items():
-        if not name_like(name):
-            raise ValueError(f"{what} {NAME_RULE}")
+    Raises:
+        ValueError: One of them is not; the message names its key.
+    """
+    for key, value in values.items():
+        if not name_like(value):
+            raise ValueError(f"{key} {NAME_RULE}")
 
 
 def read(data: dict[str, Any]) -> Section | None:
-    """The section, checked; None where there is none."""
+    """Return the section, None where there is none.
+
+    Raises:
+        OperatorError: It is not as it must be.
+    """
     if not data:
         return None
-    said = convert(data, RolloutTable, "rollout")
-    patience = Timeouts(said.silent_ms, said.back_ms, said.soak_ms)
-    return Section(said.site, said.version, said.wants, said.every_ms, said.beat_ms, said.valid_ms, patience)
-
-
-def load_plan(path: str) -> Plan:
-    """A plan from its file (TOML); a PlanError in one line where it cannot be read."""
-    try:
-        return from_file(path, lambda text: plan_of(parsed(text)))
-    except OperatorError as fault:
-        raise PlanError(str(fault)) from None
-
-
-def plan_of(data: dict[str, Any]) -> Plan:
-    """What such a file says; whether the fleet can do it is for ``planner.check``."""
-    said = convert(data, PlanTable, "plan")
-    budget, retires = said.budget, bool(said.retire)
-    plan = Plan(
-        said.name,
-        said.members,
-        budget.most,
-        budget.per_site,
-        budget.share,
-        said.to,
-        said.before,
-        said.canary,
-        said.settings,
-        () if retires else said.boxes,
-        said.gone,
-        said.retire,
-        said.boxes if retires else (),
+    table = convert(data, RolloutTable, "rollout")
+    return Section(
+        site=table.site,
+        version=table.version,
+        version_file=table.wants,
+        poll_interval_ms=table.every_ms,
+        heartbeat_interval_ms=table.beat_ms,
+        request_validity_ms=table.valid_ms,
+        timeouts=Timeouts(
+            heartbeat_timeout_ms=table.silent_ms,
+            return_timeout_ms=table.back_ms,
+            canary_soak_ms=table.soak_ms,
+        ),
     )
-    if not plan.name:
-        raise OperatorError("plan.name is missing")
-    if plan.retiring_site and (plan.members or plan.target):
-        raise OperatorError("a plan that retires a site names neither members nor versions")
-    if plan.nodes and (plan.members or plan.target):
-        raise OperatorError("a plan that drains boxes names neither members nor versions")
-    if plan.removes_nodes and not plan.nodes:
-        raise OperatorError("plan.gone is said of boxes, and it names none")
-    if plan.settings and not plan.target:
-        raise OperatorError("a plan of new settings names both labels, to and before")
-    if bool(plan.target) != bool(plan.previous):
-        raise OperatorError("a release names both versions, to and before; a restart names neither")
-    return plan
--- a/sabledyke/testbed/drain_model.py
+++ b/sabledyke/testbed/drain_model.py
@@ -16,8 +16,9 @@
 from typing import NamedTuple
 
 from sabledyke.rollout import node_drain, planner
+from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.planner import ChangeTracker, Move, Timeouts
+from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import (
     Drain,
     DrainAcknowledgement,
@@ -30,6 +31,7 @@
     PlanStage,
     Record,
 )
+from sabledyke.rollout.timeouts import Timeouts
 from sabledyke.testbed.model_log import Coordinator, swapped, with_append, with_coordinator, with_process
 from sabledyke.testbed.state_search import Found, explore
 
--- a/sabledyke/testbed/fleet_release.py
+++ b/sabledyke/testbed/fleet_release.py
@@ -28,10 +28,10 @@
 from sabledyke.errors import BoardFault
 from sabledyke.placement import evacuation
 from sabledyke.placement.volume_placement import Home
-from sabledyke.rollout import commands, planner
-from sabledyke.rollout.extension import GONE
+from sabledyke.rollout import commands, disruption_budget, plan_changes
+from sabledyke.rollout.configuration_switch import RETIRED_VERSION
 from sabledyke.rollout.fleet_view import FleetView, view_of
-from sabledyke.rollout.planner import Move
+from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import decode
 from sabledyke.rollout.records import (
     FLEET_TOPIC,
@@ -153,7 +153,7 @@
             self._tasks += [loop.create_task(self._keep(i)), loop.create_task(self._probe(i))]
         await self.until(
             lambda v: len(v.members) == self.setting.size
-            and not planner.members_out(v)
+            and not disruption_budget.members_out(v)
             and v.epoch is not None
         )
         if self.setting.copies > 1:
@@ -263,7 +263,7 @@
                 await asyncio.sleep(AGAIN)
             wants = made.folder / "wants"
             if wants.exists() and not self.stubborn:
-                if wants.read_text().strip() == GONE:
+                if wants.read_text().strip() == RETIRED_VERSION:
                     self.retired.add(i)
                     return
                 self._versions[i] = wants.read_text().strip()
@@ -330,13 +330,13 @@
 
     async def _say(self, decide: Callable[[FleetView], Move]) -> None:
         """An operator's word, for as long as the board may stand still."""
-        await commands.apply(self.board, self._reader, decide, again=20)
+        await commands.apply(self.board, self._reader, decide, retries=20)
 
     async def begin(self, plan: Plan) -> None:
         """Put a plan on the board, as an operator does."""
 
         def decide(seen: FleetView) -> Move:
-            planner.validate(plan, seen)
+            plan_changes.validate(plan, seen)
             return Move("plan", (plan,), expected_end=seen.next_offset)
 
         await self._say(decide)
@@ -345,14 +345,14 @@
         """Halt it, resume it, or have it go back."""
 
         def decide(seen: FleetView) -> Move:
-            said = planner.change_stage(seen.plans[name], stage, "by the experiment")
+            said = plan_changes.change_stage(seen.plans[name], stage, "by the experiment")
             return Move("word", (said,), expected_end=seen.next_offset)
 
         await self._say(decide)
 
     async def forget(self, name: str) -> None:
         """A member is gone for good."""
-        await self._say(lambda seen: planner.forget_member(name, seen))
+        await self._say(lambda seen: plan_changes.forget_member(name, seen))
 
     async def coordinator(self) -> int:
         """Which instance coordinates."""
--- a/sabledyke/testbed/model_log.py
+++ b/sabledyke/testbed/model_log.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any, NamedTuple, Protocol, TypeVar
 
-from sabledyke.rollout.planner import Move
+from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import key_of
 from sabledyke.rollout.records import Record
 
--- a/sabledyke/testbed/scenario.py
+++ b/sabledyke/testbed/scenario.py
@@ -15,10 +15,10 @@
 
 from msgspec import Meta
 
-from sabledyke.rollout import planner
+from sabledyke.rollout import disruption_budget
 from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.plan_file import plan_of
 from sabledyke.rollout.records import ACTIVE_STAGES, Plan, PlanStage
-from sabledyke.rollout.section import plan_of
 from sabledyke.testbed.fleet_release import Fleet, Setting, play
 from sabledyke.testbed.workload import GIVES_UP
 from sabledyke.toml_tables import Table, convert, from_file, parsed
@@ -173,11 +173,11 @@
             else:
                 under_way.append(asyncio.create_task(_fault(fleet, step, random)))
         elif plan.stage is PlanStage.HALTED:
-            await fleet.until(lambda v: not planner.members_out(v), story.length)
+            await fleet.until(lambda v: not disruption_budget.members_out(v), story.length)
             await fleet.word(name, PlanStage.RUNNING)
         elif plan.stage not in ACTIVE_STAGES:
             await asyncio.gather(*under_way)
-            return await fleet.until(lambda v: not planner.members_out(v), story.length)
+            return await fleet.until(lambda v: not disruption_budget.members_out(v), story.length)
 
 
 def _moved(plan: Plan) -> int:
--- a/sabledyke/testbed/ticket_model.py
+++ b/sabledyke/testbed/ticket_model.py
@@ -18,10 +18,11 @@
 from math import inf
 from typing import NamedTuple
 
-from sabledyke.rollout import planner
+from sabledyke.rollout import disruption_budget, planner
+from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.moves import Move
 from sabledyke.rollout.participant import GOES_OUT, Participant, SentRequest
-from sabledyke.rollout.planner import ChangeTracker, Move, Timeouts
 from sabledyke.rollout.records import (
     ACTIVE_STAGES,
     Member,
@@ -32,6 +33,7 @@
     Ticket,
     TicketRequest,
 )
+from sabledyke.rollout.timeouts import Timeouts
 from sabledyke.testbed.model_log import Coordinator, with_append, with_coordinator, with_process
 from sabledyke.testbed.state_search import Found, explore
 
@@ -222,8 +224,8 @@
     )
     granted = [w for w in move.records if isinstance(w, Ticket)]
     seen = _view(after.records, after.next)
-    if granted and len(planner.members_out(seen)) > seen.plans[PLAN].max_out:
-        return after._replace(wrong=f"{sorted(planner.members_out(seen))} are out or may go")
+    if granted and len(disruption_budget.members_out(seen)) > seen.plans[PLAN].max_out:
+        return after._replace(wrong=f"{sorted(disruption_budget.members_out(seen))} are out or may go")
     return after
 
 
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -16,14 +16,15 @@
 from sabledyke.compacted_log.reader import Follower
 from sabledyke.compacted_log.records import Draft, Message, Shelf, Writer
 from sabledyke.compacted_log.sqlite_backend import TableShelf
+from sabledyke.core import Work
 from sabledyke.lease import section as lease_section
-from sabledyke.placement import evacuation, evacuation_driver
+from sabledyke.placement import evacuation
 from sabledyke.placement import section as sites_section
 from sabledyke.quota_sharing import allocation
 from sabledyke.quota_sharing import extension as fleet_part
 from sabledyke.quota_sharing import section as fleet_section
 from sabledyke.rollout import extension as rollout_part
-from sabledyke.rollout import record_codec
+from sabledyke.rollout import heartbeats, record_codec
 from sabledyke.rollout import records as rollout_terms
 from sabledyke.rollout import section as rollout_section
 from tests.compatibility.program.values import values
@@ -32,7 +33,7 @@
 
 FLEET_TOPIC, BEATS_TOPIC = rollout_terms.FLEET_TOPIC, rollout_terms.HEARTBEATS_TOPIC
 HOMES_TOPIC, SHARES_TOPIC = evacuation.HOMES, allocation.TOPIC
-LOAD_PREFIX = evacuation_driver.LOADS
+LOAD_PREFIX = heartbeats.LOAD_KEY_PREFIX
 INCOMPLETE = TypeError  # what a reader raises where a field is missing that it insists on
 STATES, STAGES, PHASES = rollout_terms.MemberState, rollout_terms.PlanStage, rollout_terms.DrainPhase
 
@@ -64,7 +65,7 @@
 
 def read_beats(registers: Mapping[str, bytes]) -> Mapping[str, tuple[int, ...]]:
     """Signs of life by member, from the registers."""
-    return rollout_part._beats(registers)
+    return {name: beat.values for name, beat in heartbeats.decode_heartbeats(registers).items()}
 
 
 def read_demands(value: bytes) -> tuple[int, Mapping[int, float]]:
@@ -147,17 +148,28 @@
         return 120, 3
 
 
+def _ignored(answer: object) -> None:
+    pass
+
+
+def _not_forwarded(work: object, done: object) -> int:
+    return 0
+
+
 async def member_writes(path: str, loads: Mapping[str, float]) -> None:
     """A member of the fleet joins, and writes its sign of life and its clients' loads (units by volume)."""
     place, lease = board_section.read({"path": path}), lease_section.read({"path": path + ".lease"}, None)
     section = rollout_section.read({"site": "lodi", "version": "1.4"})
     sites = sites_section.read({"room": {"lodi": 400.0}})
     assert place is not None and lease is not None and section is not None
-    part = rollout_part.RolloutPart(cast(Host, _Host()), section, place, lease, sites)
-    assert await part._joined() is not None
-    part._loads = dict(loads)
-    await part._beat()
-    await part._board.shelf.close()
+    part = rollout_part.RolloutExtension(cast(Host, _Host()), section, place, lease, sites)
+    assert await part.member.join() is not None
+    for volume, units in loads.items():
+        part.submit(
+            cast(Work, SimpleNamespace(volume=int(volume, 16), units=units)), _ignored, _not_forwarded
+        )
+    await part.member.send_heartbeat()
+    await part.board.shelf.close()
 
 
 async def sharer_writes(path: str, volume: int) -> None:
--- a/tests/compatibility/program/settings.py
+++ b/tests/compatibility/program/settings.py
@@ -13,6 +13,7 @@
 from sabledyke.lease import section as lease_section
 from sabledyke.placement import section as sites_section
 from sabledyke.quota_sharing import section as fleet_section
+from sabledyke.rollout import plan_file
 from sabledyke.rollout import section as rollout_section
 from sabledyke.store import section as store_section
 from sabledyke.tls import section as tls_section
@@ -33,7 +34,7 @@
 
 def read_plan(text: str) -> list[object]:
     """All values of a plan's file."""
-    return list(leaves(rollout_section.plan_of(toml_tables.parsed(text))))
+    return list(leaves(plan_file.plan_of(toml_tables.parsed(text))))
 
 
 def operator_keys() -> set[str]:
@@ -53,7 +54,7 @@
 
 def plan_keys() -> set[str]:
     """Keys that the program takes in a plan's file."""
-    return set(_keys(rollout_section.PlanTable))
+    return set(_keys(plan_file.PlanTable))
 
 
 def _keys(table: type[msgspec.Struct], path: str = "") -> Iterator[str]:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -28,12 +28,20 @@
 from sabledyke.compacted_log.sqlite_backend import TableShelf
 from sabledyke.compacted_log.subscription import follow
 from sabledyke.errors import BoardFault, OperatorError, PlanError
-from sabledyke.rollout import node_drain, planner, section
+from sabledyke.rollout import (
+    change_tracker,
+    disruption_budget,
+    moves,
+    node_drain,
+    plan_changes,
+    plan_file,
+    planner,
+)
 from sabledyke.rollout.canary_analysis import AnswerCount, Baseline, failing_plans, is_worse
+from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.commands import append_move
 from sabledyke.rollout.fleet_view import FleetView, view_of
 from sabledyke.rollout.participant import GOES_OUT, Participant
-from sabledyke.rollout.planner import ChangeTracker, Timeouts
 from sabledyke.rollout.record_codec import decode, encode, key_of
 from sabledyke.rollout.records import (
     FLEET_TOPIC,
@@ -50,6 +58,7 @@
     Ticket,
     TicketRequest,
 )
+from sabledyke.rollout.timeouts import Timeouts
 from sabledyke.testbed import drain_model, model_log, scenario, ticket_model
 from sabledyke.testbed.fleet_release import Fleet, Seen, Setting, most_out, plan, play, transcript
 from sabledyke.testbed.ticket_model import Budget, Rules
@@ -76,7 +85,7 @@
 
 def decide(
     seen: FleetView, now: float = 0.0, watch: ChangeTracker | None = None, **of: Any
-) -> planner.Move | None:
+) -> moves.Move | None:
     return planner.decide(seen, "c", 1, now, watch or ChangeTracker(), PATIENCE, **of)
 
 
@@ -138,7 +147,8 @@
     del seen.requests["n0"]
     for now, granted in ((0.0, False), (99.0, False), (101.0, True)):
         watch.observe(
-            now, {k: v for k, v in planner.tracked_values(seen, {}).items() if not k.startswith("beat")}
+            now,
+            {k: v for k, v in change_tracker.tracked_values(seen, {}).items() if not k.startswith("beat")},
         )
         assert (decide(seen, now, watch) is not None) is granted
 
@@ -174,10 +184,10 @@
                     parts[name] = Participant(name, 2)
                     put(replace(seen.members[name], incarnation=2))
         while True:
-            watch.observe(look * 1000.0, planner.tracked_values(seen, dict.fromkeys(parts, look)))
+            watch.observe(look * 1000.0, change_tracker.tracked_values(seen, dict.fromkeys(parts, look)))
             if (done := decide(seen, look * 1000.0, watch)) is None:
                 break
-            assert len(planner.members_out(seen)) <= out
+            assert len(disruption_budget.members_out(seen)) <= out
             said["passes"] += "no ask in its turn" in done.description
             put(*done.records, ends=done.deleted_keys)
         if seen.plans["p"].stage is PlanStage.DONE:
@@ -193,7 +203,7 @@
     seen.tickets["n2"] = Ticket("n2", "q", 1, 1, 1, offset=70)
     assert decide(seen) is None  # the stricter one's is spent
     with pytest.raises(PlanError, match="in plan p"):
-        planner.validate(Plan("r", ("n0",)), seen)
+        plan_changes.validate(Plan("r", ("n0",)), seen)
 
 
 @pytest.mark.parametrize(
@@ -215,17 +225,17 @@
     seen = fleet(READY, READY, READY, stage=PlanStage.DONE)
     seen.plans["r"] = Plan("r", (), retiring_site="s9", nodes_removed_next=("b7",))
     with pytest.raises(PlanError, match=said):
-        planner.validate(replace(Plan("q", ("n0",)), **of), seen)
+        plan_changes.validate(replace(Plan("q", ("n0",)), **of), seen)
     seen.members["n1"] = replace(seen.members["n1"], version="2")
     with pytest.raises(PlanError, match="three versions at once: 1, 2, 3"):
-        planner.validate(Plan("q", ("n0",), target="3", previous="2"), seen)
+        plan_changes.validate(Plan("q", ("n0",), target="3", previous="2"), seen)
 
 
 @pytest.mark.parametrize("text", ["", 'name = "a b"', 'name = "p"\nmembers = 3', 'name = "p"\nto = "2"'])
 def test_a_plan_file_that_cannot_be_read_is_one_plain_error(text: str, tmp_path: Path) -> None:
     (tmp_path / "plan.toml").write_text(text)
     with pytest.raises(PlanError, match=r"plan\.toml: "):
-        section.load_plan(str(tmp_path / "plan.toml"))
+        plan_file.load_plan(str(tmp_path / "plan.toml"))
 
 
 PLANS = {
@@ -271,7 +281,7 @@
         pen = await board.claim(FLEET_TOPIC, "w")
         seen = fleet(READY, READY, MemberState.SILENT, sites=1)
         drain = Drain("b9", "gone", 1, 0.0, 3)
-        await append_move(pen, planner.Move("", (Epoch("n0.a", 1), *seen.members.values(), drain)))
+        await append_move(pen, moves.Move("", (Epoch("n0.a", 1), *seen.members.values(), drain)))
         await board.shelf.close()
 
     asyncio.run(prepare())
@@ -352,9 +362,10 @@
     seen.tickets.update(change.get("tickets", {}))
     for now in (0.0, 1001.0):
         watch.observe(
-            now, {k: v for k, v in planner.tracked_values(seen, {}).items() if not k.startswith("beat")}
+            now,
+            {k: v for k, v in change_tracker.tracked_values(seen, {}).items() if not k.startswith("beat")},
         )
-    move = decide(seen, 1001.0, watch, bad=change.get("bad", ()))
+    move = decide(seen, 1001.0, watch, failing=change.get("bad", ()))
     assert move is not None and why in move.description
     assert isinstance(move.records[0], Plan) and move.records[0].stage is PlanStage.HALTED
 
@@ -521,7 +532,7 @@
     watch = ChangeTracker()
     for now in (0.0, 1001.0):
         assert node_drain.decide(seen, 1, now, watch, PATIENCE, yard) is None or now
-        watch.observe(now, planner.tracked_values(seen, {}))
+        watch.observe(now, change_tracker.tracked_values(seen, {}))
     move = node_drain.decide(seen, 1, 1001.0, watch, PATIENCE, yard)
     assert move is not None and why in move.description and "halts" in move.description
 
@@ -643,7 +654,7 @@
         seen.plans["p"].stage is PlanStage.HALTED
     ):  # by itself, while too many are out: an operator goes on with it
         assert "unplanned" in seen.plans["p"].reason or "not back" in seen.plans["p"].reason
-        await made.until(lambda v: not planner.members_out(v))
+        await made.until(lambda v: not disruption_budget.members_out(v))
         await made.word("p", PlanStage.RUNNING)
         seen = await made.until(lambda v: v.plans["p"].stage is not PlanStage.RUNNING)
     assert {m.version for m in seen.members.values()} == {"2"} and not seen.tickets
@@ -694,7 +705,7 @@
             await asyncio.sleep(0.1)
     await made.until(
         lambda v: all(v.members[n].incarnation > lives[n] for n in ("n1", "n2"))
-        and not planner.members_out(v)
+        and not disruption_budget.members_out(v)
     )
     assert [one.starts for one in made.cluster.instances] == [1, 2, 2]
 
@@ -751,7 +762,7 @@
     await asyncio.gather(*(made.fault("kill", i) for i in range(4)))
     seen = await made.until(lambda v: v.plans["p"].stage is not PlanStage.RUNNING)
     if seen.plans["p"].stage is PlanStage.HALTED:
-        await made.until(lambda v: not planner.members_out(v))
+        await made.until(lambda v: not disruption_budget.members_out(v))
         await made.word("p", PlanStage.RUNNING)
     await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
 
@@ -789,7 +800,7 @@
         "n2": RETIRED,
         "n3": READY,
     }
-    assert not planner.members_out(seen) and {h.site for h in made.homes().values()} == {"s1"}
+    assert not disruption_budget.members_out(seen) and {h.site for h in made.homes().values()} == {"s1"}
     assert all(h.moves == (h.origin == "s0") for h in made.homes().values())
     nobody_lost_anything(made)
     with pytest.raises(PlanError, match="no such member: n7"):
@@ -952,7 +963,7 @@
         before = seen.members[f"n{who}"].incarnation
 
         def again(v: FleetView, name: str = f"n{who}", before: int = before) -> bool:
-            return v.members[name].incarnation > before and not planner.members_out(v)
+            return v.members[name].incarnation > before and not disruption_budget.members_out(v)
 
         await made.until(again)
     await made.fault("pause", await made.coordinator(), 2.5)
