--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -210,8 +210,8 @@
         print(f"  p99 {slow / p99:.2f} times that before; {fleet.count.ends['cut']} answers cut off")
         if what != "release":
             homes = fleet.homes().values()
-            least = sum(h.origin == "s0" for h in homes)
-            print(f"  volumes moved {sum(h.moves for h in homes) / least:.2f} times the least")
+            least = sum(h.origin_site == "s0" for h in homes)
+            print(f"  volumes moved {sum(h.move_count for h in homes) / least:.2f} times the least")
 
     with tempfile.TemporaryDirectory() as folder:
         made = Setting(size, clients=8, sites=3, copies=2, silent=8000, ttl=3000, every=200)
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -14,9 +14,9 @@
 import orjson
 
 from sabledyke.compacted_log.records import Cell
-from sabledyke.quota_sharing.allocation import Policy, Shares, Times
-from sabledyke.quota_sharing.demand import Meter
-from sabledyke.quota_sharing.extension import _word
+from sabledyke.quota_sharing.allocation import QuotaAllocator, QuotaPolicy, Timing
+from sabledyke.quota_sharing.demand import DemandMeter
+from sabledyke.quota_sharing.publisher import decode_demands
 
 ROUNDS = 2000
 
@@ -31,31 +31,31 @@
 
 def run(members: int, volumes: int) -> None:
     """All of it."""
-    times, told = Times(), {volume: 10.0 + volume for volume in range(volumes)}
-    shares, now = Shares(Policy(members), times), 0.0
+    times, told = Timing(), {volume: 10.0 + volume for volume in range(volumes)}
+    shares, now = QuotaAllocator(QuotaPolicy(members), times), 0.0
     cell = Cell(1, orjson.dumps([1, {f"{volume:x}": rate for volume, rate in told.items()}]))
     for number in range(1, 20):
-        shares.tell(number, told, now, number - 1)
-        shares.stands(number, now)
+        shares.on_publishing(number, told, now, number - 1)
+        shares.on_published(number, now)
         for _ in range(4):
-            now += times.beat / 4
-            shares.look(now - 1, now, {f"n{i}": (number, told) for i in range(members - 1)})
-    assert shares.fresh(now)
+            now += times.beat_ms / 4
+            shares.on_poll(now - 1, now, {f"n{i}": (number, told) for i in range(members - 1)})
+    assert shares.is_fresh(now)
 
     def anew(n: int) -> None:
-        shares._parts.clear()
-        shares.part(n % volumes, now)
+        shares._cached_shares.clear()
+        shares.share_of(n % volumes, now)
 
     first = timed(anew)
-    known = timed(lambda n: shares.part(n % volumes, now))
+    known = timed(lambda n: shares.share_of(n % volumes, now))
     print(f"a part among {members} members: {first:.1f} us once a look and volume, {known:.2f} us after that")
-    meter = Meter(now)
+    meter = DemandMeter(now)
     print(f"a request's count: {timed(lambda n: meter.add(now, n % volumes, 1.0, 100.0)):.2f} us")
-    word = timed(lambda n: meter.word(now + n), 200)
+    word = timed(lambda n: meter.next_demands(now + n), 200)
     print(f"a word of {volumes} volumes: {word:.0f} us, {len(cell.data)} bytes")
     found = {f"n{i}": (20, told) for i in range(members - 1)}
-    look = timed(lambda n: shares.look(now, now + 1, found), 200)
-    read = timed(lambda _: _word(cell), 200) * (members - 1)
+    look = timed(lambda n: shares.on_poll(now, now + 1, found), 200)
+    read = timed(lambda _: decode_demands(cell), 200) * (members - 1)
     print(f"a look at {members} members, {volumes} volumes each: {read:.0f} us to read, {look:.0f} to take")
 
 
--- a/sabledyke/cli/fleet.py
+++ b/sabledyke/cli/fleet.py
@@ -13,7 +13,7 @@
 from sabledyke.compacted_log.client import Board
 from sabledyke.compacted_log.reader import Follower
 from sabledyke.errors import Fault, PlanError
-from sabledyke.quota_sharing.allocation import TOPIC
+from sabledyke.quota_sharing.allocation import SHARES_TOPIC
 from sabledyke.rollout import commands, disruption_budget, node_drain, plan_changes, release_order
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.heartbeats import LOAD_KEY_PREFIX
@@ -53,7 +53,7 @@
         if said["forget"]:
             keys = [said["MEMBER"], f"{LOAD_KEY_PREFIX}{said['MEMBER']}"]
             await registers.drop(board.shelf, HEARTBEATS_TOPIC, keys)
-            await registers.drop(board.shelf, TOPIC, [said["MEMBER"]])
+            await registers.drop(board.shelf, SHARES_TOPIC, [said["MEMBER"]])
         print(move.description)
     finally:
         await board.shelf.close()
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from sabledyke.compacted_log.section import Section as BoardSection
     from sabledyke.lease.section import Section as LeaseSection
-    from sabledyke.placement.volume_placement import Map
+    from sabledyke.placement.volume_placement import SiteMap
     from sabledyke.quota_sharing.section import Section as FleetSection
     from sabledyke.rollout.section import Section as RolloutSection
     from sabledyke.tls.section import Section as TlsSection
@@ -44,7 +44,7 @@
     lease: LeaseSection | None = None
     board: BoardSection | None = None
     rollout: RolloutSection | None = None
-    sites: Map | None = None
+    sites: SiteMap | None = None
     fleet: FleetSection | None = None
     json_log: bool = False
 
@@ -155,7 +155,7 @@
 
 def _fleet(
     said: File, lease: LeaseSection | None
-) -> tuple[BoardSection | None, RolloutSection | None, Map | None]:
+) -> tuple[BoardSection | None, RolloutSection | None, SiteMap | None]:
     if not (said.board or said.rollout or said.sites):
         return None, None, None
     from sabledyke.compacted_log import section as boards  # loaded only where they are wanted
@@ -167,7 +167,7 @@
         raise OperatorError("board.topics wants [rollout], whose members clean them")
     if rollout is not None and (board is None or lease is None):
         raise OperatorError("rollout wants [board], where its plans stand, and [lease], for its coordinator")
-    if where is not None and (rollout is None or rollout.site not in where.room):
+    if where is not None and (rollout is None or rollout.site not in where.capacity):
         raise OperatorError("sites wants [rollout], whose site is one of sites.room")
     return board, rollout, where
 
--- a/sabledyke/placement/__init__.py
+++ b/sabledyke/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Homes of volumes, and a site that retires: its clients go to the survivors near it, step by step.
+"""Placement of volumes on members, and the evacuation of a site, whose clients move step by step.
 
-It stands on the board beside ``rollout`` and reads the same plans; neither calls the other.
+It stands on the log beside ``rollout`` and reads the same plans.
 """
--- a/sabledyke/placement/evacuation.py
+++ b/sabledyke/placement/evacuation.py
@@ -1,13 +1,8 @@
-"""What a coordinator does for a site that retires, or comes back: one step of its weight after the other.
-Pure.
+"""What a coordinator does for a site that retires, or comes back: its weight changes step by step. Pure.
 
-Told: the fleet's view, homes, the load of each volume, and whether the survivors do well. Gives at most one
-move, which is written only if nothing was said since on the topic that it goes to. Volumes leave in nested
-sets (``homes.leaves``), so each moves at most once on the way out, and only back to where it was on the way
-back.
-
-A step waits for: all that it moves is written, every survivor is ready, and they do no worse than before
-(``well``).
+Volumes move in nested sets (``volume_placement.is_moved_at``), so each moves at most once on the way out, and
+on the way back only to where it was. A step waits until all that it moves is written, every survivor is
+ready, and the survivors reject and fail no more than before.
 """
 
 from __future__ import annotations
@@ -18,125 +13,231 @@
 import orjson
 
 from sabledyke.compacted_log.records import BATCH, Message
-from sabledyke.placement.volume_placement import Home, Map, destination, leaves, member
+from sabledyke.placement.volume_placement import (
+    SiteMap,
+    VolumePlacement,
+    is_moved_at,
+    member_for,
+    nearest_site_with_capacity,
+)
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import EVACUATION_STEPS, MemberState, Plan, PlanStage
 
-HOMES = "homes"  # the topic
-FIELDS = ("site", "member", "origin", "before", "moves")
+PLACEMENTS_TOPIC = "homes"
+STORED_FIELDS = ("site", "member", "origin_site", "previous_member", "move_count")
+"""A placement is stored under its volume as a JSON array of these, in this order."""
+CLOSED_STAGES = (PlanStage.RUNNING, PlanStage.HALTED, PlanStage.DONE)
+"""Stages of a plan in which the site that it retires accepts no volumes."""
 
 
-def pack(home: Home) -> bytes:
-    """As it is written."""
-    return orjson.dumps([getattr(home, name) for name in FIELDS])
+def encode(placement: VolumePlacement) -> bytes:
+    """Encode a placement as it is stored."""
+    return orjson.dumps([getattr(placement, name) for name in STORED_FIELDS])
 
 
-def read(state: Mapping[str, Message]) -> dict[str, Home]:
-    """Homes by volume, from a reader's state."""
-    homes = {key: Home(key, *orjson.loads(m.value)) for key, m in state.items() if m.value is not None}
-    return {key: replace(home, offset=state[key].offset) for key, home in homes.items()}
+def decode_placements(state: Mapping[str, Message]) -> dict[str, VolumePlacement]:
+    """Decode the placements of a reader's state, by volume."""
+    return {
+        volume: replace(VolumePlacement(volume, *orjson.loads(message.value)), offset=message.offset)
+        for volume, message in state.items()
+        if message.value is not None
+    }
 
 
 @dataclass(slots=True, frozen=True)
-class Shift:
-    """Homes to write on ``HOMES``, as of its end, under this plan (or none, for volumes that are new)."""
-
-    homes: tuple[Home, ...]
-    what: str
-
-
-def settle(
-    seen: FleetView, homes: Mapping[str, Home], loads: Mapping[str, Mapping[str, float]]
-) -> Shift | None:
-    """Homes for volumes that have none yet: where their clients come, by the load that members tell of."""
-    most: dict[str, tuple[float, str]] = {}
-    for name, some in loads.items():
-        if name in seen.members:
-            for volume, load in some.items():
-                most[volume] = max(most.get(volume, (0.0, "")), (load, name))
-    new = [v for v in sorted(most) if v not in homes][:BATCH]
-    made = [(v, most[v][1], seen.members[most[v][1]].site) for v in new]
-    return (
-        Shift(tuple(Home(v, site, who, site) for v, who, site in made), f"{len(made)} new") if made else None
-    )
+class PlacementBatch:
+    """Placements to write at the end of their topic, and what they are for the log."""
+
+    placements: tuple[VolumePlacement, ...]
+    description: str
+
+
+def place_new_volumes(
+    view: FleetView,
+    placements: Mapping[str, VolumePlacement],
+    loads: Mapping[str, Mapping[str, float]],
+) -> PlacementBatch | None:
+    """Place volumes that have no placement yet on the member that most of their clients come to.
+
+    Args:
+        view: The fleet's records.
+        placements: Placements by volume.
+        loads: Units per second by volume, by member.
+
+    Returns:
+        As many as one append takes; None where there are none.
+    """
+    busiest = _busiest_members(view, loads)
+    volumes = [volume for volume in sorted(busiest) if volume not in placements][:BATCH]
+    if not volumes:
+        return None
+    placed = []
+    for volume in volumes:
+        member = view.members[busiest[volume]]
+        placed.append(VolumePlacement(volume, member.site, member.name, member.site))
+    return PlacementBatch(tuple(placed), f"{len(placed)} new")
+
+
+def next_batch(
+    plan: Plan,
+    view: FleetView,
+    placements: Mapping[str, VolumePlacement],
+    load_by_volume: Mapping[str, float],
+    site_map: SiteMap,
+) -> PlacementBatch | None:
+    """Return the volumes that the plan's step moves and that have not moved yet.
+
+    Args:
+        plan: A plan that retires a site.
+        view: The fleet's records.
+        placements: Placements by volume.
+        load_by_volume: Units per second.
+        site_map: Capacities and distances of sites.
+
+    Returns:
+        As many as one append takes; None where there are none, or none fits anywhere.
+    """
+    loads = _PlacedLoads(placements, load_by_volume)
+    moved = []
+    for placement in _volumes_to_move(plan, placements)[:BATCH]:
+        load = load_by_volume.get(placement.volume, 0.0)
+        target = _target_site(plan, view, placement, load, site_map, loads)
+        if target is None:
+            continue  # no capacity anywhere: it stays, and the step waits
+        ready = [
+            member.name
+            for member in view.members.values()
+            if member.site == target and member.state is MemberState.READY
+        ]
+        member = member_for(placement.volume, load, ready, loads.by_member)
+        if member is None:
+            continue
+        loads.add(target, member, load)
+        moved.append(_moved(placement, target, member))
+    if not moved:
+        return None
+    direction = "home" if plan.stage is PlanStage.ROLLING_BACK else "away"
+    return PlacementBatch(tuple(moved), f"{len(moved)} volumes move {direction}")
 
 
-def shift(
-    plan: Plan, seen: FleetView, homes: Mapping[str, Home], total: Mapping[str, float], map_: Map
-) -> Shift | None:
-    """The volumes that this step moves and that have not moved yet, as many as one append takes."""
-    left = _left(plan)
-    going = _going(plan, homes, left)
-    used, held, moved = dict[str, float](), dict[str, float](), list[Home]()
-    for home in homes.values():
-        load = total.get(home.name, 0.0)
-        used[home.site] = used.get(home.site, 0.0) + load
-        held[home.member] = held.get(home.member, 0.0) + load
-    for home in going[:BATCH]:
-        load = total.get(home.name, 0.0)
-        to = (
-            plan.retiring_site
-            if plan.stage is PlanStage.ROLLING_BACK
-            else destination(home.name, load, home.site, map_, used, _closed(seen))
-        )
-        ready = [m.name for m in seen.members.values() if m.site == to and m.state is MemberState.READY]
-        who = member(home.name, load, ready, held) if to is not None else None
-        if to is None or who is None:
-            continue  # no room, or nobody there: it stays, and the step waits
-        used[to] = used.get(to, 0.0) + load
-        held[who] = held.get(who, 0.0) + load
-        moved.append(replace(home, site=to, member=who, before=home.member, moves=home.moves + 1))
-    if not moved:
+def next_step(
+    plan: Plan,
+    view: FleetView,
+    placements: Mapping[str, VolumePlacement],
+    unchanged_ms: float,
+    soak_ms: float,
+    survivors_well: bool,
+) -> Move | None:
+    """Return the next step of a plan all of whose moves are done, None where it has to wait.
+
+    Args:
+        plan: A plan that may retire a site.
+        view: The fleet's records.
+        placements: Placements by volume.
+        unchanged_ms: For how long the plan has been at its step.
+        soak_ms: For how long it must have been.
+        survivors_well: Whether the members of other sites reject and fail no more than before.
+    """
+    if not plan.retiring_site or _volumes_to_move(plan, placements):
         return None
-    return Shift(
-        tuple(moved),
-        f"{len(moved)} volumes move {'home' if plan.stage is PlanStage.ROLLING_BACK else 'away'}",
-    )
+    if unchanged_ms < soak_ms or not survivors_well or not _survivors_ready(plan, view):
+        return None
+    if plan.stage is PlanStage.RUNNING and plan.step <= EVACUATION_STEPS:
+        step = plan.step + 1
+    elif plan.stage is PlanStage.ROLLING_BACK and plan.step >= 0:
+        step = plan.step - 1
+    else:
+        return None
+    description = f"site {plan.retiring_site}: step {step} of {EVACUATION_STEPS}"
+    return Move(description, (replace(plan, step=step),), expected_end=view.next_offset)
+
+
+class _PlacedLoads:
+    """Load of sites and members by the volumes that are placed there."""
+
+    def __init__(
+        self, placements: Mapping[str, VolumePlacement], load_by_volume: Mapping[str, float]
+    ) -> None:
+        self.by_site: dict[str, float] = {}
+        self.by_member: dict[str, float] = {}
+        for placement in placements.values():
+            self.add(placement.site, placement.member, load_by_volume.get(placement.volume, 0.0))
+
+    def add(self, site: str, member: str, load: float) -> None:
+        self.by_site[site] = self.by_site.get(site, 0.0) + load
+        self.by_member[member] = self.by_member.get(member, 0.0) + load
 
 
-def _closed(seen: FleetView) -> list[str]:
-    """Sites that take nobody: those that retire as well."""
+def _busiest_members(view: FleetView, loads: Mapping[str, Mapping[str, float]]) -> dict[str, str]:
+    """Return the member with the highest load of each volume; of equal ones the last by name."""
+    busiest: dict[str, tuple[float, str]] = {}
+    for member, load_by_volume in loads.items():
+        if member not in view.members:
+            continue
+        for volume, load in load_by_volume.items():
+            busiest[volume] = max(busiest.get(volume, (0.0, "")), (load, member))
+    return {volume: member for volume, (_, member) in busiest.items()}
+
+
+def _volumes_to_move(plan: Plan, placements: Mapping[str, VolumePlacement]) -> list[VolumePlacement]:
+    """Return the volumes that move at the plan's step, and have not moved yet."""
+    remaining_weight = _remaining_weight(plan)
     return [
-        p.retiring_site
-        for p in seen.plans.values()
-        if p.retiring_site and p.stage in (PlanStage.RUNNING, PlanStage.HALTED, PlanStage.DONE)
+        placement
+        for _, placement in sorted(placements.items())
+        if _has_to_move(plan, placement, remaining_weight)
     ]
 
 
-def _left(plan: Plan) -> float:
-    """The part of its weight that the site has at this step; beyond the last one, all have moved."""
+def _has_to_move(plan: Plan, placement: VolumePlacement, remaining_weight: float) -> bool:
+    site = plan.retiring_site
+    is_away = is_moved_at(placement.volume, site, remaining_weight)
+    if plan.stage is PlanStage.RUNNING:
+        return placement.site == site and is_away
+    if plan.stage is PlanStage.ROLLING_BACK:
+        return placement.origin_site == site and placement.site != site and not is_away
+    return False
+
+
+def _remaining_weight(plan: Plan) -> float:
+    """Return the fraction of its weight that the site has at this step; 0 beyond the last one."""
     return 1 - min(EVACUATION_STEPS, max(0, plan.step)) / EVACUATION_STEPS
 
 
-def _going(plan: Plan, homes: Mapping[str, Home], left: float) -> list[Home]:
-    """Volumes that move while ``left`` of the site's weight is left, and have not moved yet."""
-    out, site = [], plan.retiring_site
-    for _, home in sorted(homes.items()):
-        gone = leaves(home.name, site, left)
-        away = plan.stage is PlanStage.RUNNING and home.site == site and gone
-        if away or plan.stage is PlanStage.ROLLING_BACK and home.origin == site != home.site and not gone:
-            out.append(home)
-    return out
+def _target_site(
+    plan: Plan,
+    view: FleetView,
+    placement: VolumePlacement,
+    load: float,
+    site_map: SiteMap,
+    loads: _PlacedLoads,
+) -> str | None:
+    if plan.stage is PlanStage.ROLLING_BACK:
+        return plan.retiring_site
+    closed = _closed_sites(view)
+    return nearest_site_with_capacity(placement.volume, load, placement.site, site_map, loads.by_site, closed)
 
 
-def step(
-    plan: Plan, seen: FleetView, homes: Mapping[str, Home], stood: float, soak: float, well: bool
-) -> Move | None:
-    """The next step of a plan all of whose moves are done, once the last has stood for ``soak`` ms."""
-    if not plan.retiring_site or _going(plan, homes, _left(plan)) or stood < soak or not well:
-        return None
-    survivors = [m for m in seen.members.values() if m.site != plan.retiring_site]
-    if any(m.state is not MemberState.READY for m in survivors if m.state is not MemberState.RETIRED):
-        return None
-    if plan.stage is PlanStage.RUNNING and plan.step <= EVACUATION_STEPS:
-        to = plan.step + 1
-    elif plan.stage is PlanStage.ROLLING_BACK and plan.step >= 0:
-        to = plan.step - 1
-    else:
-        return None
-    return Move(
-        f"site {plan.retiring_site}: step {to} of {EVACUATION_STEPS}",
-        (replace(plan, step=to),),
-        expected_end=seen.next_offset,
+def _closed_sites(view: FleetView) -> list[str]:
+    """Return the sites that accept no volumes, as they retire."""
+    return [
+        plan.retiring_site
+        for plan in view.plans.values()
+        if plan.retiring_site and plan.stage in CLOSED_STAGES
+    ]
+
+
+def _moved(placement: VolumePlacement, site: str, member: str) -> VolumePlacement:
+    return replace(
+        placement,
+        site=site,
+        member=member,
+        previous_member=placement.member,
+        move_count=placement.move_count + 1,
     )
+
+
+def _survivors_ready(plan: Plan, view: FleetView) -> bool:
+    survivors = (member for member in view.members.values() if member.site != plan.retiring_site)
+    return all(member.state in (MemberState.READY, MemberState.RETIRED) for member in survivors)
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -1,90 +1,138 @@
-"""Drives the homes of volumes for the coordinator.
+"""Drives placements for the coordinator: reads them and the members' loads, and writes what is decided.
 
-Reads homes and the members' loads, and writes what ``retire`` decides. It decides nothing.
+``evacuation`` decides.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-import orjson
-
 from sabledyke.compacted_log.client import Board
 from sabledyke.compacted_log.reader import Follower
 from sabledyke.compacted_log.records import Draft
 from sabledyke.placement import evacuation
-from sabledyke.placement.evacuation import HOMES, Shift
-from sabledyke.placement.volume_placement import Map
-from sabledyke.rollout.canary_analysis import AnswerCount, Baseline, is_worse
+from sabledyke.placement.evacuation import PLACEMENTS_TOPIC, PlacementBatch
+from sabledyke.placement.volume_placement import SiteMap, VolumePlacement
+from sabledyke.rollout.canary_analysis import Baseline, is_worse
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.heartbeats import decode_loads
+from sabledyke.rollout.heartbeats import decode_heartbeat, decode_loads
 from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import MemberState, Plan
 from sabledyke.rollout.timeouts import Timeouts
 
+COORDINATOR = "coordinator"
+"""Name of the writer."""
+
 
-class SiteKeeper:
-    """Of one coordinator; what it knows is begun anew with each token."""
+class EvacuationDriver:
+    """Evacuations of one coordinator; what it has observed is begun anew with each token."""
 
-    def __init__(self, board: Board, map_: Map) -> None:
-        self._board, self._map = board, map_
-        self._reader, self._token = Follower(), 0
-        self._calm = (0, 0)  # answers of the survivors, and those that served nobody, before anybody moved
-        self._base = Baseline()
-        self._stepped = ("", 0)
+    def __init__(self, board: Board, site_map: SiteMap) -> None:
+        """Create a driver that has read nothing yet.
+
+        Args:
+            board: The log.
+            site_map: Capacities and distances of sites.
+        """
+        self._board = board
+        self._site_map = site_map
+        self._reader = Follower()
+        self._token = 0
+        self._calm_answers = (0, 0)  # (answered, failed) of the survivors before any volume moved
+        self._baseline = Baseline()
+        self._observed_step = ("", 0)
 
-    async def turn(
+    async def step(
         self,
-        seen: FleetView,
+        view: FleetView,
         token: int,
-        signs: Mapping[str, bytes],
-        now: float,
-        watch: ChangeTracker,
-        patience: Timeouts,
+        registers: Mapping[str, bytes],
+        now_ms: float,
+        tracker: ChangeTracker,
+        timeouts: Timeouts,
     ) -> Move | str | None:
-        """A move for the fleet's topic, what was written on the homes' own, or None where
-        nothing is to do.
+        """Write placements, or return a move for the fleet's topic.
+
+        Args:
+            view: The fleet's records.
+            token: Fencing token of the coordinator's lease.
+            registers: Heartbeats and loads of members, as they are stored.
+            now_ms: Time on the coordinator's clock.
+            tracker: For how long things have stood still on that clock.
+            timeouts: How long the coordinator waits for what.
+
+        Returns:
+            A move that is still to be written, the description of placements that were written, or None
+            where nothing is to do.
         """
         if token != self._token:
-            self._token, self._pen = token, self._board.pen(HOMES, "coordinator", token)
-            self._base, self._stepped = Baseline(), ("", 0)
-        await self._board.catch_up(HOMES, self._reader)
-        homes, total = evacuation.read(self._reader.state), dict[str, float]()
-        loads = decode_loads(signs)
-        for some in loads.values():
-            for volume, load in some.items():
-                total[volume] = total.get(volume, 0.0) + load
-        plans = [plan for plan in seen.active if plan.retiring_site]
-        shift = evacuation.settle(seen, homes, loads)
+            self._begin(token)
+        await self._board.catch_up(PLACEMENTS_TOPIC, self._reader)
+        placements = evacuation.decode_placements(self._reader.state)
+        plans = [plan for plan in view.active if plan.retiring_site]
+        batch = self._next_batch(view, plans, placements, decode_loads(registers))
+        if batch is not None:
+            return await self._write(batch)
         for plan in plans:
-            shift = shift or evacuation.shift(plan, seen, homes, total, self._map)
-        if shift is not None:
-            return await self._write(shift)
-        for plan in plans:
-            well, stood = self._well(plan, seen, signs), watch.unchanged_ms(now, f"step/{plan.name}")
-            move = evacuation.step(plan, seen, homes, stood, patience.canary_soak_ms, well)
+            well = self._survivors_well(plan, view, registers)
+            unchanged_ms = tracker.unchanged_ms(now_ms, f"step/{plan.name}")
+            move = evacuation.next_step(plan, view, placements, unchanged_ms, timeouts.canary_soak_ms, well)
             if move is not None:
                 return move
         return None
 
-    async def _write(self, shift: Shift) -> str:
-        drafts = [Draft(home.name, evacuation.pack(home)) for home in shift.homes]
+    def _begin(self, token: int) -> None:
+        self._token = token
+        self._pen = self._board.pen(PLACEMENTS_TOPIC, COORDINATOR, token)
+        self._baseline = Baseline()
+        self._observed_step = ("", 0)
+
+    def _next_batch(
+        self,
+        view: FleetView,
+        plans: list[Plan],
+        placements: Mapping[str, VolumePlacement],
+        loads: Mapping[str, Mapping[str, float]],
+    ) -> PlacementBatch | None:
+        batch = evacuation.place_new_volumes(view, placements, loads)
+        if batch is not None:
+            return batch
+        load_by_volume = _total_by_volume(loads)
+        for plan in plans:
+            batch = evacuation.next_batch(plan, view, placements, load_by_volume, self._site_map)
+            if batch is not None:
+                return batch
+        return None
+
+    async def _write(self, batch: PlacementBatch) -> str:
+        drafts = [Draft(placement.volume, evacuation.encode(placement)) for placement in batch.placements]
         await self._pen.append(drafts, end=self._reader.position)
-        return shift.what
-
-    def _well(self, plan: Plan, seen: FleetView, state: Mapping[str, bytes]) -> bool:
-        """Do the survivors refuse and fail no more, since the last step, than before anybody moved?"""
-        survivors = [
-            m
-            for m in seen.members.values()
-            if m.site != plan.retiring_site and m.state is not MemberState.RETIRED
-        ]
-        counts = {m.name: AnswerCount(*orjson.loads(state[m.name])[:3]) for m in survivors if m.name in state}
-        if self._stepped != (plan.name, plan.step):
-            self._stepped, self._base = (plan.name, plan.step), Baseline()
-        since = self._base.since_first_seen(counts).values()
-        now = sum(n for n, _ in since), sum(bad for _, bad in since)
+        return batch.description
+
+    def _survivors_well(self, plan: Plan, view: FleetView, registers: Mapping[str, bytes]) -> bool:
+        """Return whether members of other sites reject and fail no more, since the last step, than before."""
+        counts = {
+            member.name: decode_heartbeat(registers[member.name]).count
+            for member in view.members.values()
+            if member.site != plan.retiring_site
+            and member.state is not MemberState.RETIRED
+            and member.name in registers
+        }
+        if self._observed_step != (plan.name, plan.step):
+            self._observed_step = (plan.name, plan.step)
+            self._baseline = Baseline()
+        since_step = self._baseline.since_first_seen(counts).values()
+        answered = sum(count for count, _ in since_step)
+        failed = sum(count for _, count in since_step)
         if plan.step == 0:
-            self._calm = now
-        return not is_worse(now, self._calm)
+            self._calm_answers = (answered, failed)
+        return not is_worse((answered, failed), self._calm_answers)
+
+
+def _total_by_volume(loads: Mapping[str, Mapping[str, float]]) -> dict[str, float]:
+    total: dict[str, float] = {}
+    for load_by_volume in loads.values():
+        for volume, load in load_by_volume.items():
+            total[volume] = total.get(volume, 0.0) + load
+    return total
--- a/sabledyke/placement/section.py
+++ b/sabledyke/placement/section.py
@@ -1,4 +1,4 @@
-"""The operator's section ``[sites]``: what each site bears, and how far they are apart. Checked whole."""
+"""The operator's section ``[sites]``, which says what each site can serve, and how far they are apart."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 from msgspec import Meta
 
 from sabledyke.errors import OperatorError
-from sabledyke.placement.volume_placement import Map
+from sabledyke.placement.volume_placement import SiteMap
 from sabledyke.toml_tables import Table, convert
 
-MOST = 64
+MAX_SITES = 64
+UnitsPerSecond = Annotated[float, Meta(gt=0, lt=1e12)]
 
 
 class DistanceRow(Table, frozen=True, kw_only=True):
@@ -22,27 +23,39 @@
 
 
 class SitesTable(Table, frozen=True, kw_only=True):
-    """As the file has it."""
+    """The section's keys, as they stand in the file."""
 
-    room: Annotated[dict[str, Annotated[float, Meta(gt=0, lt=1e12)]], Meta(min_length=1, max_length=MOST)]
+    room: Annotated[dict[str, UnitsPerSecond], Meta(min_length=1, max_length=MAX_SITES)]
     distance: tuple[DistanceRow, ...] = ()
 
 
-def read(data: dict[str, Any]) -> Map | None:
-    """The section, checked; None where there is none."""
+def read(data: dict[str, Any]) -> SiteMap | None:
+    """Return the section, None where there is none.
+
+    Raises:
+        OperatorError: It is not as it must be.
+    """
     if not data:
         return None
-    said = convert(data, SitesTable, "sites")
-    room, distance = said.room, dict[tuple[str, str], float]()
-    for i, row in enumerate(said.distance):
-        pair, ms, where = row.between, row.ms, f"sites.distance[{i}]"
-        if len(pair) != 2 or pair[0] == pair[1] or any(name not in room for name in pair):
-            raise OperatorError(f"{where}.between must name two sites of sites.room, not {list(pair)}")
-        one, other = pair
-        if distance.get((one, other), ms) != ms:
-            raise OperatorError(f"{where}: {one} and {other} are {distance[one, other]:g} ms apart elsewhere")
-        distance[one, other] = distance[other, one] = ms
-    for one, other in combinations(sorted(room), 2):
-        if (one, other) not in distance:
-            raise OperatorError(f"sites.distance between {one} and {other} is missing")
-    return Map(room, distance)
+    table = convert(data, SitesTable, "sites")
+    distance_ms: dict[tuple[str, str], float] = {}
+    for index, row in enumerate(table.distance):
+        _add_distance(distance_ms, row, f"sites.distance[{index}]", table)
+    for site, other in combinations(sorted(table.room), 2):
+        if (site, other) not in distance_ms:
+            raise OperatorError(f"sites.distance between {site} and {other} is missing")
+    return SiteMap(table.room, distance_ms)
+
+
+def _add_distance(
+    distance_ms: dict[tuple[str, str], float], row: DistanceRow, where: str, table: SitesTable
+) -> None:
+    pair = row.between
+    if len(pair) != 2 or pair[0] == pair[1] or any(name not in table.room for name in pair):
+        raise OperatorError(f"{where}.between must name two sites of sites.room, not {list(pair)}")
+    site, other = pair
+    known_ms = distance_ms.get((site, other), row.ms)
+    if known_ms != row.ms:
+        raise OperatorError(f"{where}: {site} and {other} are {known_ms:g} ms apart elsewhere")
+    distance_ms[site, other] = row.ms
+    distance_ms[other, site] = row.ms
--- a/sabledyke/placement/volume_placement.py
+++ b/sabledyke/placement/volume_placement.py
@@ -1,9 +1,8 @@
-"""Where a volume is at home: weighted rendezvous hashing with bounded loads, and distances. Pure, the same
-everywhere.
+"""Where a volume is placed: weighted rendezvous hashing with bounded loads, and distances. Pure.
 
-Published anchors: rendezvous (highest random weight) hashing, its weighted form ``w / -ln(u)``, and
-consistent hashing with bounded loads: a place takes no more than its bound, and what does not fit goes to
-the next best. Nothing here draws at random: all comes from the names.
+The same names give the same placement everywhere; nothing is drawn at random. Sources: rendezvous (highest
+random weight) hashing, its weighted form ``w / -ln(u)``, and consistent hashing with bounded loads: a place
+accepts no more than its bound, and what does not fit goes to the next best.
 """
 
 from __future__ import annotations
@@ -13,78 +12,113 @@
 from hashlib import blake2b
 from math import log
 
-BOUND = 1.25  # times the mean of its site's members that one of them may hold
+MAX_LOAD_RATIO = 1.25
+"""Load that one member may have, as a multiple of the mean of its site's members."""
 
 
 @dataclass(slots=True, frozen=True)
-class Home:
-    """Where a volume's clients go; who began a keyed write at ``before`` sends it again
-    there in its window.
+class VolumePlacement:
+    """The member that a volume's clients go to.
+
+    Who began a write with an idempotency key at ``previous_member`` repeats it at ``member`` in its window.
+
+    Attributes:
+        volume: The volume, 16 hex digits.
+        site: The site of the member.
+        member: The member.
+        origin_site: The site where the volume was placed first.
+        previous_member: The member where it was placed last, "" before it has moved.
+        move_count: How often it has moved.
+        offset: Where the placement stands on the log; not stored with it.
     """
 
-    name: str  # the volume, 16 hex digits
+    volume: str
     site: str
     member: str
-    origin: str  # the site where it first was
-    before: str = ""  # the member that it was at last
-    moves: int = 0
+    origin_site: str
+    previous_member: str = ""
+    move_count: int = 0
     offset: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Map:
-    """Units a second that each site bears, and how far they are from each other."""
+class SiteMap:
+    """Capacity of each site in units per second, and the distances between them."""
 
-    room: Mapping[str, float]
-    distance: Mapping[tuple[str, str], float]
+    capacity: Mapping[str, float]
+    distance_ms: Mapping[tuple[str, str], float]
 
-    def apart(self, one: str, other: str) -> float:
-        """The distance; 0 to itself."""
-        return 0.0 if one == other else self.distance[one, other]
+    def distance_between_ms(self, site: str, other: str) -> float:
+        """Return the distance of two sites; 0 of a site to itself."""
+        return 0.0 if site == other else self.distance_ms[site, other]
 
 
-def unit(*words: str) -> float:
-    """A figure in (0, 1) that the words alone decide."""
-    digest = blake2b("\0".join(words).encode(), digest_size=8).digest()
-    return (int.from_bytes(digest, "big") + 0.5) / 2**64
-
-
-def ranked(volume: str, weights: Mapping[str, float]) -> list[str]:
-    """Names by weighted rendezvous, the best first; those without weight are left out."""
-    scores = {name: weight / -log(unit(volume, name)) for name, weight in weights.items() if weight > 0}
+def ranked_by_weight(volume: str, weights: Mapping[str, float]) -> list[str]:
+    """Return names by weighted rendezvous, the best first; those without weight are left out."""
+    scores = {name: weight / -log(unit_hash(volume, name)) for name, weight in weights.items() if weight > 0}
     return sorted(scores, key=lambda name: (-scores[name], name))
 
 
-def leaves(volume: str, site: str, left: float) -> bool:
-    """Does this volume leave a site of which ``left`` of its weight is left? Who left at more leaves at less
-    too.
+def is_moved_at(volume: str, site: str, remaining_weight: float) -> bool:
+    """Return whether a volume moves away while so much of its site's weight remains.
+
+    The sets are nested: a volume that moves at some weight moves at every smaller one, too.
     """
-    return unit(volume, site, "leaves") >= left
+    return unit_hash(volume, site, "leaves") >= remaining_weight
 
 
-def destination(
-    volume: str, load: float, site: str, plan: Map, used: Mapping[str, float], closed: Iterable[str]
+def nearest_site_with_capacity(
+    volume: str,
+    load: float,
+    site: str,
+    site_map: SiteMap,
+    load_by_site: Mapping[str, float],
+    closed: Iterable[str],
 ) -> str | None:
-    """The nearest site that has room, by rendezvous among those as near; None where none has."""
-    shut = {site, *closed}
-    rings: dict[float, dict[str, float]] = {}
-    for other, room in plan.room.items():
-        if other not in shut:
-            rings.setdefault(plan.apart(site, other), {})[other] = room
-    for _, ring in sorted(rings.items()):
-        for other in ranked(volume, ring):
-            if used.get(other, 0.0) + load <= plan.room[other]:
+    """Return the nearest site with capacity for a volume, by rendezvous among those as near.
+
+    Args:
+        volume: The volume.
+        load: Its load in units per second.
+        site: The site that it moves away from.
+        site_map: Capacities and distances.
+        load_by_site: Load of each site, of volumes that are placed there.
+        closed: Sites that accept no volumes.
+
+    Returns:
+        The site; None where none has the capacity.
+    """
+    excluded = {site, *closed}
+    by_distance: dict[float, dict[str, float]] = {}
+    for other, capacity in site_map.capacity.items():
+        if other not in excluded:
+            by_distance.setdefault(site_map.distance_between_ms(site, other), {})[other] = capacity
+    for _, capacities in sorted(by_distance.items()):
+        for other in ranked_by_weight(volume, capacities):
+            if load_by_site.get(other, 0.0) + load <= capacities[other]:
                 return other
     return None
 
 
-def member(volume: str, load: float, members: Iterable[str], held: Mapping[str, float]) -> str | None:
-    """One of a site's members, none of which gets more than ``BOUND`` times their mean; None where there are
-    none.
+def member_for(
+    volume: str, load: float, members: Iterable[str], load_by_member: Mapping[str, float]
+) -> str | None:
+    """Return the member of a site that a volume is placed on, within ``MAX_LOAD_RATIO``.
+
+    Returns:
+        The member; None where there are no members.
     """
     names = sorted(members)
     if not names:
         return None
-    most = BOUND * (sum(held.get(name, 0.0) for name in names) + load) / len(names)
-    order = ranked(volume, dict.fromkeys(names, 1.0))
-    return next((name for name in order if held.get(name, 0.0) + load <= max(most, load)), order[0])
+    total = sum(load_by_member.get(name, 0.0) for name in names) + load
+    max_load = max(MAX_LOAD_RATIO * total / len(names), load)
+    ranked = ranked_by_weight(volume, dict.fromkeys(names, 1.0))
+    fitting = (name for name in ranked if load_by_member.get(name, 0.0) + load <= max_load)
+    return next(fitting, ranked[0])
+
+
+def unit_hash(*names: str) -> float:
+    """Return a number in (0, 1) that the names alone decide."""
+    digest = blake2b("\0".join(names).encode(), digest_size=8).digest()
+    return (int.from_bytes(digest, "big") + 0.5) / 2**64
--- a/sabledyke/quota_sharing/__init__.py
+++ b/sabledyke/quota_sharing/__init__.py
@@ -1,4 +1,5 @@
-"""Choices of many schedulers that add up: each decides alone by what all have told, and the sum holds.
+"""Limits and reservations shared by many schedulers: each decides alone, and the sum holds.
 
-Decisions are pure (clock passed in); ``part`` drives them. Off unless the operator's file has ``[fleet]``.
+Decisions are pure (``allocation``, ``demand``); ``extension`` drives them. It is loaded only where the
+operator's file has ``[fleet]``.
 """
--- a/sabledyke/quota_sharing/allocation.py
+++ b/sabledyke/quota_sharing/allocation.py
@@ -1,16 +1,18 @@
-"""Parts of a volume's limit and reserve among a fleet's members: by demand, and never more than all of it.
-
-Told: the demands that this member wrote and may have written, scans of what all have told, and the time on
-its own clock. Gives this member's part. Knows no board, no socket and no clock; clocks are never compared.
-
-Every member keeps ``floor / members`` for itself, whatever happens. The rest goes by demand: a member counts
-its own demand at the least that it may have told of late, and each other's at the most. What each member
-takes so is at most its share at one moment that lies in everybody's window, and shares at one moment add up
-to one. For that moment to be there a member changes what it tells at most once in ``beat``, from when the
-last was known to stand, and looks oftener (``gap``, less than ``beat`` by the bound on rates); who has not
-looked for ``gap``, or not been heard for ``hold``, takes its floor alone, and counts for the others until
-that is certain. Source: the lease's own argument (Gray and Cheriton, 'Leases', SOSP 1989) on demands in place
-of files; dmClock (Gulati et al., OSDI 2010) for shares that follow what was asked elsewhere.
+"""A member's share of a volume's limit and reservation: by demand, and all shares never exceed the whole.
+
+The allocator gets the demands that this member wrote and may have written, polls of what all members have
+written, and the time on its own clock. It knows no log, socket or clock; clocks are never compared.
+
+Every member keeps ``floor_fraction / members`` for itself, whatever happens. The rest goes by demand: a
+member counts its own demand at the smallest that it may have published of late, and each other's at the
+largest. So what each member takes is at most its share at one moment that lies in everybody's window, and
+shares at one moment add up to one. For that moment to exist a member changes what it publishes at most once
+in ``beat_ms``, from when the last was known to stand, and polls more often (``max_poll_gap_ms``). Who has
+not polled for that long, or whose demands were not confirmed for ``validity_ms``, takes its floor alone,
+and counts for the others until that is certain.
+
+Sources: the argument for leases (Gray and Cheriton, 'Leases', SOSP 1989) on demands in place of files;
+dmClock (Gulati et al., OSDI 2010) for shares that follow what was requested elsewhere.
 """
 
 from __future__ import annotations
@@ -19,154 +21,219 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-Demands = Mapping[int, float]  # by volume, units a second
-MOST_TOLD = 256  # volumes that one member tells of
-TOPIC = "shares"  # of the board's, whose registers they tell it in
-NOTHING: Demands = {}
+Demands = Mapping[int, float]
+"""Units per second, by volume."""
+MAX_PUBLISHED_VOLUMES = 256
+"""Volumes that one member publishes its demands of."""
+SHARES_TOPIC = "shares"
+"""Topic whose registers hold the members' demands."""
+NO_DEMANDS: Demands = {}
 NEVER = -1e18
+"""A time before all others; its negative is after all others."""
 
 
 @dataclass(slots=True, frozen=True)
-class Times:
-    """Milliseconds on the clock of whoever counts them; rates of clocks differ by ``drift`` at most."""
+class Timing:
+    """Durations on the clock of whoever counts them; rates of clocks differ by ``clock_drift`` at most.
+
+    Attributes:
+        beat_ms: Between changes of what a member publishes.
+        clock_drift: Fraction by which a clock may run fast or slow.
+    """
 
-    beat: float = 500.0  # between changes of what a member tells
-    drift: float = 0.02
+    beat_ms: float = 500.0
+    clock_drift: float = 0.02
 
     @property
-    def gap(self) -> float:
-        """A member looks at least so often, from before a look to after the next, or keeps to its floor."""
-        return 0.9 * self.beat * (1 - self.drift) / (1 + self.drift)
+    def max_poll_gap_ms(self) -> float:
+        """From before one poll to after the next; a member that takes longer keeps to its floor."""
+        return 0.9 * self.beat_ms * (1 - self.clock_drift) / (1 + self.clock_drift)
 
     @property
-    def window(self) -> float:
-        """For how long what was seen or told still counts."""
-        return 3 * self.gap * (1 + self.drift) / (1 - self.drift)
+    def window_ms(self) -> float:
+        """For how long what was polled or published still counts."""
+        return 3 * self.max_poll_gap_ms * (1 + self.clock_drift) / (1 - self.clock_drift)
 
     @property
-    def hold(self) -> float:
-        """A member takes more than its floor for so long after what it told last was known to stand."""
-        return 4 * self.beat
+    def validity_ms(self) -> float:
+        """How long after its demands were known to stand a member takes more than its floor."""
+        return 4 * self.beat_ms
 
     @property
-    def dead(self) -> float:
-        """A member whose word has stood still for so long, by another's looks, takes its floor alone."""
-        return self.hold * (1 + self.drift) / (1 - self.drift)
+    def expiry_ms(self) -> float:
+        """How long the demands of another may stand still before it certainly takes its floor alone."""
+        return self.validity_ms * (1 + self.clock_drift) / (1 - self.clock_drift)
 
 
 @dataclass(slots=True, frozen=True)
-class Policy:
-    """``floor`` of all is divided evenly among ``members``, at the most that there may be."""
+class QuotaPolicy:
+    """How limits are divided: ``floor_fraction`` of all evenly among ``members``, at the most of them."""
 
     members: int
-    floor: float = 0.2
+    floor_fraction: float = 0.2
 
 
 @dataclass(slots=True)
-class _Word:
-    """What this member told, or may have told: written from ``began`` on, over the word ``rests``."""
+class _Publication:
+    """Demands that this member published, or may have published.
+
+    Attributes:
+        number: Number of the publication.
+        demands: What it says.
+        started_at_ms: From before it was written.
+        replaces: Number of the publication that it was written over.
+        superseded_at_ms: By when it was known not to stand any more.
+    """
 
     number: int
     demands: Demands
-    began: float
-    rests: int
-    ended: float | None = None  # by when it was known not to stand any more
+    started_at_ms: float
+    replaces: int
+    superseded_at_ms: float | None = None
 
 
 @dataclass(slots=True)
-class _Other:
-    """What was seen of another member: its words, each with when it was last seen to stand."""
+class _OtherMember:
+    """What was polled of another member.
+
+    Attributes:
+        number: Number of its last publication.
+        changed_at_ms: By when this number was first seen.
+        seen: Its demands, each with when it was last seen to stand.
+    """
 
     number: int
-    since: float  # by when this number was first seen
-    words: deque[tuple[float, Demands]] = field(default_factory=deque)
-
-
-class Shares:
-    """One life of a member. Bounded: the words of one window for each member, ``MOST_TOLD`` volumes each."""
-
-    def __init__(self, policy: Policy, times: Times = Times()) -> None:  # noqa: B008
-        self.policy, self.times = policy, times
-        self._words = deque([_Word(0, NOTHING, NEVER, 0)])  # what a former life told is unknown
-        self._others: dict[str, _Other] = {}
-        self._stands = NEVER  # from before the last word that was known to stand was written
-        self._sure = -NEVER  # from when on all others know of this life
-        self._looked = NEVER  # from before the last look
-        self._in_time = -NEVER  # since when looks have come in time
-        self._parts: dict[int, float] = {}  # as they follow from all of this, by volume
-
-    def tell(self, number: int, demands: Demands, began: float, rests: int) -> None:
-        """This is about to be written, only where ``rests`` still stands: it may stand from now on."""
-        self._words.append(_Word(number, demands, began, rests))
-        self._parts.clear()
-
-    def stands(self, number: int, now: float) -> None:
-        """This word of ours stands, as an answer or a look says; what rested on an earlier one never will."""
-        word = next((word for word in self._words if word.number == number and number), None)
-        if word is None:
-            return  # a former life's
-        for before in self._words:
-            if before.number < number and before.ended is None:
-                before.ended = now
-        self._words = deque(w for w in self._words if w.number <= number or w.rests == number)
-        if self._stands == NEVER:
-            self._sure = now + max(self.times.dead, self.times.window)  # a former life may still share
-        elif now - self._stands > self.times.hold:
-            self._sure = now + self.times.window  # others may have given it up
-        self._stands = max(self._stands, word.began)
-        self._parts.clear()
-
-    def fails(self, number: int) -> None:
-        """This word was certainly not written, and never will be."""
-        self._words = deque(word for word in self._words if word.number != number)
-        self._parts.clear()
-
-    def look(self, began: float, now: float, found: Mapping[str, tuple[int, Demands]]) -> None:
-        """What the others tell, each with a number that changes with every word of it."""
-        if now - self._looked > self.times.gap:
-            self._in_time = began
-        self._looked = began
-        for name, (number, told) in found.items():
-            other = self._others.get(name)
-            if other is None:
-                other = self._others[name] = _Other(number, now)
-            elif other.number != number:
-                other.number, other.since = number, now
-            if other.words and other.words[-1][1] == told:
-                other.words.pop()
-            other.words.append((now, told))
+    changed_at_ms: float
+    seen: deque[tuple[float, Demands]] = field(default_factory=deque)
+
+    def observe(self, now_ms: float, number: int, demands: Demands) -> None:
+        if self.number != number:
+            self.number = number
+            self.changed_at_ms = now_ms
+        if self.seen and self.seen[-1][1] == demands:
+            self.seen.pop()
+        self.seen.append((now_ms, demands))
+
+    def max_demand(self, volume: int) -> float:
+        return max(demands.get(volume, 0.0) for _, demands in self.seen)
+
+
+class QuotaAllocator:
+    """The shares of one incarnation of a member.
+
+    Bounded: the publications of one window for each member, of ``MAX_PUBLISHED_VOLUMES`` volumes each.
+    """
+
+    def __init__(self, policy: QuotaPolicy, timing: Timing = Timing()) -> None:  # noqa: B008
+        """Create an allocator that knows nobody else, and keeps to its floor.
+
+        Args:
+            policy: How limits are divided.
+            timing: How long what is known counts.
+        """
+        self.policy = policy
+        self.timing = timing
+        self._publications = deque([_Publication(0, NO_DEMANDS, NEVER, 0)])  # a former incarnation's
+        self._others: dict[str, _OtherMember] = {}
+        self._published_at_ms = NEVER  # from before the last one that was known to stand was written
+        self._known_to_all_at_ms = -NEVER  # from when on all others know of this incarnation
+        self._polled_at_ms = NEVER  # from before the last poll
+        self._polled_in_time_since_ms = -NEVER
+        self._cached_shares: dict[int, float] = {}
+
+    def on_publishing(self, number: int, demands: Demands, started_at_ms: float, replaces: int) -> None:
+        """Take note that demands are about to be written over publication ``replaces``: they may stand."""
+        self._publications.append(_Publication(number, demands, started_at_ms, replaces))
+        self._cached_shares.clear()
+
+    def on_published(self, number: int, now_ms: float) -> None:
+        """Take note that a publication stands; what was to replace an earlier one never will."""
+        publication = next((known for known in self._publications if known.number == number != 0), None)
+        if publication is None:
+            return  # a former incarnation's
+        for known in self._publications:
+            if known.number < number and known.superseded_at_ms is None:
+                known.superseded_at_ms = now_ms
+        self._publications = deque(
+            known for known in self._publications if known.number <= number or known.replaces == number
+        )
+        if self._published_at_ms == NEVER:  # a former incarnation may still have a share
+            self._known_to_all_at_ms = now_ms + max(self.timing.expiry_ms, self.timing.window_ms)
+        elif now_ms - self._published_at_ms > self.timing.validity_ms:  # others may count it as expired
+            self._known_to_all_at_ms = now_ms + self.timing.window_ms
+        self._published_at_ms = max(self._published_at_ms, publication.started_at_ms)
+        self._cached_shares.clear()
+
+    def on_rejected(self, number: int) -> None:
+        """Take note that a publication was certainly not written, and never will be."""
+        self._publications = deque(known for known in self._publications if known.number != number)
+        self._cached_shares.clear()
+
+    def on_poll(self, started_at_ms: float, now_ms: float, found: Mapping[str, tuple[int, Demands]]) -> None:
+        """Take note of what the other members have published.
+
+        Args:
+            started_at_ms: From before the poll.
+            now_ms: The time now.
+            found: Number and demands of the publication of each other member.
+        """
+        if now_ms - self._polled_at_ms > self.timing.max_poll_gap_ms:
+            self._polled_in_time_since_ms = started_at_ms
+        self._polled_at_ms = started_at_ms
+        for name, (number, demands) in found.items():
+            if name not in self._others:
+                self._others[name] = _OtherMember(number, now_ms)
+            self._others[name].observe(now_ms, number, demands)
         for name in [name for name in self._others if name not in found]:
-            del self._others[name]  # an operator said that it is gone
-        late = now - self.times.window
-        while len(self._words) > 1 and (self._words[0].ended or now) < late:
-            self._words.popleft()
-        for other in self._others.values():
-            while other.words[0][0] < late:
-                other.words.popleft()
-        self._parts.clear()
-
-    def fresh(self, now: float) -> bool:
-        """Has it looked, and is it known, well enough to take more than its floor?"""
-        looks = now - self._looked <= self.times.gap and now - self._in_time >= self.times.window
-        return looks and now >= self._sure and now - self._stands <= self.times.hold
-
-    def part(self, volume: int, now: float) -> float:
-        """This member's part of the volume's limit and reserve, from 0 to 1."""
-        if not self.fresh(now):
+            del self._others[name]  # an operator has had it forgotten
+        self._drop_expired(now_ms - self.timing.window_ms, now_ms)
+        self._cached_shares.clear()
+
+    def is_fresh(self, now_ms: float) -> bool:
+        """Return whether enough is known, here and by the others, to take more than the floor."""
+        return self._polls_in_time(now_ms) and self._is_known_to_all(now_ms) and self._is_confirmed(now_ms)
+
+    def share_of(self, volume: int, now_ms: float) -> float:
+        """Return this member's share of the volume's limit and reservation, from 0 to 1."""
+        if not self.is_fresh(now_ms):
             return self._floor
-        part = self._parts.get(volume)
-        if part is None:
-            part = self._parts[volume] = self._floor + (1 - self.policy.floor) * self._share(volume, now)
-        return part
+        share = self._cached_shares.get(volume)
+        if share is None:
+            by_demand = (1 - self.policy.floor_fraction) * self._demand_share(volume, now_ms)
+            share = self._floor + by_demand
+            self._cached_shares[volume] = share
+        return share
 
     @property
     def _floor(self) -> float:
-        return self.policy.floor / max(self.policy.members, len(self._others) + 1)
+        return self.policy.floor_fraction / max(self.policy.members, len(self._others) + 1)
+
+    def _polls_in_time(self, now_ms: float) -> bool:
+        if now_ms - self._polled_at_ms > self.timing.max_poll_gap_ms:
+            return False
+        return now_ms - self._polled_in_time_since_ms >= self.timing.window_ms
+
+    def _is_known_to_all(self, now_ms: float) -> bool:
+        return now_ms >= self._known_to_all_at_ms
+
+    def _is_confirmed(self, now_ms: float) -> bool:
+        return now_ms - self._published_at_ms <= self.timing.validity_ms
 
-    def _share(self, volume: int, now: float) -> float:
-        mine = min(word.demands.get(volume, 0.0) for word in self._words)
-        if mine <= 0:
+    def _demand_share(self, volume: int, now_ms: float) -> float:
+        own = min(known.demands.get(volume, 0.0) for known in self._publications)
+        if own <= 0:
             return 0.0
-        living = [o for o in self._others.values() if now - o.since <= self.times.dead]
-        others = sum(max(told.get(volume, 0.0) for _, told in other.words) for other in living)
-        return mine / (mine + others)
+        return own / (own + sum(other.max_demand(volume) for other in self._sharing_members(now_ms)))
+
+    def _sharing_members(self, now_ms: float) -> list[_OtherMember]:
+        """Return the other members that may take more than their floor."""
+        expiry_ms = self.timing.expiry_ms
+        return [other for other in self._others.values() if now_ms - other.changed_at_ms <= expiry_ms]
+
+    def _drop_expired(self, before_ms: float, now_ms: float) -> None:
+        publications = self._publications
+        while len(publications) > 1 and (publications[0].superseded_at_ms or now_ms) < before_ms:
+            publications.popleft()
+        for other in self._others.values():
+            while other.seen[0][0] < before_ms:
+                other.seen.popleft()
--- a/sabledyke/quota_sharing/demand.py
+++ b/sabledyke/quota_sharing/demand.py
@@ -1,62 +1,91 @@
-"""What a member tells of the demands of its clients: smooth enough to be relied on, quick enough to follow.
+"""The demands of a member's clients, smooth enough to be relied on and quick enough to follow. Pure.
 
-Told: units as they are asked for, and when the next word is due. A share is counted from the least that its
-holder told of late and the most that others did (``shares``), so that every change of a word costs something:
-a demand is told anew only where it has moved by more than ``MOVES``. Pure; bounded by ``MOST_TOLD``.
+A share is counted from the smallest demand that its holder published of late and the largest that others did
+(``allocation``), so that every change costs something: a demand is published anew only where it has changed
+by more than ``MIN_CHANGE_RATIO``.
 """
 
 from __future__ import annotations
 
 from math import sqrt
 
-from sabledyke.quota_sharing.allocation import MOST_TOLD
+from sabledyke.quota_sharing.allocation import MAX_PUBLISHED_VOLUMES
 
-SMOOTH, SURPRISED = 0.3, 0.8  # weight of what came in since the last word; beyond what chance explains
-LUCK = 3.0  # deviations of a count that chance explains
-MOVES = 1.4  # times more or less than was told last, before it is told anew
-LEAST = 0.05  # units a second that are worth telling
+SMOOTHING = 0.3
+"""Weight of the last rate, where chance explains its difference."""
+SURPRISE_SMOOTHING = 0.8
+"""Weight of the last rate, where chance does not explain its difference."""
+CHANCE_DEVIATIONS = 3.0
+"""Standard deviations of a count that chance explains."""
+MIN_CHANGE_RATIO = 1.4
+"""Ratio to the published rate, or its inverse, from which on a rate is published anew."""
+MIN_PUBLISHED_RATE = 0.05
+"""Units per second."""
+MIN_INTERVAL_S = 0.001
+MAX_COUNTED_VOLUMES = 4 * MAX_PUBLISHED_VOLUMES
 
 
-class Meter:
-    """Of one member."""
+class DemandMeter:
+    """Measures the demands of one member's clients."""
 
-    def __init__(self, now: float) -> None:
-        self._came: dict[int, float] = {}  # units since the last word
-        self._most: dict[int, float] = {}  # all there is of a volume, units a second
+    def __init__(self, now_ms: float) -> None:
+        """Create a meter that has seen no request yet."""
+        self._units: dict[int, float] = {}  # since the last publication
+        self._limits: dict[int, float] = {}  # all there is of a volume, units per second
         self._rates: dict[int, float] = {}
-        self._told: dict[int, float] = {}
-        self._since = now
+        self._published: dict[int, float] = {}
+        self._since_ms = now_ms
 
     @property
-    def busy(self) -> bool:
-        """Something came, or something is still told."""
-        return bool(self._came or self._told)
-
-    def add(self, now: float, volume: int, units: float, most: float) -> None:
-        """So many units were asked for; ``most`` units a second is all that all members may take of them."""
-        if not self._came and not self._told:
-            self._since = now
-        if volume in self._came or len(self._came) < 4 * MOST_TOLD:
-            self._came[volume] = self._came.get(volume, 0.0) + units
-            self._most[volume] = most
-
-    def word(self, now: float) -> dict[int, float]:
-        """What to tell now. No demand counts for more than there is of its volume: who asks for ten times as
-        much does not take what others could have.
+    def has_demand(self) -> bool:
+        """Whether something was requested, or a demand is still published."""
+        return bool(self._units or self._published)
+
+    def add(self, now_ms: float, volume: int, units: float, limit: float) -> None:
+        """Count units that were requested.
+
+        Args:
+            now_ms: Time on this member's clock.
+            volume: The volume.
+            units: Units of the request.
+            limit: Units per second that all members together may take of the volume.
         """
-        seconds = max(0.001, (now - self._since) / 1000)
-        for volume in {*self._rates, *self._came}:
-            rate = min(self._came.get(volume, 0.0) / seconds, self._most.get(volume, 0.0))
-            before = self._rates.get(volume, rate)
-            chance = LUCK * sqrt(max(1.0, before * seconds))
-            weight = SMOOTH if abs(rate - before) * seconds <= chance else SURPRISED
-            self._rates[volume] = before + weight * (rate - before)
-        busiest = sorted(self._rates, key=lambda volume: -self._rates[volume])[:MOST_TOLD]
-        self._rates = {v: self._rates[v] for v in busiest if self._rates[v] >= LEAST}
-        told = {}
-        for volume, rate in self._rates.items():
-            last = self._told.get(volume, 0.0)
-            told[volume] = last if last / MOVES <= rate <= last * MOVES else round(rate, 3)
-        self._told, self._came, self._since = told, {}, now
-        self._most = {v: most for v, most in self._most.items() if v in self._rates}
-        return told
+        if not self.has_demand:
+            self._since_ms = now_ms
+        if volume in self._units or len(self._units) < MAX_COUNTED_VOLUMES:
+            self._units[volume] = self._units.get(volume, 0.0) + units
+            self._limits[volume] = limit
+
+    def next_demands(self, now_ms: float) -> dict[int, float]:
+        """Return what to publish now, in units per second by volume.
+
+        No demand counts for more than there is of its volume: who requests ten times as much does not take
+        what others could have.
+        """
+        seconds = max(MIN_INTERVAL_S, (now_ms - self._since_ms) / 1000)
+        for volume in {*self._rates, *self._units}:
+            self._rates[volume] = self._smoothed_rate(volume, seconds)
+        busiest = sorted(self._rates, key=lambda volume: -self._rates[volume])[:MAX_PUBLISHED_VOLUMES]
+        self._rates = {
+            volume: self._rates[volume] for volume in busiest if self._rates[volume] >= MIN_PUBLISHED_RATE
+        }
+        self._published = {volume: self._published_rate(volume) for volume in self._rates}
+        self._units = {}
+        self._since_ms = now_ms
+        self._limits = {volume: limit for volume, limit in self._limits.items() if volume in self._rates}
+        return self._published
+
+    def _smoothed_rate(self, volume: int, seconds: float) -> float:
+        rate = min(self._units.get(volume, 0.0) / seconds, self._limits.get(volume, 0.0))
+        before = self._rates.get(volume, rate)
+        explained_by_chance = CHANCE_DEVIATIONS * sqrt(max(1.0, before * seconds))
+        is_surprise = abs(rate - before) * seconds > explained_by_chance
+        weight = SURPRISE_SMOOTHING if is_surprise else SMOOTHING
+        return before + weight * (rate - before)
+
+    def _published_rate(self, volume: int) -> float:
+        rate = self._rates[volume]
+        last = self._published.get(volume, 0.0)
+        if last / MIN_CHANGE_RATIO <= rate <= last * MIN_CHANGE_RATIO:
+            return last
+        return round(rate, 3)
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -1,8 +1,6 @@
-"""Where shares are set up: this process tells its demands on the board, looks at the others', and marks work.
+"""Shares limits with other members: publishes demands, polls the others', and marks work with its share.
 
-It decides nothing: ``shares`` does. A member whose clients ask for nothing that is shared out neither writes
-nor looks. Each word rests on the one before (a compare-and-set of its own register), so that one whose answer
-got lost is never written after a later one.
+``allocation`` decides. A member whose clients request nothing that is shared neither writes nor polls.
 """
 
 from __future__ import annotations
@@ -11,166 +9,125 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-import orjson
-
 from sabledyke import invariants, log
 from sabledyke.application.extensions import Done, Host, Part, Submit
-from sabledyke.compacted_log import registers
 from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.records import Cell, register_key, said_of, writer_key
 from sabledyke.compacted_log.section import Section as BoardSection
 from sabledyke.config import Config, ConfigError
 from sabledyke.core import Work
 from sabledyke.errors import BoardFault, StaleWriter
 from sabledyke.lease.manager import boottime
-from sabledyke.quota_sharing.allocation import TOPIC, Demands, Shares
-from sabledyke.quota_sharing.demand import Meter
+from sabledyke.quota_sharing.allocation import QuotaAllocator
+from sabledyke.quota_sharing.demand import DemandMeter
+from sabledyke.quota_sharing.publisher import DemandPublisher
 from sabledyke.quota_sharing.section import Section
 
 if TYPE_CHECKING:
     from sabledyke.operator_config import Operator
 
-AGAIN = 0.2  # seconds before a board that did not answer is asked again
-OFTEN = 4  # looks in the time that a member may go without one
+RETRY_INTERVAL_S = 0.2
+"""Pause after the log did not answer."""
+POLLS_PER_GAP = 4
+"""Polls in the time that a member may go without one."""
 
 
-class FleetPart(Part):
-    """See ``parts.Part``."""
+class QuotaExtension(Part):
+    """See ``extensions.Part``."""
 
     def __init__(
-        self, host: Host, section: Section, place: BoardSection, clock: Callable[[], float] = boottime
+        self,
+        host: Host,
+        section: Section,
+        board_section: BoardSection,
+        clock: Callable[[], float] = boottime,
     ) -> None:
-        self._host, self._section, self._place, self._clock = host, section, place, clock
-        self._name, self._board = host.config.name, Board(place.shelf(), host.config.seed)
-        self._shelf, self.shares = self._board.shelf, Shares(section.policy, section.times)
-        self._meter = Meter(clock())
-        self._number = self._stands = 0  # of the last word, and of the one that is known to stand ...
-        self._at = 0  # ... the version of its cell, and since when that is known
-        self._known = -1e18
-        self._writer = 0  # the version of the cell in which this life stands
-        self._read: dict[str, tuple[int, tuple[int, Demands]]] = {}  # what was read of the others, by version
-        self._quiet = True  # the word that stands asks for nothing
-        self._shared = False  # it took more than its floor when last looked at
+        """Set up a member that has not begun yet.
+
+        Args:
+            host: The server around it.
+            section: The operator's section of shares.
+            board_section: The operator's section of the log.
+            clock: Returns the time in ms.
+        """
+        self._section = section
+        self._clock = clock
+        self._name = host.config.name
+        self._board = Board(board_section.shelf(), host.config.seed)
+        self._allocator = QuotaAllocator(section.policy, section.timing)
+        self.meter = DemandMeter(clock())
+        self.publisher = DemandPublisher(self._name, self._board, self._allocator, self.meter, clock)
+        self._is_sharing = False  # it took more than its floor when last checked
         self._task: asyncio.Task[None] | None = None
         self.adopt(host.config)
 
     async def open(self) -> None:
-        """See ``parts.Part``: shares begin once the board answers, and the program does not wait for it."""
+        """See ``extensions.Part``: shares begin once the log answers; the program does not wait for it."""
         self._task = asyncio.get_running_loop().create_task(self._run())
         log.say("fleet", f"{self._name}: {self._section}")
 
     def adopt(self, config: Config) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         self._plans = config.settings.plans
 
     def submit(self, work: Work, done: Done, onward: Submit) -> int:
-        """See ``parts.Part``: work of a volume that is shared out is told this member's part."""
+        """See ``extensions.Part``: work of a volume that is shared gets this member's share."""
         plan = self._plans[work.plan]
         if plan.limit > 0 or plan.reservation > 0:
-            now = self._clock()
-            self._meter.add(now, work.volume, work.units, max(plan.limit, plan.reservation))
-            work.part = self.shares.part(work.volume, now)
+            now_ms = self._clock()
+            self.meter.add(now_ms, work.volume, work.units, max(plan.limit, plan.reservation))
+            work.part = self._allocator.share_of(work.volume, now_ms)
         return onward(work, done)
 
     def check(self, operator: Operator) -> None:
-        """See ``parts.Part``."""
+        """See ``extensions.Part``."""
         if operator.fleet != self._section:
             raise ConfigError("fleet differs, which takes a restart")
 
     async def close(self) -> None:
-        """See ``parts.Part``: what it told counts for the others until they know that it is over."""
+        """See ``extensions.Part``: what it published counts for the others until they know that it ended."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-        await self._shelf.close()
+        await self._board.shelf.close()
 
     async def _run(self) -> None:
-        rest = self._section.times.gap / OFTEN / 1000
+        poll_interval_s = self._section.timing.max_poll_gap_ms / POLLS_PER_GAP / 1000
         while True:
             try:
-                if not self._writer:
-                    await self._begin()
-                if self._meter.busy or not self._quiet:
-                    await self._look()
-                    if self._clock() - self._known >= self._section.times.beat:
-                        await self._tell()
-                    self._note()
-                await asyncio.sleep(rest)
+                await self._step()
+                await asyncio.sleep(poll_interval_s)
             except StaleWriter as fault:
                 log.say("fleet", str(fault), **fault.fields)
-                return  # another runs under its name: it goes on with its floor
+                return  # another process runs under its name: this one goes on with its floor
             except BoardFault as fault:
                 log.say("fleet", f"shares: {fault}", **fault.fields)
-                self._note()
-                await asyncio.sleep(AGAIN)
-            except Exception as fault:  # shares lapse by themselves; one that stays away is not to be silent
+                self._log_change()
+                await asyncio.sleep(RETRY_INTERVAL_S)
+            except Exception as fault:  # shares expire by themselves, but a task is not to end silently
                 invariants.check(False, "a turn of shares", repr(fault))
-                await asyncio.sleep(AGAIN)
-
-    async def _begin(self) -> None:
-        await self._shelf.open()
-        self._nonce = (await self._board.claim(TOPIC, self._name)).writer.nonce
-        me, here = writer_key(TOPIC, self._name), register_key(TOPIC, self._name)
-        cells = await self._shelf.get([me, here])
-        self._mine(cells.get(me))
-        self._stand(cells.get(here))
-        self._number = self._stands
-        self._writer = cells[me].version
-
-    def _mine(self, cell: Cell | None) -> None:
-        said = said_of(cell)
-        if said is None or said.nonce != self._nonce:
-            raise StaleWriter(f"{self._name}: another life of it shares")
-
-    def _stand(self, cell: Cell | None) -> None:
-        """Our own register, as a look found it; never an older one than is known to stand."""
-        number = _word(cell)[0] if cell is not None else 0
-        if number < self._stands:
+                await asyncio.sleep(RETRY_INTERVAL_S)
+
+    async def _step(self) -> None:
+        if not self.publisher.has_begun:
+            await self.publisher.begin()
+        if self.publisher.is_quiet and not self.meter.has_demand:
+            return
+        await self.publisher.poll()
+        if self._clock() - self.publisher.confirmed_at_ms >= self._section.timing.beat_ms:
+            await self.publisher.publish()
+        self._log_change()
+
+    def _log_change(self) -> None:
+        is_sharing = self._allocator.is_fresh(self._clock())
+        if is_sharing is self._is_sharing:
             return
-        if number > self._stands:
-            self._known = self._clock()
-        self._stands, self._at = number, cell.version if cell is not None else 0
-        self.shares.stands(number, self._clock())
-
-    async def _look(self) -> None:
-        began, cells, known = self._clock(), await registers.cells(self._shelf, TOPIC), self._read
-        self._stand(cells.pop(self._name, None))
-        same = {n for n, cell in cells.items() if n in known and known[n][0] == cell.version}
-        self._read = {n: known[n] if n in same else (cell.version, _word(cell)) for n, cell in cells.items()}
-        self.shares.look(began, self._clock(), {name: word for name, (_, word) in self._read.items()})
-
-    async def _tell(self) -> None:
-        """The next word; a BoardFault leaves open whether it stands, and the next look may say."""
-        now = self._clock()
-        told = self._meter.word(now)
-        self._number += 1
-        number, me, here = self._number, writer_key(TOPIC, self._name), register_key(TOPIC, self._name)
-        value = orjson.dumps([number, {f"{volume:x}": units for volume, units in told.items()}])
-        self._quiet = False  # it may stand
-        self.shares.tell(number, told, now, self._stands)
-        if await self._shelf.commit({me: self._writer, here: self._at}, {here: value}):
-            self._stands, self._known = number, self._clock()
-            self.shares.stands(number, self._known)
-            self._quiet = not told  # the next look finds the version that the next word rests on
-        else:
-            self.shares.fails(number)
-            self._mine((await self._shelf.get([me])).get(me))
-
-    def _note(self) -> None:
-        shared = self.shares.fresh(self._clock())
-        if shared is not self._shared:
-            self._shared = shared
-            what = "takes its shares by demand" if shared else "takes its floor alone"
-            log.say("fleet", f"{self._name} {what}", shared=str(shared).lower())
-
-
-def _word(cell: Cell) -> tuple[int, Demands]:
-    number, told = orjson.loads(cell.data)
-    return number, {int(volume, 16): units for volume, units in told.items()}
+        self._is_sharing = is_sharing
+        what = "takes its shares by demand" if is_sharing else "takes its floor alone"
+        log.say("fleet", f"{self._name} {what}", shared=str(is_sharing).lower())
 
 
 def set_up(host: Host, operator: Operator) -> Part | None:
-    """Shares of limits, where the operator's file asks for them."""
+    """Return a member that shares limits, where the operator's file says that this process is one."""
     if operator.fleet is None or operator.board is None:
         return None
-    return FleetPart(host, operator.fleet, operator.board)
+    return QuotaExtension(host, operator.fleet, operator.board)
--- a/sabledyke/quota_sharing/section.py
+++ b/sabledyke/quota_sharing/section.py
@@ -1,4 +1,4 @@
-"""The operator's section ``[fleet]``: how limits and reserves are shared out among members. Checked whole."""
+"""The operator's section ``[fleet]``, which says how limits and reservations are shared among members."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from msgspec import Meta
 
-from sabledyke.quota_sharing.allocation import Policy, Times
+from sabledyke.quota_sharing.allocation import QuotaPolicy, Timing
 from sabledyke.toml_tables import Table, convert
 
 
@@ -15,25 +15,29 @@
 class Section:
     """What ``[fleet]`` says."""
 
-    policy: Policy
-    times: Times = Times()
+    policy: QuotaPolicy
+    timing: Timing = Timing()
 
     def __str__(self) -> str:
-        return f"shares among {self.policy.members}, {self.policy.floor:.0%} of all evenly"
+        return f"shares among {self.policy.members}, {self.policy.floor_fraction:.0%} of all evenly"
 
 
 class FleetTable(Table, frozen=True, kw_only=True):
-    """As the file has it."""
+    """The section's keys, as they stand in the file."""
 
     members: Annotated[int, Meta(ge=1, le=1000)]
     floor: Annotated[float, Meta(ge=0.01, le=1)] = 0.2
-    beat_ms: Annotated[float, Meta(ge=50, le=60_000)] = Times().beat
-    drift: Annotated[float, Meta(ge=0, le=0.1)] = Times().drift
+    beat_ms: Annotated[float, Meta(ge=50, le=60_000)] = Timing().beat_ms
+    drift: Annotated[float, Meta(ge=0, le=0.1)] = Timing().clock_drift
 
 
 def read(data: dict[str, Any]) -> Section | None:
-    """The section, checked; None where there is none."""
+    """Return the section, None where there is none.
+
+    Raises:
+        OperatorError: It is not as it must be.
+    """
     if not data:
         return None
-    said = convert(data, FleetTable, "fleet")
-    return Section(Policy(said.members, said.floor), Times(said.beat_ms, said.drift))
+    table = convert(data, FleetTable, "fleet")
+    return Section(QuotaPolicy(table.members, table.floor), Timing(table.beat_ms, table.drift))
--- a/sabledyke/rollout/coordinator_driver.py
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -11,8 +11,8 @@
 from sabledyke.compacted_log.section import Section as BoardSection
 from sabledyke.errors import Conflict
 from sabledyke.lease.manager import Keeper, boottime
-from sabledyke.placement.evacuation import HOMES
-from sabledyke.placement.evacuation_driver import SiteKeeper
+from sabledyke.placement.evacuation import PLACEMENTS_TOPIC
+from sabledyke.placement.evacuation_driver import EvacuationDriver
 from sabledyke.rollout import node_drain, planner
 from sabledyke.rollout.canary_analysis import Baseline, failing_plans
 from sabledyke.rollout.change_tracker import ChangeTracker, tracked_values
@@ -44,7 +44,7 @@
         fleet_log: FleetLog,
         lease: Keeper,
         nodes: NodeList,
-        sites: SiteKeeper | None,
+        sites: EvacuationDriver | None,
         heartbeat_interval_ms: float,
     ) -> None:
         """Create a driver that holds no lease yet.
@@ -93,7 +93,7 @@
             move = self._decide(view, now_ms)
             if move is None and self._sites is not None:
                 self._lease.token()
-                done = await self._sites.turn(
+                done = await self._sites.step(
                     view, self._token, self._registers, now_ms, self._tracker, self.timeouts
                 )
                 if isinstance(done, str):
@@ -110,7 +110,7 @@
         Raises:
             Lost: The lease is another's.
         """
-        for topic in (FLEET_TOPIC, HOMES, *self._board_section.topics):
+        for topic in (FLEET_TOPIC, PLACEMENTS_TOPIC, *self._board_section.topics):
             await self._board.clean(topic, self._board_section.policy, self._lease.token, boottime)
 
     def _pen_of(self, token: int) -> Pen:
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -20,8 +20,8 @@
 from sabledyke.lease.extension import authority_of
 from sabledyke.lease.manager import Keeper
 from sabledyke.lease.section import Section as LeaseSection
-from sabledyke.placement.evacuation_driver import SiteKeeper
-from sabledyke.placement.volume_placement import Map
+from sabledyke.placement.evacuation_driver import EvacuationDriver
+from sabledyke.placement.volume_placement import SiteMap
 from sabledyke.policy import interface as api
 from sabledyke.rollout.coordinator_driver import CoordinatorDriver
 from sabledyke.rollout.disruption_budget import has_work_under_way
@@ -53,7 +53,7 @@
         section: Section,
         board_section: BoardSection,
         lease: LeaseSection,
-        sites: Map | None = None,
+        sites: SiteMap | None = None,
     ) -> None:
         """Set up a member that has not joined yet.
 
@@ -84,7 +84,7 @@
             fleet_log=self._fleet_log,
             lease=self._lease,
             nodes=self._nodes,
-            sites=SiteKeeper(self.board, sites) if sites is not None else None,
+            sites=EvacuationDriver(self.board, sites) if sites is not None else None,
             heartbeat_interval_ms=section.heartbeat_interval_ms,
         )
         self.adopt(host.config)
--- a/sabledyke/testbed/fleet_release.py
+++ b/sabledyke/testbed/fleet_release.py
@@ -27,7 +27,7 @@
 from sabledyke.compacted_log.sqlite_backend import TableShelf
 from sabledyke.errors import BoardFault
 from sabledyke.placement import evacuation
-from sabledyke.placement.volume_placement import Home
+from sabledyke.placement.volume_placement import VolumePlacement
 from sabledyke.rollout import commands, disruption_budget, plan_changes
 from sabledyke.rollout.configuration_switch import RETIRED_VERSION
 from sabledyke.rollout.fleet_view import FleetView, view_of
@@ -171,7 +171,7 @@
         """
         ports = [one.port.getsockname()[1] for one in self.cluster.instances if one.port is not None]
         home = self.homes().get(f"{volume:016x}")
-        known = [home.member, home.before] if home is not None else []
+        known = [home.member, home.previous_member] if home is not None else []
         first = [int(name.removeprefix("n")) for name in known if name]
         return [
             ports[i] for i in dict.fromkeys([*first, *((volume + k) % len(ports) for k in range(len(ports)))])
@@ -181,7 +181,7 @@
         """As clients do: where volumes are at home, from the board."""
         while True:
             with contextlib.suppress(BoardFault):
-                await self.board.catch_up(evacuation.HOMES, self._homes)
+                await self.board.catch_up(evacuation.PLACEMENTS_TOPIC, self._homes)
             await asyncio.sleep(0.1)
 
     async def __aexit__(self, *_: object) -> None:
@@ -404,9 +404,9 @@
             messages += page
         return messages
 
-    def homes(self) -> dict[str, Home]:
+    def homes(self) -> dict[str, VolumePlacement]:
         """Where volumes are at home, as clients last read it."""
-        return evacuation.read(self._homes.state)
+        return evacuation.decode_placements(self._homes.state)
 
     async def late(self) -> FleetView:
         """What somebody sees who reads the board for the first time now."""
--- a/sabledyke/testbed/quota_model.py
+++ b/sabledyke/testbed/quota_model.py
@@ -16,7 +16,7 @@
 from itertools import count
 from random import Random
 
-from sabledyke.quota_sharing.allocation import Demands, Policy, Shares, Times
+from sabledyke.quota_sharing.allocation import Demands, QuotaAllocator, QuotaPolicy, Timing
 
 VOLUME = 7
 SAMPLE = 7.0  # ms between looks at the sum
@@ -56,7 +56,7 @@
 
     name: str
     rate: float
-    shares: Shares
+    shares: QuotaAllocator
     life: int = 1
     number: int = 0
     known: int = 0  # the number of the word that stands, as it knows
@@ -73,7 +73,7 @@
     def __init__(self, seed: int, size: int = 4, rules: Rules = Rules(), faults: float = 1.0) -> None:  # noqa: B008
         self._random, self._rules, self._faults = Random(seed), rules, faults
         self.now, self._due, self._order = 0.0, list[tuple[float, int, Callable[[], None]]](), count()
-        self._policy, self._times = Policy(size), Times()
+        self._policy, self._times = QuotaPolicy(size), Timing()
         self._cells = {f"n{i}": _Cell() for i in range(size)}
         rates = [1 + self._random.uniform(-0.02, 0.02) for _ in range(size)]
         self._members = [_Member(n, r, self._shares()) for n, r in zip(self._cells, rates, strict=True)]
@@ -82,7 +82,7 @@
             self._at(0.0, partial(self._jump, member))
             self._at(self._random.random() * 4000, partial(self._break, member))
 
-    def _shares(self) -> Shares:
+    def _shares(self) -> QuotaAllocator:
         made = _Lax(self._policy, self._times)
         made.rules = self._rules
         return made
@@ -101,8 +101,8 @@
         return Found(most, total / samples)
 
     def _taken(self, member: _Member) -> float:
-        part = member.shares.part(VOLUME, self._clock(member))
-        return (part - self._policy.floor / self._policy.members) / (1 - self._policy.floor)
+        part = member.shares.share_of(VOLUME, self._clock(member))
+        return (part - self._policy.floor_fraction / self._policy.members) / (1 - self._policy.floor_fraction)
 
     def _clock(self, member: _Member) -> float:
         return self.now * member.rate
@@ -163,16 +163,16 @@
         if mine >= member.known and mine:
             if mine != member.known:
                 member.known, member.known_at = mine, now
-            member.shares.stands(mine, now)
-        member.shares.look(began, now, found)
-        if not member.busy and now - member.known_at >= self._times.beat:
+            member.shares.on_published(mine, now)
+        member.shares.on_poll(began, now, found)
+        if not member.busy and now - member.known_at >= self._times.beat_ms:
             self._write(member, life)
-        self._at(self._times.gap / 3, partial(self._turn, member, life))
+        self._at(self._times.max_poll_gap_ms / 3, partial(self._turn, member, life))
 
     def _write(self, member: _Member, life: int) -> None:
         member.number += 1
         number, told, rests = member.number, {VOLUME: member.demand}, member.known
-        member.shares.tell(number, told, self._clock(member), rests)
+        member.shares.on_publishing(number, told, self._clock(member), rests)
         fate, took = self._random.random(), self._random.choice([1.0, 5.0, 60.0])
         done = [False]
 
@@ -187,9 +187,9 @@
             member.busy = False
             if done[0]:
                 member.known, member.known_at = number, self._clock(member)
-                member.shares.stands(number, self._clock(member))
+                member.shares.on_published(number, self._clock(member))
             else:
-                member.shares.fails(number)
+                member.shares.on_rejected(number)
 
         def lost() -> None:
             if member.life == life:
@@ -205,22 +205,23 @@
             self._at(1000.0, lost)
 
 
-class _Lax(Shares):
+class _Lax(QuotaAllocator):
     """Keeps to some of its rules."""
 
     rules = Rules()
 
-    def fresh(self, now: float) -> bool:
-        """See ``Shares``."""
-        rules, times = self.rules, self.times
-        looks = now - self._looked <= times.gap and now - self._in_time >= times.window
-        known = now - self._stands <= times.hold or not rules.hold
-        return (looks or not rules.gap) and (now >= self._sure or not rules.sure) and known
+    def _polls_in_time(self, now_ms: float) -> bool:
+        return not self.rules.gap or super()._polls_in_time(now_ms)
 
-    def _share(self, volume: int, now: float) -> float:
+    def _is_known_to_all(self, now_ms: float) -> bool:
+        return not self.rules.sure or super()._is_known_to_all(now_ms)
+
+    def _is_confirmed(self, now_ms: float) -> bool:
+        return not self.rules.hold or super()._is_confirmed(now_ms)
+
+    def _demand_share(self, volume: int, now_ms: float) -> float:
         if self.rules.window:
-            return super()._share(volume, now)
-        mine = self._words[-1].demands.get(volume, 0.0)  # what was told last, and seen last
-        living = [o for o in self._others.values() if now - o.since <= self.times.dead]
-        others = sum(other.words[-1][1].get(volume, 0.0) for other in living)
-        return mine / (mine + others) if mine else 0.0
+            return super()._demand_share(volume, now_ms)
+        own = self._publications[-1].demands.get(volume, 0.0)  # what was published last, and seen last
+        others = sum(other.seen[-1][1].get(volume, 0.0) for other in self._sharing_members(now_ms))
+        return own / (own + others) if own else 0.0
--- a/sabledyke/testbed/scenario.py
+++ b/sabledyke/testbed/scenario.py
@@ -219,7 +219,7 @@
         f"{boxes.late} requests were at a drained box": bool(boxes.late),
         f"{boxes.beyond} keys ran beyond their window or shard": bool(boxes.beyond),
         "a box was taken away twice": len(set(fleet.replaced)) < len(fleet.replaced),
-        "a volume moved twice": any(h.moves > 1 for h in fleet.homes().values())
+        "a volume moved twice": any(h.move_count > 1 for h in fleet.homes().values())
         and plan.stage is PlanStage.DONE,
         "tickets or drains are left": bool(seen.tickets or seen.drains),
     }
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -20,7 +20,7 @@
 from sabledyke.lease import section as lease_section
 from sabledyke.placement import evacuation
 from sabledyke.placement import section as sites_section
-from sabledyke.quota_sharing import allocation
+from sabledyke.quota_sharing import allocation, publisher
 from sabledyke.quota_sharing import extension as fleet_part
 from sabledyke.quota_sharing import section as fleet_section
 from sabledyke.rollout import extension as rollout_part
@@ -32,7 +32,7 @@
 __all__ = ["EtcdShelf", "Shelf", "TableShelf"]
 
 FLEET_TOPIC, BEATS_TOPIC = rollout_terms.FLEET_TOPIC, rollout_terms.HEARTBEATS_TOPIC
-HOMES_TOPIC, SHARES_TOPIC = evacuation.HOMES, allocation.TOPIC
+HOMES_TOPIC, SHARES_TOPIC = evacuation.PLACEMENTS_TOPIC, allocation.SHARES_TOPIC
 LOAD_PREFIX = heartbeats.LOAD_KEY_PREFIX
 INCOMPLETE = TypeError  # what a reader raises where a field is missing that it insists on
 STATES, STAGES, PHASES = rollout_terms.MemberState, rollout_terms.PlanStage, rollout_terms.DrainPhase
@@ -55,12 +55,12 @@
 
 def read_homes(stored: Mapping[str, bytes]) -> Mapping[str, Any]:
     """Homes by volume, from their stored values."""
-    return evacuation.read({key: message(key, value, 77) for key, value in stored.items()})
+    return evacuation.decode_placements({key: message(key, value, 77) for key, value in stored.items()})
 
 
 def write_home(home: Any) -> bytes:
     """A home as it is stored."""
-    return evacuation.pack(home)
+    return evacuation.encode(home)
 
 
 def read_beats(registers: Mapping[str, bytes]) -> Mapping[str, tuple[int, ...]]:
@@ -70,7 +70,7 @@
 
 def read_demands(value: bytes) -> tuple[int, Mapping[int, float]]:
     """The number and the demands of a member, from its register."""
-    return fleet_part._word(board_terms.Cell(1, value))
+    return publisher.decode_demands(board_terms.Cell(1, value))
 
 
 async def append_messages(
@@ -177,9 +177,9 @@
     place, section = board_section.read({"path": path}), fleet_section.read({"members": 4})
     assert place is not None and section is not None
     now = [0.0]
-    part = fleet_part.FleetPart(cast(Host, _Host()), section, place, lambda: now[0])
-    await part._begin()
-    part._meter.add(now[0], volume, 3.0, 1000.0)
+    part = fleet_part.QuotaExtension(cast(Host, _Host()), section, place, lambda: now[0])
+    await part.publisher.begin()
+    part.meter.add(now[0], volume, 3.0, 1000.0)
     now[0] = 2000.0
-    await part._tell()
-    await part._shelf.close()
+    await part.publisher.publish()
+    await part.close()
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -801,7 +801,7 @@
         "n3": READY,
     }
     assert not disruption_budget.members_out(seen) and {h.site for h in made.homes().values()} == {"s1"}
-    assert all(h.moves == (h.origin == "s0") for h in made.homes().values())
+    assert all(h.move_count == (h.origin_site == "s0") for h in made.homes().values())
     nobody_lost_anything(made)
     with pytest.raises(PlanError, match="no such member: n7"):
         await made.begin(Plan("q", ("n7",)))
@@ -814,8 +814,8 @@
     await made.until(lambda v: v.plans["p"].step >= 2)
     await made.word("p", PlanStage.ROLLING_BACK)
     await made.until(lambda v: v.plans["p"].stage is PlanStage.ROLLED_BACK)
-    await made.until(lambda v: all(h.site == h.origin for h in made.homes().values()))
-    assert {h.moves for h in made.homes().values()} == {0, 2} and made.most_out() == 0
+    await made.until(lambda v: all(h.site == h.origin_site for h in made.homes().values()))
+    assert {h.move_count for h in made.homes().values()} == {0, 2} and made.most_out() == 0
     assert [one.starts for one in made.cluster.instances] == [1, 1, 1, 1]
     nobody_lost_anything(made)
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,41 +11,43 @@
 
 from sabledyke.errors import OperatorError
 from sabledyke.placement import evacuation, section, volume_placement
-from sabledyke.placement.volume_placement import Home, Map
+from sabledyke.placement.volume_placement import SiteMap, VolumePlacement
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.records import EVACUATION_STEPS, Member, MemberState, Plan, PlanStage
 
 NAMES = ("a", "b", "c", "d")
 FAR = {("a", "b"): 1.0, ("a", "c"): 1.0, ("a", "d"): 5.0, ("b", "c"): 2.0, ("b", "d"): 4.0, ("c", "d"): 4.0}
 DISTANCE = FAR | {(y, x): ms for (x, y), ms in FAR.items()}
-World = tuple[FleetView, dict[str, Home], dict[str, float], Map]
+World = tuple[FleetView, dict[str, VolumePlacement], dict[str, float], SiteMap]
 
 
 def world(volumes: int = 400) -> World:
     """Four sites of three members each, and volumes that are at home in a member of theirs."""
-    seen, made = FleetView(50), dict[str, Home]()
+    seen, made = FleetView(50), dict[str, VolumePlacement]()
     for i, site in enumerate(NAMES):
         for k in range(3):
             seen.members[f"{site}{k}"] = Member(f"{site}{k}", 1, "1", site, MemberState.READY, 3 * i + k + 1)
     random = Random(3)
     for n in range(volumes):
         name, site = f"{n:016x}", NAMES[n % 4]
-        made[name] = Home(name, site, f"{site}{n % 3}", site)
+        made[name] = VolumePlacement(name, site, f"{site}{n % 3}", site)
     loads = {name: random.expovariate(1.0) for name in made}
-    return seen, made, loads, Map(dict.fromkeys(NAMES, 1e9), DISTANCE)
+    return seen, made, loads, SiteMap(dict.fromkeys(NAMES, 1e9), DISTANCE)
 
 
-def shifts(plan: Plan, seen: FleetView, made: dict[str, Home], loads: dict[str, float], where: Map) -> None:
+def shifts(
+    plan: Plan, seen: FleetView, made: dict[str, VolumePlacement], loads: dict[str, float], where: SiteMap
+) -> None:
     """All that this step moves, an append after the other."""
-    while (moves := evacuation.shift(plan, seen, made, loads, where)) is not None:
-        made.update((home.name, home) for home in moves.homes)
+    while (moves := evacuation.next_batch(plan, seen, made, loads, where)) is not None:
+        made.update((home.volume, home) for home in moves.placements)
 
 
 def play(plan: Plan, *of: Any) -> Plan:
     """All shifts and steps that can be, as if each were written at once."""
     for _ in range(2 * EVACUATION_STEPS + 4):
         shifts(plan, *of)
-        step = evacuation.step(plan, of[0], of[1], 1.0, 1.0, True)
+        step = evacuation.next_step(plan, of[0], of[1], 1.0, 1.0, True)
         if step is None:
             return plan
         assert isinstance(step.records[0], Plan)
@@ -63,29 +65,29 @@
     assert sizes == sorted(set(sizes), reverse=True) and sizes[-1] == 0
     moved = {n for n, h in made.items() if h != first[n]}
     assert moved == {n for n, h in first.items() if h.site == "a"}  # only what must
-    assert all(made[n].moves == 1 and made[n].before == first[n].member for n in moved)
+    assert all(made[n].move_count == 1 and made[n].previous_member == first[n].member for n in moved)
     there = Counter(made[n].site for n in moved)
     assert set(there) == {"b", "c"} and min(there.values()) > 30  # both are as near, d is farther
     held = {m: 0.0 for m in seen.members if m[0] in "bc"}
     for home in made.values():
         if home.site in "bc":
-            held[home.member] += loads[home.name]
+            held[home.member] += loads[home.volume]
     assert max(held.values()) < 1.5 * sum(held.values()) / len(held)  # loads are bounded
     back = play(replace(plan, stage=PlanStage.ROLLING_BACK), seen, made, loads, where)
     assert back.step == -1 and all(made[n].site == first[n].site for n in made)
-    assert all(made[n].moves == 2 for n in moved)
+    assert all(made[n].move_count == 2 for n in moved)
 
 
 def test_what_does_not_fit_goes_to_the_next_and_without_room_the_step_waits() -> None:
     seen, made, loads, where = world()
     used = {s: sum(loads[n] for n, h in made.items() if h.site == s) for s in NAMES}
-    tight = replace(where, room={"a": 1e9, "b": used["b"] + 10, "c": used["c"] + 10, "d": 1e9})
+    tight = replace(where, capacity={"a": 1e9, "b": used["b"] + 10, "c": used["c"] + 10, "d": 1e9})
     plan = play(Plan("p", ("a0",), retiring_site="a"), seen, made, loads, tight)
     assert plan.step == EVACUATION_STEPS + 1 and Counter(h.site for h in made.values())["d"] > 150
     for site in "bc":
-        assert sum(loads[n] for n, h in made.items() if h.site == site) <= tight.room[site]
+        assert sum(loads[n] for n, h in made.items() if h.site == site) <= tight.capacity[site]
     seen, made, loads, where = world()
-    full = replace(where, room=dict.fromkeys(NAMES, 1.0))
+    full = replace(where, capacity=dict.fromkeys(NAMES, 1.0))
     plan = play(Plan("p", ("a0",), retiring_site="a"), seen, made, loads, full)
     assert plan.step == 1 and sum(h.site == "a" for h in made.values()) == 100  # nobody moved, nothing lost
 
@@ -107,19 +109,22 @@
     plan = Plan(
         "p", (), retiring_site="a", stage=change.get("stage", PlanStage.RUNNING), step=change.get("step", 0)
     )
-    assert evacuation.step(plan, seen, made, change.get("stood", 1.0), 1.0, change.get("well", True)) is None
+    assert (
+        evacuation.next_step(plan, seen, made, change.get("stood", 1.0), 1.0, change.get("well", True))
+        is None
+    )
     seen.members["b0"] = replace(seen.members["b0"], state=MemberState.READY)
     assert (
-        evacuation.step(replace(plan, stage=PlanStage.RUNNING, step=0), seen, made, 1.0, 1.0, True)
+        evacuation.next_step(replace(plan, stage=PlanStage.RUNNING, step=0), seen, made, 1.0, 1.0, True)
         is not None
     )
 
 
 def test_rendezvous_moves_only_what_it_must_and_follows_weights() -> None:
     volumes, weights = [f"{n:x}" for n in range(4000)], {"a": 1.0, "b": 2.0, "c": 1.0}
-    before = {v: volume_placement.ranked(v, weights)[0] for v in volumes}
+    before = {v: volume_placement.ranked_by_weight(v, weights)[0] for v in volumes}
     assert all(abs(Counter(before.values())[s] / 4000 - w / 4) < 0.03 for s, w in weights.items())
-    after = {v: volume_placement.ranked(v, weights | {"b": 1.0})[0] for v in volumes}
+    after = {v: volume_placement.ranked_by_weight(v, weights | {"b": 1.0})[0] for v in volumes}
     assert all(before[v] == "b" for v in volumes if after[v] != before[v])
 
 
--- a/tests/test_sums.py
+++ b/tests/test_sums.py
@@ -14,8 +14,8 @@
 from sabledyke import operator_config
 from sabledyke.errors import OperatorError
 from sabledyke.policy import interface as api
-from sabledyke.quota_sharing.allocation import MOST_TOLD, Policy, Shares, Times
-from sabledyke.quota_sharing.demand import Meter
+from sabledyke.quota_sharing.allocation import MAX_PUBLISHED_VOLUMES, QuotaAllocator, QuotaPolicy, Timing
+from sabledyke.quota_sharing.demand import DemandMeter
 from sabledyke.testbed import shared_limits
 from sabledyke.testbed.quota_model import Model, Rules
 from sabledyke.testbed.scenario import Report
@@ -34,36 +34,36 @@
 
 
 def test_who_leans_gets_nearly_all_and_who_is_cut_off_falls_to_its_floor() -> None:
-    times, shares, now = Times(), Shares(Policy(10, 0.2)), 0.0
+    times, shares, now = Timing(), QuotaAllocator(QuotaPolicy(10, 0.2)), 0.0
     floor, leaning = 0.02, 0.02 + 0.8
     for number in range(1, 21):
-        shares.tell(number, {7: 30.0}, now, number - 1)
-        shares.stands(number, now + 1)
+        shares.on_publishing(number, {7: 30.0}, now, number - 1)
+        shares.on_published(number, now + 1)
         for _ in range(4):
-            now += times.beat / 4
-            shares.look(now - 1, now, {"n1": (number, {8: 5.0}), "n2": (1, {7: 30.0})})
-    assert shares.part(7, now) == pytest.approx(leaning)  # n2's word has stood still: it is given up
-    assert shares.part(8, now) == floor and shares.part(9, now) == floor
-    assert shares.part(7, now + times.gap) == floor  # nothing was seen since
-    shares.look(now, now + 1, {f"n{i}": (1, {7: 10.0}) for i in range(1, 40)})
-    assert shares.part(7, now + 1) == pytest.approx(0.2 / 40 + 0.8 * 30 / (30 + 38 * 10))
+            now += times.beat_ms / 4
+            shares.on_poll(now - 1, now, {"n1": (number, {8: 5.0}), "n2": (1, {7: 30.0})})
+    assert shares.share_of(7, now) == pytest.approx(leaning)  # n2's word has stood still: it is given up
+    assert shares.share_of(8, now) == floor and shares.share_of(9, now) == floor
+    assert shares.share_of(7, now + times.max_poll_gap_ms) == floor  # nothing was seen since
+    shares.on_poll(now, now + 1, {f"n{i}": (1, {7: 10.0}) for i in range(1, 40)})
+    assert shares.share_of(7, now + 1) == pytest.approx(0.2 / 40 + 0.8 * 30 / (30 + 38 * 10))
 
 
 def test_a_meter_tells_a_steady_demand_once_and_follows_a_jump_at_the_next_word() -> None:
-    random, meter, now, words = Random(3), Meter(0.0), 0.0, list[dict[int, float]]()
+    random, meter, now, words = Random(3), DemandMeter(0.0), 0.0, list[dict[int, float]]()
     for beat in range(60):
         for _ in range(sum(random.random() < 0.2 for _ in range(100)) * (beat < 40)):  # 40 units a second
             meter.add(now, 7, 1.0, 1000.0)
             meter.add(now, 8, 100.0, 50.0)
         now += 500.0
-        words.append(meter.word(now))
+        words.append(meter.next_demands(now))
     steady = {word[7] for word in words[5:40]}
     assert len(steady) <= 3 and all(25 < rate < 60 for rate in steady)
     assert {word[8] for word in words[5:40]} == {50.0}  # no more than there is
-    assert words[41].get(7, 0.0) < 8 and words[-1] == {} and not meter.busy
-    for volume in range(3 * MOST_TOLD):
+    assert words[41].get(7, 0.0) < 8 and words[-1] == {} and not meter.has_demand
+    for volume in range(3 * MAX_PUBLISHED_VOLUMES):
         meter.add(now, volume, 1.0, 100.0)
-    assert len(meter.word(now + 500)) == MOST_TOLD
+    assert len(meter.next_demands(now + 500)) == MAX_PUBLISHED_VOLUMES
 
 
 def test_the_module_goes_by_the_part_that_it_is_told_and_else_by_hosts() -> None:
