--- /dev/null
+++ b/tests/rollout/test_operator_commands.py
@@ -0,0 +1,87 @@
+"""What ``sabledyke fleet`` prints, approved as a whole."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+from syrupy.assertion import SnapshotAssertion
+
+from sabledyke.__main__ import main as command
+from sabledyke.compacted_log.client import Board
+from sabledyke.compacted_log.sqlite_backend import TableShelf
+from sabledyke.rollout import (
+    moves,
+)
+from sabledyke.rollout.commands import append_move
+from sabledyke.rollout.records import (
+    FLEET_TOPIC,
+    Drain,
+    Epoch,
+    MemberState,
+)
+from tests.rollout.support import READY, fleet
+
+PLANS = {
+    "nobody": "members = []",
+    "twice": 'members = ["n0", "n0"]',
+    "stranger": 'members = ["n9"]',
+    "many": 'members = ["n0"]\n[budget]\nmost = 7',
+    "both": 'members = ["n0"]\nboxes = ["b0"]',
+    "half": 'boxes = ["b0"]\nto = "2"\nbefore = "1"',
+    "labels": 'members = ["n0"]\nsettings = true',
+    "third": 'members = ["n0"]\nto = "3"\nbefore = "2"',
+    "lonely": 'retire = "s0"',
+    "empties": 'retire = "s0"\nboxes = ["b0", "b0"]',
+    "good": 'members = ["n0", "n1"]',
+    "again": 'members = ["n1"]',
+    "boxes": 'boxes = ["b0", "b1"]',
+}
+
+
+WORDS = (
+    ("status",),
+    ("halt", "good"),
+    ("resume", "good"),
+    ("resume", "good"),
+    ("back", "nothing"),
+    ("forget", "n0"),
+    ("forget", "n2"),
+    ("forget", "n2"),
+    ("back", "good"),
+    ("halt", "boxes"),
+    ("status",),
+)
+
+
+def test_what_operators_are_told_is_as_approved(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], snapshot: SnapshotAssertion
+) -> None:
+    """Plans that cannot be, and words on those that can, on the command line."""
+    where = tmp_path / "operator.toml"
+    where.write_text(f'[board]\npath = "{tmp_path}/board.sqlite3"\n')
+
+    async def prepare() -> None:
+        board = Board(TableShelf(f"{tmp_path}/board.sqlite3"))
+        await board.shelf.open()
+        pen = await board.claim(FLEET_TOPIC, "w")
+        seen = fleet(READY, READY, MemberState.SILENT, sites=1)
+        drain = Drain("b9", "gone", 1, 0.0, 3)
+        await append_move(pen, moves.Move("", (Epoch("n0.a", 1), *seen.members.values(), drain)))
+        await board.shelf.close()
+
+    asyncio.run(prepare())
+    told = list[str]()
+    for words in [("plan", f"{tmp_path}/{name}.toml") for name in PLANS] + list(WORDS):
+        if words[0] == "plan":
+            name = Path(words[1]).stem
+            Path(words[1]).write_text(f'name = "{name}"\n{PLANS[name]}\n')
+        status = command(["fleet", *words, "--operator", str(where)])
+        out, err = capsys.readouterr()
+        told += [
+            f"$ fleet {' '.join(words)}",
+            *(out + err).splitlines(),
+            *([f"status {status}"] if status else []),
+        ]
+    assert "\n".join(told).replace(f"{tmp_path}/", "") == snapshot
--- /dev/null
+++ b/tests/rollout/test_record_codec.py
@@ -0,0 +1,39 @@
+"""Records as they are stored."""
+
+from __future__ import annotations
+
+from sabledyke.compacted_log.records import Message
+from sabledyke.rollout.fleet_view import view_of
+from sabledyke.rollout.record_codec import decode, encode, key_of
+from sabledyke.rollout.records import (
+    Drain,
+    DrainAcknowledgement,
+    Epoch,
+    Record,
+    Ticket,
+)
+from tests.rollout.support import OUT, READY, fleet
+from tests.rollout.test_node_drain import DR
+
+
+def test_records_are_read_as_they_were_written() -> None:
+    seen = fleet(
+        READY, OUT, max_out=2, max_out_per_site=1, max_out_fraction=0.5, released=("n1",), canary=True
+    )
+    seen.tickets["n0"] = Ticket("n0", "p", 3, 4, 5, "2", used=True, offset=71)
+    records: list[Record] = [*seen.members.values(), *seen.plans.values(), *seen.requests.values()]
+    seen.drains["b"], seen.acknowledgements["n0"] = (
+        Drain("b", "p", 3, 7.5, 60, DR, 72),
+        DrainAcknowledgement("n0", 3, (60, 4), 73),
+    )
+    records += [
+        *seen.tickets.values(),
+        *seen.drains.values(),
+        *seen.acknowledgements.values(),
+        Epoch("c", 1, 1),
+    ]
+    state = {key_of(r): Message(r.offset, key_of(r), encode(r), "w", 1, 1) for r in records}
+    state["later/x"] = Message(99, "later/x", b"{}", "w", 1, 1)  # what a newer version adds
+    assert view_of(state, 100) == seen
+    assert decode(Message(1, "member/n0", None, "w", 1, 1)) is None
+    assert all(seen.offset_of(key_of(r)) == r.offset for r in records)
