--- a/tests/rollout/member_scenarios.py
+++ b/tests/rollout/member_scenarios.py
@@ -26,7 +26,7 @@
 from sabledyke.testbed.fleet_release import Fleet, plan
 
 
-async def dead(made: Fleet) -> None:
+async def member_never_returns(made: Fleet) -> None:
     """A member that never comes back holds its plan up until an operator says that it is gone."""
     await made.begin(plan("p", 3, target="2", previous="1"))
     await made.until(lambda v: v.plans["p"].released)
@@ -45,7 +45,7 @@
     assert len(seen.plans["p"].released) == 2 and last not in seen.members
 
 
-async def lost(made: Fleet) -> None:
+async def coordinator_killed_midway(made: Fleet) -> None:
     """The coordinator is killed while another is out; who that was is told by their parts."""
     leads = await made.coordinator()
     first, then = (i for i in range(3) if i != leads)
@@ -64,7 +64,7 @@
     assert made.most_out() <= 2
 
 
-async def settings(made: Fleet) -> None:
+async def switch_settings(made: Fleet) -> None:
     """New settings in service: one member cannot read its own, all go back; once mended, all take them on."""
     files = [one.folder / "config.json" for one in made.cluster.instances]
     old = [file.read_bytes() for file in files]
@@ -89,7 +89,7 @@
     assert all("160 descriptors" in log for log in logs)
 
 
-async def prices(made: Fleet) -> None:
+async def topic_of_an_operator(made: Fleet) -> None:
     """A topic of an operator's own: who joins late or was long away sees what holds, whoever cleans it."""
     random, model, views = Random(made.setting.size), dict[str, bytes](), list[dict[str, bytes | None]]()
     topic, said = "prices", 0
--- a/tests/rollout/node_scenarios.py
+++ b/tests/rollout/node_scenarios.py
@@ -17,7 +17,7 @@
     PlanStage,
 )
 from sabledyke.testbed.fleet_release import Fleet
-from tests.rollout.release_scenarios import released
+from tests.rollout.release_scenarios import release_everybody
 from tests.rollout.support import READY, RETIRED
 
 
@@ -35,12 +35,12 @@
     assert all(made.boxes.ran[key] for key in made.count.keys)
 
 
-async def served(made: Fleet) -> None:
-    await released(made)
+async def release_under_load(made: Fleet) -> None:
+    await release_everybody(made)
     nobody_lost_anything(made)
 
 
-async def retires(made: Fleet) -> None:
+async def retire_site(made: Fleet) -> None:
     """A site hands its clients over and goes for good; its volumes move once each."""
     await made.until(lambda v: len(made.homes()) >= 20)
     gone = ("box0", "box5")
@@ -61,7 +61,7 @@
         await made.begin(Plan("q", ("n7",)))
 
 
-async def stays(made: Fleet) -> None:
+async def retirement_taken_back(made: Fleet) -> None:
     """A retirement that an operator takes back in the middle: all volumes are at home again, nobody went."""
     await made.until(lambda v: len(made.homes()) >= 20)
     await made.begin(Plan("p", ("n0", "n2"), retiring_site="s0"))
@@ -74,7 +74,7 @@
     nobody_lost_anything(made)
 
 
-async def drained(made: Fleet, *faults: tuple[str, bool, float]) -> None:
+async def drain_nodes(made: Fleet, *faults: tuple[str, bool, float]) -> None:
     """Boxes are taken away one after the other of a kind, as long as all members agree."""
     names = ("box0", "box1", "box4", "box5")
     await made.begin(Plan("p", (), max_out=2, nodes=names))
@@ -88,7 +88,7 @@
     nobody_lost_anything(made)
 
 
-async def unheard(made: Fleet) -> None:
+async def drain_with_partitioned_member(made: Fleet) -> None:
     """A member that cannot hear of a drain still sends there: the box is not taken away before it can."""
     who = (await made.coordinator() + 1) % made.setting.size
     made.proxies[who].part()
--- a/tests/rollout/release_scenarios.py
+++ b/tests/rollout/release_scenarios.py
@@ -22,13 +22,13 @@
 from sabledyke.testbed.fleet_release import Fleet, plan
 
 
-async def released(made: Fleet, name: str = "p", **of: Any) -> FleetView:
+async def release_everybody(made: Fleet, name: str = "p", **of: Any) -> FleetView:
     """Release everybody, and wait for it."""
     await made.begin(plan(name, made.setting.size, **of))
     return await made.until(lambda v: v.plans[name].stage is PlanStage.DONE)
 
 
-async def under(made: Fleet, *faults: tuple[str, bool, float], most: int) -> None:
+async def release_under_faults(made: Fleet, *faults: tuple[str, bool, float], most: int) -> None:
     """Release everybody with faults that come once the second ticket is out; ``most`` may be out at once.
 
     A fault is what happens, whether to the coordinator (else to the last member), and for how long.
@@ -51,14 +51,14 @@
     assert await made.late() == await made.look()
 
 
-async def plain(made: Fleet) -> None:
-    seen = await released(made)
+async def restart_everybody(made: Fleet) -> None:
+    seen = await release_everybody(made)
     assert seen.plans["p"].released == ("n0", "n1", "n2") and not seen.tickets
     assert [one.starts for one in made.cluster.instances] == [2, 2, 2]
     assert made.most_out() == 1
 
 
-async def back(made: Fleet) -> None:
+async def roll_back_canary(made: Fleet) -> None:
     """The canary goes, an operator halts and has it go back, twice: each word changes something once."""
     await made.begin(plan("p", 3, target="2", previous="1", canary=True))
     seen = await made.until(lambda v: v.plans["p"].released)
@@ -75,7 +75,7 @@
         await made.word("p", PlanStage.RUNNING)
 
 
-async def stubborn(made: Fleet) -> None:
+async def starter_keeps_old_version(made: Fleet) -> None:
     """Whoever starts them goes on with the old version: the first one shows it, and no other goes out."""
     made.stubborn = True
     await made.begin(plan("p", 3, target="2", previous="1"))
@@ -84,7 +84,7 @@
     assert [one.starts for one in made.cluster.instances] == [2, 1, 1] and sum(made.outs()) <= 1
 
 
-async def young(made: Fleet) -> None:
+async def killed_while_log_stalls(made: Fleet) -> None:
     """Members that die while the board stands still wait for it, and come back at their first start."""
     lives = {name: m.incarnation for name, m in (await made.look()).members.items()}
     logs = [made.cluster.instances[i].folder / "log.2" for i in (1, 2)]
@@ -99,7 +99,7 @@
     assert [one.starts for one in made.cluster.instances] == [1, 2, 2]
 
 
-async def mute(made: Fleet) -> None:
+async def members_without_request(made: Fleet) -> None:
     """Members that cannot tell their starter what to start keep nobody, and go once that is mended."""
     blocked = [made.cluster.instances[i].folder / "wants.working" for i in (0, 1)]
     for path in blocked:
@@ -114,7 +114,7 @@
     assert {m.version for m in seen.members.values()} == {"2"} and made.most_out() == 1
 
 
-async def unanswered(made: Fleet) -> None:
+async def answer_of_used_ticket_lost(made: Fleet) -> None:
     """A member's word that it goes is written, and no answer to it comes for longer than it asks again."""
     answer, who, heard = made.etcd.answer, made.setting.size - 1, asyncio.Event()
 
@@ -137,14 +137,14 @@
     assert seen.plans["p"].stage is PlanStage.DONE and made.most_out() == 1
 
 
-async def two(made: Fleet) -> None:
+async def two_plans_at_once(made: Fleet) -> None:
     for name, members in (("p", ("n0", "n1")), ("q", ("n2", "n3"))):
         await made.begin(Plan(name, members))
     await made.until(lambda v: all(p.stage is PlanStage.DONE for p in v.plans.values()))
     assert made.most_out() == 1
 
 
-async def anew(made: Fleet) -> None:
+async def all_killed_midway(made: Fleet) -> None:
     """All of them are killed in the middle, and come back."""
     await made.begin(plan("p", 4))
     await made.until(lambda v: v.plans["p"].released)
--- a/tests/rollout/support.py
+++ b/tests/rollout/support.py
@@ -20,7 +20,7 @@
 )
 from sabledyke.rollout.timeouts import Timeouts
 
-PATIENCE = Timeouts(heartbeat_timeout_ms=100, return_timeout_ms=1000, canary_soak_ms=50)
+TIMEOUTS = Timeouts(heartbeat_timeout_ms=100, return_timeout_ms=1000, canary_soak_ms=50)
 
 
 def fleet(*states: MemberState, sites: int = 1, **of: Any) -> FleetView:
@@ -41,19 +41,11 @@
 def decide(
     seen: FleetView, now: float = 0.0, watch: ChangeTracker | None = None, **of: Any
 ) -> moves.Move | None:
-    return planner.decide(seen, "c", 1, now, watch or ChangeTracker(), PATIENCE, **of)
+    return planner.decide(seen, "c", 1, now, watch or ChangeTracker(), TIMEOUTS, **of)
 
 
 READY = MemberState.READY
-
-
 LEAVING = MemberState.LEAVING
-
-
 OUT = MemberState.OUT
-
-
 WARMING = MemberState.WARMING
-
-
 RETIRED = MemberState.RETIRED
--- a/tests/rollout/test_node_drain.py
+++ b/tests/rollout/test_node_drain.py
@@ -21,12 +21,12 @@
     PlanStage,
 )
 from sabledyke.testbed import drain_model
-from tests.rollout.support import PATIENCE, READY, fleet
+from tests.rollout.support import READY, TIMEOUTS, fleet
 
-Z = ListedNode("b0", 0, 0, True, 0.0)
-
-
-YARD = {f"b{i}": replace(Z, name=f"b{i}", zone=i % 2, shard=i // 2) for i in range(6)}  # two of each shard
+NODE = ListedNode("b0", 0, 0, True, 0.0)
+NODES = {
+    f"b{i}": replace(NODE, name=f"b{i}", zone=i % 2, shard=i // 2) for i in range(6)
+}  # two of each shard
 
 
 def drains(*phases: tuple[str, DrainPhase], clear: tuple[str, ...] = (), **of: Any) -> FleetView:
@@ -39,7 +39,7 @@
     return seen
 
 
-LV, DR, WM = DrainPhase.LEAVING, DrainPhase.DRAINED, DrainPhase.WARMING
+LEAVING_PHASE, DRAINED_PHASE, WARMING_PHASE = DrainPhase.LEAVING, DrainPhase.DRAINED, DrainPhase.WARMING
 
 
 @pytest.mark.parametrize(
@@ -47,14 +47,14 @@
     [
         (drains(), {}, "b0 is to be drained"),
         (drains(max_out=0), {}, ""),
-        (drains(("b0", LV)), {}, ""),  # the budget is spent
-        (drains(("b0", LV), max_out=2), {}, "b2 is to be drained"),
+        (drains(("b0", LEAVING_PHASE)), {}, ""),  # the budget is spent
+        (drains(("b0", LEAVING_PHASE), max_out=2), {}, "b2 is to be drained"),
         (
-            drains(("b0", LV), max_out=2, max_out_per_site=1),
+            drains(("b0", LEAVING_PHASE), max_out=2, max_out_per_site=1),
             {},
             "b3 is to",
         ),  # b2 and b4 are in its zone, b1 in its shard
-        (drains(("b0", LV), max_out=6, max_out_fraction=0.2), {}, ""),
+        (drains(("b0", LEAVING_PHASE), max_out=6, max_out_fraction=0.2), {}, ""),
         (drains(max_out=1), {"b5": {"ready": False}}, ""),  # one is out unplanned
         (drains(max_out=1), {"b5": {"ready": False}, "b3": {"ready": False}}, "2 boxes are out unplanned"),
         (
@@ -62,15 +62,15 @@
             {"b0": {"ready": False}},
             "b2 is to be drained",
         ),  # who is out keeps nobody waiting
-        (drains(("b0", LV), clear=("n0",)), {}, ""),
-        (drains(("b0", LV), clear=("n0", "n1")), {}, "b0 is drained"),
-        (drains(("b0", LV), stage=PlanStage.HALTED), {}, "b0 is not drained any more"),
-        (drains(("b0", DR), stage=PlanStage.HALTED), {}, ""),  # it may be away
-        (drains(("b0", DR), stage=PlanStage.ROLLING_BACK), {}, "b0 is not drained any more"),
-        (drains(("b0", DR)), {"b0": {"ready": False}}, ""),
-        (drains(("b0", DR)), {"b0": {"started": 7.0}}, "b0 is listed as a later start"),
-        (drains(("b0", DR)), {"b0": None}, ""),
-        (drains(("b0", DR), removes_nodes=True), {"b0": None}, "b0 is gone"),
+        (drains(("b0", LEAVING_PHASE), clear=("n0",)), {}, ""),
+        (drains(("b0", LEAVING_PHASE), clear=("n0", "n1")), {}, "b0 is drained"),
+        (drains(("b0", LEAVING_PHASE), stage=PlanStage.HALTED), {}, "b0 is not drained any more"),
+        (drains(("b0", DRAINED_PHASE), stage=PlanStage.HALTED), {}, ""),  # it may be away
+        (drains(("b0", DRAINED_PHASE), stage=PlanStage.ROLLING_BACK), {}, "b0 is not drained any more"),
+        (drains(("b0", DRAINED_PHASE)), {"b0": {"ready": False}}, ""),
+        (drains(("b0", DRAINED_PHASE)), {"b0": {"started": 7.0}}, "b0 is listed as a later start"),
+        (drains(("b0", DRAINED_PHASE)), {"b0": None}, ""),
+        (drains(("b0", DRAINED_PHASE), removes_nodes=True), {"b0": None}, "b0 is gone"),
         (drains(removes_nodes=True), {"b0": None}, "b0 is gone"),
         (drains(released=("b0",), canary=True), {}, ""),
     ],
@@ -79,9 +79,9 @@
     seen: FleetView, changed: dict[str, dict[str, Any] | None], said: str
 ) -> None:
     yard = {
-        n: replace(b, **(changed.get(n) or {})) for n, b in YARD.items() if changed.get(n, {}) is not None
+        n: replace(b, **(changed.get(n) or {})) for n, b in NODES.items() if changed.get(n, {}) is not None
     }
-    move = node_drain.decide(seen, 1, 0.0, ChangeTracker(), PATIENCE, yard)
+    move = node_drain.decide(seen, 1, 0.0, ChangeTracker(), TIMEOUTS, yard)
     assert (
         move is None
         if not said
@@ -92,10 +92,10 @@
 @pytest.mark.parametrize(
     "seen, yard, why",
     [
-        (drains(), {"b1": YARD["b1"]}, "no box b0 is listed"),
-        (drains(), {"b0": Z}, "b0 alone holds shard 0"),
-        (drains(("b0", LV), clear=("n1",)), YARD, "n0 may send to it"),
-        (drains(("b0", DR)), YARD, "not back in its time"),
+        (drains(), {"b1": NODES["b1"]}, "no box b0 is listed"),
+        (drains(), {"b0": NODE}, "b0 alone holds shard 0"),
+        (drains(("b0", LEAVING_PHASE), clear=("n1",)), NODES, "n0 may send to it"),
+        (drains(("b0", DRAINED_PHASE)), NODES, "not back in its time"),
     ],
 )
 def test_a_drain_that_does_not_go_on_halts_its_plan(
@@ -103,14 +103,18 @@
 ) -> None:
     watch = ChangeTracker()
     for now in (0.0, 1001.0):
-        assert node_drain.decide(seen, 1, now, watch, PATIENCE, yard) is None or now
+        assert node_drain.decide(seen, 1, now, watch, TIMEOUTS, yard) is None or now
         watch.observe(now, change_tracker.tracked_values(seen, {}))
-    move = node_drain.decide(seen, 1, 1001.0, watch, PATIENCE, yard)
+    move = node_drain.decide(seen, 1, 1001.0, watch, TIMEOUTS, yard)
     assert move is not None and why in move.description and "halts" in move.description
 
 
 def test_a_member_says_that_it_is_clear_after_its_grace_and_once_nothing_is_out() -> None:
-    seen, closing, told = drains(("b0", LV), ("b2", DR)), node_drain.DrainAcknowledger("n0", 1, 50.0), []
+    seen, closing, told = (
+        drains(("b0", LEAVING_PHASE), ("b2", DRAINED_PHASE)),
+        node_drain.DrainAcknowledger("n0", 1, 50.0),
+        [],
+    )
     for now, busy in ((0.0, ""), (40.0, ""), (50.0, "b0"), (60.0, "b0"), (70.0, "")):
         move = closing.step(seen, now, busy.__eq__)
         for clear in move.records if move else ():
--- a/tests/rollout/test_record_codec.py
+++ b/tests/rollout/test_record_codec.py
@@ -13,7 +13,7 @@
     Ticket,
 )
 from tests.rollout.support import OUT, READY, fleet
-from tests.rollout.test_node_drain import DR
+from tests.rollout.test_node_drain import DRAINED_PHASE
 
 
 def test_records_are_read_as_they_were_written() -> None:
@@ -23,7 +23,7 @@
     seen.tickets["n0"] = Ticket("n0", "p", 3, 4, 5, "2", used=True, offset=71)
     records: list[Record] = [*seen.members.values(), *seen.plans.values(), *seen.requests.values()]
     seen.drains["b"], seen.acknowledgements["n0"] = (
-        Drain("b", "p", 3, 7.5, 60, DR, 72),
+        Drain("b", "p", 3, 7.5, 60, DRAINED_PHASE, 72),
         DrainAcknowledgement("n0", 3, (60, 4), 73),
     )
     records += [
--- a/tests/rollout/test_ticket_model.py
+++ b/tests/rollout/test_ticket_model.py
@@ -7,8 +7,6 @@
 from sabledyke.testbed import ticket_model
 from sabledyke.testbed.ticket_model import Budget, Rules
 
-QUIET = Budget(0, 0, 0, 0)
-
 
 @pytest.mark.parametrize(
     "size, most, budget",
