--- a/sabledyke/placement/evacuation.py
+++ b/sabledyke/placement/evacuation.py
@@ -127,6 +127,7 @@
     placements: Mapping[str, VolumePlacement],
     unchanged_ms: float,
     soak_ms: float,
+    *,
     survivors_well: bool,
 ) -> Move | None:
     """Return the next step of a plan all of whose moves are done, None where it has to wait.
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -13,7 +13,7 @@
 from sabledyke.placement import evacuation
 from sabledyke.placement.evacuation import PLACEMENTS_TOPIC, PlacementBatch
 from sabledyke.placement.volume_placement import SiteMap, VolumePlacement
-from sabledyke.rollout.canary_analysis import Baseline, is_worse
+from sabledyke.rollout.canary_analysis import AnswerTotal, Baseline, is_worse, total_of
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.heartbeats import decode_heartbeat, decode_loads
@@ -39,7 +39,7 @@
         self._site_map = site_map
         self._reader = Follower()
         self._token = 0
-        self._calm_answers = (0, 0)  # (answered, failed) of the survivors before any volume moved
+        self._calm = AnswerTotal(0, 0)  # of the survivors before any volume moved
         self._baseline = Baseline()
         self._observed_step = ("", 0)
 
@@ -51,7 +51,7 @@
         now_ms: float,
         tracker: ChangeTracker,
         timeouts: Timeouts,
-    ) -> Move | str | None:
+    ) -> Move | PlacementBatch | None:
         """Write placements, or return a move for the fleet's topic.
 
         Args:
@@ -63,8 +63,7 @@
             timeouts: How long the coordinator waits for what.
 
         Returns:
-            A move that is still to be written, the description of placements that were written, or None
-            where nothing is to do.
+            A move that is still to be written, placements that were written, or None where nothing is to do.
         """
         if token != self._token:
             self._begin(token)
@@ -73,11 +72,14 @@
         plans = [plan for plan in view.active if plan.retiring_site]
         batch = self._next_batch(view, plans, placements, decode_loads(registers))
         if batch is not None:
-            return await self._write(batch)
+            await self._write(batch)
+            return batch
         for plan in plans:
             well = self._survivors_well(plan, view, registers)
             unchanged_ms = tracker.unchanged_ms(now_ms, f"step/{plan.name}")
-            move = evacuation.next_step(plan, view, placements, unchanged_ms, timeouts.canary_soak_ms, well)
+            move = evacuation.next_step(
+                plan, view, placements, unchanged_ms, timeouts.canary_soak_ms, survivors_well=well
+            )
             if move is not None:
                 return move
         return None
@@ -105,10 +107,9 @@
                 return batch
         return None
 
-    async def _write(self, batch: PlacementBatch) -> str:
+    async def _write(self, batch: PlacementBatch) -> None:
         drafts = [Draft(placement.volume, evacuation.encode(placement)) for placement in batch.placements]
         await self._pen.append(drafts, end=self._reader.position)
-        return batch.description
 
     def _survivors_well(self, plan: Plan, view: FleetView, registers: Mapping[str, bytes]) -> bool:
         """Return whether members of other sites reject and fail no more, since the last step, than before."""
@@ -122,12 +123,10 @@
         if self._observed_step != (plan.name, plan.step):
             self._observed_step = (plan.name, plan.step)
             self._baseline = Baseline()
-        since_step = self._baseline.since_first_seen(counts).values()
-        answered = sum(count for count, _ in since_step)
-        failed = sum(count for _, count in since_step)
+        since_step = total_of(self._baseline.since_first_seen(counts).values())
         if plan.step == 0:
-            self._calm_answers = (answered, failed)
-        return not is_worse((answered, failed), self._calm_answers)
+            self._calm = since_step
+        return not is_worse(since_step, self._calm)
 
 
 def _total_by_volume(loads: Mapping[str, Mapping[str, float]]) -> dict[str, float]:
--- a/sabledyke/quota_sharing/allocation.py
+++ b/sabledyke/quota_sharing/allocation.py
@@ -65,6 +65,9 @@
         return self.validity_ms * (1 + self.clock_drift) / (1 - self.clock_drift)
 
 
+DEFAULT_TIMING = Timing()
+
+
 @dataclass(slots=True, frozen=True)
 class QuotaPolicy:
     """How limits are divided: ``floor_fraction`` of all evenly among ``members``, at the most of them."""
@@ -124,7 +127,7 @@
     Bounded: the publications of one window for each member, of ``MAX_PUBLISHED_VOLUMES`` volumes each.
     """
 
-    def __init__(self, policy: QuotaPolicy, timing: Timing = Timing()) -> None:  # noqa: B008
+    def __init__(self, policy: QuotaPolicy, timing: Timing = DEFAULT_TIMING) -> None:
         """Create an allocator that knows nobody else, and keeps to its floor.
 
         Args:
--- a/sabledyke/quota_sharing/section.py
+++ b/sabledyke/quota_sharing/section.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta
 
-from sabledyke.quota_sharing.allocation import QuotaPolicy, Timing
+from sabledyke.quota_sharing.allocation import DEFAULT_TIMING, QuotaPolicy, Timing
 from sabledyke.toml_tables import Table, convert
 
 
@@ -16,7 +16,7 @@
     """What ``[fleet]`` says."""
 
     policy: QuotaPolicy
-    timing: Timing = Timing()
+    timing: Timing = DEFAULT_TIMING
 
     def __str__(self) -> str:
         return f"shares among {self.policy.members}, {self.policy.floor_fraction:.0%} of all evenly"
@@ -27,8 +27,8 @@
 
     members: Annotated[int, Meta(ge=1, le=1000)]
     floor: Annotated[float, Meta(ge=0.01, le=1)] = 0.2
-    beat_ms: Annotated[float, Meta(ge=50, le=60_000)] = Timing().beat_ms
-    drift: Annotated[float, Meta(ge=0, le=0.1)] = Timing().clock_drift
+    beat_ms: Annotated[float, Meta(ge=50, le=60_000)] = DEFAULT_TIMING.beat_ms
+    drift: Annotated[float, Meta(ge=0, le=0.1)] = DEFAULT_TIMING.clock_drift
 
 
 def read(data: dict[str, Any]) -> Section | None:
--- a/sabledyke/rollout/canary_analysis.py
+++ b/sabledyke/rollout/canary_analysis.py
@@ -10,6 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from math import sqrt
+from typing import NamedTuple
 
 from sabledyke.rollout.records import Plan
 
@@ -30,17 +31,33 @@
     failed: int
 
 
-def is_worse(released: tuple[int, int], others: tuple[int, int]) -> bool:
-    """Return whether the released side fails more than the others; each side is (answered, failed)."""
-    answered, failed = released
-    others_answered, others_failed = others
-    if answered < MIN_ANSWERS or others_answered < MIN_ANSWERS:
+class AnswerTotal(NamedTuple):
+    """Answers of several members within some time, and how many of them were rejections or failures."""
+
+    answered: int
+    failed: int
+
+    @property
+    def failure_rate(self) -> float:
+        """The fraction of all answers that were rejections or failures."""
+        return self.failed / self.answered
+
+
+def total_of(totals: Iterable[AnswerTotal]) -> AnswerTotal:
+    """Return the sum of several totals."""
+    known = list(totals)
+    return AnswerTotal(sum(total.answered for total in known), sum(total.failed for total in known))
+
+
+def is_worse(released: AnswerTotal, others: AnswerTotal) -> bool:
+    """Return whether the released side fails more than the others."""
+    if released.answered < MIN_ANSWERS or others.answered < MIN_ANSWERS:
         return False
-    difference = failed / answered - others_failed / others_answered
+    difference = released.failure_rate - others.failure_rate
     if difference < MIN_RATE_DIFFERENCE:
         return False
-    mean = (failed + others_failed) / (answered + others_answered)
-    deviation = sqrt(mean * (1 - mean) * (1 / answered + 1 / others_answered))
+    mean = (released.failed + others.failed) / (released.answered + others.answered)
+    deviation = sqrt(mean * (1 - mean) * (1 / released.answered + 1 / others.answered))
     return deviation > 0 and difference / deviation > Z_THRESHOLD
 
 
@@ -48,14 +65,15 @@
     """Counts of each incarnation when it was first seen: what came before a plan is held against nobody."""
 
     def __init__(self) -> None:
+        """Create a baseline that has seen nobody."""
         self._first: dict[str, AnswerCount] = {}
 
-    def since_first_seen(self, counts: Mapping[str, AnswerCount]) -> dict[str, tuple[int, int]]:
-        """Return (answered, failed) by member since then; a new incarnation counts from its start."""
+    def since_first_seen(self, counts: Mapping[str, AnswerCount]) -> dict[str, AnswerTotal]:
+        """Return the answers by member since then; a new incarnation counts from its start."""
         since = {}
         for name, count in counts.items():
             first = self._first_count(name, count)
-            since[name] = (count.answered - first.answered, count.failed - first.failed)
+            since[name] = AnswerTotal(count.answered - first.answered, count.failed - first.failed)
         self._first = {name: first for name, first in self._first.items() if name in counts}
         return since
 
@@ -69,22 +87,18 @@
         return first
 
 
-def failing_plans(plans: Iterable[Plan], since: Mapping[str, tuple[int, int]]) -> list[str]:
+def failing_plans(plans: Iterable[Plan], since: Mapping[str, AnswerTotal]) -> list[str]:
     """Return the names of plans whose released members fail more than those that are yet to be released.
 
     Args:
         plans: Plans that are under way.
-        since: (answered, failed) by member, see ``Baseline``.
+        since: Answers by member, see ``Baseline``.
     """
     failing = []
     for plan in plans:
-        released = _total(since, (name for name in plan.members if name in plan.released))
-        others = _total(since, (name for name in plan.members if name not in plan.released))
+        counted = [name for name in plan.members if name in since]
+        released = total_of(since[name] for name in counted if name in plan.released)
+        others = total_of(since[name] for name in counted if name not in plan.released)
         if is_worse(released, others):
             failing.append(plan.name)
     return failing
-
-
-def _total(since: Mapping[str, tuple[int, int]], names: Iterable[str]) -> tuple[int, int]:
-    counts = [since[name] for name in names if name in since]
-    return sum(answered for answered, _ in counts), sum(failed for _, failed in counts)
--- a/sabledyke/rollout/change_tracker.py
+++ b/sabledyke/rollout/change_tracker.py
@@ -16,6 +16,7 @@
     """Remembers since when each value is unchanged; bounded by the values of the last observation."""
 
     def __init__(self) -> None:
+        """Create a tracker that has observed nothing."""
         self._unchanged_since: dict[str, tuple[object, float]] = {}
 
     def observe(self, now_ms: float, values: Mapping[str, object]) -> None:
--- a/sabledyke/rollout/coordinator_driver.py
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -11,7 +11,7 @@
 from sabledyke.compacted_log.section import Section as BoardSection
 from sabledyke.errors import Conflict
 from sabledyke.lease.manager import Keeper, boottime
-from sabledyke.placement.evacuation import PLACEMENTS_TOPIC
+from sabledyke.placement.evacuation import PLACEMENTS_TOPIC, PlacementBatch
 from sabledyke.placement.evacuation_driver import EvacuationDriver
 from sabledyke.rollout import node_drain, planner
 from sabledyke.rollout.canary_analysis import Baseline, failing_plans
@@ -96,8 +96,8 @@
                 done = await self._sites.step(
                     view, self._token, self._registers, now_ms, self._tracker, self.timeouts
                 )
-                if isinstance(done, str):
-                    log.say("fleet", done, token=self._token)
+                if isinstance(done, PlacementBatch):
+                    log.say("fleet", done.description, token=self._token)
                     continue
                 move = done
             if move is None:
--- a/sabledyke/rollout/heartbeats.py
+++ b/sabledyke/rollout/heartbeats.py
@@ -66,6 +66,7 @@
     """Counts the units that clients request of each volume between two heartbeats."""
 
     def __init__(self) -> None:
+        """Create a counter that starts at 0."""
         self._units: dict[str, float] = {}
 
     def add(self, volume: int, units: float) -> None:
--- a/tests/placement/test_evacuation.py
+++ b/tests/placement/test_evacuation.py
@@ -47,7 +47,7 @@
     """All shifts and steps that can be, as if each were written at once."""
     for _ in range(2 * EVACUATION_STEPS + 4):
         shifts(plan, *of)
-        step = evacuation.next_step(plan, of[0], of[1], 1.0, 1.0, True)
+        step = evacuation.next_step(plan, of[0], of[1], 1.0, 1.0, survivors_well=True)
         if step is None:
             return plan
         assert isinstance(step.records[0], Plan)
@@ -109,13 +109,14 @@
     plan = Plan(
         "p", (), retiring_site="a", stage=change.get("stage", PlanStage.RUNNING), step=change.get("step", 0)
     )
-    assert (
-        evacuation.next_step(plan, seen, made, change.get("stood", 1.0), 1.0, change.get("well", True))
-        is None
-    )
+    unchanged_ms = change.get("stood", 1.0)
+    well = change.get("well", True)
+    assert evacuation.next_step(plan, seen, made, unchanged_ms, 1.0, survivors_well=well) is None
     seen.members["b0"] = replace(seen.members["b0"], state=MemberState.READY)
     assert (
-        evacuation.next_step(replace(plan, stage=PlanStage.RUNNING, step=0), seen, made, 1.0, 1.0, True)
+        evacuation.next_step(
+            replace(plan, stage=PlanStage.RUNNING, step=0), seen, made, 1.0, 1.0, survivors_well=True
+        )
         is not None
     )
 
--- a/tests/rollout/support.py
+++ b/tests/rollout/support.py
@@ -5,19 +5,10 @@
 from dataclasses import replace
 from typing import Any
 
-from sabledyke.rollout import (
-    moves,
-    planner,
-)
+from sabledyke.rollout import moves, planner
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.records import (
-    Epoch,
-    Member,
-    MemberState,
-    Plan,
-    TicketRequest,
-)
+from sabledyke.rollout.records import Epoch, Member, MemberState, Plan, TicketRequest
 from sabledyke.rollout.timeouts import Timeouts
 
 TIMEOUTS = Timeouts(heartbeat_timeout_ms=100, return_timeout_ms=1000, canary_soak_ms=50)
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from sabledyke.rollout.canary_analysis import AnswerCount, Baseline, failing_plans, is_worse
+from sabledyke.rollout.canary_analysis import AnswerCount, AnswerTotal, Baseline, failing_plans, is_worse
 from sabledyke.rollout.records import (
     Plan,
 )
@@ -18,7 +18,7 @@
             for side, n in ((0, 60), (1, 20)):
                 counts[side][0] += n
                 counts[side][1] += sum(random.random() < rates[side] for _ in range(n))
-            if is_worse((counts[1][0], counts[1][1]), (counts[0][0], counts[0][1])):
+            if is_worse(AnswerTotal(*counts[1]), AnswerTotal(*counts[0])):
                 halts += trial < 300
                 seen_after += [look] if trial >= 300 else []
                 break
--- a/tests/rollout/test_planner.py
+++ b/tests/rollout/test_planner.py
@@ -9,20 +9,10 @@
 import pytest
 
 from sabledyke.errors import PlanError
-from sabledyke.rollout import (
-    change_tracker,
-    disruption_budget,
-    plan_changes,
-)
+from sabledyke.rollout import change_tracker, disruption_budget, plan_changes
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.participant import GOES_OUT, Participant
-from sabledyke.rollout.records import (
-    MemberState,
-    Plan,
-    PlanStage,
-    Record,
-    Ticket,
-)
+from sabledyke.rollout.records import MemberState, Plan, PlanStage, Record, Ticket
 from sabledyke.testbed import model_log
 from tests.rollout.support import LEAVING, OUT, READY, WARMING, decide, fleet
 
