--- a/tests/rollout/test_node_drain.py
+++ b/tests/rollout/test_node_drain.py
@@ -29,12 +29,12 @@
 }  # two of each shard
 
 
-def drains(*phases: tuple[str, DrainPhase], clear: tuple[str, ...] = (), **of: Any) -> FleetView:
+def drains(*phases: tuple[str, DrainPhase], acknowledged_by: tuple[str, ...] = (), **of: Any) -> FleetView:
     """Two members, a plan to drain all but one box of the yard, and drains under it."""
     seen = fleet(READY, READY, members=(), nodes=("b0", "b2", "b4", "b1", "b3"), **of)
     for i, (name, phase) in enumerate(phases):
         seen.drains[name] = Drain(name, "p", 1, 0.0, 80 + i, phase, 90 + i)
-    for name in clear:
+    for name in acknowledged_by:
         seen.acknowledgements[name] = DrainAcknowledgement(name, 1, (80, 81))
     return seen
 
@@ -62,8 +62,8 @@
             {"b0": {"ready": False}},
             "b2 is to be drained",
         ),  # who is out keeps nobody waiting
-        (drains(("b0", LEAVING_PHASE), clear=("n0",)), {}, ""),
-        (drains(("b0", LEAVING_PHASE), clear=("n0", "n1")), {}, "b0 is drained"),
+        (drains(("b0", LEAVING_PHASE), acknowledged_by=("n0",)), {}, ""),
+        (drains(("b0", LEAVING_PHASE), acknowledged_by=("n0", "n1")), {}, "b0 is drained"),
         (drains(("b0", LEAVING_PHASE), stage=PlanStage.HALTED), {}, "b0 is not drained any more"),
         (drains(("b0", DRAINED_PHASE), stage=PlanStage.HALTED), {}, ""),  # it may be away
         (drains(("b0", DRAINED_PHASE), stage=PlanStage.ROLLING_BACK), {}, "b0 is not drained any more"),
@@ -94,7 +94,7 @@
     [
         (drains(), {"b1": NODES["b1"]}, "no box b0 is listed"),
         (drains(), {"b0": NODE}, "b0 alone holds shard 0"),
-        (drains(("b0", LEAVING_PHASE), clear=("n1",)), NODES, "n0 may send to it"),
+        (drains(("b0", LEAVING_PHASE), acknowledged_by=("n1",)), NODES, "n0 may send to it"),
         (drains(("b0", DRAINED_PHASE)), NODES, "not back in its time"),
     ],
 )
@@ -110,18 +110,18 @@
 
 
 def test_a_member_says_that_it_is_clear_after_its_grace_and_once_nothing_is_out() -> None:
-    seen, closing, told = (
+    seen, closing, acknowledged = (
         drains(("b0", LEAVING_PHASE), ("b2", DRAINED_PHASE)),
         node_drain.DrainAcknowledger("n0", 1, 50.0),
         [],
     )
     for now, busy in ((0.0, ""), (40.0, ""), (50.0, "b0"), (60.0, "b0"), (70.0, "")):
         move = closing.step(seen, now, busy.__eq__)
-        for clear in move.records if move else ():
-            assert isinstance(clear, DrainAcknowledgement)
-            seen.acknowledgements["n0"] = clear
-            told.append((now, clear.drains))
-    assert told == [(50.0, (81,)), (70.0, (80, 81))] and node_drain.unacknowledged_by(
+        for record in move.records if move else ():
+            assert isinstance(record, DrainAcknowledgement)
+            seen.acknowledgements["n0"] = record
+            acknowledged.append((now, record.drains))
+    assert acknowledged == [(50.0, (81,)), (70.0, (80, 81))] and node_drain.unacknowledged_by(
         seen, seen.drains["b0"]
     ) == ["n1"]
     seen.drains.clear()
--- a/tests/rollout/test_operator_commands.py
+++ b/tests/rollout/test_operator_commands.py
@@ -72,16 +72,16 @@
         await board.shelf.close()
 
     asyncio.run(prepare())
-    told = list[str]()
+    printed = list[str]()
     for words in [("plan", f"{tmp_path}/{name}.toml") for name in PLANS] + list(WORDS):
         if words[0] == "plan":
             name = Path(words[1]).stem
             Path(words[1]).write_text(f'name = "{name}"\n{PLANS[name]}\n')
         status = command(["fleet", *words, "--operator", str(where)])
         out, err = capsys.readouterr()
-        told += [
+        printed += [
             f"$ fleet {' '.join(words)}",
             *(out + err).splitlines(),
             *([f"status {status}"] if status else []),
         ]
-    assert "\n".join(told).replace(f"{tmp_path}/", "") == snapshot
+    assert "\n".join(printed).replace(f"{tmp_path}/", "") == snapshot
--- a/tests/rollout/test_participant.py
+++ b/tests/rollout/test_participant.py
@@ -18,8 +18,8 @@
 
 
 def test_time_is_counted_from_before_the_ask_and_only_stands_still_on_one_clock() -> None:
-    seen, part = fleet(READY, READY), Participant("n0", 1, request_validity_ms=100)
-    asks = part.step(seen, 0.0)
+    seen, participant = fleet(READY, READY), Participant("n0", 1, request_validity_ms=100)
+    asks = participant.step(seen, 0.0)
     assert asks is not None and isinstance(asks.records[0], TicketRequest)
     for now, token, number, goes in (
         (99, 1, 1, True),
@@ -27,7 +27,7 @@
         (9, 0, 1, False),
         (9, 1, 0, False),
     ):
-        mine = replace(part)
+        mine = replace(participant)
         seen.tickets["n0"] = Ticket("n0", "p", 1, number, token, offset=70)
         move = mine.step(seen, now)
         assert move is not None and (move.description == GOES_OUT) is goes, (now, token, number)
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    "life, of, again",
+    "incarnation, of, again",
     [
         (2, {}, True),
         (1, {}, False),
@@ -54,8 +54,8 @@
     ],
 )
 def test_who_died_before_its_starter_was_told_the_version_goes_once_more(
-    life: int, of: dict[str, Any], again: bool
+    incarnation: int, of: dict[str, Any], again: bool
 ) -> None:
     seen = fleet(READY, READY)
     seen.tickets["n0"] = replace(Ticket("n0", "p", 1, 1, 1, "2", used=True, offset=70), **of)
-    assert (Participant("n0", life).unfinished(seen, "1") is not None) is again
+    assert (Participant("n0", incarnation).unfinished(seen, "1") is not None) is again
--- a/tests/rollout/test_planner.py
+++ b/tests/rollout/test_planner.py
@@ -86,7 +86,7 @@
         ChangeTracker(),
     )
     seen.requests.clear()
-    parts = {name: Participant(name, 1) for name in seen.members}
+    participants = {name: Participant(name, 1) for name in seen.members}
 
     def put(*records: Record, ends: tuple[str, ...] = ()) -> None:
         kept, seen.next_offset = model_log.put((), seen.next_offset, records, ends)
@@ -97,15 +97,17 @@
 
     for look in range(2 * size):
         done_but = size - len(seen.plans["p"].released)
-        for name, part in list(parts.items())[mute if done_but > mute else 0 :]:
-            if (move := part.step(seen, look * 1000.0)) is not None:
+        for name, participant in list(participants.items())[mute if done_but > mute else 0 :]:
+            if (move := participant.step(seen, look * 1000.0)) is not None:
                 said[move.description if move.description == GOES_OUT else "asks"] += 1
                 put(*move.records, ends=move.deleted_keys)
                 if move.description == GOES_OUT:
-                    parts[name] = Participant(name, 2)
+                    participants[name] = Participant(name, 2)
                     put(replace(seen.members[name], incarnation=2))
         while True:
-            watch.observe(look * 1000.0, change_tracker.tracked_values(seen, dict.fromkeys(parts, look)))
+            watch.observe(
+                look * 1000.0, change_tracker.tracked_values(seen, dict.fromkeys(participants, look))
+            )
             if (done := decide(seen, look * 1000.0, watch)) is None:
                 break
             assert len(disruption_budget.members_out(seen)) <= out
@@ -114,7 +116,7 @@
         if seen.plans["p"].stage is PlanStage.DONE:
             break
     assert said["asks"] < 1.3 * size and said[GOES_OUT] == size == len(seen.plans["p"].released)
-    assert set(seen.plans["p"].deferred) == set(list(parts)[:mute]) and said["passes"] < 10
+    assert set(seen.plans["p"].deferred) == set(list(participants)[:mute]) and said["passes"] < 10
 
 
 def test_budgets_of_two_plans_hold_together() -> None:
