--- a/sabledyke/rollout/participant.py
+++ b/sabledyke/rollout/participant.py
@@ -1,113 +1,154 @@
-"""One member's side: when to ask for a ticket, and whether the one that came may still be used. Pure.
+"""One member's side: when to request a ticket, and whether a granted one may still be used. Pure.
 
-Told: the view of the board and the time on its own clock. The last check is the board's: ``Go`` is written
-only if ticket, plan and epoch stand as they were seen, so that a halt, a new coordinator or a ticket taken
-back comes before it or after it, never between.
+The participant gets the view of the log and the time on its own clock. The last check is the log's: the use
+of a ticket is written only if ticket, plan and epoch stand as they were seen, so that a halt, a new
+coordinator or a withdrawn ticket comes before it or after it, never between.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
-from sabledyke.errors import StaleTicketError
-from sabledyke.rollout.planner import Move, near, wanted
-from sabledyke.rollout.records import EPOCH, Ask, Plan, Ticket, View, key
+from sabledyke.errors import StaleTicket
+from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.moves import Move
+from sabledyke.rollout.record_codec import key_of
+from sabledyke.rollout.records import EPOCH_KEY, Plan, Ticket, TicketRequest
+from sabledyke.rollout.release_order import next_members, remaining_members
+
+GOES_OUT = "goes out"
+"""``Move.description`` of the move by which a member uses its ticket."""
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
-    """What was asked last, and when, on this member's clock: before it was written."""
+class SentRequest:
+    """The last request, and when it was made on this member's clock: before it was written."""
 
     plan: str
-    number: int
-    at: float
+    request_number: int
+    sent_at_ms: float
 
 
 @dataclass(slots=True)
 class Participant:
-    """What one life of a member knows; ``valid`` ms after it asked a ticket is too old to use."""
+    """What one incarnation of a member knows.
+
+    Attributes:
+        name: The member's name.
+        incarnation: Its incarnation.
+        request_validity_ms: A ticket that was granted later than this after its request is not used.
+        last_request: The request that waits for its answer.
+        last_request_number: Number of the last request of this incarnation, 0 for none.
+    """
 
     name: str
-    life: int
-    valid: float = 10_000.0
-    asked: Asked | None = None
-    numbers: int = 0
-
-    def step(self, seen: View, now: float) -> Move | None:
-        """The next thing to write: an ask, a ticket given back, or that it goes
-        (``Move.what`` is ``GOES``).
-        """
-        me, ticket = seen.members.get(self.name), seen.tickets.get(self.name)
-        if me is None or me.life != self.life:
+    incarnation: int
+    request_validity_ms: float = 10_000.0
+    last_request: SentRequest | None = None
+    last_request_number: int = 0
+
+    def step(self, view: FleetView, now_ms: float) -> Move | None:
+        """Return the next move: a request, a ticket given back, or the use of one (``GOES_OUT``)."""
+        member = view.members.get(self.name)
+        if member is None or member.incarnation != self.incarnation:
             return None
+        ticket = view.tickets.get(self.name)
         if ticket is not None:
-            if ticket.going:
-                return None  # spent: by this life, which leaves, or a former one, which the coordinator sees
-            try:
-                self._judge(ticket, seen, now)
-            except StaleTicketError as fault:
-                self.asked = None
-                return Move(str(fault), ends=(key(ticket),), expects=((key(ticket), ticket.offset),))
-            rests = (key(ticket), f"plan/{ticket.plan}", EPOCH)
-            return Move(GOES, (replace(ticket, going=True),), expects=tuple((k, seen.at(k)) for k in rests))
-        plan = next((p for p in seen.active if self.name in wanted(p)), None)
+            return self._use_or_return(ticket, view, now_ms)
+        plan = next((plan for plan in view.active if self.name in remaining_members(plan)), None)
         if plan is None:
-            self.asked = None
-        elif me not in near(plan, seen):
-            return None  # others come first, and an ask would only cross the coordinator
-        elif self.asked is None or self.asked.plan != plan.name or now - self.asked.at > self.valid / 2:
-            return self._ask(plan, now)
-        return None
+            self.last_request = None
+            return None
+        if member not in next_members(plan, view):
+            return None  # others come first, and a request would only cross the coordinator's moves
+        if self._has_recent_request(plan, now_ms):
+            return None
+        return self._request(plan, now_ms)
 
-    def gone(self, seen: View) -> Ticket | None:
-        """The ticket that this life has said to go by, and is to leave by now.
+    def used_ticket(self, view: FleetView) -> Ticket | None:
+        """Return the ticket that this incarnation has used, and is to leave by now.
 
-        Guards against that word's answer being lost: it stands on the board, and nobody else may use it.
+        The answer to that write may have been lost: the use stands on the log, and nobody else may use the
+        ticket.
         """
-        ticket = seen.tickets.get(self.name)
-        mine = ticket is not None and ticket.going and ticket.life == self.life and not ticket.settings
-        return ticket if mine else None
+        ticket = view.tickets.get(self.name)
+        if ticket is None or not ticket.used or ticket.settings:
+            return None
+        return ticket if ticket.incarnation == self.incarnation else None
 
-    def due(self, seen: View) -> Ticket | None:
-        """New settings that this member, or a former life, is to take on, and has not said how it went."""
-        ticket = seen.tickets.get(self.name)
-        due = ticket is not None and ticket.settings and ticket.going and not ticket.took
-        return ticket if due else None
+    def due_settings(self, view: FleetView) -> Ticket | None:
+        """Return a used ticket for new settings whose result this member has not written yet.
 
-    def in_turn(self, seen: View) -> bool:
-        """This life began as a former one went out by a ticket: no more begin at once than may be out."""
-        ticket = seen.tickets.get(self.name)
-        return ticket is not None and ticket.going and ticket.life < self.life and not ticket.settings
+        A former incarnation may have used it.
+        """
+        ticket = view.tickets.get(self.name)
+        if ticket is None or not ticket.settings or not ticket.used:
+            return None
+        return None if ticket.settings_result else ticket
+
+    def replaces_released(self, view: FleetView) -> bool:
+        """Return whether a former incarnation went out by a ticket, so that a budget bounds this start."""
+        ticket = view.tickets.get(self.name)
+        if ticket is None or not ticket.used or ticket.settings:
+            return False
+        return ticket.incarnation < self.incarnation
 
-    def unfinished(self, seen: View, version: str) -> Ticket | None:
-        """A ticket that a former life used, and after which this one started as another version than it says.
+    def unfinished(self, view: FleetView, version: str) -> Ticket | None:
+        """Return the ticket of a former incarnation after which this one started as another version.
 
-        Guards against a death between its word that it goes and the file that tells which version to start.
+        The former one may have died between using its ticket and writing the file that says which version to
+        start.
         """
-        ticket = seen.tickets.get(self.name) if self.in_turn(seen) else None
-        return ticket if ticket is not None and ticket.to not in ("", version) else None
-
-    def _ask(self, plan: Plan, now: float) -> Move:
-        """Time counts from here: the grant may be long on its way."""
-        self.numbers += 1
-        self.asked = Asked(plan.name, self.numbers, now)
-        return Move(f"{self.name} asks to go out", (Ask(self.name, plan.name, self.life, self.numbers),))
-
-    def _judge(self, ticket: Ticket, seen: View, now: float) -> None:
-        """A StaleTicket where it may not be used: it is given back, and asked for anew."""
-        asked, plan = self.asked, seen.plans.get(ticket.plan)
-        if asked is None or ticket.number != asked.number or ticket.life != self.life:
-            raise StaleTicketError(f"{self.name}: the ticket answers an earlier ask")
-        if now - asked.at > self.valid:
-            raise StaleTicketError(
-                f"{self.name}: the ticket came {now - asked.at:.0f} ms after it was asked for"
-            )
-        if seen.epoch is None or ticket.token != seen.epoch.token:
-            raise StaleTicketError(
+        if not self.replaces_released(view):
+            return None
+        ticket = view.tickets[self.name]
+        return ticket if ticket.target not in ("", version) else None
+
+    def _use_or_return(self, ticket: Ticket, view: FleetView, now_ms: float) -> Move | None:
+        if ticket.used:
+            return None  # by this incarnation, which leaves, or by a former one, as the coordinator sees
+        key = key_of(ticket)
+        try:
+            self._check_usable(ticket, view, now_ms)
+        except StaleTicket as fault:
+            self.last_request = None
+            return Move(str(fault), deleted_keys=(key,), expected_offsets=((key, ticket.offset),))
+        conditions = (key, f"plan/{ticket.plan}", EPOCH_KEY)
+        return Move(
+            GOES_OUT,
+            (replace(ticket, used=True),),
+            expected_offsets=tuple((name, view.offset_of(name)) for name in conditions),
+        )
+
+    def _has_recent_request(self, plan: Plan, now_ms: float) -> bool:
+        request = self.last_request
+        if request is None or request.plan != plan.name:
+            return False
+        return now_ms - request.sent_at_ms <= self.request_validity_ms / 2
+
+    def _request(self, plan: Plan, now_ms: float) -> Move:
+        """Return a new request; its age counts from here, as the grant may be long on its way."""
+        self.last_request_number += 1
+        self.last_request = SentRequest(plan.name, self.last_request_number, now_ms)
+        request = TicketRequest(self.name, plan.name, self.incarnation, self.last_request_number)
+        return Move(f"{self.name} asks to go out", (request,))
+
+    def _check_usable(self, ticket: Ticket, view: FleetView, now_ms: float) -> None:
+        """Raise StaleTicket where the ticket may not be used: it is given back, and requested anew."""
+        request = self.last_request
+        if (
+            request is None
+            or ticket.request_number != request.request_number
+            or ticket.incarnation != self.incarnation
+        ):
+            raise StaleTicket(f"{self.name}: the ticket answers an earlier ask")
+        age_ms = now_ms - request.sent_at_ms
+        if age_ms > self.request_validity_ms:
+            raise StaleTicket(f"{self.name}: the ticket came {age_ms:.0f} ms after it was asked for")
+        if view.epoch is None or ticket.token != view.epoch.token:
+            raise StaleTicket(
                 f"{self.name}: the ticket is under token {ticket.token}, which is no longer in force"
             )
-        if plan is None or self.name not in wanted(plan):
-            raise StaleTicketError(f"{self.name}: plan {ticket.plan} does not go on")
-
-
-GOES = "goes out"
+        plan = view.plans.get(ticket.plan)
+        if plan is None or self.name not in remaining_members(plan):
+            raise StaleTicket(f"{self.name}: plan {ticket.plan} does not go on")
--- a/sabledyke/testbed/model_log.py
+++ b/sabledyke/testbed/model_log.py
@@ -6,8 +6,9 @@
 from dataclasses import replace
 from typing import Any, NamedTuple, Protocol, TypeVar
 
-from sabledyke.rollout.planner import Move
-from sabledyke.rollout.records import Record, key
+from sabledyke.rollout.moves import Move
+from sabledyke.rollout.record_codec import key_of
+from sabledyke.rollout.records import Record
 
 T = TypeVar("T")
 
@@ -23,9 +24,9 @@
     records: tuple[Record, ...], next_: int, writes: Iterable[Record], ends: Iterable[str]
 ) -> tuple[tuple[Record, ...], int]:
     """The records after one append, in the order of their keys, and the next offset."""
-    table = {key(r): r for r in records}
+    table = {key_of(r): r for r in records}
     for record in writes:
-        table[key(record)] = replace(record, offset=next_)
+        table[key_of(record)] = replace(record, offset=next_)
         next_ += 1
     for name in ends:
         table.pop(name, None)
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -10,31 +10,32 @@
 from sabledyke.compacted_log import append, compaction, registers
 from sabledyke.compacted_log import records as board_terms
 from sabledyke.compacted_log import section as board_section
-from sabledyke.compacted_log.client import CompactedLog, LogWriter
-from sabledyke.compacted_log.compaction import CompactionPolicy
-from sabledyke.compacted_log.etcd_backend import EtcdBackend as EtcdShelf
-from sabledyke.compacted_log.reader import LogReader
-from sabledyke.compacted_log.records import Backend as Shelf
-from sabledyke.compacted_log.records import Draft, Message, WriterIdentity
-from sabledyke.compacted_log.sqlite_backend import SqliteBackend as TableShelf
+from sabledyke.compacted_log.client import Board, Pen
+from sabledyke.compacted_log.compaction import Policy
+from sabledyke.compacted_log.etcd_backend import EtcdShelf
+from sabledyke.compacted_log.reader import Follower
+from sabledyke.compacted_log.records import Draft, Message, Shelf, Writer
+from sabledyke.compacted_log.sqlite_backend import TableShelf
+from sabledyke.core import Work
 from sabledyke.lease import section as lease_section
-from sabledyke.placement import evacuation, evacuation_driver
+from sabledyke.placement import evacuation
 from sabledyke.placement import section as sites_section
-from sabledyke.quota_sharing import allocation
+from sabledyke.quota_sharing import allocation, publisher
 from sabledyke.quota_sharing import extension as fleet_part
 from sabledyke.quota_sharing import section as fleet_section
 from sabledyke.rollout import extension as rollout_part
+from sabledyke.rollout import heartbeats, record_codec
 from sabledyke.rollout import records as rollout_terms
 from sabledyke.rollout import section as rollout_section
 from tests.compatibility.program.values import values
 
 __all__ = ["EtcdShelf", "Shelf", "TableShelf"]
 
-FLEET_TOPIC, BEATS_TOPIC = rollout_terms.FLEET, rollout_terms.BEATS
-HOMES_TOPIC, SHARES_TOPIC = evacuation.HOMES, allocation.TOPIC
-LOAD_PREFIX = evacuation_driver.LOADS
+FLEET_TOPIC, BEATS_TOPIC = rollout_terms.FLEET_TOPIC, rollout_terms.HEARTBEATS_TOPIC
+HOMES_TOPIC, SHARES_TOPIC = evacuation.PLACEMENTS_TOPIC, allocation.SHARES_TOPIC
+LOAD_PREFIX = heartbeats.LOAD_KEY_PREFIX
 INCOMPLETE = TypeError  # what a reader raises where a field is missing that it insists on
-STATES, STAGES, PHASES = rollout_terms.State, rollout_terms.Stage, rollout_terms.Phase
+STATES, STAGES, PHASES = rollout_terms.MemberState, rollout_terms.PlanStage, rollout_terms.DrainPhase
 
 
 def message(key: str, value: bytes, offset: int) -> Message:
@@ -44,32 +45,32 @@
 
 def read_record(key: str, value: bytes, offset: int = 77) -> Any:
     """A record of the fleet's topic, from its key and its stored value."""
-    return rollout_terms.read(message(key, value, offset))
+    return record_codec.decode(message(key, value, offset))
 
 
 def write_record(record: Any) -> tuple[str, bytes]:
     """The key and the value that a record is stored by."""
-    return rollout_terms.key(record), rollout_terms.pack(record)
+    return record_codec.key_of(record), record_codec.encode(record)
 
 
 def read_homes(stored: Mapping[str, bytes]) -> Mapping[str, Any]:
     """Homes by volume, from their stored values."""
-    return evacuation.read({key: message(key, value, 77) for key, value in stored.items()})
+    return evacuation.decode_placements({key: message(key, value, 77) for key, value in stored.items()})
 
 
 def write_home(home: Any) -> bytes:
     """A home as it is stored."""
-    return evacuation.pack(home)
+    return evacuation.encode(home)
 
 
 def read_beats(registers: Mapping[str, bytes]) -> Mapping[str, tuple[int, ...]]:
     """Signs of life by member, from the registers."""
-    return rollout_part._beats(registers)
+    return {name: beat.values for name, beat in heartbeats.decode_heartbeats(registers).items()}
 
 
 def read_demands(value: bytes) -> tuple[int, Mapping[int, float]]:
     """The number and the demands of a member, from its register."""
-    return fleet_part._word(board_terms.Cell(1, value))
+    return publisher.decode_demands(board_terms.Cell(1, value))
 
 
 async def append_messages(
@@ -149,17 +150,28 @@
         return 120, 3
 
 
+def _ignored(answer: object) -> None:
+    pass
+
+
+def _not_forwarded(work: object, done: object) -> int:
+    return 0
+
+
 async def member_writes(path: str, loads: Mapping[str, float]) -> None:
     """A member of the fleet joins, and writes its sign of life and its clients' loads (units by volume)."""
     place, lease = board_section.read({"path": path}), lease_section.read({"path": path + ".lease"}, None)
     section = rollout_section.read({"site": "lodi", "version": "1.4"})
     sites = sites_section.read({"room": {"lodi": 400.0}})
     assert place is not None and lease is not None and section is not None
-    part = rollout_part.RolloutPart(cast(ServerContext, _Host()), section, place, lease, sites)
-    assert await part._joined() is not None
-    part._loads = dict(loads)
-    await part._beat()
-    await part._board.backend.close()
+    part = rollout_part.RolloutExtension(cast(Host, _Host()), section, place, lease, sites)
+    assert await part.member.join() is not None
+    for volume, units in loads.items():
+        part.submit(
+            cast(Work, SimpleNamespace(volume=int(volume, 16), units=units)), _ignored, _not_forwarded
+        )
+    await part.member.send_heartbeat()
+    await part.board.shelf.close()
 
 
 async def sharer_writes(path: str, volume: int) -> None:
@@ -167,9 +179,9 @@
     place, section = board_section.read({"path": path}), fleet_section.read({"members": 4})
     assert place is not None and section is not None
     now = [0.0]
-    part = fleet_part.FleetPart(cast(ServerContext, _Host()), section, place, lambda: now[0])
-    await part._begin()
-    part._meter.add(now[0], volume, 3.0, 1000.0)
+    part = fleet_part.QuotaExtension(cast(Host, _Host()), section, place, lambda: now[0])
+    await part.publisher.begin()
+    part.meter.add(now[0], volume, 3.0, 1000.0)
     now[0] = 2000.0
-    await part._tell()
-    await part._shelf.close()
+    await part.publisher.publish()
+    await part.close()
