--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -33,8 +33,8 @@
     position_key,
 )
 from sabledyke.compacted_log.sqlite_backend import SqliteBackend
-from sabledyke.errors import BoardFault
-from sabledyke.lease.manager import boottime
+from sabledyke.errors import CompactedLogError
+from sabledyke.lease.manager import boottime_ms
 from sabledyke.rollout import disruption_budget, node_drain, planner
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
--- a/sabledyke/cli/fleet.py
+++ b/sabledyke/cli/fleet.py
@@ -12,7 +12,7 @@
 from sabledyke.compacted_log import section as board_section
 from sabledyke.compacted_log.client import CompactedLog
 from sabledyke.compacted_log.reader import LogReader
-from sabledyke.errors import Fault, PlanError
+from sabledyke.errors import PlanError, SabledykeError
 from sabledyke.quota_sharing.allocation import SHARES_TOPIC
 from sabledyke.rollout import commands, disruption_budget, node_drain, plan_changes, release_order
 from sabledyke.rollout.fleet_view import FleetView
@@ -52,8 +52,8 @@
         move = await commands.apply(board, reader, lambda seen: _wanted(said, seen, plan))
         if said["forget"]:
             keys = [said["MEMBER"], f"{LOAD_KEY_PREFIX}{said['MEMBER']}"]
-            await registers.drop(board.shelf, HEARTBEATS_TOPIC, keys)
-            await registers.drop(board.shelf, SHARES_TOPIC, [said["MEMBER"]])
+            await registers.delete(board.backend, HEARTBEATS_TOPIC, keys)
+            await registers.delete(board.backend, SHARES_TOPIC, [said["MEMBER"]])
         print(move.description)
     finally:
         await board.backend.close()
--- a/sabledyke/cli/lease.py
+++ b/sabledyke/cli/lease.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from sabledyke.config import ConfigError
-from sabledyke.errors import AuthorityFault
+from sabledyke.errors import AuthorityError
 from sabledyke.lease import extension, section
 
 
--- a/sabledyke/compacted_log/append.py
+++ b/sabledyke/compacted_log/append.py
@@ -72,15 +72,15 @@
     """Check the number and the sizes of drafts, before anything is read.
 
     Raises:
-        BoardFull: There are too many of them, or one is too large.
+        LogFullError: There are too many of them, or one is too large.
     """
     if not 0 < len(drafts) <= MAX_APPEND_MESSAGES:
-        raise BoardFull(f"an append has from 1 to {MAX_APPEND_MESSAGES} messages, not {len(drafts)}")
+        raise LogFullError(f"an append has from 1 to {MAX_APPEND_MESSAGES} messages, not {len(drafts)}")
     if len({draft.key for draft in drafts}) < len(drafts):
-        raise BoardFull("an append names a key twice")
+        raise LogFullError("an append names a key twice")
     for draft in drafts:
         if not draft.key or len(draft.key.encode()) > MAX_KEY_BYTES:
-            raise BoardFull(f"a key has from 1 to {MAX_KEY_BYTES} bytes: {draft.key[:40]!r}")
+            raise LogFullError(f"a key has from 1 to {MAX_KEY_BYTES} bytes: {draft.key[:40]!r}")
         validate_value(draft.key, draft.value)
 
 
@@ -88,10 +88,10 @@
     """Check the size of a value.
 
     Raises:
-        BoardFull: It is too large.
+        LogFullError: It is too large.
     """
     if value is not None and len(value) > MAX_VALUE_BYTES:
-        raise BoardFull(f"{key}: a value has at most {MAX_VALUE_BYTES} bytes, not {len(value)}")
+        raise LogFullError(f"{key}: a value has at most {MAX_VALUE_BYTES} bytes, not {len(value)}")
 
 
 def cells_to_read(request: AppendRequest) -> list[str]:
@@ -115,7 +115,7 @@
         The commit; one without puts for a retry of what was written.
 
     Raises:
-        StaleWriter: A later incarnation of the writer has written.
+        StaleWriterError: A later incarnation of the writer has written.
         Conflict: A key, or the end of the topic, is not where it is expected.
     """
     topic = request.topic
@@ -165,7 +165,9 @@
     writer = request.writer
     same_incarnation = state.incarnation == writer.incarnation
     if state.incarnation > writer.incarnation or (same_incarnation and state.nonce != writer.nonce):
-        raise StaleWriter(f"{writer.name}: life {writer.incarnation} writes after life {state.incarnation}")
+        raise StaleWriterError(
+            f"{writer.name}: life {writer.incarnation} writes after life {state.incarnation}"
+        )
     if not same_incarnation or request.sequence > state.sequence:
         return None
     return Commit(state.offsets if request.sequence == state.sequence else ())
@@ -175,7 +177,9 @@
     end = request.expected_end
     if end is not None and end != head.next_offset:
         last_offset = head.next_offset - 1
-        raise Conflict(f"{request.topic} has gone on to {last_offset} since it was read up to {end - 1}")
+        raise WriteConflictError(
+            f"{request.topic} has gone on to {last_offset} since it was read up to {end - 1}"
+        )
 
 
 def _check_offsets(request: AppendRequest, cells: Mapping[str, Cell]) -> dict[str, int]:
@@ -189,7 +193,7 @@
         cell_key = position_key(request.topic, key)
         offset = decode_position(cells.get(cell_key)).offset
         if offset != expected_offset:
-            raise Conflict(f"{request.topic}: {key} stands at {offset}, not at {expected_offset}")
+            raise WriteConflictError(f"{request.topic}: {key} stands at {offset}, not at {expected_offset}")
         checks[cell_key] = cell_version(cells, cell_key)
     return checks
 
--- a/sabledyke/compacted_log/client.py
+++ b/sabledyke/compacted_log/client.py
@@ -27,7 +27,7 @@
     writer_key,
 )
 from sabledyke.compacted_log.topic_reads import read_head, read_messages
-from sabledyke.errors import BoardFault, Conflict, StaleWriter
+from sabledyke.errors import CompactedLogError, StaleWriterError, WriteConflictError
 
 RETRY_TIMEOUT_S = 5.0
 FIRST_RETRY_DELAY_S = 0.002  # doubled at each retry
@@ -51,21 +51,21 @@
         """Begin the next incarnation of a writer.
 
         Raises:
-            BoardFault: It did not succeed in time.
+            CompactedLogError: It did not succeed in time.
         """
         nonce = _make_nonce()
         key = writer_key(topic, name)
-        last_error: BoardFault | None = None
+        last_error: CompactedLogError | None = None
         for delay_s in self._retry_delays_s():
             try:
                 cells = await self.backend.get([key])
                 identity, commit = append.plan_claim(topic, cells.get(key), name, nonce)
                 if await self._commit(commit):
                     return LogWriter(self, topic, identity)
-            except BoardFault as error:
+            except CompactedLogError as error:
                 last_error = error
             await asyncio.sleep(delay_s)
-        raise last_error or BoardFault(f"{topic}: no life for {name} within {RETRY_TIMEOUT_S:.0f} s")
+        raise last_error or CompactedLogError(f"{topic}: no life for {name} within {RETRY_TIMEOUT_S:.0f} s")
 
     def writer(self, topic: str, name: str, incarnation: int) -> LogWriter:
         """Return a writer whose incarnation is given, as a lease's token is."""
@@ -77,22 +77,22 @@
         Raises: see ``LogWriter.append``.
         """
         append.validate_drafts(request.drafts)
-        last_error: BoardFault | None = None
+        last_error: CompactedLogError | None = None
         for delay_s in self._retry_delays_s():
             try:
                 commit = await self._decide_append(request)
                 if await self._commit(commit):
                     return commit.offsets
-            except (Conflict, StaleWriter):
+            except (WriteConflictError, StaleWriterError):
                 raise
-            except BoardFault as error:
+            except CompactedLogError as error:
                 last_error = error
             else:
                 if request.expected_end is not None:
                     continue  # somebody wrote: the next attempt finds that, and the caller decides anew
             await asyncio.sleep(delay_s)
         timeout = f"{RETRY_TIMEOUT_S:.0f} s"
-        raise last_error or BoardFault(f"{request.topic}: others wrote all the time for {timeout}")
+        raise last_error or CompactedLogError(f"{request.topic}: others wrote all the time for {timeout}")
 
     async def head(self, topic: str) -> TopicHead:
         """Return the topic's head."""
@@ -111,8 +111,8 @@
             What has changed.
 
         Raises:
-            BoardFault: The backend did not answer.
-            BoardFull: There are more keys than the reader may retain.
+            CompactedLogError: The backend did not answer.
+            LogFullError: There are more keys than the reader may retain.
         """
         if not reader.started:
             reader.start(await self.head(topic))
@@ -190,11 +190,11 @@
             The offsets of the messages.
 
         Raises:
-            BoardFull: There are too many messages, or one is too large.
-            StaleWriter: A later incarnation has written.
+            LogFullError: There are too many messages, or one is too large.
+            StaleWriterError: A later incarnation has written.
             Conflict: A key, or the end of the topic, has moved.
-            BoardFault: The append may have been written; the same one again, before any other, is written
-                once.
+            CompactedLogError: The append may have been written; the same one again, before any other, is
+            written once.
         """
         async with self._lock:
             content = (tuple(drafts), expects, end)
@@ -206,7 +206,7 @@
             )
             try:
                 offsets = await self._log.append(request)
-            except (Conflict, StaleWriter):
+            except (WriteConflictError, StaleWriterError):
                 self._unconfirmed = None  # it was certainly not written
                 raise
             self._unconfirmed = None
--- a/sabledyke/compacted_log/compaction.py
+++ b/sabledyke/compacted_log/compaction.py
@@ -137,10 +137,10 @@
     """Return the same progress under this compactor's token.
 
     Raises:
-        StaleWriter: A compactor with a later token has been at work.
+        StaleWriterError: A compactor with a later token has been at work.
     """
     if progress.token > token:
-        raise StaleWriter(f"cleaning under token {token}, after {progress.token}")
+        raise StaleWriterError(f"cleaning under token {token}, after {progress.token}")
     marks = tuple(
         mark if mark.token == token else PassMark(mark.up_to_offset, now_ms, token) for mark in progress.marks
     )
--- a/sabledyke/compacted_log/compactor.py
+++ b/sabledyke/compacted_log/compactor.py
@@ -57,8 +57,8 @@
             The size of what was read, in bytes.
 
         Raises:
-            StaleWriter: A compactor with a later token is at work.
-            BoardFault: The backend did not answer.
+            StaleWriterError: A compactor with a later token is at work.
+            CompactedLogError: The backend did not answer.
         """
         read_bytes = 0
         while (page := await self._next_page()) is not None:
--- a/sabledyke/compacted_log/etcd_backend.py
+++ b/sabledyke/compacted_log/etcd_backend.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from sabledyke.compacted_log.records import Cell
-from sabledyke.errors import AuthorityFault, BoardFault
+from sabledyke.errors import AuthorityError, CompactedLogError
 from sabledyke.lease.etcd_gateway import EtcdGateway, JsonObject, decode_base64, encode_base64
 
 DEFAULT_TIMEOUT_MS = 1000.0
@@ -83,8 +83,8 @@
     async def _call(self, path: str, body: JsonObject) -> JsonObject:
         try:
             return await self._gateway.call(path, body)
-        except AuthorityFault as error:
-            raise BoardFault(str(error)) from error
+        except AuthorityError as error:
+            raise CompactedLogError(str(error)) from error
 
 
 def _decode_cell(entry: dict[str, Any]) -> Cell:
--- a/sabledyke/compacted_log/reader.py
+++ b/sabledyke/compacted_log/reader.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from sabledyke.compacted_log.records import Message, TopicHead
-from sabledyke.errors import BoardFull
+from sabledyke.errors import LogFullError
 
 MAX_KEYS = 100_000
 
@@ -93,7 +93,7 @@
             What has changed.
 
         Raises:
-            BoardFull: There are more keys than the reader may retain.
+            LogFullError: There are more keys than the reader may retain.
         """
         self.may_have_more = full
         if self._may_have_missed_tombstones(head):
@@ -122,7 +122,7 @@
             known = self.latest.pop(key, None) or self._before_restart.pop(key, None)
             return [KeyRemoved(key)] if known is not None else []
         if key not in self.latest and len(self.latest) >= self._max_keys:
-            raise BoardFull(f"a reader keeps {self._max_keys} keys at most")
+            raise LogFullError(f"a reader keeps {self._max_keys} keys at most")
         self.latest[key] = message
         self._before_restart.pop(key, None)
         return [KeyUpdated(message)]
--- a/sabledyke/compacted_log/records.py
+++ b/sabledyke/compacted_log/records.py
@@ -130,14 +130,14 @@
         """Return those of the cells that exist, as of one moment.
 
         Raises:
-            BoardFault: It did not answer.
+            CompactedLogError: It did not answer.
         """
 
     async def scan(self, first: str, end: str, limit: int) -> list[tuple[str, Cell]]:
         """Return at most ``limit`` cells from ``first`` up to before ``end``, in order of their keys.
 
         Raises:
-            BoardFault: It did not answer.
+            CompactedLogError: It did not answer.
         """
 
     async def commit(
@@ -154,7 +154,7 @@
             False where a check failed, so that nothing was written.
 
         Raises:
-            BoardFault: It is not known whether the commit was executed.
+            CompactedLogError: It is not known whether the commit was executed.
         """
 
     async def close(self) -> None:
--- a/sabledyke/compacted_log/registers.py
+++ b/sabledyke/compacted_log/registers.py
@@ -20,7 +20,7 @@
     register_key,
     writer_key,
 )
-from sabledyke.errors import StaleWriter
+from sabledyke.errors import StaleWriterError
 
 PAGE_CELLS = 64  # of one read: at most 1 MiB
 MAX_CELLS = 4096  # that are read of one topic
@@ -42,9 +42,9 @@
         """Write values by the names of their registers.
 
         Raises:
-            BoardFull: A value is too large.
-            StaleWriter: A later incarnation has begun.
-            BoardFault: The values may have been written.
+            LogFullError: A value is too large.
+            StaleWriterError: A later incarnation has begun.
+            CompactedLogError: The values may have been written.
         """
         for name, value in values.items():
             validate_value(name, value)
@@ -62,9 +62,11 @@
             raise self._stale_error()
         return cell_version(found, writer)
 
-    def _stale_error(self) -> StaleWriter:
+    def _stale_error(self) -> StaleWriterError:
         writer = self._identity
-        return StaleWriter(f"{writer.name}: life {writer.incarnation} writes after a later one has begun")
+        return StaleWriterError(
+            f"{writer.name}: life {writer.incarnation} writes after a later one has begun"
+        )
 
 
 async def read_values(backend: Backend, topic: str) -> dict[str, bytes]:
--- a/sabledyke/compacted_log/sqlite_backend.py
+++ b/sabledyke/compacted_log/sqlite_backend.py
@@ -52,20 +52,20 @@
         """Make the tables where they are missing.
 
         Raises:
-            BoardSchema: The file is no database, or a newer version wrote it.
-            BoardFault: It does not answer now, as it is locked, or others make it at this moment.
+            LogSchemaError: The file is no database, or a newer version wrote it.
+            CompactedLogError: It does not answer now, as it is locked, or others make it at this moment.
         """
         try:
             session = await self._connected_session()
             await session.script(CREATE_TABLES_SQL)
             schema_version = await session.run(_read_schema_version)
-        except StoreFault as error:
+        except DatabaseError as error:
             await self.close()
-            if error.kind in PASSING:
-                raise BoardFault(f"board {self.path}: {error}") from error
-            raise BoardSchema(f"board {self.path}: {error}") from error
+            if error.kind in TRANSIENT_KINDS:
+                raise CompactedLogError(f"board {self.path}: {error}") from error
+            raise LogSchemaError(f"board {self.path}: {error}") from error
         if schema_version > SCHEMA_VERSION:
-            raise BoardSchema(
+            raise LogSchemaError(
                 f"board {self.path} has schema {schema_version}, and this version knows {SCHEMA_VERSION}"
             )
 
@@ -105,9 +105,9 @@
             if session is not None:
                 session.abort()
             self._session = None
-            raise BoardFault(f"board {self.path}: no answer within {self._timeout_s:.1f} s") from error
-        except StoreFault as error:
-            raise BoardFault(f"board {self.path}: {error}") from error
+            raise CompactedLogError(f"board {self.path}: no answer within {self._timeout_s:.1f} s") from error
+        except DatabaseError as error:
+            raise CompactedLogError(f"board {self.path}: {error}") from error
 
     async def _connected_session(self) -> SqliteSession:
         async with self._connecting:
--- a/sabledyke/compacted_log/subscription.py
+++ b/sabledyke/compacted_log/subscription.py
@@ -15,7 +15,7 @@
 from sabledyke.compacted_log.client import CompactedLog
 from sabledyke.compacted_log.reader import LogEvent, LogReader
 from sabledyke.compacted_log.records import PAGE_MESSAGES
-from sabledyke.errors import BoardFault, BoardFull
+from sabledyke.errors import CompactedLogError, LogFullError
 
 FIRST_BACKOFF_INTERVALS = 1 / 16  # doubled at each failure, up to one interval
 MAX_COUNTED_FAILURES = 16
@@ -42,16 +42,16 @@
         seed: The seed of the jitter.
 
     Raises:
-        BoardFull: There are more keys than ``reader`` may retain.
+        LogFullError: There are more keys than ``reader`` may retain.
     """
     random = Random(seed)
     failures = 0
     while True:
         try:
             events = await log.poll(topic, reader, page_messages)
-        except BoardFull:
+        except LogFullError:
             raise
-        except BoardFault:
+        except CompactedLogError:
             wait_s = min(interval_s, interval_s * FIRST_BACKOFF_INTERVALS * 2**failures)
             failures = min(failures + 1, MAX_COUNTED_FAILURES)
         else:
--- a/sabledyke/compacted_log/topic_reads.py
+++ b/sabledyke/compacted_log/topic_reads.py
@@ -19,7 +19,7 @@
     """Return the topic's head.
 
     Raises:
-        BoardFault: The backend did not answer.
+        CompactedLogError: The backend did not answer.
     """
     key = head_key(topic)
     return decode_head((await backend.get([key])).get(key))
@@ -29,7 +29,7 @@
     """Return at most ``limit`` messages from this offset on, in order.
 
     Raises:
-        BoardFault: The backend did not answer.
+        CompactedLogError: The backend did not answer.
     """
     end = f"{topic}/m/{_AFTER_ALL_OFFSETS}"
     cells = await backend.scan(message_key(topic, first_offset), end, limit)
--- a/sabledyke/lease/etcd_gateway.py
+++ b/sabledyke/lease/etcd_gateway.py
@@ -12,7 +12,7 @@
 import aiohttp
 import orjson
 
-from sabledyke.errors import AuthorityFault
+from sabledyke.errors import AuthorityError
 
 MAX_RESPONSE_BYTES = 1 << 20
 JSON_HEADERS = {"Content-Type": "application/json"}
@@ -49,17 +49,17 @@
             The object of the response; {} where what was named is not found.
 
         Raises:
-            AuthorityFault: There was no usable response.
+            AuthorityError: There was no usable response.
         """
         try:
             return await self._post(path, body)
         except TimeoutError as error:
             self._use_next_endpoint()
-            raise AuthorityFault(f"etcd: {path}: no answer in time") from error
+            raise AuthorityError(f"etcd: {path}: no answer in time") from error
         except (aiohttp.ClientError, OSError, orjson.JSONDecodeError) as error:
             self._use_next_endpoint()
-            raise AuthorityFault(f"etcd: {path}: {error}") from error
-        except AuthorityFault:
+            raise AuthorityError(f"etcd: {path}: {error}") from error
+        except AuthorityError:
             self._use_next_endpoint()
             raise
 
@@ -76,12 +76,12 @@
             text = await _read_bounded(response)
         result = orjson.loads(text) if response.status != HTTP_NOT_FOUND else {}
         if not isinstance(result, dict):
-            raise AuthorityFault(f"etcd: {path}: status {response.status}, and no object")
+            raise AuthorityError(f"etcd: {path}: status {response.status}, and no object")
         if response.status == HTTP_NOT_FOUND or result.get("code") == GRPC_NOT_FOUND:
             return {}  # the normal response about a lease that has expired
         if response.status != HTTP_OK:
             message = str(result.get("message"))[:MAX_LOGGED_MESSAGE_CHARS]
-            raise AuthorityFault(f"etcd: {path}: status {response.status}, {message}")
+            raise AuthorityError(f"etcd: {path}: status {response.status}, {message}")
         return result
 
     def _use_next_endpoint(self) -> None:
@@ -103,5 +103,5 @@
     async for chunk in response.content.iter_any():
         data += chunk
         if len(data) > MAX_RESPONSE_BYTES:
-            raise AuthorityFault(f"etcd: an answer over {MAX_RESPONSE_BYTES} bytes")
+            raise AuthorityError(f"etcd: an answer over {MAX_RESPONSE_BYTES} bytes")
     return bytes(data)
--- a/sabledyke/lease/extension.py
+++ b/sabledyke/lease/extension.py
@@ -22,7 +22,7 @@
 INCARNATION_ID_DIGITS = 12
 
 
-def set_up(host: Host, section: Operator) -> Part | None:
+def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
     """Return the extension, where the operator's file has a section ``[lease]``."""
     if section.lease is None:
         return None
@@ -42,7 +42,7 @@
     return EtcdAuthority(section.etcd_endpoints, section.prefix, section.times.ttl_ms, timeout_ms)
 
 
-class LeaseExtension(Part):
+class LeaseExtension(Extension):
     """The leader tasks that this instance is a candidate for.
 
     Attributes:
@@ -74,13 +74,13 @@
         await self._authority.open()
         self._start()
 
-    def check(self, operator: Operator) -> None:
+    def check_operator_config(self, operator: OperatorConfig) -> None:
         """See ``extensions.Part``."""
         new = operator.lease
         if new is None or not new.uses_authority_of(self._section):
             raise ConfigError("the lease authority differs, which takes a restart")
 
-    def retold(self, operator: Operator) -> None:
+    def apply_operator_config(self, operator: OperatorConfig) -> None:
         """See ``extensions.Part``: what is held is released, and acquired again under the new times."""
         if operator.lease is not None and operator.lease != self._section:
             self._section = operator.lease
@@ -103,7 +103,7 @@
             self.managers.append(manager)
             self._manager_runs.append(loop.create_task(manager.run()))
             self._leader_task_runs.append(loop.create_task(work))
-        log.say("lease", f"{self._holder_id} stands by at {section}")
+        log.emit("lease", f"{self._holder_id} stands by at {section}")
 
     async def _stop(self) -> None:
         for run in self._leader_task_runs:  # these first: they must not go on without their leases
--- a/sabledyke/lease/leader_tasks.py
+++ b/sabledyke/lease/leader_tasks.py
@@ -17,7 +17,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPError
 
 from sabledyke import log
-from sabledyke.errors import AuthorityFault, Lost, Refused
+from sabledyke.errors import AuthorityError, FencedError, LeaseLostError
 from sabledyke.lease import fencing
 from sabledyke.lease.http_calls import post
 from sabledyke.lease.manager import LeaseManager
@@ -46,7 +46,7 @@
 
 
 Action = Callable[[TokenSource], Awaitable[None]]
-RecordCheck = Callable[[Target, maintenance.Say], Awaitable[bool]]
+RecordCheck = Callable[[Target, maintenance.Report], Awaitable[bool]]
 
 
 async def run_leader_task(
@@ -66,13 +66,13 @@
             token = manager.current_token()
             await action(manager)
             await authority.record_completion(task.name, token, int(time.time() * 1000))
-        except Lost:
+        except LeaseLostError:
             manager.recheck()
-        except Refused as error:
-            log.say("duty", str(error))
+        except FencedError as error:
+            log.emit("duty", str(error))
             manager.on_fenced(token)
-        except (AuthorityFault, StoreFault, StoreError, HTTPError, OSError) as error:
-            log.say("duty", f"{task.name}: not done, it is tried again: {error}", duty=task.name)
+        except (AuthorityError, DatabaseError, StoreError, HTTPError, OSError) as error:
+            log.emit("duty", f"{task.name}: not done, it is tried again: {error}", duty=task.name)
             await asyncio.sleep(RETRY_DELAY_S)
 
 
@@ -97,10 +97,10 @@
     session = await connect(target, create=False)
     try:
         await session.transact(fencing.token_check_steps(task_name, token))
-    except StoreFault as error:
-        if error.kind is Kind.FENCED:
-            raise Refused(f"{task_name}: the record has seen a token after {token}") from error
-        if error.kind is not Kind.SCHEMA:
+    except DatabaseError as error:
+        if error.kind is DatabaseErrorKind.FENCED:
+            raise FencedError(f"{task_name}: the record has seen a token after {token}") from error
+        if error.kind is not DatabaseErrorKind.SCHEMA:
             raise
         await session.script([fencing.CREATE_TABLE_SQL])  # the first leader task on this record
         await session.transact(fencing.token_check_steps(task_name, token))
@@ -175,8 +175,8 @@
     except HTTPError as error:
         if error.code != HTTP_CONFLICT:
             raise
-        raise Refused(f"{task.name}: the called service has seen a token after {token}") from error
+        raise FencedError(f"{task.name}: the called service has seen a token after {token}") from error
 
 
 def _log_result(task: LeaderTask, token: int, result: str, *, passed: bool) -> None:
-    log.say("duty", f"{task.name}: {result}", duty=task.name, token=token, well=int(passed))
+    log.emit("duty", f"{task.name}: {result}", duty=task.name, token=token, well=int(passed))
--- a/sabledyke/lease/manager.py
+++ b/sabledyke/lease/manager.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from sabledyke import log
-from sabledyke.errors import AuthorityFault, Lost
+from sabledyke.errors import AuthorityError, LeaseLostError
 from sabledyke.lease import holder
 from sabledyke.lease.holder import HolderEvent, HolderState, Phase
 from sabledyke.lease.types import Authority, LeaseTimes
@@ -74,7 +74,7 @@
             Lost: This instance may not act now.
         """
         if not holder.may_act(self.state, self._clock()):
-            raise Lost(f"the lease {self.task_name} is not held")
+            raise LeaseLostError(f"the lease {self.task_name} is not held")
         return self.state.token
 
     def recheck(self) -> None:
@@ -121,8 +121,8 @@
             jitter = self._random.random()
             now_ms = self._clock()
             self._apply(holder.on_reply(self.state, self.times, now_ms, action.number, reply, jitter))
-        except (AuthorityFault, TimeoutError) as error:
-            log.say("lease", f"{self.task_name}: the authority did not answer: {error or 'in time'}")
+        except (AuthorityError, TimeoutError) as error:
+            log.emit("lease", f"{self.task_name}: the authority did not answer: {error or 'in time'}")
             now_ms = self._clock()
             jitter = self._random.random()
             self._apply(holder.on_failure(self.state, self.times, now_ms, action.number, jitter))
@@ -135,7 +135,7 @@
             self.leading.clear()
         if event is HolderEvent.RENEWED:  # too frequent for the log; ``lease status`` shows it
             return
-        log.say(
+        log.emit(
             "lease",
             f"{self.task_name}: {event.value}, token {self.state.token}",
             what=event.value,
--- a/sabledyke/lease/sql_authority.py
+++ b/sabledyke/lease/sql_authority.py
@@ -13,7 +13,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
-from sabledyke.errors import AuthorityFault
+from sabledyke.errors import AuthorityError
 from sabledyke.lease.types import (
     UNACQUIRED_STATUS,
     Acquire,
@@ -29,7 +29,7 @@
     Renewed,
 )
 from sabledyke.store.connect import connect
-from sabledyke.store.database_errors import TRANSIENT_KINDS, DatabaseErrorKind, StoreError, DatabaseError
+from sabledyke.store.database_errors import TRANSIENT_KINDS, DatabaseError, DatabaseErrorKind, StoreError
 from sabledyke.store.section import Target
 from sabledyke.store.session import Session
 from sabledyke.store.types import Row, Step, Value
@@ -90,9 +90,9 @@
         try:
             session = await self._connected_session()
             await session.script([CREATE_TABLE_SQL])
-        except StoreFault as error:
+        except DatabaseError as error:
             self._discard_session()
-            if error.kind not in PASSING:
+            if error.kind not in TRANSIENT_KINDS:
                 raise StoreError(f"lease {self.target}: {error}") from error
 
     async def request(self, task_name: str, holder_id: str, request: LeaseRequest) -> LeaseReply:
@@ -172,16 +172,16 @@
     async def _run(self, operation: Callable[[Session], Awaitable[ResultT]]) -> ResultT:
         try:
             return await self._run_with_table(operation)
-        except StoreFault as error:
+        except DatabaseError as error:
             self._discard_session()
-            raise AuthorityFault(str(error)) from error
+            raise AuthorityError(str(error)) from error
 
     async def _run_with_table(self, operation: Callable[[Session], Awaitable[ResultT]]) -> ResultT:
         session = await self._connected_session()
         try:
             return await operation(session)
-        except StoreFault as error:
-            if error.kind is not Kind.SCHEMA:
+        except DatabaseError as error:
+            if error.kind is not DatabaseErrorKind.SCHEMA:
                 raise
         await session.script([CREATE_TABLE_SQL])  # it could not be made at the start
         return await operation(session)
--- a/sabledyke/lease/types.py
+++ b/sabledyke/lease/types.py
@@ -156,7 +156,7 @@
         """Execute a request on the lease of a leader task.
 
         Raises:
-            AuthorityFault: It is not known whether the request was executed.
+            AuthorityError: It is not known whether the request was executed.
         """
 
     async def record_completion(self, task_name: str, token: int, at_unix_ms: int) -> bool:
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -19,8 +19,8 @@
 from sabledyke.toml_tables import Milliseconds, Table, convert, from_file, parsed
 
 if TYPE_CHECKING:
-    from sabledyke.compacted_log.section import Section as BoardSection
-    from sabledyke.lease.section import Section as LeaseSection
+    from sabledyke.compacted_log.section import LogSection as BoardSection
+    from sabledyke.lease.section import LeaseSection as LeaseSection
     from sabledyke.placement.volume_placement import SiteMap
     from sabledyke.quota_sharing.section import Section as FleetSection
     from sabledyke.rollout.section import Section as RolloutSection
--- a/sabledyke/placement/evacuation.py
+++ b/sabledyke/placement/evacuation.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from sabledyke.compacted_log.records import BATCH, Message
+from sabledyke.compacted_log.records import MAX_APPEND_MESSAGES, Message
 from sabledyke.placement.volume_placement import (
     SiteMap,
     VolumePlacement,
@@ -69,7 +69,7 @@
         As many as one append takes; None where there are none.
     """
     busiest = _busiest_members(view, loads)
-    volumes = [volume for volume in sorted(busiest) if volume not in placements][:BATCH]
+    volumes = [volume for volume in sorted(busiest) if volume not in placements][:MAX_APPEND_MESSAGES]
     if not volumes:
         return None
     placed = []
@@ -100,7 +100,7 @@
     """
     loads = _PlacedLoads(placements, load_by_volume)
     moved = []
-    for placement in _volumes_to_move(plan, placements)[:BATCH]:
+    for placement in _volumes_to_move(plan, placements)[:MAX_APPEND_MESSAGES]:
         load = load_by_volume.get(placement.volume, 0.0)
         target = _target_site(plan, view, placement, load, site_map, loads)
         if target is None:
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Mapping
 
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.reader import Follower
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.reader import LogReader
 from sabledyke.compacted_log.records import Draft
 from sabledyke.placement import evacuation
 from sabledyke.placement.evacuation import PLACEMENTS_TOPIC, PlacementBatch
@@ -28,7 +28,7 @@
 class EvacuationDriver:
     """Evacuations of one coordinator; what it has observed is begun anew with each token."""
 
-    def __init__(self, board: Board, site_map: SiteMap) -> None:
+    def __init__(self, board: CompactedLog, site_map: SiteMap) -> None:
         """Create a driver that has read nothing yet.
 
         Args:
@@ -37,7 +37,7 @@
         """
         self._board = board
         self._site_map = site_map
-        self._reader = Follower()
+        self._reader = LogReader()
         self._token = 0
         self._calm = AnswerTotal(0, 0)  # of the survivors before any volume moved
         self._baseline = Baseline()
@@ -68,7 +68,7 @@
         if token != self._token:
             self._begin(token)
         await self._board.catch_up(PLACEMENTS_TOPIC, self._reader)
-        placements = evacuation.decode_placements(self._reader.state)
+        placements = evacuation.decode_placements(self._reader.latest)
         plans = [plan for plan in view.active if plan.retiring_site]
         batch = self._next_batch(view, plans, placements, decode_loads(registers))
         if batch is not None:
@@ -86,7 +86,7 @@
 
     def _begin(self, token: int) -> None:
         self._token = token
-        self._pen = self._board.pen(PLACEMENTS_TOPIC, COORDINATOR, token)
+        self._pen = self._board.writer(PLACEMENTS_TOPIC, COORDINATOR, token)
         self._baseline = Baseline()
         self._observed_step = ("", 0)
 
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -10,13 +10,13 @@
 from typing import TYPE_CHECKING
 
 from sabledyke import invariants, log
-from sabledyke.application.extensions import Done, Host, Part, Submit
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.section import Section as BoardSection
+from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.section import LogSection as BoardSection
 from sabledyke.config import Config, ConfigError
-from sabledyke.core import Work
-from sabledyke.errors import BoardFault, StaleWriter
-from sabledyke.lease.manager import boottime
+from sabledyke.core import ClientRequest
+from sabledyke.errors import CompactedLogError, StaleWriterError
+from sabledyke.lease.manager import boottime_ms
 from sabledyke.quota_sharing.allocation import QuotaAllocator
 from sabledyke.quota_sharing.demand import DemandMeter
 from sabledyke.quota_sharing.publisher import DemandPublisher
@@ -31,15 +31,15 @@
 """Polls in the time that a member may go without one."""
 
 
-class QuotaExtension(Part):
+class QuotaExtension(Extension):
     """See ``extensions.Part``."""
 
     def __init__(
         self,
-        host: Host,
+        host: ServerContext,
         section: Section,
         board_section: BoardSection,
-        clock: Callable[[], float] = boottime,
+        clock: Callable[[], float] = boottime_ms,
     ) -> None:
         """Set up a member that has not begun yet.
 
@@ -52,7 +52,7 @@
         self._section = section
         self._clock = clock
         self._name = host.config.name
-        self._board = Board(board_section.shelf(), host.config.seed)
+        self._board = CompactedLog(board_section.create_backend(), host.config.seed)
         self._allocator = QuotaAllocator(section.policy, section.timing)
         self.meter = DemandMeter(clock())
         self.publisher = DemandPublisher(self._name, self._board, self._allocator, self.meter, clock)
@@ -65,20 +65,20 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
         log.emit("fleet", f"{self._name}: {self._section}")
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """See ``extensions.Part``."""
         self._plans = config.settings.plans
 
-    def submit(self, work: Work, done: Done, onward: Submit) -> int:
+    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
         """See ``extensions.Part``: work of a volume that is shared gets this member's share."""
-        plan = self._plans[work.plan]
+        plan = self._plans[work.plan_index]
         if plan.limit > 0 or plan.reservation > 0:
             now_ms = self._clock()
             self.meter.add(now_ms, work.volume, work.units, max(plan.limit, plan.reservation))
-            work.part = self._allocator.share_of(work.volume, now_ms)
+            work.quota_share = self._allocator.share_of(work.volume, now_ms)
         return onward(work, done)
 
-    def check(self, operator: Operator) -> None:
+    def check_operator_config(self, operator: OperatorConfig) -> None:
         """See ``extensions.Part``."""
         if operator.fleet != self._section:
             raise ConfigError("fleet differs, which takes a restart")
@@ -88,7 +88,7 @@
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-        await self._board.shelf.close()
+        await self._board.backend.close()
 
     async def _run(self) -> None:
         poll_interval_s = self._section.timing.max_poll_gap_ms / POLLS_PER_GAP / 1000
@@ -96,11 +96,11 @@
             try:
                 await self._step()
                 await asyncio.sleep(poll_interval_s)
-            except StaleWriter as fault:
-                log.say("fleet", str(fault), **fault.fields)
+            except StaleWriterError as fault:
+                log.emit("fleet", str(fault), **fault.fields)
                 return  # another process runs under its name: this one goes on with its floor
-            except BoardFault as fault:
-                log.say("fleet", f"shares: {fault}", **fault.fields)
+            except CompactedLogError as fault:
+                log.emit("fleet", f"shares: {fault}", **fault.fields)
                 self._log_change()
                 await asyncio.sleep(RETRY_INTERVAL_S)
             except Exception as fault:  # shares expire by themselves, but a task is not to end silently
@@ -123,10 +123,10 @@
             return
         self._is_sharing = is_sharing
         what = "takes its shares by demand" if is_sharing else "takes its floor alone"
-        log.say("fleet", f"{self._name} {what}", shared=str(is_sharing).lower())
+        log.emit("fleet", f"{self._name} {what}", shared=str(is_sharing).lower())
 
 
-def set_up(host: Host, operator: Operator) -> Part | None:
+def set_up(host: ServerContext, operator: OperatorConfig) -> Extension | None:
     """Return a member that shares limits, where the operator's file says that this process is one."""
     if operator.fleet is None or operator.board is None:
         return None
--- a/sabledyke/quota_sharing/publisher.py
+++ b/sabledyke/quota_sharing/publisher.py
@@ -11,9 +11,9 @@
 import orjson
 
 from sabledyke.compacted_log import registers
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.records import Cell, register_key, said_of, writer_key
-from sabledyke.errors import StaleWriter
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.records import Cell, decode_writer_state, register_key, writer_key
+from sabledyke.errors import StaleWriterError
 from sabledyke.quota_sharing.allocation import NEVER, SHARES_TOPIC, Demands, QuotaAllocator
 from sabledyke.quota_sharing.demand import DemandMeter
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         name: str,
-        board: Board,
+        board: CompactedLog,
         allocator: QuotaAllocator,
         meter: DemandMeter,
         clock: Callable[[], float],
@@ -44,7 +44,7 @@
         """Since when the publication that stands is known to stand."""
         self._name = name
         self._board = board
-        self._shelf = board.shelf
+        self._shelf = board.backend
         self._allocator = allocator
         self._meter = meter
         self._clock = clock
@@ -65,11 +65,11 @@
         """Begin an incarnation on the log.
 
         Raises:
-            BoardFault: The log does not answer.
-            StaleWriter: Another incarnation of this name took over.
+            CompactedLogError: The log does not answer.
+            StaleWriterError: Another incarnation of this name took over.
         """
         await self._shelf.open()
-        self._nonce = (await self._board.claim(SHARES_TOPIC, self._name)).writer.nonce
+        self._nonce = (await self._board.claim_writer(SHARES_TOPIC, self._name)).identity.nonce
         cells = await self._shelf.get([self._writer_key, self._register_key])
         self._check_writer(cells.get(self._writer_key))
         self._on_register(cells.get(self._register_key))
@@ -79,7 +79,7 @@
     async def poll(self) -> None:
         """Read what all members have published."""
         started_at_ms = self._clock()
-        cells = await registers.cells(self._shelf, SHARES_TOPIC)
+        cells = await registers.read_cells(self._shelf, SHARES_TOPIC)
         known = self._polled
         self._on_register(cells.pop(self._name, None))
         self._polled = {
@@ -95,8 +95,8 @@
         """Write the next demands.
 
         Raises:
-            BoardFault: The log did not answer: they may stand or not, and the next poll may tell.
-            StaleWriter: Another incarnation of this name took over.
+            CompactedLogError: The log did not answer: they may stand or not, and the next poll may tell.
+            StaleWriterError: Another incarnation of this name took over.
         """
         now_ms = self._clock()
         demands = self._meter.next_demands(now_ms)
@@ -115,9 +115,9 @@
             self._check_writer((await self._shelf.get([self._writer_key])).get(self._writer_key))
 
     def _check_writer(self, cell: Cell | None) -> None:
-        written = said_of(cell)
+        written = decode_writer_state(cell)
         if written is None or written.nonce != self._nonce:
-            raise StaleWriter(f"{self._name}: another incarnation of it shares")
+            raise StaleWriterError(f"{self._name}: another incarnation of it shares")
 
     def _on_register(self, cell: Cell | None) -> None:
         """Take this member's own register; never an older one than is known to stand."""
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -10,7 +10,7 @@
 from sabledyke.compacted_log.client import CompactedLog, LogWriter
 from sabledyke.compacted_log.reader import LogReader
 from sabledyke.compacted_log.records import Draft
-from sabledyke.errors import BoardFault, Conflict
+from sabledyke.errors import CompactedLogError, WriteConflictError
 from sabledyke.rollout.fleet_view import FleetView, view_of
 from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import encode, key_of
@@ -20,26 +20,26 @@
 """Name of the writer."""
 
 
-async def append_move(pen: Pen, move: Move) -> None:
+async def append_move(pen: LogWriter, move: Move) -> None:
     """Write a move to the log.
 
     Raises:
         Conflict: What the move rests on no longer stands.
-        StaleWriter: Another writer holds a later token.
+        StaleWriterError: Another writer holds a later token.
     """
     drafts = [Draft(key_of(record), encode(record)) for record in move.records]
     drafts += [Draft(key, None) for key in move.deleted_keys]
     await pen.append(drafts, dict(move.expected_offsets), move.expected_end)
 
 
-async def read_view(board: Board, reader: Follower) -> FleetView:
+async def read_view(board: CompactedLog, reader: LogReader) -> FleetView:
     """Read the log to its end, and return all records that hold there."""
     await board.catch_up(FLEET_TOPIC, reader)
-    return view_of(reader.state, reader.position)
+    return view_of(reader.latest, reader.position)
 
 
 async def apply(
-    board: Board, reader: Follower, decide: Callable[[FleetView], Move], retries: int = 0
+    board: CompactedLog, reader: LogReader, decide: Callable[[FleetView], Move], retries: int = 0
 ) -> Move:
     """Write the move that is decided by the current view, and return it.
 
@@ -47,25 +47,25 @@
         board: The log.
         reader: A reader of the fleet's topic.
         decide: Called with the view, again after a conflict; what it raises ends the call.
-        retries: How often one move is tried again after a BoardFault, after which it may have been written;
-            it takes effect once.
+        retries: How often one move is tried again after a CompactedLogError, after which it may have been
+        written; it takes effect once.
     """
     while True:
         move = decide(await read_view(board, reader))
-        pen = await board.claim(FLEET_TOPIC, OPERATOR)  # takes over from an operator that wrote before
+        pen = await board.claim_writer(FLEET_TOPIC, OPERATOR)  # takes over from an operator that wrote before
         if await _written(pen, move, retries):
             return move
 
 
-async def _written(pen: Pen, move: Move, retries: int) -> bool:
+async def _written(pen: LogWriter, move: Move, retries: int) -> bool:
     """Return whether the move was written; False where it is to be decided anew."""
     for retries_left in reversed(range(retries + 1)):
         try:
             await append_move(pen, move)
             return True
-        except Conflict:
+        except WriteConflictError:
             return False
-        except BoardFault:
+        except CompactedLogError:
             if not retries_left:
                 raise
     raise AssertionError("the last attempt returns or raises")
--- a/sabledyke/rollout/configuration_switch.py
+++ b/sabledyke/rollout/configuration_switch.py
@@ -62,7 +62,7 @@
         """Have the file say which version is to be started next; "" leaves it as it is.
 
         Raises:
-            WantsFault: It cannot be written.
+            WantedVersionError: It cannot be written.
         """
         self._write(version, write_atomically)
 
@@ -70,7 +70,7 @@
         """Check that ``announce`` could write the file.
 
         Raises:
-            WantsFault: It could not.
+            WantedVersionError: It could not.
         """
         self._write(version, _prepare)
 
@@ -80,7 +80,7 @@
         try:
             write(self._path, f"{version}\n".encode())
         except OSError as fault:
-            raise WantsFault(f"{fault.filename}: {fault.strerror}") from None
+            raise WantedVersionError(f"{fault.filename}: {fault.strerror}") from None
 
 
 def write_atomically(path: Path, data: bytes) -> None:
--- a/sabledyke/rollout/coordinator_driver.py
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -5,12 +5,12 @@
 from math import inf
 
 from sabledyke import log
-from sabledyke.application.extensions import Host
+from sabledyke.application.extensions import ServerContext
 from sabledyke.compacted_log import registers
-from sabledyke.compacted_log.client import Board, Pen
-from sabledyke.compacted_log.section import Section as BoardSection
-from sabledyke.errors import Conflict
-from sabledyke.lease.manager import Keeper, boottime
+from sabledyke.compacted_log.client import CompactedLog, LogWriter
+from sabledyke.compacted_log.section import LogSection as BoardSection
+from sabledyke.errors import WriteConflictError
+from sabledyke.lease.manager import LeaseManager, boottime_ms
 from sabledyke.placement.evacuation import PLACEMENTS_TOPIC, PlacementBatch
 from sabledyke.placement.evacuation_driver import EvacuationDriver
 from sabledyke.rollout import node_drain, planner
@@ -37,12 +37,12 @@
 
     def __init__(
         self,
-        host: Host,
+        host: ServerContext,
         name: str,
-        board: Board,
+        board: CompactedLog,
         board_section: BoardSection,
         fleet_log: FleetLog,
-        lease: Keeper,
+        lease: LeaseManager,
         nodes: NodeList,
         sites: EvacuationDriver | None,
         heartbeat_interval_ms: float,
@@ -71,7 +71,7 @@
         self._sites = sites
         self._heartbeat_interval_ms = heartbeat_interval_ms
         self._token = 0
-        self._pen: Pen | None = None
+        self._pen: LogWriter | None = None
         self._tracker = ChangeTracker()
         self._baseline = Baseline()
         self._registers: dict[str, bytes] = {}
@@ -85,19 +85,19 @@
         """
         if self._host.leaving():
             return
-        pen = self._pen_of(self._lease.token())
+        pen = self._pen_of(self._lease.current_token())
         await self._read_registers()
         for _ in range(self._fleet_log.record_count + 1):
             view = await self._fleet_log.read()
-            now_ms = boottime()
+            now_ms = boottime_ms()
             move = self._decide(view, now_ms)
             if move is None and self._sites is not None:
-                self._lease.token()
+                self._lease.current_token()
                 done = await self._sites.step(
                     view, self._token, self._registers, now_ms, self._tracker, self.timeouts
                 )
                 if isinstance(done, PlacementBatch):
-                    log.say("fleet", done.description, token=self._token)
+                    log.emit("fleet", done.description, token=self._token)
                     continue
                 move = done
             if move is None:
@@ -111,20 +111,22 @@
             Lost: The lease is another's.
         """
         for topic in (FLEET_TOPIC, PLACEMENTS_TOPIC, *self._board_section.topics):
-            await self._board.clean(topic, self._board_section.policy, self._lease.token, boottime)
+            await self._board.compact(
+                topic, self._board_section.compaction, self._lease.current_token, boottime_ms
+            )
 
-    def _pen_of(self, token: int) -> Pen:
+    def _pen_of(self, token: int) -> LogWriter:
         if token != self._token or self._pen is None:
             self._token = token
             self._tracker = ChangeTracker()
             self._baseline = Baseline()
-            self._pen = self._board.pen(FLEET_TOPIC, COORDINATOR, token)
+            self._pen = self._board.writer(FLEET_TOPIC, COORDINATOR, token)
         return self._pen
 
     async def _read_registers(self) -> None:
-        if boottime() - self._registers_read_at_ms >= self._heartbeat_interval_ms / 2:
-            self._registers = await registers.read(self._board.shelf, HEARTBEATS_TOPIC)
-            self._registers_read_at_ms = boottime()
+        if boottime_ms() - self._registers_read_at_ms >= self._heartbeat_interval_ms / 2:
+            self._registers = await registers.read_values(self._board.backend, HEARTBEATS_TOPIC)
+            self._registers_read_at_ms = boottime_ms()
 
     def _decide(self, view: FleetView, now_ms: float) -> Move | None:
         heartbeats = decode_heartbeats(self._registers)
@@ -140,11 +142,11 @@
         nodes = self._nodes.by_name()
         return node_drain.decide(view, self._token, now_ms, self._tracker, self.timeouts, nodes)
 
-    async def _write(self, pen: Pen, move: Move) -> None:
+    async def _write(self, pen: LogWriter, move: Move) -> None:
         """Write a move; after a conflict the next one is decided at once, as a fleet is never still."""
-        self._lease.token()
+        self._lease.current_token()
         try:
             await append_move(pen, move)
-        except Conflict:
+        except WriteConflictError:
             return
-        log.say("fleet", move.description, token=self._token)
+        log.emit("fleet", move.description, token=self._token)
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -12,17 +12,17 @@
 from uuid import uuid4
 
 from sabledyke import log
-from sabledyke.application.extensions import Done, Host, Part, Submit
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.section import Section as BoardSection
+from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.section import LogSection as BoardSection
 from sabledyke.config import Config, ConfigError
-from sabledyke.core import Work
-from sabledyke.lease.extension import authority_of
-from sabledyke.lease.manager import Keeper
-from sabledyke.lease.section import Section as LeaseSection
+from sabledyke.core import ClientRequest
+from sabledyke.lease.extension import create_authority
+from sabledyke.lease.manager import LeaseManager
+from sabledyke.lease.section import LeaseSection as LeaseSection
 from sabledyke.placement.evacuation_driver import EvacuationDriver
 from sabledyke.placement.volume_placement import SiteMap
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList
 from sabledyke.rollout.coordinator_driver import CoordinatorDriver
 from sabledyke.rollout.disruption_budget import has_work_under_way
 from sabledyke.rollout.fleet_log import FleetLog
@@ -44,12 +44,12 @@
 """Between polls of the log, where nothing is under way and heartbeats are further apart."""
 
 
-class RolloutExtension(Part):
+class RolloutExtension(Extension):
     """See ``extensions.Part``."""
 
     def __init__(
         self,
-        host: Host,
+        host: ServerContext,
         section: Section,
         board_section: BoardSection,
         lease: LeaseSection,
@@ -68,13 +68,13 @@
         self._section = section
         self._board_section = board_section
         self._identity = f"{host.config.name}.{uuid4().hex[:12]}"
-        self._authority = authority_of(lease)
+        self._authority = create_authority(lease)
         self._tasks: list[asyncio.Task[None]] = []
         self._nodes = NodeList(lambda entries: host.relist(entries))
         self._loads = VolumeLoads() if sites is not None else None
-        self.board = Board(board_section.shelf(), host.config.seed)
-        self._fleet_log = FleetLog(self.board, board_section.most_keys, self._on_view)
-        self._lease = Keeper(LEASE_NAME, self._identity, self._authority, lease.times, host.config.seed)
+        self.board = CompactedLog(board_section.create_backend(), host.config.seed)
+        self._fleet_log = FleetLog(self.board, board_section.max_keys, self._on_view)
+        self._lease = LeaseManager(LEASE_NAME, self._identity, self._authority, lease.times, host.config.seed)
         self.member = MemberDriver(host, section, self.board, board_section, self._fleet_log, self._loads)
         self._coordinator = CoordinatorDriver(
             host=host,
@@ -87,7 +87,7 @@
             sites=EvacuationDriver(self.board, sites) if sites is not None else None,
             heartbeat_interval_ms=section.heartbeat_interval_ms,
         )
-        self.adopt(host.config)
+        self.apply_config(host.config)
 
     async def open(self) -> None:
         """See ``extensions.Part``: returns once the log answers and this incarnation has begun."""
@@ -96,26 +96,26 @@
             if self._host.leaving():
                 return
             await asyncio.sleep(JOIN_RETRY_INTERVAL_S)
-        self.in_turn = self.member.begin(view)
+        self.waits_for_budget = self.member.begin(view)
         self._start_tasks()
         incarnation = self.member.incarnation
-        log.say("fleet", f"{self._identity} is a member, incarnation {incarnation}, {self._section}")
+        log.emit("fleet", f"{self._identity} is a member, incarnation {incarnation}, {self._section}")
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """See ``extensions.Part``: how long a node warms up is the deployment's setting."""
-        self._coordinator.timeouts = replace(self._section.timeouts, warm_up_ms=config.settings.warm_up)
+        self._coordinator.timeouts = replace(self._section.timeouts, warm_up_ms=config.settings.warm_up_ms)
 
-    def submit(self, work: Work, done: Done, onward: Submit) -> int:
+    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
         """See ``extensions.Part``: the load of each volume is published with the heartbeats."""
         if self._loads is not None:
             self._loads.add(work.volume, work.units)
         return onward(work, done)
 
-    def listing(self, news: api.NodeList) -> api.NodeList:
+    def adjust_endpoint_list(self, news: EndpointList) -> EndpointList:
         """See ``extensions.Part``: nodes that are drained by a plan are draining."""
         return self._nodes.on_update(news)
 
-    def check(self, operator: Operator) -> None:
+    def check_operator_config(self, operator: OperatorConfig) -> None:
         """See ``extensions.Part``."""
         if operator.board != self._board_section:
             raise ConfigError("the board differs, which takes a restart")
@@ -131,7 +131,7 @@
             await self._lease.stop()
             await asyncio.gather(lease_task, return_exceptions=True)
         await self._authority.close()
-        await self.board.shelf.close()
+        await self.board.backend.close()
 
     def _start_tasks(self) -> None:
         loop = asyncio.get_running_loop()
@@ -141,7 +141,7 @@
             (self.member.step, self._poll_interval_s),
             (self.member.send_heartbeat, lambda: heartbeat_s),
             (self._coordinator.step, self._poll_interval_s),
-            (self._coordinator.clean_topics, lambda: self._board_section.clean),
+            (self._coordinator.clean_topics, lambda: self._board_section.compaction_interval_s),
         ):
             self._tasks.append(loop.create_task(run_periodically(action, interval_s)))
 
@@ -157,7 +157,7 @@
         self._nodes.close(closed_nodes(view))
 
 
-def set_up(host: Host, operator: Operator) -> Part | None:
+def set_up(host: ServerContext, operator: OperatorConfig) -> Extension | None:
     """Return a member of a fleet, where the operator's file says that this process is one."""
     if operator.rollout is None or operator.board is None or operator.lease is None:
         return None
--- a/sabledyke/rollout/fleet_log.py
+++ b/sabledyke/rollout/fleet_log.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.reader import Follower
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.reader import LogReader
 from sabledyke.rollout.fleet_view import FleetView, view_of
 from sabledyke.rollout.records import FLEET_TOPIC
 
@@ -13,7 +13,7 @@
 class FleetLog:
     """Reads the topic for all tasks of a process."""
 
-    def __init__(self, board: Board, max_keys: int, on_change: Callable[[FleetView], None]) -> None:
+    def __init__(self, board: CompactedLog, max_keys: int, on_change: Callable[[FleetView], None]) -> None:
         """Create a reader that has read nothing yet.
 
         Args:
@@ -23,18 +23,18 @@
         """
         self.view = FleetView(0)
         self._board = board
-        self._reader = Follower(max_keys)
+        self._reader = LogReader(max_keys)
         self._on_change = on_change
 
     @property
     def record_count(self) -> int:
         """Number of keys as of the last read."""
-        return len(self._reader.state)
+        return len(self._reader.latest)
 
     async def read(self) -> FleetView:
         """Read the topic to its end, and return the view; it is made anew only where something changed."""
         has_changed = await self._board.catch_up(FLEET_TOPIC, self._reader)
         if has_changed or self.view.next_offset != self._reader.position:
-            self.view = view_of(self._reader.state, self._reader.position)
+            self.view = view_of(self._reader.latest, self._reader.position)
             self._on_change(self.view)
         return self.view
--- a/sabledyke/rollout/member_driver.py
+++ b/sabledyke/rollout/member_driver.py
@@ -7,13 +7,13 @@
 from dataclasses import replace
 
 from sabledyke import log
-from sabledyke.application.extensions import Host
+from sabledyke.application.extensions import ServerContext
 from sabledyke.compacted_log import registers
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.section import Section as BoardSection
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.section import LogSection as BoardSection
 from sabledyke.config import PREFIX, ConfigError
-from sabledyke.errors import BoardFault, StaleWriter
-from sabledyke.lease.manager import boottime
+from sabledyke.errors import CompactedLogError, StaleWriterError
+from sabledyke.lease.manager import boottime_ms
 from sabledyke.rollout.canary_analysis import AnswerCount
 from sabledyke.rollout.commands import append_move
 from sabledyke.rollout.configuration_switch import RETIRED_VERSION, VersionFile, switch_settings
@@ -49,9 +49,9 @@
 
     def __init__(
         self,
-        host: Host,
+        host: ServerContext,
         section: Section,
-        board: Board,
+        board: CompactedLog,
         board_section: BoardSection,
         fleet_log: FleetLog,
         loads: VolumeLoads | None,
@@ -80,7 +80,7 @@
     @property
     def incarnation(self) -> int:
         """The incarnation that this process has joined as."""
-        return self._pen.writer.life
+        return self._pen.identity.incarnation
 
     async def join(self) -> FleetView | None:
         """Begin a new incarnation on the log, and return the view that it finds.
@@ -94,18 +94,20 @@
             ConfigError: Another incarnation of this name took over.
         """
         try:
-            await self._board.shelf.open()
-            self._pen = await self._board.claim(FLEET_TOPIC, self._name)
-            heartbeats = await self._board.claim(HEARTBEATS_TOPIC, self._name)
-            self._heartbeats = registers.Register(self._board.shelf, HEARTBEATS_TOPIC, heartbeats.writer)
+            await self._board.backend.open()
+            self._pen = await self._board.claim_writer(FLEET_TOPIC, self._name)
+            heartbeats = await self._board.claim_writer(HEARTBEATS_TOPIC, self._name)
+            self._heartbeats = registers.RegisterWriter(
+                self._board.backend, HEARTBEATS_TOPIC, heartbeats.identity
+            )
             # It writes that it lives before it reads for the first time: see ``node_drain``.
             await append_move(self._pen, Move("warming", (self._record(MemberState.WARMING),)))
             return await self._fleet_log.read()
-        except StaleWriter as fault:
+        except StaleWriterError as fault:
             raise ConfigError(f"board {self._board_section}: {fault}") from None
-        except BoardFault as fault:
+        except CompactedLogError as fault:
             message = f"{self._name} waits for the board, its listeners are closed: {fault}"
-            log.say("fleet", message, **fault.fields)
+            log.emit("fleet", message, **fault.fields)
             return None
 
     def begin(self, view: FleetView) -> bool:
@@ -114,13 +116,13 @@
         Returns:
             Whether this start replaces an incarnation that went out by a ticket.
         """
-        grace_ms = self._host.config.settings.drain_grace
+        grace_ms = self._host.config.settings.drain_grace_ms
         self._participant = Participant(self._name, self.incarnation, self._section.request_validity_ms)
         self._acknowledger = DrainAcknowledger(self._name, self.incarnation, grace_ms)
         replaces_released = self._participant.replaces_released(view)
         unfinished = self._participant.unfinished(view, self._section.version)
         if unfinished is not None and self._version_file.read() not in (None, unfinished.target):
-            log.say("fleet", f"{self._name} was to come back as {unfinished.target}, and ends once more")
+            log.emit("fleet", f"{self._name} was to come back as {unfinished.target}, and ends once more")
             self._leave(unfinished)
         return replaces_released
 
@@ -140,7 +142,7 @@
         if ticket is not None and state is not MemberState.LEAVING:
             self._leave(ticket)  # its use stands on the log, though the answer to that write was lost
             return
-        now_ms = boottime()
+        now_ms = boottime_ms()
         move = self._acknowledger.step(view, now_ms, lambda node: self._host.busy(node.encode()))
         if move is None and state is MemberState.READY:
             move = self._participant.step(view, now_ms)
@@ -151,7 +153,7 @@
         """Write the heartbeat, and the loads of volumes since the last one."""
         answered, failed = self._host.answers()
         count = AnswerCount(self.incarnation, answered, failed)
-        values = {self._name: encode_heartbeat(count, boottime())}
+        values = {self._name: encode_heartbeat(count, boottime_ms())}
         if self._loads is not None:
             interval_s = self._section.heartbeat_interval_ms / 1000
             values[f"{LOAD_KEY_PREFIX}{self._name}"] = self._loads.encode_and_reset(interval_s)
@@ -163,8 +165,8 @@
             async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
                 state = MemberState.RETIRED if self._retires else MemberState.OUT
                 await append_move(self._pen, Move("out", (self._record(state),)))
-        except (BoardFault, TimeoutError) as fault:
-            log.say("fleet", f"{self._name} could not say that it is out: {fault or 'no answer'}")
+        except (CompactedLogError, TimeoutError) as fault:
+            log.emit("fleet", f"{self._name} could not say that it is out: {fault or 'no answer'}")
 
     async def _wait_until_ready(self) -> None:
         """Wait for one poll interval at most, so that open listeners are published at once."""
@@ -179,14 +181,14 @@
         description = f"settings {ticket.target}: {done.settings_result}"
         expected = ((key_of(ticket), ticket.offset),)
         await append_move(self._pen, Move(description, (done,), expected_offsets=expected))
-        log.say("fleet", description, member=self._name)
+        log.emit("fleet", description, member=self._name)
 
     async def _write(self, move: Move, view: FleetView) -> None:
         self._check_version_file(move, view)
         await append_move(self._pen, move)
         goes_out = move.description == GOES_OUT
         message = f"{self._name} goes out" if goes_out else move.description
-        log.say("fleet", message, member=self._name)
+        log.emit("fleet", message, member=self._name)
         if goes_out and not view.tickets[self._name].settings:
             self._leave(view.tickets[self._name])
 
--- a/sabledyke/rollout/node_list.py
+++ b/sabledyke/rollout/node_list.py
@@ -5,21 +5,21 @@
 from collections.abc import Callable, Sequence
 from dataclasses import replace
 
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeId, NodeState, node_name
 from sabledyke.rollout.records import ListedNode
 
 
 class NodeList:
     """Nodes as discovery has them, and those among them that plans have closed."""
 
-    def __init__(self, relist: Callable[[Sequence[api.NodeEntry]], None]) -> None:
+    def __init__(self, relist: Callable[[Sequence[NodeEntry]], None]) -> None:
         """Create an empty list.
 
         Args:
             relist: Has the scheduler use these entries in place of the ones that it has.
         """
         self._relist = relist
-        self._entries: dict[api.NodeId, api.NodeEntry] = {}
+        self._entries: dict[NodeId, NodeEntry] = {}
         self._closed: frozenset[str] = frozenset()
 
     def close(self, names: frozenset[str]) -> None:
@@ -31,14 +31,14 @@
         if relisted:
             self._relist(relisted)
 
-    def on_update(self, update: api.NodeList) -> api.NodeList:
+    def on_update(self, update: EndpointList) -> EndpointList:
         """Take an update of discovery, and return it as the scheduler is to have it."""
-        if update.kind is not api.ListKind.DELTA:
+        if update.kind is not ListKind.DELTA:
             self._entries = {}
-        self._entries.update((entry.node, entry) for entry in update.entries)
+        self._entries.update((entry.node_id, entry) for entry in update.entries)
         for entry in update.entries:
-            if entry.state is api.NodeState.GONE:
-                del self._entries[entry.node]
+            if entry.state is NodeState.GONE:
+                del self._entries[entry.node_id]
         return replace(update, entries=tuple(self._effective(entry) for entry in update.entries))
 
     def by_name(self) -> dict[str, ListedNode]:
@@ -46,12 +46,12 @@
         nodes = (_listed_node(entry) for entry in self._entries.values())
         return {node.name: node for node in nodes}
 
-    def _effective(self, entry: api.NodeEntry) -> api.NodeEntry:
-        if entry.state is api.NodeState.READY and api.name_of(entry.node) in self._closed:
-            return replace(entry, state=api.NodeState.DRAINING)
+    def _effective(self, entry: NodeEntry) -> NodeEntry:
+        if entry.state is NodeState.READY and node_name(entry.node_id) in self._closed:
+            return replace(entry, state=NodeState.DRAINING)
         return entry
 
 
-def _listed_node(entry: api.NodeEntry) -> ListedNode:
-    is_ready = entry.state is api.NodeState.READY
-    return ListedNode(api.name_of(entry.node), entry.zone, entry.shard, is_ready, entry.started)
+def _listed_node(entry: NodeEntry) -> ListedNode:
+    is_ready = entry.state is NodeState.READY
+    return ListedNode(node_name(entry.node_id), entry.zone, entry.shard, is_ready, entry.started_ms)
--- a/sabledyke/rollout/participant.py
+++ b/sabledyke/rollout/participant.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, replace
 
-from sabledyke.errors import StaleTicket
+from sabledyke.errors import StaleTicketError
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import key_of
@@ -110,7 +110,7 @@
         key = key_of(ticket)
         try:
             self._check_usable(ticket, view, now_ms)
-        except StaleTicket as fault:
+        except StaleTicketError as fault:
             self.last_request = None
             return Move(str(fault), deleted_keys=(key,), expected_offsets=((key, ticket.offset),))
         conditions = (key, f"plan/{ticket.plan}", EPOCH_KEY)
@@ -134,21 +134,21 @@
         return Move(f"{self.name} asks to go out", (request,))
 
     def _check_usable(self, ticket: Ticket, view: FleetView, now_ms: float) -> None:
-        """Raise StaleTicket where the ticket may not be used: it is given back, and requested anew."""
+        """Raise StaleTicketError where the ticket may not be used: it is given back, and requested anew."""
         request = self.last_request
         if (
             request is None
             or ticket.request_number != request.request_number
             or ticket.incarnation != self.incarnation
         ):
-            raise StaleTicket(f"{self.name}: the ticket answers an earlier ask")
+            raise StaleTicketError(f"{self.name}: the ticket answers an earlier ask")
         age_ms = now_ms - request.sent_at_ms
         if age_ms > self.request_validity_ms:
-            raise StaleTicket(f"{self.name}: the ticket came {age_ms:.0f} ms after it was asked for")
+            raise StaleTicketError(f"{self.name}: the ticket came {age_ms:.0f} ms after it was asked for")
         if view.epoch is None or ticket.token != view.epoch.token:
-            raise StaleTicket(
+            raise StaleTicketError(
                 f"{self.name}: the ticket is under token {ticket.token}, which is no longer in force"
             )
         plan = view.plans.get(ticket.plan)
         if plan is None or self.name not in remaining_members(plan):
-            raise StaleTicket(f"{self.name}: plan {ticket.plan} does not go on")
+            raise StaleTicketError(f"{self.name}: plan {ticket.plan} does not go on")
--- a/sabledyke/rollout/periodic.py
+++ b/sabledyke/rollout/periodic.py
@@ -7,7 +7,14 @@
 from collections.abc import Awaitable, Callable
 
 from sabledyke import invariants, log
-from sabledyke.errors import AuthorityFault, BoardFault, Conflict, Lost, StaleWriter, WantsFault
+from sabledyke.errors import (
+    AuthorityError,
+    CompactedLogError,
+    LeaseLostError,
+    StaleWriterError,
+    WantedVersionError,
+    WriteConflictError,
+)
 
 MIN_PAUSE_S = 0.01
 STALE_WRITER_PAUSE_S = 1.0
@@ -24,13 +31,13 @@
         started_s = time.monotonic()
         try:
             await action()
-        except (Conflict, Lost):
+        except (WriteConflictError, LeaseLostError):
             pass  # somebody wrote first, or the lease is another's: the next run reads anew
-        except StaleWriter as fault:
-            log.say("fleet", str(fault), **fault.fields)
+        except StaleWriterError as fault:
+            log.emit("fleet", str(fault), **fault.fields)
             await asyncio.sleep(STALE_WRITER_PAUSE_S)
-        except (BoardFault, AuthorityFault, WantsFault) as fault:
-            log.say("fleet", str(fault), **fault.fields)
+        except (CompactedLogError, AuthorityError, WantedVersionError) as fault:
+            log.emit("fleet", str(fault), **fault.fields)
         except Exception as fault:
             # A task that ended silently would leave a member that sends heartbeats and never moves.
             invariants.check(False, "a turn in the fleet", repr(fault))
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -23,26 +23,26 @@
     from sabledyke.operator_config import OperatorConfig
 
 
-def set_up(host: Host, section: Operator) -> Part | None:
+def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
     """Return the record, where the operator's file asks for it."""
     store = section.store
     return RecordExtension(host, store) if store is not None and store.record is not None else None
 
 
-def set_up_boxes(host: Host, section: Operator) -> Part | None:
+def set_up_boxes(host: ServerContext, section: OperatorConfig) -> Extension | None:
     """Return the links to databases, where the operator's file marks nodes as such."""
     store = section.store
     return SqlExtension(host, store) if store is not None and store.sql_nodes else None
 
 
-class RecordExtension(Part):
+class RecordExtension(Extension):
     """The record of sends and the receipt journal.
 
     Attributes:
         recording_transport: The driver of the record.
     """
 
-    def __init__(self, host: Host, section: StoreSection) -> None:
+    def __init__(self, host: ServerContext, section: StoreSection) -> None:
         target = section.record
         assert target is not None
         config = host.config
@@ -54,21 +54,21 @@
         self.recording_transport = RecordingTransport(intents, open_session, config.settings, host.entry)
         self._target = target
 
-    def reports(self, onward: Report) -> Report:
+    def wrap_report(self, onward: Report) -> Report:
         """See ``extensions.Part``."""
         self.recording_transport.report = onward
         return self.recording_transport.on_attempt_ended
 
-    def transport(self, inner: Transport) -> Transport:
+    def wrap_transport(self, inner: Transport) -> Transport:
         """See ``extensions.Part``."""
         self.recording_transport.inner = inner
         return self.recording_transport
 
-    def submit(self, work: Work, done: Done, onward: Submit) -> int:
+    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
         """See ``extensions.Part``."""
         return self.recording_transport.submit(work, done, onward)
 
-    def departed(self, rid: int) -> None:
+    def on_client_disconnected(self, rid: int) -> None:
         """See ``extensions.Part``."""
         self.recording_transport.on_client_departed(rid)
 
@@ -82,7 +82,7 @@
         entries = f"{position.last_sequence} entries in the journal"
         log.emit("store", f"{self._target} is open; incarnation {position.incarnation}, {entries}")
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """See ``extensions.Part``."""
         self.recording_transport.settings = config.settings
 
@@ -91,14 +91,14 @@
         await self.recording_transport.close()
 
 
-class SqlExtension(Part):
+class SqlExtension(Extension):
     """Nodes that are databases.
 
     Attributes:
         dialer: What opens the links to them.
     """
 
-    def __init__(self, host: Host, section: StoreSection) -> None:
+    def __init__(self, host: ServerContext, section: StoreSection) -> None:
         nodes = {sql_node.node: sql_node for sql_node in section.sql_nodes}
         self.dialer = SqlDialer(host.config.settings, nodes, section.retention_ms)
 
@@ -106,11 +106,11 @@
         """See ``extensions.Part``."""
         return dict.fromkeys(self.dialer.nodes, self.dialer.dial)
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """See ``extensions.Part``."""
         self.dialer.settings = config.settings
 
-    def listed(self, gone: Iterable[NodeId]) -> None:
+    def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
         """See ``extensions.Part``."""
         for node in gone:
             self.dialer.on_node_removed(node)
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -14,7 +14,7 @@
 
 from sabledyke import log
 from sabledyke.application.extensions import Done, Submit
-from sabledyke.core import GUARD, Answer, Ended, Transport, Verdict, Work
+from sabledyke.core import ANSWER_GUARD_MS, Answer, AnswerStatus, AttemptResult, ClientRequest, Transport
 from sabledyke.net import clock
 from sabledyke.net.connection_pool import Report
 from sabledyke.policy.events import Outcome
@@ -42,7 +42,9 @@
     write_name,
 )
 
-ANSWER_MARGIN_MS = GUARD + 1000 * TICK_S + 10  # before its deadline, a served answer is passed on or given up
+ANSWER_MARGIN_MS = (
+    ANSWER_GUARD_MS + 1000 * TICK_S + 10
+)  # before its deadline, a served answer is passed on or given up
 MIN_TIMEOUT_MS = 1.0  # of an attempt whose intent became durable late
 LOGGED_DIGEST_LENGTH = 12
 
@@ -78,7 +80,7 @@
 
     @property
     def piece(self) -> tuple[int, int]:
-        return self.work.volume, self.work.key
+        return self.work.volume, self.work.data_key
 
 
 @dataclass(slots=True, frozen=True)
@@ -137,7 +139,7 @@
 
     # Between the listeners and the core.
 
-    def submit(self, work: Work, done: Done, onward: Submit) -> int:
+    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
         """Hand work on to the core; a keyed write only while it can be recorded.
 
         Args:
@@ -154,12 +156,12 @@
             return onward(work, lambda answer: self._on_read(work, now_ms, answer, done))
         if name and not self.intents.accepts_writes():
             retry_after_ms = self.intents.health.retry_after_ms(now_ms, self.settings.max_retry_after_ms)
-            self._loop.call_soon(done, Answer(Verdict.REFUSED, retry_after=retry_after_ms))
+            self._loop.call_soon(done, Answer(AnswerStatus.REJECTED, retry_after_ms=retry_after_ms))
             return 0
         if name:
             self._note_earlier_send(work, name)
         digest = hashlib.sha256(work.body).hexdigest()
-        write = _OpenWrite(work, name, now_ms, now_ms + work.remaining - ANSWER_MARGIN_MS, digest)
+        write = _OpenWrite(work, name, now_ms, now_ms + work.remaining_ms - ANSWER_MARGIN_MS, digest)
         self.drift.on_write_began(write.piece)
         request_id = onward(work, lambda answer: self._on_answer(request_id, write, answer, done))
         self._open_writes[request_id] = write
@@ -172,18 +174,18 @@
             self.drift.on_write_ended(clock.now(), write.piece, None)
             self._journal(write, OUTCOME_DEPARTED, None)
 
-    def _note_earlier_send(self, work: Work, name: str) -> None:
+    def _note_earlier_send(self, work: ClientRequest, name: str) -> None:
         first = self.intents.earlier_send(name)
         if first is not None:
             node = NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, NodeState.GONE)
-            work.ran = first.sent_at_ms, node
+            work.possible_execution = first.sent_at_ms, node
 
     def _on_answer(self, request_id: int, write: _OpenWrite, answer: Answer, done: Done) -> None:
         self._open_writes.pop(request_id, None)
-        served = answer.verdict is Verdict.SERVED
+        served = answer.status is AnswerStatus.SERVED
         self.drift.on_write_ended(clock.now(), write.piece, write.digest if served else None)
         if not served or not write.name:
-            self._journal(write, answer.verdict.value, None)
+            self._journal(write, answer.status.value, None)
             done(answer)
             return
         self._last_ticket += 1
@@ -199,14 +201,14 @@
 
     def _journal_entry(self, write: _OpenWrite, outcome: str) -> JournalEntry:
         work = write.work
-        sent_to = work.sent_to
+        sent_to = work.last_node
         return JournalEntry(
             completed_at_ms=int(clock.now()),
             began_at_ms=int(write.began_at_ms),
-            class_name=self.settings.classes[work.class_].name,
+            class_name=self.settings.classes[work.class_index].name,
             volume=f"{work.volume:016x}",
             key=idempotency_token(work),
-            piece=f"{work.key:016x}",
+            piece=f"{work.data_key:016x}",
             shard=sent_to.shard if sent_to else work.shard,
             node=node_name(sent_to.node_id) if sent_to else "",
             units=work.units,
@@ -214,11 +216,11 @@
             outcome=outcome,
         )
 
-    def _on_read(self, work: Work, requested_at_ms: float, answer: Answer, done: Done) -> None:
-        piece = work.volume, work.key
-        if answer.verdict is Verdict.SERVED and self.drift.can_compare(requested_at_ms, piece):
+    def _on_read(self, work: ClientRequest, requested_at_ms: float, answer: Answer, done: Done) -> None:
+        piece = work.volume, work.data_key
+        if answer.status is AnswerStatus.SERVED and self.drift.can_compare(requested_at_ms, piece):
             digest = hashlib.sha256(answer.body).hexdigest()
-            node = node_name(work.sent_to.node_id) if work.sent_to else ""
+            node = node_name(work.last_node.node_id) if work.last_node else ""
             finding = self.drift.compare(clock.now(), requested_at_ms, piece, digest, node)
             if finding is not None:
                 self._on_drift(finding)
@@ -249,7 +251,7 @@
         entry = self._entry(node)
         self._waiting[attempt] = _WaitingAttempt(node, work, name, now_ms, deadline_ms)
         send = SendRecord(now_ms, entry.shard, entry.zone)
-        request_class = self.settings.classes[work.class_]
+        request_class = self.settings.classes[work.class_index]
         effects = self.intents.on_attempt(now_ms, attempt, name, send, deadline_ms, request_class)
         if any(not isinstance(effect, SendAttempt) for effect in effects):
             self._loop.call_soon(self._carry_out, effects)  # a transport never reports from inside a call
@@ -263,18 +265,18 @@
         if attempt not in self._waiting:
             self.inner.cancel(rid, number)
         elif self.intents.on_attempt_cancelled(attempt):
-            self._end_unsent(attempt, Ended(Outcome.CANCELLED, False))
+            self._end_unsent(attempt, AttemptResult(Outcome.CANCELLED, False))
 
     def close_idle(self, node: NodeId) -> None:
         """See ``core.Transport``."""
         self.inner.close_idle(node)
 
-    def on_attempt_ended(self, rid: int, number: int, ended: Ended) -> None:
+    def on_attempt_ended(self, rid: int, number: int, ended: AttemptResult) -> None:
         """Pass on what the transport below reports."""
         sent = self._sent.pop((rid, number), None)
         if sent is not None:
             self.intents.on_attempt_ended(sent.name, may_have_run=ended.may_have_run)
-            ended = replace(ended, waited=sent.waited_ms)
+            ended = replace(ended, held_back_ms=sent.waited_ms)
         self.report(rid, number, ended)
 
     # Effects.
@@ -286,12 +288,12 @@
                 case SendAttempt(attempt):
                     self._send(now_ms, attempt)
                 case ExpireAttempt(attempt):
-                    self._end_unsent(attempt, Ended(Outcome.EXPIRED, False))
+                    self._end_unsent(attempt, AttemptResult(Outcome.EXPIRED, False))
                 case BlockAttempt(attempt):
-                    self._end_unsent(attempt, Ended(Outcome.ERROR, True))
+                    self._end_unsent(attempt, AttemptResult(Outcome.ERROR, True))
                 case CompleteWrite(ticket, journaled):
                     served = self._served.pop(ticket)
-                    served.done(served.answer if journaled else Answer(Verdict.FAILED))
+                    served.done(served.answer if journaled else Answer(AnswerStatus.FAILED))
                 case LogLine(text):
                     log.emit("store", text)
 
@@ -301,7 +303,7 @@
         remaining_ms = max(MIN_TIMEOUT_MS, waiting.deadline_ms - now_ms)
         self.inner.start(*attempt, waiting.node, waiting.work, remaining_ms)
 
-    def _end_unsent(self, attempt: AttemptId, ended: Ended) -> None:
+    def _end_unsent(self, attempt: AttemptId, ended: AttemptResult) -> None:
         waiting = self._waiting.pop(attempt, None)
         if waiting is not None:
-            self.report(*attempt, replace(ended, waited=clock.now() - waiting.requested_at_ms))
+            self.report(*attempt, replace(ended, held_back_ms=clock.now() - waiting.requested_at_ms))
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -60,7 +60,7 @@
         if self._session is not None:
             self._session.abort()
 
-    async def exchange(self, work: Work, timeout: float) -> Ended:
+    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
         """See ``connection_pool.Link``."""
         self.may_have_run = False
         self.reusable = False
@@ -74,16 +74,18 @@
 
     # Reads.
 
-    async def _read(self, work: Work) -> Ended:
+    async def _read(self, work: ClientRequest) -> AttemptResult:
         session = await self._acquire()
         self.may_have_run = True
         try:
-            rows = await session.query(statements.SELECT_PIECE, f"{work.volume:016x}", f"{work.key:016x}")
+            rows = await session.query(
+                statements.SELECT_PIECE, f"{work.volume:016x}", f"{work.data_key:016x}"
+            )
         except DatabaseError as error:
             self._log(str(error))
             if session.closed:
                 raise StreamClosedError from error
-            return Ended(Outcome.ERROR, True)
+            return AttemptResult(Outcome.ERROR, True)
         finally:
             self._release()
         if not rows:
@@ -94,9 +96,9 @@
 
     # Writes.
 
-    async def _write(self, work: Work, deadline_ms: float) -> Ended:
+    async def _write(self, work: ClientRequest, deadline_ms: float) -> AttemptResult:
         attempt = secrets.token_hex(ATTEMPT_ID_BYTES)
-        name = write_name(work) or f"-/{work.volume:x}/{work.ident}"
+        name = write_name(work) or f"-/{work.volume:x}/{work.client_request_id}"
         steps = self._steps(work, name, attempt)
         session = await self._acquire()
         timeout_s = (deadline_ms - clock.now()) * COMMIT_TIMEOUT_SHARE / 1000
@@ -118,10 +120,10 @@
             self._release()
         return await self._resolve(InDoubtWrite(attempt, deadline_ms), name)
 
-    def _steps(self, work: Work, name: str, attempt: str) -> list[Step]:
+    def _steps(self, work: ClientRequest, name: str, attempt: str) -> list[Step]:
         now_ms = int(clock.now())
         volume = f"{work.volume:016x}"
-        piece = f"{work.key:016x}"
+        piece = f"{work.data_key:016x}"
         result = hashlib.sha256(work.body).hexdigest().encode()
         steps = [
             Step(statements.CLAIM_KEY, [(name, attempt, now_ms, result)]),
@@ -135,16 +137,16 @@
     def _on_committing(self) -> None:
         self.may_have_run = True
 
-    def _not_run(self, session: Session, error: DatabaseError) -> Ended:
+    def _not_run(self, session: Session, error: DatabaseError) -> AttemptResult:
         self.may_have_run = False
         self._log(str(error))
         if session.closed:
             raise StreamClosedError from error
-        return Ended(Outcome.REJECTED, False)
+        return AttemptResult(Outcome.REJECTED, False)
 
     # Writes in doubt.
 
-    async def _resolve(self, write: InDoubtWrite, name: str) -> Ended:
+    async def _resolve(self, write: InDoubtWrite, name: str) -> AttemptResult:
         """Ask until the write is known to have run or not, or its time is over."""
         while (question := write.next_question(clock.now())) is not DoubtQuestion.NOTHING:
             try:
@@ -162,11 +164,11 @@
         resolution = write.resolution
         self._log(f"lost a commit's answer: it {resolution.value} after {write.questions_asked} questions")
         if resolution is DoubtResolution.SERVED:
-            return Ended(Outcome.OK, True, write.result)
+            return AttemptResult(Outcome.OK, True, write.result)
         if resolution is DoubtResolution.NEVER:
             self.may_have_run = False
-            return Ended(Outcome.REJECTED, False)
-        return Ended(Outcome.RESET, True)
+            return AttemptResult(Outcome.REJECTED, False)
+        return AttemptResult(Outcome.RESET, True)
 
     async def _ask(self, write: InDoubtWrite, name: str, question: DoubtQuestion) -> None:
         self._session = await self._pool.acquire()
@@ -243,10 +245,10 @@
             pool.close()
 
 
-def _ended_by_key(rows: list[Row]) -> Ended:
+def _ended_by_key(rows: list[Row]) -> AttemptResult:
     """Return what the key says after the transaction: done by this attempt, or by whichever was first."""
     if not rows or rows[0][1] != "done":
-        return Ended(Outcome.ERROR, True)
+        return AttemptResult(Outcome.ERROR, True)
     result = rows[0][2]
     assert isinstance(result, bytes)
-    return Ended(Outcome.OK, True, result)
+    return AttemptResult(Outcome.OK, True, result)
--- a/sabledyke/testbed/fleet_release.py
+++ b/sabledyke/testbed/fleet_release.py
@@ -25,7 +25,7 @@
 from sabledyke.compacted_log.reader import LogReader
 from sabledyke.compacted_log.records import Backend, Message
 from sabledyke.compacted_log.sqlite_backend import SqliteBackend
-from sabledyke.errors import BoardFault
+from sabledyke.errors import CompactedLogError
 from sabledyke.placement import evacuation
 from sabledyke.placement.volume_placement import VolumePlacement
 from sabledyke.rollout import commands, disruption_budget, plan_changes
@@ -180,7 +180,7 @@
     async def _read_homes(self) -> None:
         """As clients do: where volumes are at home, from the board."""
         while True:
-            with contextlib.suppress(BoardFault):
+            with contextlib.suppress(CompactedLogError):
                 await self.board.catch_up(evacuation.PLACEMENTS_TOPIC, self._homes)
             await asyncio.sleep(0.1)
 
@@ -274,9 +274,9 @@
         """Whoever cares for the boxes: a drained one is replaced, once for each drain."""
         known, reader = set[int](), LogReader()
         while True:
-            with contextlib.suppress(BoardFault):
+            with contextlib.suppress(CompactedLogError):
                 await self.board.catch_up(FLEET_TOPIC, reader)
-            seen = view_of(reader.state, reader.position)
+            seen = view_of(reader.latest, reader.position)
             for drain in seen.drains.values():
                 if drain.phase is DrainPhase.DRAINED and drain.begun_offset not in known:
                     known.add(drain.begun_offset)
@@ -400,19 +400,19 @@
     async def log(self) -> list[Message]:
         """All that is kept of the fleet's topic, in order."""
         messages = list[Message]()
-        while page := await self.board.page(FLEET_TOPIC, messages[-1].offset + 1 if messages else 1):
+        while page := await self.board.read_page(FLEET_TOPIC, messages[-1].offset + 1 if messages else 1):
             messages += page
         return messages
 
     def homes(self) -> dict[str, VolumePlacement]:
         """Where volumes are at home, as clients last read it."""
-        return evacuation.decode_placements(self._homes.state)
+        return evacuation.decode_placements(self._homes.latest)
 
     async def late(self) -> FleetView:
         """What somebody sees who reads the board for the first time now."""
-        reader = Follower()
+        reader = LogReader()
         await self.board.catch_up(FLEET_TOPIC, reader, 7)
-        return view_of(reader.state, reader.position)
+        return view_of(reader.latest, reader.position)
 
     def most_out(self) -> int:
         """By the judge, so far."""
--- a/tests/compacted_log/support.py
+++ b/tests/compacted_log/support.py
@@ -14,7 +14,7 @@
 from sabledyke.compacted_log.reader import LogReader
 from sabledyke.compacted_log.records import Backend, Cell
 from sabledyke.compacted_log.sqlite_backend import SqliteBackend
-from sabledyke.errors import BoardFault
+from sabledyke.errors import CompactedLogError
 from sabledyke.testbed.etcd_server import Etcd
 
 POLICY = CompactionPolicy(
@@ -66,7 +66,7 @@
             raise ProcessDeathError
         if self.lost_answers:
             self.lost_answers -= 1
-            raise BoardFault("the answer got lost")
+            raise CompactedLogError("the answer got lost")
         return written
 
     async def close(self) -> None:
--- a/tests/compacted_log/test_append.py
+++ b/tests/compacted_log/test_append.py
@@ -14,7 +14,7 @@
     Draft,
     message_key,
 )
-from sabledyke.errors import BoardFull, Conflict, StaleWriter
+from sabledyke.errors import LogFullError, StaleWriterError, WriteConflictError
 from tests.compacted_log.support import BACKENDS, Setup, run_on
 
 INVALID_APPENDS: tuple[list[Draft], ...] = (
@@ -39,12 +39,12 @@
         assert [message.value for message in await log.read_page("t", offset)] == [b"3"]
         later = await log.claim_writer("t", "w")
         for stale in (writer, LogWriter(log, "t", writer.identity)):
-            with pytest.raises(StaleWriter):
+            with pytest.raises(StaleWriterError):
                 await stale.append([Draft("k", b"4")])
         await later.append([Draft("k", b"5")])
         await _check_given_incarnations(log)
         for invalid in INVALID_APPENDS:
-            with pytest.raises(BoardFull):
+            with pytest.raises(LogFullError):
                 await later.append(invalid)
 
     run_on(backend, scenario)
@@ -52,12 +52,12 @@
 
 async def _check_conditions(writer: LogWriter) -> int:
     (first,) = await writer.append([Draft("k", b"1", 0)])
-    with pytest.raises(Conflict):
+    with pytest.raises(WriteConflictError):
         await writer.append([Draft("k", b"2", 0)])
-    with pytest.raises(Conflict):  # it depends on another key, which has moved
+    with pytest.raises(WriteConflictError):  # it depends on another key, which has moved
         await writer.append([Draft("l", b"2")], {"k": first + 7})
     (second,) = await writer.append([Draft("k", b"2", first)], {"k": first}, first + 1)
-    with pytest.raises(Conflict):  # something was written since it was read
+    with pytest.raises(WriteConflictError):  # something was written since it was read
         await writer.append([Draft("k", b"3")], end=second)
     return second
 
@@ -67,7 +67,7 @@
     await older.append([Draft("x", b"")])
     await newer.append([Draft("x", b"")])
     for stale in (older, same_as_newer):  # an older token, and the same one in another's hands
-        with pytest.raises(StaleWriter):
+        with pytest.raises(StaleWriterError):
             await stale.append([Draft("x", b"")])
 
 
--- a/tests/compacted_log/test_compaction.py
+++ b/tests/compacted_log/test_compaction.py
@@ -15,7 +15,7 @@
     ReaderRestarted,
 )
 from sabledyke.compacted_log.records import Draft
-from sabledyke.errors import BoardFull, StaleWriter
+from sabledyke.errors import LogFullError, StaleWriterError
 from tests.compacted_log.support import BACKENDS, POLICY, Setup, run_on
 
 FIRST_PRICES = ("milk=1.20", "bread=2.10", "eggs=3.00", "milk=1.25")
@@ -37,7 +37,7 @@
         assert len(offsets) <= lag + 1
         for n in range(30):
             await writer.append([Draft("k", b"%d" % n)])
-        with pytest.raises(StaleWriter):
+        with pytest.raises(StaleWriterError):
             await setup.compact(4)
         assert (await setup.log.read_page("t", 1))[-1].offset == 60
         assert await setup.read_as_new() == {"k": b"29"}
@@ -68,7 +68,7 @@
         assert set(reader.latest) == {"a", "c", "z"}
         assert reader.caught_up
         small = LogReader(2)
-        with pytest.raises(BoardFull):
+        with pytest.raises(LogFullError):
             await setup.log.catch_up("t", small)
 
     run_on("table", scenario)
--- a/tests/compacted_log/test_random_operations.py
+++ b/tests/compacted_log/test_random_operations.py
@@ -10,7 +10,7 @@
 from sabledyke.compacted_log.client import LogWriter
 from sabledyke.compacted_log.reader import KeyRemoved, KeyUpdated, LogReader
 from sabledyke.compacted_log.records import Draft
-from sabledyke.errors import BoardFault
+from sabledyke.errors import CompactedLogError
 from tests.compacted_log.support import BACKENDS, POLICY, ProcessDeathError, Setup, run_on
 
 KEYS = "abcdefghij"
@@ -55,7 +55,7 @@
         self.setup.backend.lost_answers = int(self.random.random() < 0.2)
         try:
             offsets = await self.writer.append(drafts)
-        except BoardFault:
+        except CompactedLogError:
             assert not client.RETRY_TIMEOUT_S
             offsets = await self.writer.append(drafts)
         for draft, offset in zip(drafts, offsets, strict=True):
--- a/tests/compacted_log/test_registers.py
+++ b/tests/compacted_log/test_registers.py
@@ -6,7 +6,7 @@
 
 from sabledyke.compacted_log import registers
 from sabledyke.compacted_log.records import MAX_VALUE_BYTES
-from sabledyke.errors import BoardFull, StaleWriter
+from sabledyke.errors import LogFullError, StaleWriterError
 from tests.compacted_log.support import BACKENDS, Setup, run_on
 
 
@@ -24,12 +24,12 @@
         identity = (await setup.log.claim_writer("t", "w0")).identity
         later = registers.RegisterWriter(setup.backend, "t", identity)
         for _ in range(2):  # the older incarnation is rejected, whether or not the later one has written
-            with pytest.raises(StaleWriter):
+            with pytest.raises(StaleWriterError):
                 await writers[0].put({"w0": b"old"})
-            with pytest.raises(StaleWriter):  # also one that had not read its cell yet
+            with pytest.raises(StaleWriterError):  # also one that had not read its cell yet
                 await registers.RegisterWriter(setup.backend, "t", identities[0]).put({"w0": b"old"})
             await later.put({"w0": b"new"})
-        with pytest.raises(BoardFull, match="a value has at most"):
+        with pytest.raises(LogFullError, match="a value has at most"):
             await later.put({"w0": b"x" * (MAX_VALUE_BYTES + 1)})
         await registers.delete(setup.backend, "t", ["w1", "load/w0"])
         values = await registers.read_values(setup.backend, "t")
--- a/tests/compacted_log/test_settings.py
+++ b/tests/compacted_log/test_settings.py
@@ -11,7 +11,7 @@
 
 from sabledyke.compacted_log import section
 from sabledyke.compacted_log.sqlite_backend import SqliteBackend
-from sabledyke.errors import BoardSchema, OperatorError
+from sabledyke.errors import LogSchemaError, OperatorError
 from tests.compacted_log.support import Setup, run_on
 
 
@@ -19,11 +19,11 @@
     async def scenario(setup: Setup) -> None:
         with closing(sqlite3.connect(setup.path)) as database, database:
             database.execute("UPDATE board_about SET schema = 99")
-        with pytest.raises(BoardSchema, match="schema 99"):
+        with pytest.raises(LogSchemaError, match="schema 99"):
             await SqliteBackend(setup.path).open()
         spoilt = tmp_path / "spoilt"
         spoilt.write_bytes(b"no database" * 100)
-        with pytest.raises(BoardSchema, match="spoilt"):
+        with pytest.raises(LogSchemaError, match="spoilt"):
             await SqliteBackend(str(spoilt)).open()
 
     run_on("table", scenario)
--- a/tests/compatibility/program/lease.py
+++ b/tests/compatibility/program/lease.py
@@ -8,7 +8,7 @@
 from sabledyke.lease import types as lease_terms
 from sabledyke.lease.etcd_authority import EtcdAuthority
 from sabledyke.lease.sql_authority import SqlAuthority
-from sabledyke.store.database_errors import StoreFault
+from sabledyke.store.database_errors import DatabaseError as StoreFault
 from sabledyke.store.section import Target
 from sabledyke.store.session import Session
 from sabledyke.store.types import Step
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -10,13 +10,13 @@
 from sabledyke.compacted_log import append, compaction, registers
 from sabledyke.compacted_log import records as board_terms
 from sabledyke.compacted_log import section as board_section
-from sabledyke.compacted_log.client import Board, Pen
-from sabledyke.compacted_log.compaction import Policy
-from sabledyke.compacted_log.etcd_backend import EtcdShelf
-from sabledyke.compacted_log.reader import Follower
-from sabledyke.compacted_log.records import Draft, Message, Shelf, Writer
-from sabledyke.compacted_log.sqlite_backend import TableShelf
-from sabledyke.core import Work
+from sabledyke.compacted_log.client import CompactedLog, LogWriter
+from sabledyke.compacted_log.compaction import CompactionPolicy
+from sabledyke.compacted_log.etcd_backend import EtcdBackend
+from sabledyke.compacted_log.reader import LogReader
+from sabledyke.compacted_log.records import Backend, Draft, Message, WriterIdentity
+from sabledyke.compacted_log.sqlite_backend import SqliteBackend
+from sabledyke.core import ClientRequest
 from sabledyke.lease import section as lease_section
 from sabledyke.placement import evacuation
 from sabledyke.placement import section as sites_section
@@ -29,7 +29,10 @@
 from sabledyke.rollout import section as rollout_section
 from tests.compatibility.program.values import values
 
-__all__ = ["EtcdShelf", "Shelf", "TableShelf"]
+Shelf = Backend
+TableShelf = SqliteBackend
+EtcdShelf = EtcdBackend
+
 
 FLEET_TOPIC, BEATS_TOPIC = rollout_terms.FLEET_TOPIC, rollout_terms.HEARTBEATS_TOPIC
 HOMES_TOPIC, SHARES_TOPIC = evacuation.PLACEMENTS_TOPIC, allocation.SHARES_TOPIC
@@ -74,7 +77,7 @@
 
 
 async def append_messages(
-    shelf: Shelf, topic: str, writer: tuple[str, int, str], *drafts: tuple[str, bytes | None]
+    shelf: Backend, topic: str, writer: tuple[str, int, str], *drafts: tuple[str, bytes | None]
 ) -> Any:
     """Append to a topic by a new connection of this writer: its name, its life, and what tells it apart."""
     key = board_terms.writer_key(topic, writer[0])
@@ -84,7 +87,7 @@
     return await pen.append([Draft(key, value) for key, value in drafts])
 
 
-async def claim(shelf: Shelf, topic: str, name: str, nonce: str) -> tuple[str, int, str]:
+async def claim(shelf: Backend, topic: str, name: str, nonce: str) -> tuple[str, int, str]:
     """Begin the next life of a writer."""
     key = board_terms.writer_key(topic, name)
     writer, commit = append.plan_claim(topic, (await shelf.get([key])).get(key), name, nonce)
@@ -93,18 +96,18 @@
 
 
 async def put_registers(
-    shelf: Shelf, topic: str, writer: tuple[str, int, str], words: Mapping[str, bytes]
+    shelf: Backend, topic: str, writer: tuple[str, int, str], words: Mapping[str, bytes]
 ) -> None:
     """Write registers of this writer."""
     await registers.RegisterWriter(shelf, topic, WriterIdentity(*writer)).put(words)
 
 
-async def read_registers(shelf: Shelf, topic: str) -> dict[str, bytes]:
+async def read_registers(shelf: Backend, topic: str) -> dict[str, bytes]:
     """All registers of a topic."""
     return await registers.read_values(shelf, topic)
 
 
-async def read_topic(shelf: Shelf, topic: str) -> tuple[dict[str, bytes | None], dict[str, int]]:
+async def read_topic(shelf: Backend, topic: str) -> tuple[dict[str, bytes | None], dict[str, int]]:
     """Values and offsets by key, as a reader that joins now has them."""
     reader = LogReader()
     await CompactedLog(shelf).catch_up(topic, reader)
@@ -112,7 +115,7 @@
     return {key: m.value for key, m in state.items()}, {key: m.offset for key, m in state.items()}
 
 
-async def clean(shelf: Shelf, topic: str, token: int, now_ms: float) -> None:
+async def clean(shelf: Backend, topic: str, token: int, now_ms: float) -> None:
     """Compact a topic: all but the two newest messages, and tombstones once they are 50 ms old."""
     policy = CompactionPolicy(
         min_lag_messages=2, tombstone_retention_ms=50, min_dirty_ratio=0.01, max_bytes_per_s=1e12
@@ -164,14 +167,16 @@
     section = rollout_section.read({"site": "lodi", "version": "1.4"})
     sites = sites_section.read({"room": {"lodi": 400.0}})
     assert place is not None and lease is not None and section is not None
-    part = rollout_part.RolloutExtension(cast(Host, _Host()), section, place, lease, sites)
+    part = rollout_part.RolloutExtension(cast(ServerContext, _Host()), section, place, lease, sites)
     assert await part.member.join() is not None
     for volume, units in loads.items():
         part.submit(
-            cast(Work, SimpleNamespace(volume=int(volume, 16), units=units)), _ignored, _not_forwarded
+            cast(ClientRequest, SimpleNamespace(volume=int(volume, 16), units=units)),
+            _ignored,
+            _not_forwarded,
         )
     await part.member.send_heartbeat()
-    await part.board.shelf.close()
+    await part.board.backend.close()
 
 
 async def sharer_writes(path: str, volume: int) -> None:
@@ -179,7 +184,7 @@
     place, section = board_section.read({"path": path}), fleet_section.read({"members": 4})
     assert place is not None and section is not None
     now = [0.0]
-    part = fleet_part.QuotaExtension(cast(Host, _Host()), section, place, lambda: now[0])
+    part = fleet_part.QuotaExtension(cast(ServerContext, _Host()), section, place, lambda: now[0])
     await part.publisher.begin()
     part.meter.add(now[0], volume, 3.0, 1000.0)
     now[0] = 2000.0
--- a/tests/lease/test_leader_tasks.py
+++ b/tests/lease/test_leader_tasks.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sabledyke.errors import Refused
+from sabledyke.errors import FencedError
 from sabledyke.lease import leader_tasks
 from sabledyke.lease.fencing import Fence
 from sabledyke.lease.section import LeaderTask
@@ -52,7 +52,7 @@
         back_up = leader_tasks.action_of(backup, record)
         for token in (4, 5, 7):
             await back_up(FixedToken(token))
-        with pytest.raises(Refused):
+        with pytest.raises(FencedError):
             await back_up(FixedToken(6))
         tokens = sorted(file.name.split(".")[1] for file in folder.iterdir())
         assert tokens == ["5", "7"]  # the newest two, and nothing unfinished
--- a/tests/lease/test_manager.py
+++ b/tests/lease/test_manager.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sabledyke.errors import AuthorityFault, Lost
+from sabledyke.errors import AuthorityError, LeaseLostError
 from sabledyke.lease.manager import LeaseManager
 from sabledyke.lease.types import (
     Granted,
@@ -24,7 +24,7 @@
 
 
 class ScriptedAuthority:
-    """An authority that replies as it is told; an AuthorityFault for None. It does nothing else."""
+    """An authority that replies as it is told; an AuthorityError for None. It does nothing else."""
 
     tracks_expiry = True
 
@@ -39,7 +39,7 @@
         self.requests.append(request)
         reply = self.replies.pop(0) if self.replies else None
         if reply is None:
-            raise AuthorityFault("scripted")
+            raise AuthorityError("scripted")
         return reply
 
     async def record_completion(self, task_name: str, token: int, at_unix_ms: int) -> bool:
@@ -71,14 +71,14 @@
             await asyncio.sleep(0)
         now_ms[0] += 5000  # it is paused before the reply reaches it
         while len(script.requests) < 4:
-            with pytest.raises(Lost):
+            with pytest.raises(LeaseLostError):
                 manager.current_token()
             await asyncio.sleep(0)
         await manager.leading.wait()
         assert manager.current_token() == 7
         assert manager.state.acts_until_ms <= now_ms[0] + TIMES.acting_window_ms
         now_ms[0] += TIMES.acting_window_ms
-        with pytest.raises(Lost):
+        with pytest.raises(LeaseLostError):
             manager.current_token()
         await manager.stop()
         await task
--- a/tests/lease/test_operations.py
+++ b/tests/lease/test_operations.py
@@ -17,7 +17,7 @@
 from sabledyke.lease.manager import LeaseManager
 from sabledyke.lease.sql_authority import SqlAuthority
 from sabledyke.lease.types import Authority
-from sabledyke.operator_config import Operator
+from sabledyke.operator_config import OperatorConfig
 from sabledyke.store.section import Target
 from tests.lease.support import CALL, TIMEOUT_S, TIMES, etcd_server
 
@@ -69,9 +69,9 @@
 
 
 def test_new_times_and_leader_tasks_take_no_restart_and_another_authority_does(tmp_path: Path) -> None:
-    def operator(path: str, **more: Any) -> Operator:
+    def operator(path: str, **more: Any) -> OperatorConfig:
         table = {"path": str(tmp_path / path), "ttl_ms": 500, "renew_ms": 50, "margin_ms": 50, "duty": [CALL]}
-        return Operator(lease=section.read(table | more, None))
+        return OperatorConfig(lease=section.read(table | more, None))
 
     async def run() -> None:
         first = operator("l")
@@ -82,9 +82,9 @@
         await extension.managers[0].leading.wait()
         token_before = extension.managers[0].current_token()
         with pytest.raises(ConfigError, match="takes a restart"):
-            extension.check(operator("other"))
-        extension.check(second)
-        extension.retold(second)
+            extension.check_operator_config(operator("other"))
+        extension.check_operator_config(second)
+        extension.apply_operator_config(second)
         while len(extension.managers) != 2 or not all(m.leading.is_set() for m in extension.managers):
             await asyncio.sleep(0.01)
         assert [manager.times.ttl_ms for manager in extension.managers] == [800, 800]
--- a/tests/quota_sharing/test_shared_limits.py
+++ b/tests/quota_sharing/test_shared_limits.py
@@ -13,7 +13,8 @@
 
 from sabledyke import operator_config
 from sabledyke.errors import OperatorError
-from sabledyke.policy import interface as api
+from sabledyke.policy.actions import Log
+from sabledyke.policy.events import Request
 from sabledyke.quota_sharing.allocation import MAX_PUBLISHED_VOLUMES, QuotaAllocator, QuotaPolicy, Timing
 from sabledyke.quota_sharing.demand import DemandMeter
 from sabledyke.testbed import shared_limits
--- a/tests/rollout/member_scenarios.py
+++ b/tests/rollout/member_scenarios.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.reader import Follower, Gone, Put
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.reader import KeyRemoved, KeyUpdated, LogReader
 from sabledyke.compacted_log.records import Draft
-from sabledyke.compacted_log.subscription import follow
-from sabledyke.errors import BoardFault, PlanError
+from sabledyke.compacted_log.subscription import subscribe_to_topic
+from sabledyke.errors import CompactedLogError, PlanError
 from sabledyke.rollout import (
     disruption_budget,
 )
@@ -96,10 +96,10 @@
 
     async def publish() -> None:
         nonlocal said
-        pen = await made.board.claim(topic, "shop")
+        pen = await made.board.claim_writer(topic, "shop")
         while said < 300:
             key, value = f"article-{random.randrange(30)}", None if random.random() < 0.2 else b"%d" % said
-            with contextlib.suppress(BoardFault):  # it stands still: the same again
+            with contextlib.suppress(CompactedLogError):  # it stands still: the same again
                 await pen.append([Draft(key, value)])
                 said += 1
                 model.pop(key, None)
@@ -111,11 +111,11 @@
         view, shelf = dict[str, bytes | None](), made.shelf()
         views.append(view)
         try:
-            async for news in follow(Board(shelf), topic, Follower(), 0.2, 7):
+            async for news in subscribe_to_topic(CompactedLog(shelf), topic, LogReader(), 0.2, 7):
                 for one in news:
-                    if isinstance(one, Put):
+                    if isinstance(one, KeyUpdated):
                         view[one.message.key] = one.message.value
-                    elif isinstance(one, Gone):
+                    elif isinstance(one, KeyRemoved):
                         view.pop(one.key, None)
                 await asyncio.sleep(away)
                 away = 0.0
@@ -144,11 +144,11 @@
     async with asyncio.timeout(120):
         while len(views) < 8 or any(view != model for view in views):
             await asyncio.sleep(0.05)
-        while len(await made.board.page(topic, 1, 1000)) > 120:
+        while len(await made.board.read_page(topic, 1, 1000)) > 120:
             await asyncio.sleep(0.1)  # 30 articles, the newest 20, and as much again that is superseded
-    late = Follower()
+    late = LogReader()
     await made.board.catch_up(topic, late)
-    assert {key: m.value for key, m in late.state.items()} == model and late.position > 300
+    assert {key: m.value for key, m in late.latest.items()} == model and late.position > 300
     for reader in readers:
         reader.cancel()
     await asyncio.gather(*readers, return_exceptions=True)
--- a/tests/rollout/release_scenarios.py
+++ b/tests/rollout/release_scenarios.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from sabledyke.compacted_log.client import PATIENCE as ASKED_AGAIN
+from sabledyke.compacted_log.client import RETRY_TIMEOUT_S as ASKED_AGAIN
 from sabledyke.errors import PlanError
 from sabledyke.rollout import (
     disruption_budget,
--- a/tests/rollout/test_operator_commands.py
+++ b/tests/rollout/test_operator_commands.py
@@ -9,8 +9,8 @@
 from syrupy.assertion import SnapshotAssertion
 
 from sabledyke.__main__ import main as command
-from sabledyke.compacted_log.client import Board
-from sabledyke.compacted_log.sqlite_backend import TableShelf
+from sabledyke.compacted_log.client import CompactedLog
+from sabledyke.compacted_log.sqlite_backend import SqliteBackend
 from sabledyke.rollout import (
     moves,
 )
@@ -63,13 +63,13 @@
     where.write_text(f'[board]\npath = "{tmp_path}/board.sqlite3"\n')
 
     async def prepare() -> None:
-        board = Board(TableShelf(f"{tmp_path}/board.sqlite3"))
-        await board.shelf.open()
-        pen = await board.claim(FLEET_TOPIC, "w")
+        board = CompactedLog(SqliteBackend(f"{tmp_path}/board.sqlite3"))
+        await board.backend.open()
+        pen = await board.claim_writer(FLEET_TOPIC, "w")
         seen = fleet(READY, READY, MemberState.SILENT, sites=1)
         drain = Drain("b9", "gone", 1, 0.0, 3)
         await append_move(pen, moves.Move("", (Epoch("n0.a", 1), *seen.members.values(), drain)))
-        await board.shelf.close()
+        await board.backend.close()
 
     asyncio.run(prepare())
     printed = list[str]()
--- a/tests/store/sql_node_deployment.py
+++ b/tests/store/sql_node_deployment.py
@@ -44,7 +44,7 @@
         known = discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
-        self.server = Server(config, operator_config.Operator(store=store), BRISK)
+        self.server = Server(config, operator_config.OperatorConfig(store=store), BRISK)
         await self.server.open()
         self.server.start()
         return self
--- a/tests/store/test_intent_manager.py
+++ b/tests/store/test_intent_manager.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sabledyke.policy.retry import HELD_UP
+from sabledyke.policy.retry import WRITE_DELAY_MS
 from sabledyke.store.database_errors import DatabaseError, DatabaseErrorKind
 from sabledyke.store.effects import BlockAttempt, CompleteWrite, Effect, ExpireAttempt, SendAttempt
 from sabledyke.store.health import HealthState
@@ -55,7 +55,7 @@
     assert effects == [SendAttempt((1, 0)), BlockAttempt((2, 0))]
     assert manager.earlier_send("x1") == other.first_send
     # What is decided by then is written inside the window.
-    over = 900 + KEYED.deduplication_window_ms - HELD_UP
+    over = 900 + KEYED.deduplication_window_ms - WRITE_DELAY_MS
     assert sends(manager, over - 1, 3, 0, name="x1") == [SendAttempt((3, 0))]
     assert sends(manager, over, 4, 0, name="x1") == [BlockAttempt((4, 0))]
 
