--- a/sabledyke/application/extensions.py
+++ b/sabledyke/application/extensions.py
@@ -12,13 +12,13 @@
 from typing import TYPE_CHECKING
 
 from sabledyke.core import Answer, Transport, Work
-from sabledyke.net.connection_pool import Connect, Dial, Report
+from sabledyke.net.connection_pool import Connect, Dial, ReportAttempt
 from sabledyke.policy import interface as api
 
 if TYPE_CHECKING:
     from sabledyke.config import Config
     from sabledyke.net import streams
-    from sabledyke.net.frontend import Front, Guard
+    from sabledyke.net.frontend import Frontend, Guard
     from sabledyke.operator_config import Operator
 
 Done = Callable[[Answer], None]
@@ -30,7 +30,7 @@
     """What a part may use of the server that it is set up in."""
 
     config: Config
-    room: streams.Room
+    room: streams.ResponseMemory
     entry: Callable[[api.NodeId], api.NodeEntry]  # a listed box
     submit: Submit  # the way to the core, through all parts
     depart: Callable[[int], None]  # the client of a request is gone
@@ -51,7 +51,7 @@
 
     in_turn = False  # let in by a budget: the list is asked for at once, and listeners wait for it
 
-    def reports(self, onward: Report) -> Report:
+    def reports(self, onward: ReportAttempt) -> ReportAttempt:
         """What a transport of this part reports to, given what is above it."""
         return onward
 
@@ -71,7 +71,7 @@
         """What a connection must pass before this front sees it as a client."""
         return None
 
-    def fronts(self) -> Sequence[tuple[Front, tuple[str, int]]]:
+    def fronts(self) -> Sequence[tuple[Frontend, tuple[str, int]]]:
         """Fronts that it adds, and where each listens."""
         return ()
 
--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -17,11 +17,19 @@
 from sabledyke.core import Core, Ended, Transport, Work
 from sabledyke.metrics import avoided
 from sabledyke.net import clock, streams
-from sabledyke.net.connection_pool import Address, Connect, Dial, Link, Pool, Report, plain
+from sabledyke.net.connection_pool import (
+    Address,
+    Connect,
+    ConnectionPool,
+    Dial,
+    Link,
+    ReportAttempt,
+    connect_plain,
+)
 from sabledyke.net.console import Console
-from sabledyke.net.endpoint_watch import Watch
-from sabledyke.net.frontend import ROOMY, Front
-from sabledyke.net.http_frontend import HttpClient
+from sabledyke.net.endpoint_watch import EndpointWatch
+from sabledyke.net.frontend import CROWDED_SHARE, Frontend
+from sabledyke.net.http_frontend import HttpClientConnection
 from sabledyke.net.http_link import HttpDialer
 from sabledyke.net.listener import Listener
 from sabledyke.policy import interface as api
@@ -29,7 +37,7 @@
 from sabledyke.protocol.discovery import Listing
 from sabledyke.protocol.gateway import Ids, Reader
 from sabledyke.settings import SettingsError, merge
-from sabledyke.shutdown.graceful_shutdown import Departure, Phase, Times
+from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase, ShutdownTimes
 
 if TYPE_CHECKING:  # loaded only where it is named: a plain start must be quick
     from sabledyke.operator_config import Operator
@@ -47,9 +55,9 @@
 )
 
 PHASES = {  # what each step of leaving is called in the log
-    Phase.STAYING: "the listener is closed, open connections are served on",
-    Phase.PARTING: "answers end their connections",
-    Phase.LAST: "final answers",
+    ShutdownPhase.SERVING_OPEN_CONNECTIONS: "the listener is closed, open connections are served on",
+    ShutdownPhase.DRAINING_CONNECTIONS: "answers end their connections",
+    ShutdownPhase.FINAL_ANSWERS: "final answers",
 }
 READING = 1.0  # seconds past the longest deadline for a client to take in its answer
 LISTED = 3.0  # seconds for the list, where listeners wait for it
@@ -68,7 +76,7 @@
         self,
         config: Config,
         operator: Operator | None = None,
-        times: Times = Times(),  # noqa: B008
+        times: ShutdownTimes = ShutdownTimes(),  # noqa: B008
         reread: Callable[[Config], Config] = lambda config: config,
         reread_operator: Callable[[api.Settings], Operator | None] | None = None,
     ) -> None:
@@ -78,36 +86,38 @@
         self._scheduled = False
         self._timer: asyncio.TimerHandle | None = None
         self._stop = asyncio.Event()
-        self._departure: Departure | None = None
+        self._departure: GracefulShutdown | None = None
         self._planned = False  # it leaves by a plan of the fleet
         self._heard = asyncio.Event()  # discovery was called, whatever came of it
         settings, known = config.settings, config.known
         held = known.news.version if known else None
-        self.watch = Watch(config.discovery, settings, held, self._listed, config.seed)
+        self.watch = EndpointWatch(config.discovery, settings, held, self._listed, config.seed)
         self._reader = Reader(settings)
-        self._room = streams.Room(0)
+        self._room = streams.ResponseMemory(0)
         self._http = HttpDialer(settings, self._reader, self._room, self._reach)
         self.parts = self._set_up_parts(operator)
         self._dialers: dict[api.NodeId, Dial] = {}
-        report: Report = self._ended
+        report: ReportAttempt = self._ended
         self._submit: Submit = self._take
         for part in self.parts:
             report = part.reports(report)
             self._dialers.update(part.dialers())
-        self._connect: Connect = plain
+        self._connect: Connect = connect_plain
         for part in reversed(self.parts):
             self._connect = part.connect(self._connect)
             self._submit = functools.partial(_through, part, self._submit)
-        self.pool = Pool(settings, report, 0, self._dial, self._may_go)
+        self.pool = ConnectionPool(settings, report, 0, self._dial, self._may_go)
         transport: Transport = self.pool
         for part in reversed(self.parts):
             transport = part.transport(transport)
         self.core = Core(settings, config.seed, transport, self.watch, self._wake)
         ids = Ids()
-        http = Front(
+        http = Frontend(
             "HTTP",
             0,
-            lambda front, stream: HttpClient(front, stream, self._reader, ids, self._submit, self._depart),
+            lambda front, stream: HttpClientConnection(
+                front, stream, self._reader, ids, self._submit, self._depart
+            ),
             self._room,
         )
         more = [front for part in self.parts for front in part.fronts()]
@@ -131,7 +141,7 @@
             lambda work, done: self._submit(work, done),
             self._depart,
             self._reach,
-            lambda node: self.pool.warm(node),
+            lambda node: self.pool.preconnect(node),
             lambda: self.takes_clients,
             self._stop.is_set,
             self.reload,
@@ -150,12 +160,12 @@
     def _share_out(self, config: Config) -> None:
         """Bound connections, and answers on their way, so that descriptors and memory suffice."""
         boxes = (config.sockets - SPARE) // BOXES
-        self._room.size = int(config.memory * ANSWERS)
+        self._room.limit_bytes = int(config.memory * ANSWERS)
         for front in self.fronts:  # past its deadline a client has given up
-            front.reading = max(c.deadline for c in config.settings.classes) / 1000 + READING
-        others = sum(front.most for front in self.fronts[1:])
-        self.fronts[0].roomy = ROOMY * config.settings.most_open
-        self.pool.most, self.fronts[0].most = boxes, config.sockets - SPARE - boxes - others
+            front.write_timeout_s = max(c.deadline for c in config.settings.classes) / 1000 + READING
+        others = sum(front.max_clients for front in self.fronts[1:])
+        self.fronts[0].crowded_above = CROWDED_SHARE * config.settings.most_open
+        self.pool.max_connections, self.fronts[0].max_clients = boxes, config.sockets - SPARE - boxes - others
 
     async def run(self) -> None:
         """Serve until SIGTERM, then finish what was taken; SIGHUP has the configuration read again."""
@@ -219,7 +229,7 @@
     @property
     def takes_clients(self) -> bool:
         """The listeners are open, and neither a drain nor the end sends clients away."""
-        return bool(self.listeners) and not any(f.quiesced or f.leaving for f in self.fronts)
+        return bool(self.listeners) and not any(f.quiesced or f.shutting_down for f in self.fronts)
 
     def quiesce(self) -> None:
         """Send clients away: health says no, idle connections end now and busy ones with their answer."""
@@ -302,14 +312,16 @@
     async def finish(self) -> None:
         """Serve on for as long as the kill leaves time, answer all that was taken, and close."""
         longest = max(c.deadline for c in self.config.settings.classes) / 1000
-        plan = Departure(self._loop.time(), longest, self.config.seed, self._times, planned=self._planned)
-        self._departure, last = plan, Phase.OPEN
+        plan = GracefulShutdown(
+            self._loop.time(), longest, self.config.seed, self._times, planned=self._planned
+        )
+        self._departure, last = plan, ShutdownPhase.ACCEPTING_CONNECTIONS
         for front in self.fronts:
-            front.departure = plan
+            front.shutdown = plan
         self._end_by(plan)
         closing: list[Listener] = []
-        while (phase := plan.phase(self._loop.time() + SETTLE)) is not Phase.OVER:
-            if phase is not Phase.OPEN:
+        while (phase := plan.phase(self._loop.time() + SETTLE)) is not ShutdownPhase.COMPLETED:
+            if phase is not ShutdownPhase.ACCEPTING_CONNECTIONS:
                 while self.listeners:
                     closing.append(self.listeners.pop())
                     closing[-1].close()
@@ -322,12 +334,16 @@
                 held, owed = sum(len(front.clients) for front in self.fronts), self.core.unanswered
                 log.say("stop", f"{PHASES[phase]}; {held} connections, {owed} requests in work")
                 last = phase
-            if phase >= Phase.LAST or phase is Phase.PARTING and self._planned:
+            if (
+                phase >= ShutdownPhase.FINAL_ANSWERS
+                or phase is ShutdownPhase.DRAINING_CONNECTIONS
+                and self._planned
+            ):
                 for front in self.fronts:
                     front.close_idle(self._loop.time(), LOOK)
             await asyncio.sleep(LOOK)
         for listener in closing:
-            listener.give_up()
+            listener.close_now()
         await self._settle()
         for front in self.fronts:  # those that stopped halfway, and those that never read
             front.close()
@@ -351,17 +367,17 @@
         """
         end = self._loop.time() + SETTLE
         for front in self.fronts:
-            front.read_no_more()
+            front.stop_reading()
         while not all(front.settled for front in self.fronts) and self._loop.time() < end:
             self._turn()
             for front in self.fronts:
-                front.say_last()
+                front.reject_partial_requests()
             await asyncio.sleep(SETTLE_LOOK)
 
-    def _end_by(self, plan: Departure) -> None:
+    def _end_by(self, plan: GracefulShutdown) -> None:
         """Have all that is taken answered by the departure's ``until``, on the core's clock."""
         ahead = clock.now() - self._loop.time() * 1000
-        self.core.end_by(plan.until * 1000 + ahead, plan.back * 1000 + ahead)
+        self.core.end_by(plan.answer_by * 1000 + ahead, plan.available_again_at * 1000 + ahead)
         self._wake()
 
     async def _reach(
@@ -393,7 +409,7 @@
 
     def _learn(self, news: api.NodeList, dials: dict[api.NodeId, Address]) -> None:
         gone = self.core.listed(news)
-        self.pool.learn(dials, gone)
+        self.pool.update_addresses(dials, gone)
         for part in self.parts:
             part.listed(gone)
 
--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -14,12 +14,12 @@
 from sabledyke.policy.interface import Outcome
 
 Address = tuple[str, int]
-Report = Callable[[int, int, Ended], None]
-Permit = Callable[[int, int], bool]  # may this attempt be written now? See ``core.Core.may_go``
-IDLE_PART = 0.6  # of the time after which boxes close idle connections: ours are closed by then
+ReportAttempt = Callable[[int, int, Ended], None]
+MaySend = Callable[[int, int], bool]  # may this attempt be written now? See ``core.Core.may_go``
+IDLE_TIMEOUT_SHARE = 0.6  # of the time after which boxes close idle connections: ours are closed by then
 
 
-class BadPeer(Fault):
+class PeerProtocolError(Fault):
     """A box does not speak its protocol; the text says where."""
 
     code, remedy = "box-garbled", "look at the box's version"
@@ -43,11 +43,11 @@
     async def exchange(self, work: Work, timeout: float) -> Ended:
         """One attempt; a StreamClosedError or BadPeer where it breaks."""
 
-    def rest(self, heard: Callable[[], None]) -> None:
+    def enter_idle(self, heard: Callable[[], None]) -> None:
         """Nothing is asked for now; ``heard`` is called when its peer ends it or says something all the
         same."""
 
-    def wake(self) -> bool:
+    def leave_idle(self) -> bool:
         """An exchange is to come; whether the link is fit for it."""
 
     def close(self) -> None:
@@ -60,7 +60,7 @@
 Connect = Callable[[api.NodeId, Address, float, float], Awaitable[streams.Stream]]
 
 
-async def plain(_: api.NodeId, address: Address, connect_ms: float, __: float) -> streams.Stream:
+async def connect_plain(_: api.NodeId, address: Address, connect_ms: float, __: float) -> streams.Stream:
     """The connection that no part has made another of."""
     return await streams.connect(address, connect_ms)
 
@@ -88,20 +88,22 @@
         return self.connection is not None and self.connection.link.may_have_run
 
 
-class Pool:
+class ConnectionPool:
     """The core's transport: keeps at most ``most`` connections and opens them with ``dial``."""
 
-    def __init__(self, settings: api.Settings, report: Report, most: int, dial: Dial, permit: Permit) -> None:
-        self.settings, self._report, self.most, self._dial = settings, report, most, dial
-        self._permit = permit
+    def __init__(
+        self, settings: api.Settings, report: ReportAttempt, most: int, dial: Dial, permit: MaySend
+    ) -> None:
+        self.settings, self._report, self.max_connections, self._dial = settings, report, most, dial
+        self._may_send = permit
         self._addresses: dict[api.NodeId, Address] = {}
         self._idle: dict[api.NodeId, list[_PooledConnection]] = {}
         self._attempts: dict[tuple[int, int], _Attempt] = {}
-        self._count = 0
-        self._warming: dict[api.NodeId, asyncio.Task[None]] = {}  # one at a time for a box
+        self._open_count = 0
+        self._preconnects: dict[api.NodeId, asyncio.Task[None]] = {}  # one at a time for a box
         self._closed = False
 
-    def learn(self, addresses: dict[api.NodeId, Address], gone: Iterable[api.NodeId] = ()) -> None:
+    def update_addresses(self, addresses: dict[api.NodeId, Address], gone: Iterable[api.NodeId] = ()) -> None:
         """Learn where nodes listen and which are gone; connections to a former address are not used again."""
         for node in gone:
             if self._addresses.pop(node, None):
@@ -124,32 +126,37 @@
         """See ``core.Transport``."""
         attempt = self._attempts.get((rid, number))
         if attempt is not None:
-            self._end(attempt, Ended(Outcome.CANCELLED, _given_up(attempt)))
+            self._complete(attempt, Ended(Outcome.CANCELLED, _given_up(attempt)))
 
     def close_idle(self, node: api.NodeId) -> None:
         """See ``core.Transport``."""
         for connection in self._idle.pop(node, []):
             self._discard(connection)
 
-    def warm(self, node: api.NodeId) -> None:
+    def preconnect(self, node: api.NodeId) -> None:
         """Open a connection ahead of need, where none rests and there is room; nothing is said on it."""
-        if self._idle.get(node) or node not in self._addresses or self._count >= self.most or self._closed:
+        if (
+            self._idle.get(node)
+            or node not in self._addresses
+            or self._open_count >= self.max_connections
+            or self._closed
+        ):
             return
-        if node not in self._warming:
-            self._warming[node] = asyncio.get_running_loop().create_task(self._warm(node))
+        if node not in self._preconnects:
+            self._preconnects[node] = asyncio.get_running_loop().create_task(self._preconnect(node))
 
-    async def _warm(self, node: api.NodeId) -> None:
+    async def _preconnect(self, node: api.NodeId) -> None:
         try:
-            self._keep(await self._open(node, 2 * self.settings.connect_timeout))
-        except (streams.StreamClosedError, BadPeer, OSError):
+            self._return_connection(await self._open(node, 2 * self.settings.connect_timeout))
+        except (streams.StreamClosedError, PeerProtocolError, OSError):
             return  # whoever needs one will find out
         finally:
-            del self._warming[node]
+            del self._preconnects[node]
 
     def close(self) -> None:
         """Close what is idle, at the end."""
         self._closed = True
-        for task in self._warming.values():
+        for task in self._preconnects.values():
             task.cancel()
         for node in list(self._idle):
             self.close_idle(node)
@@ -158,42 +165,42 @@
         try:
             connection = self._reuse(attempt.node) or await self._open(attempt.node, timeout)
             if (attempt.rid, attempt.number) not in self._attempts:  # given up while the connection came up
-                self._keep(connection)
+                self._return_connection(connection)
                 return
             # Guards against going by what held when the connection was asked for: it may have come up late.
             left = (attempt.until - asyncio.get_running_loop().time()) * 1000
-            if left <= 0 or not self._permit(attempt.rid, attempt.number):
-                self._keep(connection)
-                self._end(attempt, Ended(Outcome.MOOT, False))
+            if left <= 0 or not self._may_send(attempt.rid, attempt.number):
+                self._return_connection(connection)
+                self._complete(attempt, Ended(Outcome.MOOT, False))
                 return
             attempt.connection = connection
             ended = await connection.link.exchange(attempt.work, left)
-        except (streams.StreamClosedError, BadPeer, OSError) as fault:
-            if isinstance(fault, BadPeer):
+        except (streams.StreamClosedError, PeerProtocolError, OSError) as fault:
+            if isinstance(fault, PeerProtocolError):
                 log.say("box", f"{api.name_of(attempt.node)} is not understood: {fault}")
             ran = attempt.may_have_run
-            self._end(attempt, Ended(Outcome.RESET if ran else Outcome.NO_CONNECTION, ran))
+            self._complete(attempt, Ended(Outcome.RESET if ran else Outcome.NO_CONNECTION, ran))
             return
         if attempt.connection is not None and connection.link.reusable:
             attempt.connection = None
-            self._keep(connection)
-        self._end(attempt, ended)
+            self._return_connection(connection)
+        self._complete(attempt, ended)
 
     async def _open(self, node: api.NodeId, patience: float) -> _PooledConnection:
         address = self._addresses.get(node)
-        if self._count >= self.most:
-            self._make_room()
-        if address is None or self._count >= self.most:
+        if self._open_count >= self.max_connections:
+            self._evict_idle()
+        if address is None or self._open_count >= self.max_connections:
             log.say("pool", f"no connection to spare for {api.name_of(node)}")
             raise streams.StreamClosedError
-        self._count += 1
+        self._open_count += 1
         try:
             return _PooledConnection(node, address, await self._dial(node, address, patience))
         except BaseException:
-            self._count -= 1
+            self._open_count -= 1
             raise
 
-    def _make_room(self) -> None:
+    def _evict_idle(self) -> None:
         """Close the oldest idle connection of the node that has most of them."""
         if self._idle:
             node = max(self._idle, key=lambda n: len(self._idle[n]))
@@ -202,44 +209,44 @@
     def _reuse(self, node: api.NodeId) -> _PooledConnection | None:
         while self._idle.get(node):
             connection = self._idle[node][-1]
-            if self._take(connection):
+            if self._remove_idle(connection):
                 return connection
             self._discard(connection)
         return None
 
-    def _keep(self, connection: _PooledConnection) -> None:
+    def _return_connection(self, connection: _PooledConnection) -> None:
         moved = self._addresses.get(connection.node) != connection.address
         if self._closed or connection.link.closed or moved:
             self._discard(connection)
             return
         self._idle.setdefault(connection.node, []).append(connection)
-        after = self.settings.idle_timeout * IDLE_PART / 1000
+        after = self.settings.idle_timeout * IDLE_TIMEOUT_SHARE / 1000
         connection.expiry = asyncio.get_running_loop().call_later(after, self._drop_idle, connection)
-        connection.link.rest(lambda: self._drop_idle(connection))
+        connection.link.enter_idle(lambda: self._drop_idle(connection))
 
-    def _take(self, connection: _PooledConnection) -> bool:
+    def _remove_idle(self, connection: _PooledConnection) -> bool:
         """Out of the idle ones; whether it can be used."""
         self._idle[connection.node].remove(connection)
         if not self._idle[connection.node]:
             del self._idle[connection.node]
         if connection.expiry is not None:
             connection.expiry.cancel()
-        return connection.link.wake()
+        return connection.link.leave_idle()
 
     def _drop_idle(self, connection: _PooledConnection) -> None:
         if connection in self._idle.get(connection.node, ()):
-            self._take(connection)
+            self._remove_idle(connection)
             self._discard(connection)
 
     def _discard(self, connection: _PooledConnection) -> None:
         connection.link.close()
-        self._count -= 1
+        self._open_count -= 1
 
     def _expire(self, attempt: _Attempt) -> None:
         ran = _given_up(attempt)
-        self._end(attempt, Ended(Outcome.TIMEOUT if ran else Outcome.NO_CONNECTION, ran))
+        self._complete(attempt, Ended(Outcome.TIMEOUT if ran else Outcome.NO_CONNECTION, ran))
 
-    def _end(self, attempt: _Attempt, ended: Ended) -> None:
+    def _complete(self, attempt: _Attempt, ended: Ended) -> None:
         """The one report of an attempt; a connection it still holds is closed, which gives it up."""
         if self._attempts.pop((attempt.rid, attempt.number), None) is None:
             return
--- a/sabledyke/net/console.py
+++ b/sabledyke/net/console.py
@@ -13,21 +13,23 @@
 
 from sabledyke import log
 from sabledyke.net import streams
-from sabledyke.net.frontend import accepted
+from sabledyke.net.frontend import stream_of
 from sabledyke.protocol.console import MAX_CALL, Call, answer, route
 from sabledyke.protocol.http import HttpError, Message, Parser
 
-MOST = 32  # connections of the console at a time; at the bound the oldest makes room
-PATIENCE = 2.0  # seconds for a call to come in whole and its answer to be taken
+MAX_CONNECTIONS = 32  # connections of the console at a time; at the bound the oldest makes room
+CALL_TIMEOUT_S = 2.0  # seconds for a call to come in whole and its answer to be taken
 
 
 class Console:
     """All connections to the console."""
 
     def __init__(self, calls: Callable[[Call], tuple[int, bytes]]) -> None:
-        self._calls = calls
-        self._open: OrderedDict[asyncio.Task[None], streams.IOStream] = OrderedDict()  # the oldest first
-        self.told = 0  # log lines said about the bound: one, until it is no longer reached
+        self._handle_call = calls
+        self._connections: OrderedDict[asyncio.Task[None], streams.IOStream] = (
+            OrderedDict()
+        )  # the oldest first
+        self.eviction_count = 0  # log lines said about the bound: one, until it is no longer reached
 
     def accept(self, sock: socket.socket, _address: object = None) -> None:
         """Serve a call; the oldest connection makes room where there are too many.
@@ -35,23 +37,25 @@
         Guards against callers that connect and say nothing: they hold a place for 2 s at most, and a new
         caller never waits for them.
         """
-        if len(self._open) >= MOST:
-            if not self.told:
-                log.say("console", f"{MOST} console connections: the oldest is closed for each new one")
-            self.told += 1
-            task, stream = self._open.popitem(last=False)
+        if len(self._connections) >= MAX_CONNECTIONS:
+            if not self.eviction_count:
+                log.say(
+                    "console", f"{MAX_CONNECTIONS} console connections: the oldest is closed for each new one"
+                )
+            self.eviction_count += 1
+            task, stream = self._connections.popitem(last=False)
             stream.close()
             task.cancel()
-        elif len(self._open) < MOST // 2:
-            self.told = 0
-        stream = accepted(sock)
+        elif len(self._connections) < MAX_CONNECTIONS // 2:
+            self.eviction_count = 0
+        stream = stream_of(sock)
         task = asyncio.get_running_loop().create_task(self._serve(stream))
-        self._open[task] = stream
-        task.add_done_callback(lambda t: self._open.pop(t, None))
+        self._connections[task] = stream
+        task.add_done_callback(lambda t: self._connections.pop(t, None))
 
     async def _serve(self, stream: streams.IOStream) -> None:
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 await stream.write(await self._answer(stream))
         except (TimeoutError, streams.StreamClosedError):
             pass
@@ -65,12 +69,12 @@
         except HttpError as fault:
             log.say("console", f"a call was turned down: {fault}")
             return answer(fault.status)
-        status, body = self._calls(call)
+        status, body = self._handle_call(call)
         return answer(status, body, head=message.method == "HEAD")
 
     def close(self) -> None:
         """End all connections."""
-        for task, stream in list(self._open.items()):
+        for task, stream in list(self._connections.items()):
             stream.close()
             task.cancel()
 
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -16,11 +16,11 @@
 from sabledyke.protocol.watch_timeout import ASKED, PUSHED, Silence, Terms
 
 # How a call may end that brings no list; all else is a fault of this program's.
-EXPECTED = (streams.StreamClosedError, HttpError, ListError, OSError, TimeoutError)
-SPIN = 0.05  # seconds that a call takes at least where it brings nothing new
+EXPECTED_ERRORS = (streams.StreamClosedError, HttpError, ListError, OSError, TimeoutError)
+MIN_CALL_S = 0.05  # seconds that a call takes at least where it brings nothing new
 
 
-class Watch:
+class EndpointWatch:
     """Discovery as the core asks it."""
 
     def __init__(
@@ -34,10 +34,10 @@
         self._address, self._settings, self._report = address, settings, report
         self._versions = Versions(since)
         self._task: asyncio.Task[None] | None = None
-        self._single: set[asyncio.Task[None]] = set()
+        self._fetches: set[asyncio.Task[None]] = set()
         self._wanted = False
-        self._silence = Silence(seed)
-        self._resume: asyncio.TimerHandle | None = None
+        self._backoff = Silence(seed)
+        self._resume_timer: asyncio.TimerHandle | None = None
 
     @property
     def pushed(self) -> bool:
@@ -45,7 +45,7 @@
         return not self._settings.asks_list
 
     @property
-    def _terms(self) -> Terms:
+    def _timeouts(self) -> Terms:
         return PUSHED if self.pushed else ASKED
 
     def start(self) -> None:
@@ -55,9 +55,9 @@
 
     def stop(self) -> None:
         """Watch no more, also where lists are pushed: the program ends."""
-        if self._resume is not None:
-            self._resume.cancel()
-            self._resume = None
+        if self._resume_timer is not None:
+            self._resume_timer.cancel()
+            self._resume_timer = None
         self.watch(False)
 
     def adopt(self, address: tuple[str, int], settings: api.Settings) -> None:
@@ -70,15 +70,15 @@
         if address != self._address:
             self._address = address
             self._versions.renew()
-            self._stop_asking()  # what a call to the old address still brings is not told
+            self._cancel_calls()  # what a call to the old address still brings is not told
             self.watch(True)
         elif self._wanted:
             self.watch(True)  # where calls failed: the pause until the next one may be of the old settings
         self.start()
 
-    def _stop_asking(self) -> None:
+    def _cancel_calls(self) -> None:
         self.watch(False)
-        for task in self._single:
+        for task in self._fetches:
             task.cancel()
 
     def watch(self, on: bool) -> None:
@@ -93,20 +93,20 @@
     def fetch(self) -> None:
         """See ``core.Lists``."""
         task = asyncio.get_running_loop().create_task(self._fetch())
-        self._single.add(task)
-        task.add_done_callback(self._single.discard)
+        self._fetches.add(task)
+        task.add_done_callback(self._fetches.discard)
 
     async def _fetch(self) -> None:
         try:
             stream = await streams.connect(self._address, self._settings.connect_timeout * 4)
             try:
-                self._told(await self._call(stream, None))
+                self._on_response(await self._call(stream, None))
             finally:
                 streams.abort(stream)
-        except EXPECTED as fault:
-            self._failed(fault)
+        except EXPECTED_ERRORS as fault:
+            self._report_failure(fault)
         except Exception as fault:
-            self._failed(fault)
+            self._report_failure(fault)
             _unexpected(fault)
 
     async def _watch(self) -> None:
@@ -114,61 +114,61 @@
         stream: streams.IOStream | None = None
         try:
             while True:
-                if stream is None or not streams.quiet(stream):
+                if stream is None or not streams.is_silent(stream):
                     stream = await streams.connect(self._address, self._settings.connect_timeout * 4)
                 asked = asyncio.get_running_loop().time()
                 try:
                     answer = await self._call(stream, self._versions.since)
                 except TimeoutError:  # broken, though nothing says so: what it may miss is asked for anew
                     streams.abort(stream)
-                    pause = self._silence.fell_silent(self._terms)
+                    pause = self._backoff.fell_silent(self._timeouts)
                     log.say("discovery", f"a call fell silent: the next in {pause:.2f} s")
                     await asyncio.sleep(pause)
                     continue
-                self._silence.answered()
-                new = self._told(answer)
+                self._backoff.answered()
+                new = self._on_response(answer)
                 if not answer.keep_alive:
                     streams.abort(stream)
-                if not new and asyncio.get_running_loop().time() - asked < SPIN:
+                if not new and asyncio.get_running_loop().time() - asked < MIN_CALL_S:
                     # Guards against spinning where the same is told again at once, ever anew.
-                    await asyncio.sleep(SPIN)
-        except EXPECTED as fault:
-            self._broke(fault)
+                    await asyncio.sleep(MIN_CALL_S)
+        except EXPECTED_ERRORS as fault:
+            self._on_watch_failure(fault)
         except Exception as fault:  # guards against a fault of ours ending the watch for good
-            self._broke(fault)
+            self._on_watch_failure(fault)
             _unexpected(fault)
         finally:
             if stream is not None:
                 streams.abort(stream)
 
-    def _broke(self, fault: Exception) -> None:
+    def _on_watch_failure(self, fault: Exception) -> None:
         """The watch ended: where lists are asked for the module takes it up, else it is taken up here."""
         self._task = None
-        self._failed(fault)
-        if self.pushed and self._wanted and self._resume is None:
+        self._report_failure(fault)
+        if self.pushed and self._wanted and self._resume_timer is None:
             # Guards against missing what the agent holds: it counts as told whether asked for or not.
-            pause = self._silence.broke(self._terms)
-            self._resume = asyncio.get_running_loop().call_later(pause, self._take_up)
+            pause = self._backoff.broke(self._timeouts)
+            self._resume_timer = asyncio.get_running_loop().call_later(pause, self._resume_watch)
 
-    def _take_up(self) -> None:
-        self._resume = None
+    def _resume_watch(self) -> None:
+        self._resume_timer = None
         if self._wanted:
             self.watch(True)
 
     async def _call(self, stream: streams.IOStream, since: int | None) -> Message:
         host = f"{self._address[0]}:{self._address[1]}"
         parser = Parser(responses=True)
-        terms = self._terms
+        terms = self._timeouts
         async with asyncio.timeout(terms.wait + terms.spare):
             call = target(since, int(terms.wait * 1000))
             await stream.write(encode_request("GET", call, [("Host", host)], b""))
             while (answer := parser.next()) is None:
-                parser.feed(await stream.read_bytes(streams.READ, partial=True))
+                parser.feed(await stream.read_bytes(streams.READ_SIZE_BYTES, partial=True))
         if answer.status != 200:
             raise HttpError(f"status {answer.status}")
         return answer
 
-    def _told(self, answer: Message) -> bool:
+    def _on_response(self, answer: Message) -> bool:
         """Pass on what is new, and say whether anything was; a ListError for what is set aside."""
         listing = parse(answer.body, self._settings)
         if listing.fault:
@@ -185,7 +185,7 @@
             log.say("discovery", f"version {listing.news.version} came again, nothing of it is new")
         return verdict is Verdict.TAKEN
 
-    def _failed(self, fault: Exception) -> None:
+    def _report_failure(self, fault: Exception) -> None:
         reason = getattr(fault, "real_error", None) or fault  # what closed the stream says more
         log.say("discovery", f"a call failed: {str(reason) or type(reason).__name__}")
         self._report(None)
--- a/sabledyke/net/frontend.py
+++ b/sabledyke/net/frontend.py
@@ -12,29 +12,36 @@
 from sabledyke import log
 from sabledyke.core import Answer, Work
 from sabledyke.net import streams
-from sabledyke.shutdown.graceful_shutdown import Departure, Phase
+from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
 
 Submit = Callable[[Work, Callable[[Answer], None]], int]
 Guard = Callable[[streams.IOStream], Awaitable[streams.Stream | None]]  # see ``parts.Guard``
-SWEEP = 0.25  # seconds between looks at who keeps a connection without asking
-ASKING = 2.25  # seconds for the first request after connecting, and for each that has begun
-IDLE, CROWDED = 10.0, 2.0  # seconds that a connection may rest between requests, and while it is crowded
-ROOMY = 0.5  # part of the connections that clients may hold for requests up to which it is not crowded
-TRIES = 4  # connections that are looked at where room must be made
-GATE = 64  # handshakes of clients that may be unfinished at a time
-YOUNG = 0.05  # seconds in which a new connection is spared where room must be made
-FIRST_WORDS = 0.3  # seconds in which a new connection is spared by an end or a drain: its request may come
-
-
-class Client(ABC):
+SWEEP_INTERVAL_S = 0.25  # seconds between looks at who keeps a connection without asking
+REQUEST_TIMEOUT_S = 2.25  # seconds for the first request after connecting, and for each that has begun
+IDLE_TIMEOUT_S = 10.0  # a connection may rest so long between requests
+CROWDED_IDLE_TIMEOUT_S = 2.0  # the same, while the front end is crowded
+CROWDED_SHARE = (
+    0.5  # part of the connections that clients may hold for requests up to which it is not crowded
+)
+MAX_EVICTION_CHECKS = 4  # connections that are looked at where room must be made
+MAX_PENDING_HANDSHAKES = 64  # handshakes of clients that may be unfinished at a time
+EVICTION_GRACE_S = 0.05  # seconds in which a new connection is spared where room must be made
+FIRST_REQUEST_GRACE_S = (
+    0.3  # seconds in which a new connection is spared by an end or a drain: its request may come
+)
+
+
+class ClientConnection(ABC):
     """One connection of a client."""
 
     def __init__(self, stream: streams.Stream) -> None:
         self.stream = stream
-        self._reading: asyncio.Future[bytes] | None = None  # what ``serve`` waits for
-        self.fresh = True  # no read or write was asked yet: it is silent, or looks at health alone
-        self.since = asyncio.get_running_loop().time()  # it connected, began to ask, or took its last answer
-        self.ended: Callable[[], None] = lambda: None  # what its front does when it ends
+        self._pending_read: asyncio.Future[bytes] | None = None  # what ``serve`` waits for
+        self.never_requested = True  # no read or write was asked yet: it is silent, or looks at health alone
+        self.last_activity_s = (
+            asyncio.get_running_loop().time()
+        )  # it connected, began to ask, or took its last answer
+        self.on_closed: Callable[[], None] = lambda: None  # what its front does when it ends
 
     @property
     @abstractmethod
@@ -43,86 +50,92 @@
 
     @property
     @abstractmethod
-    def owed(self) -> bool:
+    def busy(self) -> bool:
         """Something is taken and not answered to its last byte."""
 
     async def receive(self) -> bytes:
         """What comes next; a StreamClosedError at the end."""
-        self._reading = asyncio.ensure_future(self.stream.read_bytes(streams.READ, partial=True))
+        self._pending_read = asyncio.ensure_future(
+            self.stream.read_bytes(streams.READ_SIZE_BYTES, partial=True)
+        )
         try:
-            return await self._reading
+            return await self._pending_read
         finally:
-            self._reading = None
+            self._pending_read = None
 
     @property
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Something has come, or its end has, that ``serve`` has not looked at yet.
 
         Guards against a close over a request that was read: the stream takes bytes out of the kernel one turn
         of the loop before ``serve`` goes on, and a look at the kernel alone would find nothing in between.
         """
-        return self.taken or not streams.quiet(self.stream)
+        return self.has_unprocessed or not streams.is_silent(self.stream)
 
     @property
-    def taken(self) -> bool:
+    def has_unprocessed(self) -> bool:
         """The stream has read something that ``serve`` has not looked at yet."""
-        return self._reading is not None and self._reading.done()
+        return self._pending_read is not None and self._pending_read.done()
 
     @property
-    def resting(self) -> bool:
+    def closable(self) -> bool:
         """Nothing is asked, and nothing has come that was not looked at: it may be closed."""
-        return self.idle and not self.unread
+        return self.idle and not self.has_unread
 
     @abstractmethod
-    def patience(self, idle: float) -> float:
+    def timeout_s(self, idle: float) -> float:
         """For how many seconds it may stay as it is: ``idle`` between requests, inf without a bound."""
 
-    def give_up(self) -> None:
+    def time_out(self) -> None:
         """Its patience is over: close, and first say so where it has begun to ask."""
         self.close()
 
-    def read_no_more(self) -> None:  # noqa: B027 - a wire may have nothing to do here
+    def stop_reading(self) -> None:  # noqa: B027 - a wire may have nothing to do here
         """The program ends: what comes from now on stays unread, what was read gets its answer."""
 
-    def say_last(self) -> None:  # noqa: B027
+    def reject_partial_request(self) -> None:  # noqa: B027
         """Nothing more is read: refuse what is only half asked."""
 
     @property
     def settled(self) -> bool:
         """All that was read of it is answered, to the last byte."""
-        return not self.owed and not self.taken
+        return not self.busy and not self.has_unprocessed
 
     @abstractmethod
     async def serve(self) -> None:
         """Read until the client has had enough."""
 
     @abstractmethod
-    def departed(self) -> None:
+    def on_client_gone(self) -> None:
         """The connection is gone: what it asked is not owed any more."""
 
     def close(self) -> None:
         """End the connection."""
         streams.abort(self.stream)
-        self.ended()
-        self.departed()
+        self.on_closed()
+        self.on_client_gone()
 
 
-class Front:
+class Frontend:
     """All connections of clients that speak one protocol."""
 
     def __init__(
-        self, name: str, most: int, make: Callable[[Front, streams.Stream], Client], room: streams.Room
+        self,
+        name: str,
+        most: int,
+        make: Callable[[Frontend, streams.Stream], ClientConnection],
+        room: streams.ResponseMemory,
     ) -> None:
-        self.name, self.most, self._make, self.room = name, most, make, room
+        self.name, self.max_clients, self._make_connection, self.response_memory = name, most, make, room
         self.guard: Guard | None = None  # what connections must pass before they count as clients
-        self._at_the_gate: set[asyncio.Task[None]] = set()  # those that are passing it
-        self.roomy = inf  # connections up to which it is not crowded
-        self.reading = inf  # seconds for a client to take in an answer
-        self.departure: Departure | None = None  # the program ends: when, and which answers say so
+        self._pending_handshakes: set[asyncio.Task[None]] = set()  # those that are passing it
+        self.crowded_above = inf  # connections up to which it is not crowded
+        self.write_timeout_s = inf  # seconds for a client to take in an answer
+        self.shutdown: GracefulShutdown | None = None  # the program ends: when, and which answers say so
         self.closing = False  # nobody new is let in any more
         self.quiesced = False  # operators drain it: health says no, and connections end with their answers
-        self.clients: OrderedDict[Client, None] = OrderedDict()  # the one used last is last
-        self._sweeping: asyncio.TimerHandle | None = None
+        self.clients: OrderedDict[ClientConnection, None] = OrderedDict()  # the one used last is last
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     def accept(self, sock: socket.socket, _address: object = None) -> None:
         """Serve a connection; the one idle for longest makes room where there are too many.
@@ -130,21 +143,21 @@
         Guards against clients that together hold more descriptors than the machine gives.
         """
         if self.guard is not None:
-            return self._pass(sock, self.guard)
-        if not self._room_for_one():
+            return self._run_guard(sock, self.guard)
+        if not self._ensure_capacity():
             return sock.close()
-        self._let_in(accepted(sock))
+        self._admit(stream_of(sock))
 
-    def _pass(self, sock: socket.socket, guard: Guard) -> None:
+    def _run_guard(self, sock: socket.socket, guard: Guard) -> None:
         """Let a connection pass the guard; a client only afterwards, so that who is in stays in meanwhile.
 
         Guards against a crowd of handshakes that never end, or that cost clients their places.
         """
-        if self.closing or len(self._at_the_gate) >= GATE:
-            log.say("front", f"{len(self._at_the_gate)} {self.name} handshakes: a new one is closed")
+        if self.closing or len(self._pending_handshakes) >= MAX_PENDING_HANDSHAKES:
+            log.say("front", f"{len(self._pending_handshakes)} {self.name} handshakes: a new one is closed")
             sock.close()
             return
-        stream = accepted(sock)
+        stream = stream_of(sock)
 
         async def go() -> None:
             try:
@@ -152,64 +165,70 @@
             except BaseException:
                 stream.close()
                 raise
-            if passed is None or self.closing or not self._room_for_one():
+            if passed is None or self.closing or not self._ensure_capacity():
                 stream.close()
             else:
-                self._let_in(passed)
+                self._admit(passed)
 
         task = asyncio.get_running_loop().create_task(go())
-        self._at_the_gate.add(task)
-        task.add_done_callback(self._at_the_gate.discard)
+        self._pending_handshakes.add(task)
+        task.add_done_callback(self._pending_handshakes.discard)
 
-    def _let_in(self, stream: streams.Stream) -> None:
-        client = self._make(self, stream)
-        client.ended = lambda: self._forget(client)
+    def _admit(self, stream: streams.Stream) -> None:
+        client = self._make_connection(self, stream)
+        client.on_closed = lambda: self._remove(client)
         self.clients[client] = None
-        if self._sweeping is None:
-            self._sweeping = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
+        if self._sweep_timer is None:
+            self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._close_overdue)
         asyncio.get_running_loop().create_task(client.serve())
 
-    def _room_for_one(self) -> bool:
+    def _ensure_capacity(self) -> bool:
         """Whether one more may come in, once an idle one has made room where there are too many."""
-        if len(self.clients) < self.most:
+        if len(self.clients) < self.max_clients:
             return True
-        spare = self._spare()
+        spare = self._find_evictable()
         which = "an idle one" if spare else "a new one"
         log.say("front", f"{len(self.clients)} {self.name} clients: {which} is closed")
         if spare is not None:
             spare.close()
         return spare is not None
 
-    def _spare(self) -> Client | None:
+    def _find_evictable(self) -> ClientConnection | None:
         """The connection that can best be done without.
 
         Guards against a crowd that connects and says nothing, or looks at health alone, driving out those
         that do ask: even what they keep open between requests goes after the crowd.
         """
-        before = asyncio.get_running_loop().time() - YOUNG
-        crowd = [c for c in self.clients if c.idle and c.fresh]
-        crowd.sort(key=lambda c: c.since)
-        old = [c for c in crowd if c.since < before]
-        for some in (old, [c for c in self.clients if c.idle and not c.fresh], crowd):
-            for client in some[:TRIES]:  # each look asks the system: few, or a crowd would cost all the time
-                if client.resting:
+        before = asyncio.get_running_loop().time() - EVICTION_GRACE_S
+        crowd = [c for c in self.clients if c.idle and c.never_requested]
+        crowd.sort(key=lambda c: c.last_activity_s)
+        old = [c for c in crowd if c.last_activity_s < before]
+        for some in (old, [c for c in self.clients if c.idle and not c.never_requested], crowd):
+            for client in some[
+                :MAX_EVICTION_CHECKS
+            ]:  # each look asks the system: few, or a crowd would cost all the time
+                if client.closable:
                     return client
-        half_asked = (c for c in self.clients if not c.owed and not c.idle and not c.unread)
+        half_asked = (c for c in self.clients if not c.busy and not c.idle and not c.has_unread)
         return next(half_asked, None)  # for longest
 
-    def _sweep(self) -> None:
+    def _close_overdue(self) -> None:
         """Give up who rests for too long, and who begins and does not go on.
 
         Guards against clients that hold places and descriptors for good: the silent, those that stop
         halfway in a request, those that never read, and those that ask once and stay.
         """
         now = asyncio.get_running_loop().time()
-        idle = CROWDED if self.crowded else IDLE
+        idle_timeout_s = CROWDED_IDLE_TIMEOUT_S if self.crowded else IDLE_TIMEOUT_S
         for client in list(self.clients):
-            overdue = now - client.since > client.patience(idle)
-            if overdue and (client.owed or not client.unread):  # unread bytes come first
-                client.give_up()
-        self._sweeping = asyncio.get_running_loop().call_later(SWEEP, self._sweep) if self.clients else None
+            overdue = now - client.last_activity_s > client.timeout_s(idle_timeout_s)
+            if overdue and (client.busy or not client.has_unread):  # unread bytes come first
+                client.time_out()
+        self._sweep_timer = (
+            asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._close_overdue)
+            if self.clients
+            else None
+        )
 
     @property
     def crowded(self) -> bool:
@@ -218,26 +237,26 @@
         Guards against clients that have no connection left for a request: those who ask once and stay would
         hold all that they may have. Nobody is sent away to a listener that closes.
         """
-        return self.departure is None and len(self.clients) > self.roomy
+        return self.shutdown is None and len(self.clients) > self.crowded_above
 
     @property
-    def leaving(self) -> bool:
+    def shutting_down(self) -> bool:
         """The program was told to end."""
-        return self.departure is not None
+        return self.shutdown is not None
 
     @property
-    def parting(self) -> bool:
+    def ends_connections(self) -> bool:
         """Whether an answer given now ends its connection, because of a drain or the end."""
         now = asyncio.get_running_loop().time()
-        return self.quiesced or self.departure is not None and self.departure.ends(now)
+        return self.quiesced or self.shutdown is not None and self.shutdown.ends_connection(now)
 
     @property
-    def over(self) -> bool:
+    def rejects_requests(self) -> bool:
         """The end is so near that nothing is taken any more."""
         now = asyncio.get_running_loop().time()
-        return self.departure is not None and self.departure.phase(now) >= Phase.LAST
+        return self.shutdown is not None and self.shutdown.phase(now) >= ShutdownPhase.FINAL_ANSWERS
 
-    def touch(self, client: Client) -> None:
+    def mark_used(self, client: ClientConnection) -> None:
         """Note that a connection was used."""
         if client in self.clients:
             self.clients.move_to_end(client)
@@ -249,24 +268,24 @@
         Guards against turning back unheard a request whose connection was just accepted: a client writes
         only once it is connected, so a new connection is spared for a moment.
         """
-        young = now - FIRST_WORDS
+        young = now - FIRST_REQUEST_GRACE_S
         for client in list(self.clients):
-            if not client.idle or client.fresh and client.since > young:
+            if not client.idle or client.never_requested and client.last_activity_s > young:
                 continue
-            if self.departure is not None and not self.departure.sheds(now, step):
+            if self.shutdown is not None and not self.shutdown.closes_idle(now, step):
                 continue
-            if client.resting:
+            if client.closable:
                 client.close()
 
-    def read_no_more(self) -> None:
+    def stop_reading(self) -> None:
         """The program ends: read nothing more."""
         for client in list(self.clients):
-            client.read_no_more()
+            client.stop_reading()
 
-    def say_last(self) -> None:
+    def reject_partial_requests(self) -> None:
         """Nothing more is read: refuse who has asked only half."""
         for client in list(self.clients):
-            client.say_last()
+            client.reject_partial_request()
 
     @property
     def settled(self) -> bool:
@@ -275,16 +294,16 @@
 
     def close(self) -> None:
         """Close all connections."""
-        for task in self._at_the_gate:
+        for task in self._pending_handshakes:
             task.cancel()
         for client in list(self.clients):
             client.close()
 
-    def _forget(self, client: Client) -> None:
+    def _remove(self, client: ClientConnection) -> None:
         self.clients.pop(client, None)
 
 
-def accepted(sock: socket.socket) -> streams.IOStream:
+def stream_of(sock: socket.socket) -> streams.IOStream:
     """The stream of a connection that a listener accepted."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return streams.IOStream(sock, read_chunk_size=streams.READ)
+    return streams.IOStream(sock, read_chunk_size=streams.READ_SIZE_BYTES)
--- a/sabledyke/net/listener.py
+++ b/sabledyke/net/listener.py
@@ -10,10 +10,10 @@
 from sabledyke import log
 
 BACKLOG = 512  # connections that may wait to be accepted
-BATCH = 16  # connections that are accepted before those that are there have their turn
+ACCEPT_BATCH = 16  # connections that are accepted before those that are there have their turn
 # The connection that was to be accepted has failed, or the call was interrupted: the next one may be well.
 # Linux hands on errors of the network that wait on the new connection (accept(2), "Error handling").
-NEXT_ONE = {
+TRANSIENT_ACCEPT_ERRNOS = {
     errno.ECONNABORTED,
     errno.EINTR,
     errno.EPERM,
@@ -28,8 +28,8 @@
     errno.ETIMEDOUT,
     errno.ECONNRESET,
 }
-ACCEPT_AGAIN = 0.05  # seconds until the next try, where the system has no descriptor or memory for one more
-LAST_TRIES = 40  # such tries of a listener that closes
+ACCEPT_RETRY_S = 0.05  # seconds until the next try, where the system has no descriptor or memory for one more
+MAX_CLOSE_RETRIES = 40  # such tries of a listener that closes
 
 
 class Listener:
@@ -46,27 +46,27 @@
         self._socket.bind(address)
         self._socket.listen(BACKLOG)
         self._accept = accept
-        self._again: asyncio.TimerHandle | None = None
+        self._retry_timer: asyncio.TimerHandle | None = None
         self.closed = False
-        asyncio.get_running_loop().add_reader(self._socket.fileno(), self._ready)
+        asyncio.get_running_loop().add_reader(self._socket.fileno(), self._on_readable)
 
     @property
     def port(self) -> int:
         """Where it listens, also where any port was asked for."""
         return int(self._socket.getsockname()[1])
 
-    def _ready(self) -> None:
+    def _on_readable(self) -> None:
         """Connections wait to be accepted."""
-        if not self._take_in(BATCH):
+        if not self._accept_batch(ACCEPT_BATCH):
             # Guards against a loop that spins on a queue from which nothing can be taken.
             asyncio.get_running_loop().remove_reader(self._socket.fileno())
-            self._again = asyncio.get_running_loop().call_later(ACCEPT_AGAIN, self._resume)
+            self._retry_timer = asyncio.get_running_loop().call_later(ACCEPT_RETRY_S, self._resume)
 
     def _resume(self) -> None:
-        asyncio.get_running_loop().add_reader(self._socket.fileno(), self._ready)
-        self._ready()
+        asyncio.get_running_loop().add_reader(self._socket.fileno(), self._on_readable)
+        self._on_readable()
 
-    def _take_in(self, most: int) -> bool:
+    def _accept_batch(self, most: int) -> bool:
         """Accept what has come up; False where the system cannot accept anything just now.
 
         Guards against a crowd that comes again as soon as it is turned away: without a bound, accepting it
@@ -79,7 +79,7 @@
                 return True
             except OSError as fault:
                 log.say("front", f"a connection was not accepted: {fault}")
-                if fault.errno in NEXT_ONE:
+                if fault.errno in TRANSIENT_ACCEPT_ERRNOS:
                     continue
                 return False
             try:
@@ -96,20 +96,22 @@
         Guards against requests lost in the backlog: the machine accepted them, so they count as taken. Where
         the system has no descriptor left it is tried again, for two seconds at the most.
         """
-        if self._again is not None:
-            self._again.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         asyncio.get_running_loop().remove_reader(self._socket.fileno())
-        self._empty(LAST_TRIES)
+        self._drain_backlog(MAX_CLOSE_RETRIES)
 
-    def _empty(self, tries: int) -> None:
-        if self._take_in(2 * BACKLOG) or not tries:
-            self.give_up()
+    def _drain_backlog(self, tries: int) -> None:
+        if self._accept_batch(2 * BACKLOG) or not tries:
+            self.close_now()
         else:
-            self._again = asyncio.get_running_loop().call_later(ACCEPT_AGAIN, self._empty, tries - 1)
+            self._retry_timer = asyncio.get_running_loop().call_later(
+                ACCEPT_RETRY_S, self._drain_backlog, tries - 1
+            )
 
-    def give_up(self) -> None:
+    def close_now(self) -> None:
         """Listen no more, whatever still waits to be accepted."""
-        if self._again is not None:
-            self._again.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         self._socket.close()
         self.closed = True
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -7,8 +7,8 @@
 
 from sabledyke.application.extensions import Host, Part
 from sabledyke.net.connection_pool import Dial
-from sabledyke.net.frontend import Front
-from sabledyke.net.nvme_frontend import NvmeClient
+from sabledyke.net.frontend import Frontend
+from sabledyke.net.nvme_frontend import NvmeClientConnection
 from sabledyke.net.nvme_link import NvmeDialer
 from sabledyke.policy import interface as api
 from sabledyke.protocol.blocks import Translator
@@ -18,7 +18,7 @@
     from sabledyke.operator_config import Operator
 
 
-class NvmePart(Part):
+class NvmeExtension(Part):
     """See ``parts.Part``."""
 
     def __init__(self, host: Host, section: Operator) -> None:
@@ -28,10 +28,10 @@
         self.dialer = NvmeDialer(
             settings, translator, self._boxes, section.host_nqn, host.connect, host.slack
         )
-        self._front = Front(
+        self._front = Frontend(
             "NVMe",
             section.connections,
-            lambda front, stream: NvmeClient(front, stream, translator, host.submit, host.depart),
+            lambda front, stream: NvmeClientConnection(front, stream, translator, host.submit, host.depart),
             host.room,
         )
 
@@ -39,7 +39,7 @@
         """See ``parts.Part``."""
         return dict.fromkeys(self._boxes, self.dialer.dial)
 
-    def fronts(self) -> Sequence[tuple[Front, tuple[str, int]]]:
+    def fronts(self) -> Sequence[tuple[Frontend, tuple[str, int]]]:
         """See ``parts.Part``."""
         return [(self._front, self._section.listen)] if self._section.listen else []
 
@@ -59,4 +59,4 @@
 
 def set_up(host: Host, section: Operator) -> Part | None:
     """The part, where the operator's file asks for it."""
-    return NvmePart(host, section) if section.listen or section.boxes else None
+    return NvmeExtension(host, section) if section.listen or section.boxes else None
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -9,7 +9,7 @@
 from sabledyke import log
 from sabledyke.core import Ended, Work
 from sabledyke.net import streams
-from sabledyke.net.connection_pool import Address, BadPeer, Connect, plain
+from sabledyke.net.connection_pool import Address, Connect, PeerProtocolError, connect_plain
 from sabledyke.policy import interface as api
 from sabledyke.policy.interface import Outcome
 from sabledyke.protocol.blocks import NotHere, Translator
@@ -28,18 +28,18 @@
     property_set,
 )
 
-KEEP_ALIVE = 15000  # ms without a command after which a box may end the association
-ENABLE = 1 | 6 << 16 | 4 << 20  # CC: enabled, entries of 64 and 16 bytes
+KEEP_ALIVE_MS = 15000  # ms without a command after which a box may end the association
+CONTROLLER_ENABLE = 1 | 6 << 16 | 4 << 20  # CC: enabled, entries of 64 and 16 bytes
 
 
 class _Channel:
     """One queue's connection."""
 
     def __init__(self, stream: streams.Stream) -> None:
-        self.stream, self.inbox, self.machine = stream, streams.Inbox(stream), Initiator()
+        self.stream, self.read_ahead, self.machine = stream, streams.ReadAhead(stream), Initiator()
         self.written: asyncio.Future[None] | None = None
 
-    async def run(
+    async def execute(
         self, command: Command, payload: bytes = b"", *, inside: bool = False
     ) -> tuple[Completion, bytes]:
         """One command; a StreamClosedError or BadPeer where it breaks."""
@@ -51,18 +51,18 @@
                     data, self.machine.output = bytes(self.machine.output), bytearray()
                     written = asyncio.ensure_future(self.stream.write(data))
                     self.written = self.written or written
-                for done in self.machine.feed(await self.inbox.read()):
+                for done in self.machine.feed(await self.read_ahead.read()):
                     return done
         except NvmeError as fault:
             streams.abort(self.stream)
-            raise BadPeer(str(fault)) from None
+            raise PeerProtocolError(str(fault)) from None
 
-    async def must(self, command: Command, payload: bytes = b"") -> int:
+    async def execute_or_fail(self, command: Command, payload: bytes = b"") -> int:
         """One command of the set-up: its result, or a BadPeer."""
-        done, _ = await self.run(command, payload, inside=bool(payload))
+        done, _ = await self.execute(command, payload, inside=bool(payload))
         if done.status != Status.OK:
             streams.abort(self.stream)
-            raise BadPeer(f"status {done.status:#x} to command {command.opcode:#x}")
+            raise PeerProtocolError(f"status {done.status:#x} to command {command.opcode:#x}")
         return done.result
 
 
@@ -70,7 +70,7 @@
     """See ``pool.Link``: an I/O queue."""
 
     def __init__(self, channel: _Channel, translator: Translator) -> None:
-        super().__init__(channel.stream, channel.inbox)
+        super().__init__(channel.stream, channel.read_ahead)
         self._channel, self._translator = channel, translator
         self.reusable = True
         self._work: Work | None = None
@@ -97,86 +97,91 @@
             log.say("box", str(fault))
             self.reusable = True
             return Ended(Outcome.ERROR, False)
-        done, data = await self._channel.run(command, payload)
+        done, data = await self._channel.execute(command, payload)
         self.reusable = not self._channel.machine.surplus
         return self._translator.from_box(work, done, data)
 
 
-Open = Callable[[Address, float], Awaitable[streams.Stream]]  # within so many milliseconds
+OpenStream = Callable[[Address, float], Awaitable[streams.Stream]]  # within so many milliseconds
 
 
 class _Association:
     """The admin queue of a box, and the numbers of its I/O queues."""
 
-    def __init__(self, address: Address, nqn: str, host: tuple[bytes, str], connect: Open) -> None:
+    def __init__(self, address: Address, nqn: str, host: tuple[bytes, str], connect: OpenStream) -> None:
         self.address, self._nqn, self._host, self._connect = address, nqn, host, connect
         self._admin: _Channel | None = None
         self._cntlid = 0
-        self._most = 0
-        self._last = 0
+        self._max_queues = 0
+        self._last_queue = 0
         self._queues: dict[int, streams.Stream] = {}
         self._lock = asyncio.Lock()
-        self._keeping: asyncio.Task[None] | None = None
-        self.left = False  # the box is gone from the list
+        self._keep_alive_task: asyncio.Task[None] | None = None
+        self.node_removed = False  # the box is gone from the list
 
     async def queue(self, timeout: float) -> _Channel:
         """A new I/O queue."""
         async with self._lock:
             if self._admin is None or self._admin.stream.closed():
                 await self._associate(timeout)
-            number = self._number()
+            number = self._next_queue_number()
             channel = _Channel(await self._connect(self.address, timeout))
             self._queues[number] = channel.stream
         try:
-            await channel.must(*connect(self._nqn, number, self._cntlid, self._host, 0))
+            await channel.execute_or_fail(*connect(self._nqn, number, self._cntlid, self._host, 0))
         except BaseException:
             streams.abort(channel.stream)
             raise
         return channel
 
-    def _number(self) -> int:
+    def _next_queue_number(self) -> int:
         """The queue number unused for longest: a box may take a while to see that a queue is gone."""
-        for _ in range(self._most):
-            self._last = self._last % self._most + 1
-            if self._last not in self._queues or self._queues[self._last].closed():
-                return self._last
-        raise BadPeer("no queue to spare")
+        for _ in range(self._max_queues):
+            self._last_queue = self._last_queue % self._max_queues + 1
+            if self._last_queue not in self._queues or self._queues[self._last_queue].closed():
+                return self._last_queue
+        raise PeerProtocolError("no queue to spare")
 
     async def _associate(self, timeout: float) -> None:
         admin = _Channel(await self._connect(self.address, timeout))
         try:
-            self._cntlid = await admin.must(*connect(self._nqn, 0, DYNAMIC, self._host, KEEP_ALIVE)) & 0xFFFF
-            await admin.must(property_get(Prop.CAP))
-            await admin.must(property_set(Prop.CC, ENABLE))
-            while not await admin.must(property_get(Prop.CSTS)) & 1:
+            self._cntlid = (
+                await admin.execute_or_fail(*connect(self._nqn, 0, DYNAMIC, self._host, KEEP_ALIVE_MS))
+                & 0xFFFF
+            )
+            await admin.execute_or_fail(property_get(Prop.CAP))
+            await admin.execute_or_fail(property_set(Prop.CC, CONTROLLER_ENABLE))
+            while not await admin.execute_or_fail(property_get(Prop.CSTS)) & 1:
                 await asyncio.sleep(0.01)
             wanted = (MAX_QUEUES - 1) * 0x10001
-            granted = await admin.must(Command(Admin.SET_FEATURES, 0, cdw10=(7, wanted, 0, 0, 0, 0)))
+            granted = await admin.execute_or_fail(
+                Command(Admin.SET_FEATURES, 0, cdw10=(7, wanted, 0, 0, 0, 0))
+            )
         except BaseException:
             streams.abort(admin.stream)
             raise
-        self._most = min(granted & 0xFFFF, granted >> 16, MAX_QUEUES - 1) + 1
+        self._max_queues = min(granted & 0xFFFF, granted >> 16, MAX_QUEUES - 1) + 1
         self._queues, self._admin = {}, admin
-        if self._keeping is not None:
-            self._keeping.cancel()
-        self._keeping = asyncio.get_running_loop().create_task(self._keep(admin))
+        if self._keep_alive_task is not None:
+            self._keep_alive_task.cancel()
+        self._keep_alive_task = asyncio.get_running_loop().create_task(self._send_keep_alives(admin))
 
-    async def _keep(self, admin: _Channel) -> None:
+    async def _send_keep_alives(self, admin: _Channel) -> None:
         """Keep Alive, until the admin queue breaks; what hangs on it breaks with it."""
         try:
             while True:
-                await asyncio.sleep(KEEP_ALIVE / 3000)
-                if self.left and all(stream.closed() for stream in self._queues.values()):
+                await asyncio.sleep(KEEP_ALIVE_MS / 3000)
+                if self.node_removed and all(stream.closed() for stream in self._queues.values()):
                     return streams.abort(admin.stream)
-                async with asyncio.timeout(KEEP_ALIVE / 3000):
-                    await admin.must(Command(Admin.KEEP_ALIVE, 0))
-        except (streams.StreamClosedError, BadPeer, OSError):
+                async with asyncio.timeout(KEEP_ALIVE_MS / 3000):
+                    await admin.execute_or_fail(Command(Admin.KEEP_ALIVE, 0))
+        except (streams.StreamClosedError, PeerProtocolError, OSError):
             streams.abort(admin.stream)
 
     def close(self) -> None:
         """Leave the box."""
-        if self._keeping is not None:
-            self._keeping.cancel()
+        if self._keep_alive_task is not None:
+            self._keep_alive_task.cancel()
         if self._admin is not None:
             streams.abort(self._admin.stream)
 
@@ -190,11 +195,11 @@
         translator: Translator,
         boxes: dict[api.NodeId, str],
         host_nqn: str,
-        connect: Connect = plain,
+        connect: Connect = connect_plain,
         slack: float = 0.0,
     ) -> None:
         self._connect, self._slack = connect, slack  # ms that the way may take beyond a connection
-        self.settings, self._translator, self._boxes = settings, translator, boxes
+        self.settings, self._translator, self._nqn_by_node = settings, translator, boxes
         self._host = uuid.uuid4().bytes, host_nqn
         self._associations: dict[api.NodeId, _Association] = {}
 
@@ -206,7 +211,7 @@
                 known.close()
             known = self._associations[node] = _Association(
                 address,
-                self._boxes[node],
+                self._nqn_by_node[node],
                 self._host,
                 lambda where, ms: self._connect(node, where, self.settings.connect_timeout, ms),
             )
@@ -222,7 +227,7 @@
         """
         association = self._associations.pop(node, None)
         if association is not None:
-            association.left = True
+            association.node_removed = True
 
     def close(self) -> None:
         """Leave all boxes."""
--- a/sabledyke/net/streams.py
+++ b/sabledyke/net/streams.py
@@ -11,8 +11,8 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-READ = 64 * 1024  # bytes asked of a stream at a time
-PEER_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+READ_SIZE_BYTES = 64 * 1024  # bytes asked of a stream at a time
+PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class Stream(Protocol):
@@ -38,7 +38,7 @@
 async def connect(address: tuple[str, int], timeout_ms: float) -> IOStream:
     """An open stream; a StreamClosedError where it does not come up in time."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    stream = IOStream(socket.socket(family, socket.SOCK_STREAM), read_chunk_size=READ)
+    stream = IOStream(socket.socket(family, socket.SOCK_STREAM), read_chunk_size=READ_SIZE_BYTES)
     timer = asyncio.get_running_loop().call_later(timeout_ms / 1000, stream.close)
     try:
         await stream.connect(address)
@@ -51,22 +51,22 @@
     return stream
 
 
-class Room:
+class ResponseMemory:
     """Memory for answers on their way, shared by all connections.
 
     Guards against many large answers at once, or clients that take them in slowly, using up the memory.
     """
 
     def __init__(self, size: int) -> None:
-        self.size, self.used = size, 0
+        self.limit_bytes, self.used_bytes = size, 0
 
     @property
     def full(self) -> bool:
         """No more may be taken in."""
-        return self.used > self.size
+        return self.used_bytes > self.limit_bytes
 
 
-class Inbox:
+class ReadAhead:
     """Reads a stream for a link, also while no answer is awaited.
 
     Guards against an answer that was not asked for, sent while the connection rests: the stream would take
@@ -75,39 +75,39 @@
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
-        self._ahead: asyncio.Future[bytes] | None = None
-        self._heard: Callable[[], None] = lambda: None
+        self._pending_read: asyncio.Future[bytes] | None = None
+        self._on_activity: Callable[[], None] = lambda: None
 
     async def read(self) -> bytes:
         """What comes next."""
-        ahead, self._ahead = self._ahead, None
-        return await (ahead or self._stream.read_bytes(READ, partial=True))
+        ahead, self._pending_read = self._pending_read, None
+        return await (ahead or self._stream.read_bytes(READ_SIZE_BYTES, partial=True))
 
-    def rest(self, heard: Callable[[], None]) -> None:
+    def enter_idle(self, heard: Callable[[], None]) -> None:
         """Nothing is to come from now on; ``heard`` is called if it does, or if the stream ends."""
-        self._heard = heard
+        self._on_activity = heard
         try:
-            self._ahead = asyncio.ensure_future(self._stream.read_bytes(READ, partial=True))
-            self._ahead.add_done_callback(self._came)
+            self._pending_read = asyncio.ensure_future(self._stream.read_bytes(READ_SIZE_BYTES, partial=True))
+            self._pending_read.add_done_callback(self._on_read)
         except StreamClosedError:
             asyncio.get_running_loop().call_soon(heard)
 
-    def _came(self, ahead: asyncio.Future[bytes]) -> None:
+    def _on_read(self, ahead: asyncio.Future[bytes]) -> None:
         if not ahead.cancelled():
             ahead.exception()  # an end while it rests is nobody's fault
-        self._heard()
+        self._on_activity()
 
-    def wake(self) -> bool:
+    def leave_idle(self) -> bool:
         """An answer is to come next; whether the stream is fit for it."""
-        self._heard = lambda: None
-        return self._ahead is not None and not self._ahead.done() and quiet(self._stream)
+        self._on_activity = lambda: None
+        return self._pending_read is not None and not self._pending_read.done() and is_silent(self._stream)
 
 
 class StreamLink:
     """What links that stand on one stream have in common; see ``pool.Link``."""
 
-    def __init__(self, stream: Stream, inbox: Inbox | None = None) -> None:
-        self.stream, self.inbox = stream, inbox or Inbox(stream)
+    def __init__(self, stream: Stream, inbox: ReadAhead | None = None) -> None:
+        self.stream, self.read_ahead = stream, inbox or ReadAhead(stream)
 
     @property
     def closed(self) -> bool:
@@ -118,16 +118,16 @@
         """See ``pool.Link``."""
         abort(self.stream)
 
-    def rest(self, heard: Callable[[], None]) -> None:
+    def enter_idle(self, heard: Callable[[], None]) -> None:
         """See ``pool.Link``."""
-        self.inbox.rest(heard)
+        self.read_ahead.enter_idle(heard)
 
-    def wake(self) -> bool:
+    def leave_idle(self) -> bool:
         """See ``pool.Link``."""
-        return self.inbox.wake()
+        return self.read_ahead.leave_idle()
 
 
-def quiet(stream: Stream) -> bool:
+def is_silent(stream: Stream) -> bool:
     """Open, and the peer has neither said nor ended anything that was not read yet.
 
     Guards against sending on a pooled connection whose end has arrived but was not looked at: what is
@@ -146,7 +146,7 @@
     return False
 
 
-def departed(stream: Stream) -> bool:
+def peer_closed(stream: Stream) -> bool:
     """Whether the peer has closed or reset its side, also behind bytes that were not read yet.
 
     Guards against sending on a request whose client has gone while nobody looked at its connection.
@@ -154,8 +154,8 @@
     if stream.closed() or stream.socket is None:
         return True
     poll = select.poll()
-    poll.register(stream.socket, PEER_CLOSED)
-    return any(events & PEER_CLOSED for _, events in poll.poll(0))
+    poll.register(stream.socket, PEER_CLOSED_EVENTS)
+    return any(events & PEER_CLOSED_EVENTS for _, events in poll.poll(0))
 
 
 def stop_reading(stream: Stream) -> None:
@@ -167,7 +167,7 @@
         stream.io_loop.update_handler(stream.socket, IOLoop.WRITE if stream.writing() else 0)
 
 
-def permits(stream: Stream, volume: int) -> bool:
+def may_access_volume(stream: Stream, volume: int) -> bool:
     """Whether who speaks through it may touch a volume: all may, where nothing says who they are."""
     rights: frozenset[int] | None = getattr(stream, "rights", None)
     return rights is None or volume in rights
@@ -191,18 +191,18 @@
 
 
 __all__ = [
-    "READ",
+    "READ_SIZE_BYTES",
     "IOStream",
-    "Inbox",
-    "Room",
+    "ReadAhead",
+    "ResponseMemory",
     "Stream",
     "StreamClosedError",
     "StreamLink",
     "abort",
     "connect",
-    "departed",
     "half_close",
-    "permits",
-    "quiet",
+    "is_silent",
+    "may_access_volume",
+    "peer_closed",
     "stop_reading",
 ]
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -8,7 +8,7 @@
 from sabledyke import log
 from sabledyke.application.extensions import Done, Host, Part, Submit
 from sabledyke.core import Transport, Work
-from sabledyke.net.connection_pool import Dial, Report
+from sabledyke.net.connection_pool import Dial, ReportAttempt
 from sabledyke.policy import interface as api
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import StoreError, StoreFault
@@ -37,7 +37,7 @@
 
         self.recorder = Recorder(keeper, opener, config.settings, host.entry)
 
-    def reports(self, onward: Report) -> Report:
+    def reports(self, onward: ReportAttempt) -> ReportAttempt:
         """See ``parts.Part``."""
         self.recorder.report = onward
         return self.recorder.ended
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -17,7 +17,7 @@
 from sabledyke.core import GUARD, Answer, Ended, Transport, Verdict, Work
 from sabledyke.invariants import check
 from sabledyke.net import clock
-from sabledyke.net.connection_pool import Report
+from sabledyke.net.connection_pool import ReportAttempt
 from sabledyke.policy import interface as api
 from sabledyke.policy.interface import Outcome
 from sabledyke.store import startup, statements
@@ -69,7 +69,7 @@
     ) -> None:
         self.keeper, self.settings = keeper, settings
         self._opener, self._entry = opener, entry
-        self.report: Report
+        self.report: ReportAttempt
         self.inner: Transport
         self.drift = DriftWatch()
         self._session: Session | None = None
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -87,10 +87,10 @@
         self.may_have_run = False
         self._session: Session | None = None
 
-    def rest(self, heard: Callable[[], None]) -> None:
+    def enter_idle(self, heard: Callable[[], None]) -> None:
         """See ``pool.Link``: a session is looked at when it is taken."""
 
-    def wake(self) -> bool:
+    def leave_idle(self) -> bool:
         """See ``pool.Link``."""
         return not self._box.left
 
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from sabledyke.net.frontend import Client
+from sabledyke.net.frontend import ClientConnection
 from tests.test_net import GET, INFO, Rig, held_back
 
 
@@ -44,7 +44,7 @@
 class Line:
     """A client's connection: its socket, and what the program has for it."""
 
-    def __init__(self, rig: Rig, sock: socket.socket, client: Client) -> None:
+    def __init__(self, rig: Rig, sock: socket.socket, client: ClientConnection) -> None:
         self.rig, self.socket, self.client = rig, sock, client
         self.number = next(_numbers)
         self.asked, self.go = held_back(rig)
@@ -61,7 +61,7 @@
         line.go.set()
         sock.sendall(request(f"{line.number}-first"))
         assert (await line.answer()).startswith(b"HTTP/1.1 200")
-        await until(lambda: line.client.resting)
+        await until(lambda: line.client.closable)
         line.asked, line.go = held_back(rig)
         return line
 
@@ -75,12 +75,12 @@
             await until(lambda: not self.client.idle)
         elif step is Step.READ:
             # The stream's read ends in the turn before ``serve`` goes on; this task is woken ahead of it.
-            await until(lambda: self.client.taken)
+            await until(lambda: self.client.has_unprocessed)
         elif step in (Step.IN_WORK, Step.ANSWERED):
             await self.asked.wait()
         if step is Step.ANSWERED:
             self.go.set()
-            await until(lambda: not self.client.owed)
+            await until(lambda: not self.client.busy)
 
     async def answer(self) -> bytes:
         """What the client gets: an answer, or nothing where the connection ends before one."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,7 +10,7 @@
 
 from sabledyke.policy import interface as api
 from sabledyke.policy.scheduler import Scheduler
-from sabledyke.shutdown.graceful_shutdown import Times
+from sabledyke.shutdown.graceful_shutdown import ShutdownTimes
 
 READ = api.RequestClass(
     "read", 200, 1000, 3, 0.1, api.Repeat.IDEMPOTENT, api.Group.ALL, 5000, False, False, False
@@ -50,7 +50,15 @@
     report_fields=(),
 )
 T = TypeVar("T")
-BRISK = Times(linger=0.1, longest=0.6, grace=0.4, margin=0.1, last=0.1, parting=0.2, haste=0.2)  # 0.9 s
+BRISK = ShutdownTimes(
+    listener_open_s=0.1,
+    max_deadline_s=0.6,
+    kill_grace_s=0.4,
+    kill_margin_s=0.1,
+    final_answers_s=0.1,
+    draining_s=0.2,
+    hastened_s=0.2,
+)  # 0.9 s
 
 
 def node(
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -135,7 +135,7 @@
         for front in self.server.fronts:
             front.closing = True
             for client in list(front.clients):
-                client.departed = lambda: None  # type: ignore[method-assign]
+                client.on_client_gone = lambda: None  # type: ignore[method-assign]
                 client.close()
         self.server.watch.watch(False)
         for flight in list(self.server.pool._attempts.values()):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,7 @@
 from sabledyke.net import frontend, listener, streams
 from sabledyke.policy import interface as api
 from sabledyke.protocol.http import MAX_INPUT
-from sabledyke.shutdown.graceful_shutdown import Departure, Phase
+from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
 from tests.crossings import Line, Step, request, until
 from tests.test_net import Rig, play
 
@@ -23,8 +23,8 @@
 
 
 def sweep(rig: Rig, line: Line) -> None:
-    line.client.since -= 3600  # it has rested for an hour
-    rig.server.fronts[0]._sweep()
+    line.client.last_activity_s -= 3600  # it has rested for an hour
+    rig.server.fronts[0]._close_overdue()
 
 
 def shed(rig: Rig, line: Line) -> None:
@@ -32,8 +32,8 @@
 
 
 def crowd(rig: Rig, line: Line) -> None:
-    rig.server.fronts[0].most = 1
-    rig.server.fronts[0]._room_for_one()
+    rig.server.fronts[0].max_clients = 1
+    rig.server.fronts[0]._ensure_capacity()
 
 
 def quiesce(rig: Rig, line: Line) -> None:
@@ -62,32 +62,39 @@
     play(story)
 
 
-class Scripted(Departure):
+class Scripted(GracefulShutdown):
     """A departure whose phase the test sets."""
 
-    current = Phase.OPEN
+    current = ShutdownPhase.ACCEPTING_CONNECTIONS
 
-    def phase(self, now: float) -> Phase:
+    def phase(self, now: float) -> ShutdownPhase:
         """See ``Departure``."""
         return type(self).current
 
 
-@pytest.mark.parametrize("begins", [Phase.OPEN, Phase.STAYING, Phase.PARTING])
+@pytest.mark.parametrize(
+    "begins",
+    [
+        ShutdownPhase.ACCEPTING_CONNECTIONS,
+        ShutdownPhase.SERVING_OPEN_CONNECTIONS,
+        ShutdownPhase.DRAINING_CONNECTIONS,
+    ],
+)
 @pytest.mark.parametrize("step", list(Step))
 def test_the_end_answers_whatever_was_read(
-    step: Step, begins: Phase, monkeypatch: pytest.MonkeyPatch
+    step: Step, begins: ShutdownPhase, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The program is told to end, and its last moment comes right after a request has come so far."""
 
     async def story(rig: Rig) -> None:
-        monkeypatch.setattr(server, "Departure", Scripted)
+        monkeypatch.setattr(server, "GracefulShutdown", Scripted)
         Scripted.current = begins
         line = await Line.open(rig)
         rig.server.leave()
         end = asyncio.create_task(rig.server.finish())
-        await until(lambda: rig.server.fronts[0].leaving)
+        await until(lambda: rig.server.fronts[0].shutting_down)
         await line.reach(step)
-        Scripted.current = Phase.OVER
+        Scripted.current = ShutdownPhase.COMPLETED
         rig.server.core._until = -1e9  # all that is owed is due now
         said = await line.answer()
         if step in (Step.READ, Step.IN_WORK):
@@ -114,7 +121,7 @@
     async def story(rig: Rig) -> None:
         line = await Line.open(rig)
         if crowded:
-            rig.server.fronts[0].roomy = 0
+            rig.server.fronts[0].crowded_above = 0
         whole = b"".join(request(f"{n}-" + "x" * 1900) for n in range(many))
         fits = MAX_INPUT // len(request("00-" + "x" * 1900))
         loop, answers = asyncio.get_running_loop(), b""
@@ -171,16 +178,16 @@
         await line.asked.wait()
         seen = len(rig.http.seen)
         line.go.set()
-        await until(lambda: line.client.owed and line.client._ended)  # type: ignore[attr-defined]
+        await until(lambda: line.client.busy and line.client._last_answer_written)  # type: ignore[attr-defined]
         line.socket.sendall(request("behind"))
         if read:
-            await until(lambda: not line.client.owed)
-            reading = line.client._reading
+            await until(lambda: not line.client.busy)
+            reading = line.client._pending_read
             assert reading is not None
             reading.set_result(request("behind"))
         for _ in range(20):
             await asyncio.sleep(0)
-        assert not line.client.taken and (read or not streams.quiet(line.client.stream))
+        assert not line.client.has_unprocessed and (read or not streams.is_silent(line.client.stream))
         assert (await line.answer()).endswith(b"late")
         assert await asyncio.get_running_loop().sock_recv(line.socket, 99) == b""  # in order, no reset
         assert len(rig.http.seen) == seen
@@ -209,7 +216,7 @@
 HARD = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
-@pytest.mark.parametrize("fault", sorted(listener.NEXT_ONE) + HARD)
+@pytest.mark.parametrize("fault", sorted(listener.TRANSIENT_ACCEPT_ERRNOS) + HARD)
 @pytest.mark.parametrize("closes", [False, True])
 def test_a_failed_accept_hides_no_connection_and_never_spins(fault: int, closes: bool) -> None:
     async def story(rig: Rig) -> None:
@@ -226,8 +233,8 @@
         while not set(clients) - known:
             await asyncio.sleep(0.001)
         assert faulty.calls <= 4  # the failed one, the connection, and one or two that found nothing
-        if fault in listener.NEXT_ONE:
-            assert opened._again is None  # no pause: what failed was that connection alone
+        if fault in listener.TRANSIENT_ACCEPT_ERRNOS:
+            assert opened._retry_timer is None  # no pause: what failed was that connection alone
         if closes:
             while not opened.closed:
                 await asyncio.sleep(0.001)
@@ -241,7 +248,7 @@
 ) -> None:
     async def story(rig: Rig) -> None:
         clients, broken = rig.server.fronts[0].clients, list[bool]()
-        accepted = frontend.accepted
+        accepted = frontend.stream_of
 
         def breaks(sock: socket.socket) -> streams.IOStream:
             if not broken:
@@ -249,7 +256,7 @@
                 raise OSError(errno.EINVAL, "Invalid argument")
             return accepted(sock)
 
-        monkeypatch.setattr(frontend, "accepted", breaks)
+        monkeypatch.setattr(frontend, "stream_of", breaks)
         pair = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2)]
         await until(lambda: broken and len(clients) == 1)
         for sock in pair:
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -16,14 +16,14 @@
 from sabledyke.config import Config
 from sabledyke.core import Answer, Verdict
 from sabledyke.policy import interface as api
-from sabledyke.shutdown.graceful_shutdown import Departure, Phase, Times
+from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase, ShutdownTimes
 from tests.helpers import BRISK, FIXED, SETTINGS, WRITE, Rig
 from tests.standins import Discovery, Reader, Writer, ask, http, read_http
 from tests.test_core import Bench
 from tests.test_net import DEPLOYMENT, GET, INFO, PUT, held_back, play
 from tests.test_net import Rig as Program
 
-SHORT = replace(BRISK, longest=1.2)  # over 1.5 s after it was told
+SHORT = replace(BRISK, max_deadline_s=1.2)  # over 1.5 s after it was told
 ONE = GET.format(1, "i{}", INFO).replace("\n", "\r\n")
 
 
@@ -32,33 +32,41 @@
 def test_it_only_goes_forward_and_is_gone_before_the_kill(
     longest: float, at: float, later: float, hastened: bool
 ) -> None:
-    plan, kill = Departure(100.0, longest, 1), 100 + min(longest, 3) + 0.7
+    plan, kill = GracefulShutdown(100.0, longest, 1), 100 + min(longest, 3) + 0.7
     if hastened:
         plan.hasten(100 + at)
-        assert plan.over <= max(100 + at + Times().haste, kill)
+        assert plan.completed_at <= max(100 + at + ShutdownTimes().hastened_s, kill)
     one, two = sorted((100 + at, 100 + at + later))
     assert plan.phase(one) <= plan.phase(two)
-    assert plan.phase(kill - 0.1) is Phase.OVER and plan.until <= plan.over < plan.back
-    assert not any(plan.ends(100 + k / 9) for k in range(5)) or hastened or longest < 0.6
-    assert plan.ends(plan.until) and (plan.over - plan.until >= 0.09 or hastened or longest < 0.1)
+    assert (
+        plan.phase(kill - 0.1) is ShutdownPhase.COMPLETED
+        and plan.answer_by <= plan.completed_at < plan.available_again_at
+    )
+    assert not any(plan.ends_connection(100 + k / 9) for k in range(5)) or hastened or longest < 0.6
+    assert plan.ends_connection(plan.answer_by) and (
+        plan.completed_at - plan.answer_by >= 0.09 or hastened or longest < 0.1
+    )
 
 
 def test_answers_part_from_clients_by_and_by() -> None:
-    plans = [Departure(0.0, 3.0, seed) for seed in range(400)]
-    begins = plans[0].until - Times().parting
-    ended = [sum(p.ends(begins + k * Times().parting / 4) for p in plans) / 400 for k in range(4)]
+    plans = [GracefulShutdown(0.0, 3.0, seed) for seed in range(400)]
+    begins = plans[0].answer_by - ShutdownTimes().draining_s
+    ended = [
+        sum(p.ends_connection(begins + k * ShutdownTimes().draining_s / 4) for p in plans) / 400
+        for k in range(4)
+    ]
     assert ended[0] == 0 and all(abs(ended[k] - k / 4) < 0.08 for k in range(4)), ended
 
 
 def test_by_a_plan_connections_that_rest_go_evenly_and_none_is_left_for_the_end() -> None:
     """Else what comes in the last moments would be refused, though others of the fleet serve."""
     for planned, gone in ((False, [0, 0, 0, 400]), (True, [0, 133, 267, 400])):
-        plan, left, seen = Departure(0.0, 3.0, 7, planned=planned), 400, list[int]()
+        plan, left, seen = GracefulShutdown(0.0, 3.0, 7, planned=planned), 400, list[int]()
         for look in range(400):
             now = look / 100
             if now in (0.5, 1.5, 2.5, 3.5):  # the listener closes at 0.6, and it is over at 3.58
                 seen.append(400 - left)
-            left -= sum(plan.sheds(now, 0.01) for _ in range(left))
+            left -= sum(plan.closes_idle(now, 0.01) for _ in range(left))
         assert all(abs(was - is_) < 45 for was, is_ in zip(gone, seen, strict=True)), (planned, seen)
 
 
@@ -220,7 +228,9 @@
             rig.server.leave()
             rig.server.leave()
             plan, now = rig.server._departure, asyncio.get_running_loop().time()
-            assert plan is not None and plan.over <= now + SHORT.haste  # and not the second time from anew
+            assert (
+                plan is not None and plan.completed_at <= now + SHORT.hastened_s
+            )  # and not the second time from anew
         elif what == "reload":
             rig.config = replace(rig.config, settings=replace(rig.config.settings, max_attempts=2))
             rig.server.reload()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,8 +17,8 @@
 from sabledyke.config import Config
 from sabledyke.core import Ended
 from sabledyke.net import endpoint_watch, frontend, http_frontend, listener, nvme_frontend, streams
-from sabledyke.net.nvme_extension import NvmePart
-from sabledyke.net.nvme_frontend import NvmeClient
+from sabledyke.net.nvme_extension import NvmeExtension
+from sabledyke.net.nvme_frontend import NvmeClientConnection
 from sabledyke.policy import interface as api
 from sabledyke.protocol import discovery
 from sabledyke.protocol.watch_timeout import ASKED, PUSHED, Silence
@@ -215,7 +215,7 @@
         await asked.wait()
         rig.server.leave()
         end = asyncio.create_task(rig.server.finish())
-        while not rig.server.fronts[0].leaving:
+        while not rig.server.fronts[0].shutting_down:
             await asyncio.sleep(0)
         two = await ask(rig.port, "GET /_health HTTP/1.1\n\n")  # still let in
         waiting = socket.create_connection(("127.0.0.1", rig.port))  # the machine has accepted it: taken
@@ -311,8 +311,8 @@
         spare = NvmeBox()  # another cell
         await spare.open()
         nvme = rig.server.parts[-1]
-        assert isinstance(nvme, NvmePart)
-        nvme.dialer._boxes[b"spare"] = NQN
+        assert isinstance(nvme, NvmeExtension)
+        nvme.dialer._nqn_by_node[b"spare"] = NQN
         rig.server._dialers[b"spare"] = nvme.dialer.dial
         rig.discovery.add("spare", spare.port, 2)
         rig.discovery.hosts = rig.discovery.hosts[1:]  # none that speaks HTTP
@@ -367,23 +367,23 @@
             ours, theirs = socket.socketpair()
             ours.setblocking(False)
             stream = streams.IOStream(ours)
-            assert streams.quiet(stream)
+            assert streams.is_silent(stream)
             theirs.sendall(last)
             theirs.close()
-            assert not streams.quiet(stream)
+            assert not streams.is_silent(stream)
             stream.close()
-            assert not streams.quiet(stream)
+            assert not streams.is_silent(stream)
 
     asyncio.run(story())
 
 
 def test_connections_to_boxes_stay_under_their_bound() -> None:
     async def story(rig: Rig) -> None:
-        rig.server.pool.most = 1
+        rig.server.pool.max_connections = 1
         for n, shard in enumerate((0, 1, 0, 1)):
             text = PUT.format(1, n, INFO.replace("shard=0", f"shard={shard}") + "Content-Length: 0\n")
             assert (await ask(rig.port, text.replace("/1/", f"/{shard + 1}/")))[0] == 200
-            assert rig.server.pool._count == 1
+            assert rig.server.pool._open_count == 1
 
     play(story)
 
@@ -391,7 +391,7 @@
 def test_clients_stay_under_their_bound() -> None:
     async def story(rig: Rig) -> None:
         clients = rig.server.fronts[0].clients
-        rig.server.fronts[0].most = 1
+        rig.server.fronts[0].max_clients = 1
         for said in (b"", b"GET /half"):
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
             writer.write(said)
@@ -409,7 +409,7 @@
 def test_a_host_past_its_keep_alive_time_is_let_go() -> None:
     async def story(rig: Rig) -> None:
         host = await rig.host()
-        target = next(c for c in rig.server.fronts[1].clients if isinstance(c, NvmeClient)).target
+        target = next(c for c in rig.server.fronts[1].clients if isinstance(c, NvmeClientConnection)).target
         target.keep_alive = 50
         assert await host.admin(0x18) == 0
         assert await host.io[0].read() == b""  # its queues go with its controller
@@ -461,7 +461,7 @@
         assert new.calls[0] == "GET /catalog/members HTTP/1.1" and "since=1" in new.calls[1]
         scheduler = rig.server.core.scheduler
         assert scheduler.mean == 3 and next(iter(scheduler.volumes.values())).plan.weight == 9
-        assert b"plain" in scheduler.nodes and rig.server.pool.most == 32
+        assert b"plain" in scheduler.nodes and rig.server.pool.max_connections == 32
         go.set()
         assert (await one)[::2] == (200, b"late")
         os.kill(os.getpid(), signal.SIGTERM)
@@ -476,7 +476,7 @@
 
     async def story(rig: Rig) -> None:
         for module in (http_frontend, nvme_frontend):
-            monkeypatch.setattr(module, "ASKING", 0.2)
+            monkeypatch.setattr(module, "REQUEST_TIMEOUT_S", 0.2)
         host = await rig.host()
         web, nvme = rig.port, rig.nvme_port
         for port, said in ((web, b""), (web, b"GET /half"), (nvme, b""), (nvme, b"\0")):
@@ -496,14 +496,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def story(rig: Rig) -> None:
-        monkeypatch.setattr(frontend, "CROWDED", 0.2)
+        monkeypatch.setattr(frontend, "CROWDED_IDLE_TIMEOUT_S", 0.2)
         http_front = rig.server.fronts[0]
         stays, one = await asyncio.open_connection("127.0.0.1", rig.port)
         one.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
         assert b"connection: close" not in (await stays.readuntil(b"\r\n\r\n")).lower()
-        await asyncio.sleep(3 * frontend.SWEEP)
+        await asyncio.sleep(3 * frontend.SWEEP_INTERVAL_S)
         assert len(http_front.clients) == 1  # it may rest while there is room
-        http_front.roomy = 0
+        http_front.crowded_above = 0
         status, headers, _ = await ask(rig.port, GET.format(1, "b", INFO))
         assert (status, headers["connection"]) == (200, "close")
         assert await stays.read() == b""
@@ -514,8 +514,8 @@
 
 def test_the_silent_and_the_curious_make_room_before_who_asked(monkeypatch: pytest.MonkeyPatch) -> None:
     async def story(rig: Rig) -> None:
-        monkeypatch.setattr(frontend, "YOUNG", 0.0)
-        rig.server.fronts[0].most = 3
+        monkeypatch.setattr(frontend, "EVICTION_GRACE_S", 0.0)
+        rig.server.fronts[0].max_clients = 3
         pairs = [await asyncio.open_connection("127.0.0.1", rig.port) for _ in range(3)]
         (asked, asker), (silent, _), (curious, looker) = pairs
         asker.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
@@ -538,9 +538,11 @@
 def test_a_crowd_at_the_door_is_let_in_by_and_by() -> None:
     async def story(rig: Rig) -> None:
         opened, clients = rig.server.listeners[0], rig.server.fronts[0].clients
-        crowd = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2 * listener.BATCH + 1)]
-        opened._ready()
-        assert len(clients) == listener.BATCH
+        crowd = [
+            socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2 * listener.ACCEPT_BATCH + 1)
+        ]
+        opened._on_readable()
+        assert len(clients) == listener.ACCEPT_BATCH
         while len(clients) < len(crowd):
             await asyncio.sleep(0)
         for sock in crowd:
@@ -593,15 +595,15 @@
         assert (await ask(rig.port, GET.format(1, "i", INFO)))[0] == 200
         server = rig.server
         nvme = server.parts[-1]
-        assert isinstance(nvme, NvmePart)
+        assert isinstance(nvme, NvmeExtension)
         association = nvme.dialer._associations[b"block"]
         assert set(server.core.nodes) == set(server.pool._addresses) == {b"plain", b"block"}
         rig.discovery.hosts.pop()
         server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
         delta = {"seq": 2, "whole": False, "hosts": [rig.discovery.hosts[0] | {"health": "gone"}]}
         server._listed(discovery.read(delta, DEPLOYMENT))
-        assert not server.core.nodes and not server.pool._addresses and not server.pool._count
-        assert association.left and not nvme.dialer._associations
+        assert not server.core.nodes and not server.pool._addresses and not server.pool._open_count
+        assert association.node_removed and not nvme.dialer._associations
         host.close()
 
     play(story)
@@ -616,10 +618,10 @@
         for n, (size, full, status) in enumerate(
             ((300_000, False, 200), (1 << 21, False, 503), (300_000, True, 503), (60_000, True, 200))
         ):
-            rig.server._room.used = rig.server._room.size + 1 if full else 0
+            rig.server._room.used_bytes = rig.server._room.limit_bytes + 1 if full else 0
             got, _, body = await ask(rig.port, GET.format(n, n, INFO))
             assert got == status and (got != 200 or body == b"x" * size)
-        rig.server._room.used = 0
+        rig.server._room.used_bytes = 0
 
     play(story)
 
@@ -701,7 +703,7 @@
         await agent.open()
         agent.hosts, agent.script, agent.indent = [HOST], list(script), 2
         settings = replace(DEPLOYMENT, asks_list=not pushed)
-        look = endpoint_watch.Watch(("127.0.0.1", agent.port), settings, None, seen.append)
+        look = endpoint_watch.EndpointWatch(("127.0.0.1", agent.port), settings, None, seen.append)
         look.start()
         async with asyncio.timeout(10):
             while len(seen) < len(states):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -16,7 +16,7 @@
 from sabledyke.application.server import Server
 from sabledyke.config import Config, ConfigError
 from sabledyke.net import http_frontend
-from sabledyke.net.console import MOST
+from sabledyke.net.console import MAX_CONNECTIONS
 from sabledyke.protocol.http import HttpError, Parser
 from sabledyke.settings import MOST_CLASSES, SettingsError, merge
 from tests.helpers import BRISK
@@ -119,9 +119,9 @@
 def test_silent_callers_cost_a_real_one_nothing() -> None:
     async def story(rig: Rig) -> None:
         port = rig.server.console_port
-        silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MOST)]
+        silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)]
         assert (await call(rig.server.console_port, "GET", "/admin/health"))[0] == 200
-        assert len(rig.server.console._open) <= MOST  # type: ignore[union-attr]
+        assert len(rig.server.console._connections) <= MAX_CONNECTIONS  # type: ignore[union-attr]
         for _, writer in silent:
             writer.close()
 
@@ -279,7 +279,7 @@
 
 def test_a_body_that_comes_slowly_but_comes_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     async def story(rig: Rig) -> None:
-        monkeypatch.setattr(http_frontend, "ASKING", 0.2)
+        monkeypatch.setattr(http_frontend, "REQUEST_TIMEOUT_S", 0.2)
         head = PUT.format(1, "slow", INFO + "Idempotency-Key: s\nContent-Length: 8\n").replace("\n", "\r\n")
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         writer.write(head.encode())
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -72,7 +72,7 @@
         self.box.die()
         self.discovery.die()
         assert not invariants.broken
-        assert not self.server.pool._count  # no descriptor is lost
+        assert not self.server.pool._open_count  # no descriptor is lost
 
     @property
     def part(self) -> TlsPart:
@@ -348,7 +348,7 @@
 def test_handshakes_that_do_not_end_push_no_client_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("sabledyke.net.frontend.GATE", 8)
+    monkeypatch.setattr("sabledyke.net.frontend.MAX_PENDING_HANDSHAKES", 8)
     monkeypatch.setattr("sabledyke.tls.extension.CLIENT_MS", 300.0)
     box = TlsBox(GOOD)
 
@@ -360,12 +360,12 @@
         inside[1].write(text)
         assert (await read_http(inside[0]))[0].split()[1] == "200"
         crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(30)]
-        while len(rig.server.fronts[0]._at_the_gate) < 8:
+        while len(rig.server.fronts[0]._pending_handshakes) < 8:
             await asyncio.sleep(0.005)
         assert len(rig.server.fronts[0].clients) == 1
         inside[1].write(text.replace(b"Req-Id: in", b"Req-Id: again"))
         assert (await read_http(inside[0]))[0].split()[1] == "200"
-        while rig.server.fronts[0]._at_the_gate:  # each is given up in time
+        while rig.server.fronts[0]._pending_handshakes:  # each is given up in time
             await asyncio.sleep(0.01)
         for _, writer in crowd:
             writer.close()
@@ -449,7 +449,7 @@
         rig.discovery.hosts.pop()
         rig.server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
         await asyncio.sleep(0.15)
-        assert not rig.server.pool._count and not rig.part._used  # none to a box that is gone
+        assert not rig.server.pool._open_count and not rig.part._used  # none to a box that is gone
 
     play(tmp_path, box, story)
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -20,7 +20,9 @@
 
 
 def listen_to(
-    story: Callable[[endpoint_watch.Watch, Discovery, list[discovery.Listing | None]], Awaitable[None]],
+    story: Callable[
+        [endpoint_watch.EndpointWatch, Discovery, list[discovery.Listing | None]], Awaitable[None]
+    ],
     script: list[Any],
     **changes: Any,
 ) -> None:
@@ -31,7 +33,7 @@
         await found.open()
         found.hosts, found.script = [HOST], list(script)
         settings = replace(DEPLOYMENT, **changes)
-        look = endpoint_watch.Watch(("127.0.0.1", found.port), settings, None, seen.append)
+        look = endpoint_watch.EndpointWatch(("127.0.0.1", found.port), settings, None, seen.append)
         async with asyncio.timeout(30):
             await story(look, found, seen)
         look.stop()
@@ -45,7 +47,7 @@
     asks: bool, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def story(
-        look: endpoint_watch.Watch, found: Discovery, seen: list[discovery.Listing | None]
+        look: endpoint_watch.EndpointWatch, found: Discovery, seen: list[discovery.Listing | None]
     ) -> None:
         faults, tell = [RuntimeError("a fault of ours")], look._report
 
@@ -73,7 +75,7 @@
     """A change counts as told 4 s after SIGHUP, whether or not the module has asked for a list yet."""
 
     async def story(
-        look: endpoint_watch.Watch, found: Discovery, seen: list[discovery.Listing | None]
+        look: endpoint_watch.EndpointWatch, found: Discovery, seen: list[discovery.Listing | None]
     ) -> None:
         new = Discovery()
         await new.open()
