--- /dev/null
+++ b/sabledyke/application/assembly.py
@@ -0,0 +1,238 @@
+"""Builds the server from its drivers and extensions, and connects them with each other.
+
+Transports stack in a fixed order: the core first, then the extensions in the order of ``EXTENSIONS``, then
+the pool of connections. Requests and connections pass through the extensions in the same order.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import functools
+import importlib
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Protocol
+
+from sabledyke.application.core_driver import CoreDriver
+from sabledyke.application.extensions import Done, Host, Part, Submit
+from sabledyke.application.resource_limits import apply_resource_limits
+from sabledyke.config import Config
+from sabledyke.core import Core, Transport, Work
+from sabledyke.net import streams
+from sabledyke.net.connection_pool import (
+    Address,
+    Connect,
+    ConnectionPool,
+    Dial,
+    Link,
+    ReportAttempt,
+    connect_plain,
+)
+from sabledyke.net.endpoint_watch import EndpointWatch
+from sabledyke.net.frontend import Frontend
+from sabledyke.net.http_frontend import HttpClientConnection
+from sabledyke.net.http_link import HttpDialer
+from sabledyke.policy import interface as api
+from sabledyke.protocol.discovery import Listing
+from sabledyke.protocol.gateway import Ids, Reader
+
+if TYPE_CHECKING:  # loaded only where it is named: a plain start must be quick
+    from sabledyke.operator_config import Operator
+
+
+@dataclass(frozen=True, slots=True)
+class ExtensionFactory:
+    """Where an extension is made, and whether the operator's file asks for it; it is loaded only then."""
+
+    module: str
+    function: str
+    is_configured: Callable[[Operator], object]
+
+    def load(self, host: Host, operator: Operator) -> Part | None:
+        """Load the module and make the extension, which may still find that it has nothing to do."""
+        made: Part | None = getattr(importlib.import_module(self.module), self.function)(host, operator)
+        return made
+
+
+# The nearest to the core first.
+EXTENSIONS: tuple[ExtensionFactory, ...] = (
+    ExtensionFactory("sabledyke.tls.extension", "set_up", lambda operator: operator.tls),
+    ExtensionFactory("sabledyke.store.extension", "set_up", lambda operator: operator.store),
+    ExtensionFactory("sabledyke.store.extension", "set_up_boxes", lambda operator: operator.store),
+    ExtensionFactory(
+        "sabledyke.net.nvme_extension", "set_up", lambda operator: operator.listen or operator.boxes
+    ),
+    ExtensionFactory("sabledyke.lease.extension", "set_up", lambda operator: operator.lease),
+    ExtensionFactory("sabledyke.rollout.extension", "set_up", lambda operator: operator.rollout),
+    ExtensionFactory("sabledyke.quota_sharing.extension", "set_up", lambda operator: operator.fleet),
+)
+
+
+class ServerControl(Protocol):
+    """What extensions may ask of the server that they are part of."""
+
+    @property
+    def takes_clients(self) -> bool:
+        """Whether listeners are open and no client is sent away."""
+
+    @property
+    def stop_requested(self) -> bool:
+        """Whether the server was told to stop."""
+
+    def reload(self) -> str:
+        """Read the configuration again: the reason why it is not used, or an empty string."""
+
+    def leave(self, *, planned: bool = False) -> None:
+        """Begin a graceful shutdown."""
+
+
+class Assembly:
+    """The collaborators of one server.
+
+    Attributes:
+        config: The configuration in force.
+        parts: The extensions, the nearest to the core first.
+        fronts: The front ends, HTTP first.
+        listen_addresses: Where each front end listens, in the order of ``fronts``.
+        list_answered: Set once a call to discovery has ended, whatever it brought.
+    """
+
+    def __init__(self, config: Config, operator: Operator | None, control: ServerControl) -> None:
+        settings = config.settings
+        self.config = config
+        self.list_answered = asyncio.Event()
+        self.driver = CoreDriver()
+        self.watch = self._make_watch(config)
+        self.reader = Reader(settings)
+        self.response_memory = streams.ResponseMemory(0)
+        self.http_dialer = HttpDialer(settings, self.reader, self.response_memory, self._connect_through_all)
+        self.parts = self._make_extensions(operator, control)
+        report = self._chain_reports()
+        self.dialers: dict[api.NodeId, Dial] = {}
+        for part in self.parts:
+            self.dialers.update(part.dialers())
+        self._submit = self._chain_submit()
+        self._connect = self._chain_connect()
+        self.pool = ConnectionPool(settings, report, 0, self._dial, self.driver.may_send)
+        self.core = Core(settings, config.seed, self._chain_transports(), self.watch, self.driver.wake)
+        self.driver.core = self.core
+        self.fronts: list[Frontend] = []
+        self.listen_addresses: list[Address] = []
+        self._add_frontends(config)
+        self.apply_limits()
+
+    def apply_limits(self) -> None:
+        """Divide descriptors and memory as the configuration in force says."""
+        apply_resource_limits(self.config, self.fronts, self.pool, self.response_memory)
+
+    def on_endpoint_list(self, listing: Listing | None) -> None:
+        """Pass an endpoint list to the extensions, the core and the pool; None where a call failed."""
+        self.list_answered.set()
+        if listing is None:
+            self.core.listed(api.NodeList(api.ListKind.FAILED, 0, ()))
+            return
+        update = listing.news
+        for part in self.parts:
+            update = part.listing(update)
+        self._apply_list(update, listing.dials)
+
+    def _apply_list(self, update: api.NodeList, addresses: dict[api.NodeId, Address]) -> None:
+        removed = self.core.listed(update)
+        self.pool.update_addresses(addresses, removed)
+        for part in self.parts:
+            part.listed(removed)
+
+    def _make_watch(self, config: Config) -> EndpointWatch:
+        version = config.known.news.version if config.known else None
+        return EndpointWatch(config.discovery, config.settings, version, self.on_endpoint_list, config.seed)
+
+    def _make_extensions(self, operator: Operator | None, control: ServerControl) -> list[Part]:
+        if operator is None:
+            return []
+        host = self._make_host(control)
+        wanted = [factory for factory in EXTENSIONS if factory.is_configured(operator)]
+        made = [factory.load(host, operator) for factory in wanted]
+        return [part for part in made if part is not None]
+
+    def _make_host(self, control: ServerControl) -> Host:
+        """Return what extensions see of the server; what is not made yet is looked up when it is used."""
+        return Host(
+            config=self.config,
+            room=self.response_memory,
+            entry=lambda node: self.core.nodes[node],
+            submit=lambda work, done: self._submit(work, done),
+            depart=self._on_client_gone,
+            connect=self._connect_through_all,
+            warm=lambda node: self.pool.preconnect(node),
+            ready=lambda: control.takes_clients,
+            leaving=lambda: control.stop_requested,
+            reload=control.reload,
+            leave=lambda: control.leave(planned=True),
+            answers=lambda: self.core.figures.told,
+            busy=lambda node: self.core.busy(node),
+            relist=lambda entries: self._apply_list(api.NodeList(api.ListKind.DELTA, 0, tuple(entries)), {}),
+        )
+
+    def _chain_submit(self) -> Submit:
+        submit: Submit = self.driver.submit
+        for part in reversed(self.parts):
+            submit = functools.partial(_submit_through, part, submit)
+        return submit
+
+    def _chain_connect(self) -> Connect:
+        connect: Connect = connect_plain
+        for part in reversed(self.parts):
+            connect = part.connect(connect)
+        return connect
+
+    def _chain_reports(self) -> ReportAttempt:
+        report: ReportAttempt = self.driver.on_attempt_completed
+        for part in self.parts:
+            report = part.reports(report)
+        return report
+
+    def _chain_transports(self) -> Transport:
+        transport: Transport = self.pool
+        for part in reversed(self.parts):
+            transport = part.transport(transport)
+        return transport
+
+    def _add_frontends(self, config: Config) -> None:
+        self._add_frontend(self._make_http_frontend(), config.listen)
+        for part in self.parts:
+            for frontend, address in part.fronts():
+                self._add_frontend(frontend, address)
+        for frontend in self.fronts:
+            guards = [part.guard(frontend.name) for part in self.parts]
+            frontend.guard = next((guard for guard in guards if guard is not None), None)
+
+    def _add_frontend(self, frontend: Frontend, address: Address) -> None:
+        self.fronts.append(frontend)
+        self.listen_addresses.append(address)
+
+    def _make_http_frontend(self) -> Frontend:
+        ids = Ids()
+
+        def make(frontend: Frontend, stream: streams.Stream) -> HttpClientConnection:
+            return HttpClientConnection(
+                frontend, stream, self.reader, ids, self._submit, self._on_client_gone
+            )
+
+        return Frontend("HTTP", 0, make, self.response_memory)
+
+    def _on_client_gone(self, request_id: int) -> None:
+        for part in self.parts:
+            part.departed(request_id)
+        self.core.depart(request_id)
+
+    async def _connect_through_all(
+        self, node: api.NodeId, address: Address, connect_ms: float, timeout_ms: float
+    ) -> streams.Stream:
+        return await self._connect(node, address, connect_ms, timeout_ms)
+
+    async def _dial(self, node: api.NodeId, address: Address, timeout_ms: float) -> Link:
+        return await self.dialers.get(node, self.http_dialer.dial)(node, address, timeout_ms)
+
+
+def _submit_through(part: Part, onward: Submit, work: Work, done: Done) -> int:
+    return part.submit(work, done, onward)
--- /dev/null
+++ b/sabledyke/application/core_driver.py
@@ -0,0 +1,74 @@
+"""Runs the core on the event loop: hands it batches of events, and wakes it when its next timer is due."""
+
+from __future__ import annotations
+
+import asyncio
+
+from sabledyke.application.extensions import Done
+from sabledyke.core import Core, Ended, Work
+from sabledyke.net import clock
+
+
+class CoreDriver:
+    """Connects the core to the event loop and to the clock.
+
+    The core is pure: each of its calls is given the time. This driver knows the time and decides nothing.
+    ``core`` is set once, right after construction, as the core is given ``wake`` when it is made.
+    """
+
+    core: Core
+
+    def __init__(self) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._batch_scheduled = False
+        self._timer: asyncio.TimerHandle | None = None
+
+    def submit(self, work: Work, done: Done) -> int:
+        """Hand a request to the core, as the last step of every front end's way.
+
+        Returns:
+            The id of the request.
+        """
+        return self.core.submit(clock.now(), work, done)
+
+    def on_attempt_completed(self, request_id: int, number: int, ended: Ended) -> None:
+        """Report the outcome of an attempt to the core."""
+        self.core.ended(clock.now(), request_id, number, ended)
+
+    def may_send(self, request_id: int, number: int) -> bool:
+        """Tell whether an attempt may still be written now."""
+        return self.core.may_go(clock.now(), request_id, number)
+
+    def end_by(self, answer_by_s: float, available_again_at_s: float) -> None:
+        """Have every request answered by a time of the event loop's clock.
+
+        Args:
+            answer_by_s: When the last answer has to be given.
+            available_again_at_s: When rejected clients may expect a server at this address again.
+        """
+        offset_ms = clock.now() - self._loop.time() * 1000
+        self.core.end_by(answer_by_s * 1000 + offset_ms, available_again_at_s * 1000 + offset_ms)
+        self.wake()
+
+    def wake(self) -> None:
+        """Schedule a batch: all events of this iteration of the loop go to the scheduler together."""
+        if not self._batch_scheduled:
+            self._batch_scheduled = True
+            self._loop.call_soon(self.run_batch)
+
+    def run_batch(self) -> None:
+        """Process the events that wait and the timers that are due, and arm the timer of the next batch."""
+        self._batch_scheduled = False
+        now_ms = clock.now()
+        self.core.turn(now_ms)
+        self.cancel_timer()
+        due_ms = self.core.due()
+        if due_ms is None:
+            self._timer = None
+            return
+        self._timer = self._loop.call_later(max(0.0, due_ms - now_ms) / 1000, self.run_batch)
+
+    def cancel_timer(self) -> None:
+        """Cancel the timer of the next batch."""
+        if self._timer is not None:
+            self._timer.cancel()
--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -1,447 +1,117 @@
-"""Puts the parts together, runs them, and leaves in good order."""
+"""One scheduler as a program: what the command line, the console and extensions may ask of it."""
 
 from __future__ import annotations
 
-import asyncio
-import functools
-import gc
-import importlib
-import signal
-from collections.abc import Callable
-from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from sabledyke import invariants, log
-from sabledyke.application.extensions import Done, Host, Part, Submit
-from sabledyke.config import Config, ConfigError
-from sabledyke.core import Core, Ended, Transport, Work
+from sabledyke.application.assembly import Assembly
+from sabledyke.application.lifecycle import Lifecycle
+from sabledyke.application.reload import ReadConfig, ReadOperator, Reloader
+from sabledyke.config import Config
 from sabledyke.metrics import avoided
-from sabledyke.net import clock, streams
-from sabledyke.net.connection_pool import (
-    Address,
-    Connect,
-    ConnectionPool,
-    Dial,
-    Link,
-    ReportAttempt,
-    connect_plain,
-)
 from sabledyke.net.console import Console
-from sabledyke.net.endpoint_watch import EndpointWatch
-from sabledyke.net.frontend import CROWDED_SHARE, Frontend
-from sabledyke.net.http_frontend import HttpClientConnection
-from sabledyke.net.http_link import HttpDialer
-from sabledyke.net.listener import Listener
-from sabledyke.policy import interface as api
 from sabledyke.protocol.console import Call
-from sabledyke.protocol.discovery import Listing
-from sabledyke.protocol.gateway import Ids, Reader
-from sabledyke.settings import SettingsError, merge
-from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase, ShutdownTimes
+from sabledyke.shutdown.graceful_shutdown import DEFAULT_TIMES, ShutdownTimes
 
 if TYPE_CHECKING:  # loaded only where it is named: a plain start must be quick
     from sabledyke.operator_config import Operator
 
-# Optional parts, the nearest to the core first: where each is set up, and whether the file asks for it. Each
-# is loaded only then.
-PARTS: tuple[tuple[str, str, Callable[[Operator], object]], ...] = (
-    ("sabledyke.tls.extension", "set_up", lambda o: o.tls),
-    ("sabledyke.store.extension", "set_up", lambda o: o.store),
-    ("sabledyke.store.extension", "set_up_boxes", lambda o: o.store),
-    ("sabledyke.net.nvme_extension", "set_up", lambda o: o.listen or o.boxes),
-    ("sabledyke.lease.extension", "set_up", lambda o: o.lease),
-    ("sabledyke.rollout.extension", "set_up", lambda o: o.rollout),
-    ("sabledyke.quota_sharing.extension", "set_up", lambda o: o.fleet),
-)
-
-PHASES = {  # what each step of leaving is called in the log
-    ShutdownPhase.SERVING_OPEN_CONNECTIONS: "the listener is closed, open connections are served on",
-    ShutdownPhase.DRAINING_CONNECTIONS: "answers end their connections",
-    ShutdownPhase.FINAL_ANSWERS: "final answers",
-}
-READING = 1.0  # seconds past the longest deadline for a client to take in its answer
-LISTED = 3.0  # seconds for the list, where listeners wait for it
-LOOK = 0.01  # seconds between looks at how far the end has come
-SETTLE = 0.04  # seconds before the end from which on nothing is read any more
-SETTLE_LOOK = 0.002  # seconds between looks at whether all that was read has its answer
-ANSWERS = 0.25  # part of the memory for answers on their way
-BOXES = 3  # one descriptor in so many is for connections to boxes, the others are for clients
-SPARE = 32  # descriptors kept for listening, discovery, associations, the log and what Python opens
-
 
 class Server:
-    """One scheduler."""
+    """One scheduler.
+
+    Args:
+        config: The configuration to start with.
+        operator: The operator's file, where there is one.
+        times: How long each phase of a graceful shutdown takes.
+        reread: Reads the configuration again, given the one in force.
+        reread_operator: Reads the operator's file again, given the new settings.
+    """
 
     def __init__(
         self,
         config: Config,
         operator: Operator | None = None,
-        times: ShutdownTimes = ShutdownTimes(),  # noqa: B008
-        reread: Callable[[Config], Config] = lambda config: config,
-        reread_operator: Callable[[api.Settings], Operator | None] | None = None,
+        times: ShutdownTimes = DEFAULT_TIMES,
+        reread: ReadConfig = lambda config: config,
+        reread_operator: ReadOperator | None = None,
     ) -> None:
-        self.config, self.operator, self._times, self._reread = config, operator, times, reread
-        self._reread_operator = reread_operator
-        self._loop = asyncio.get_running_loop()
-        self._scheduled = False
-        self._timer: asyncio.TimerHandle | None = None
-        self._stop = asyncio.Event()
-        self._departure: GracefulShutdown | None = None
-        self._planned = False  # it leaves by a plan of the fleet
-        self._heard = asyncio.Event()  # discovery was called, whatever came of it
-        settings, known = config.settings, config.known
-        held = known.news.version if known else None
-        self.watch = EndpointWatch(config.discovery, settings, held, self._listed, config.seed)
-        self._reader = Reader(settings)
-        self._room = streams.ResponseMemory(0)
-        self._http = HttpDialer(settings, self._reader, self._room, self._reach)
-        self.parts = self._set_up_parts(operator)
-        self._dialers: dict[api.NodeId, Dial] = {}
-        report: ReportAttempt = self._ended
-        self._submit: Submit = self._take
-        for part in self.parts:
-            report = part.reports(report)
-            self._dialers.update(part.dialers())
-        self._connect: Connect = connect_plain
-        for part in reversed(self.parts):
-            self._connect = part.connect(self._connect)
-            self._submit = functools.partial(_through, part, self._submit)
-        self.pool = ConnectionPool(settings, report, 0, self._dial, self._may_go)
-        transport: Transport = self.pool
-        for part in reversed(self.parts):
-            transport = part.transport(transport)
-        self.core = Core(settings, config.seed, transport, self.watch, self._wake)
-        ids = Ids()
-        http = Frontend(
-            "HTTP",
-            0,
-            lambda front, stream: HttpClientConnection(
-                front, stream, self._reader, ids, self._submit, self._depart
-            ),
-            self._room,
-        )
-        more = [front for part in self.parts for front in part.fronts()]
-        self.fronts = [http, *(front for front, _ in more)]
-        for front in self.fronts:
-            guards = [g for part in self.parts if (g := part.guard(front.name)) is not None]
-            front.guard = guards[0] if guards else None
-        self._listens = [config.listen, *(listen for _, listen in more)]
-        self._share_out(config)
-        self.listeners: list[Listener] = []
-        self.console = Console(self._call) if config.console else None
-        self._console_listener: Listener | None = None
+        self.assembly = Assembly(config, operator, self)
+        self.core = self.assembly.core
+        self.fronts = self.assembly.fronts
+        self.parts = self.assembly.parts
+        self.pool = self.assembly.pool
+        self.watch = self.assembly.watch
+        self.console = Console(self._on_console_call) if config.console else None
+        self._lifecycle = Lifecycle(self.assembly, self, self.console, times)
+        self.listeners = self._lifecycle.listeners
+        self._reloader = Reloader(self.assembly, self.listeners, reread, reread_operator)
 
-    def _set_up_parts(self, operator: Operator | None) -> list[Part]:
-        if operator is None:
-            return []
-        host = Host(
-            self.config,
-            self._room,
-            lambda node: self.core.nodes[node],
-            lambda work, done: self._submit(work, done),
-            self._depart,
-            self._reach,
-            lambda node: self.pool.preconnect(node),
-            lambda: self.takes_clients,
-            self._stop.is_set,
-            self.reload,
-            lambda: self.leave(planned=True),
-            lambda: self.core.figures.told,
-            lambda node: self.core.busy(node),
-            lambda entries: self._learn(api.NodeList(api.ListKind.DELTA, 0, tuple(entries)), {}),
-        )
-        made = [
-            getattr(importlib.import_module(module), name)(host, operator)
-            for module, name, asked in PARTS
-            if asked(operator)
-        ]
-        return [part for part in made if part is not None]
+    @property
+    def console_port(self) -> int | None:
+        """Where the console listens, also where any port was asked for."""
+        return self._lifecycle.console_port
 
-    def _share_out(self, config: Config) -> None:
-        """Bound connections, and answers on their way, so that descriptors and memory suffice."""
-        boxes = (config.sockets - SPARE) // BOXES
-        self._room.limit_bytes = int(config.memory * ANSWERS)
-        for front in self.fronts:  # past its deadline a client has given up
-            front.write_timeout_s = max(c.deadline for c in config.settings.classes) / 1000 + READING
-        others = sum(front.max_clients for front in self.fronts[1:])
-        self.fronts[0].crowded_above = CROWDED_SHARE * config.settings.most_open
-        self.pool.max_connections, self.fronts[0].max_clients = boxes, config.sockets - SPARE - boxes - others
+    @property
+    def takes_clients(self) -> bool:
+        """Whether listeners are open and neither a drain nor a shutdown sends clients away."""
+        return self._lifecycle.takes_clients
+
+    @property
+    def stop_requested(self) -> bool:
+        """Whether the server was told to stop."""
+        return self._lifecycle.stop_requested
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then finish what was taken; SIGHUP has the configuration read again."""
-        self._loop.add_signal_handler(signal.SIGHUP, self.reload)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self.leave)
-        await self.open()
-        if not self._stop.is_set():  # else it was told to end before it took anything
-            self._begin()
-            if any(part.in_turn for part in self.parts):
-                await self._hear()
-            self._open_doors()
-            gc.collect()
-            gc.freeze()  # guards against long collections of what stays for good
-        await self._stop.wait()
-        await self.finish()
+        """Serve until SIGTERM, then finish what was accepted; SIGHUP has the configuration read again."""
+        await self._lifecycle.run()
 
     async def open(self) -> None:
-        """Get the optional parts ready; a ConfigError where one cannot be."""
-        for part in self.parts:
-            await part.open()
+        """Get the extensions ready; a ConfigError where one cannot be."""
+        await self._lifecycle.open()
 
     def start(self) -> None:
-        """Begin, and open the listeners."""
-        self._begin()
-        self._open_doors()
-
-    def _begin(self) -> None:
-        """Tell the core what is known of the boxes, and have the list asked for."""
-        self._listed(self.config.known or Listing(api.NodeList(api.ListKind.CACHED, 0, ()), {}))
-        self.watch.start()
-        self._turn()
-
-    async def _hear(self) -> None:
-        """Ask for the list now, and wait for what comes of it.
+        """Begin to serve."""
+        self._lifecycle.start()
 
-        Guards against turning clients away for want of a list, while others of the fleet would serve them.
-        Only so many start at once as the budget lets out, so that the calls need not be spread.
-        """
-        self._heard.clear()
-        self.watch.fetch()
-        ends = [self._loop.create_task(event.wait()) for event in (self._heard, self._stop)]
-        await asyncio.wait(ends, timeout=LISTED, return_when=asyncio.FIRST_COMPLETED)
-        for end in ends:
-            end.cancel()
-
-    def _open_doors(self) -> None:
-        for front, listen in zip(self.fronts, self._listens, strict=True):
-            self.listeners.append(Listener(listen, front.accept))
-            log.say("start", f"{self.config.name} serves at {listen[0]}:{self.listeners[-1].port}")
-        if self.console is not None and self.config.console is not None:
-            self._console_listener = Listener(self.config.console, self.console.accept)
-            where = f"{self.config.console[0]}:{self._console_listener.port}"
-            log.say("start", f"{self.config.name} takes operators' calls at {where}")
-
-    @property
-    def console_port(self) -> int | None:
-        """Where the console listens, also where any port was asked for."""
-        return None if self._console_listener is None else self._console_listener.port
+    async def finish(self) -> None:
+        """Shut down gracefully, and close everything."""
+        await self._lifecycle.finish()
 
-    @property
-    def takes_clients(self) -> bool:
-        """The listeners are open, and neither a drain nor the end sends clients away."""
-        return bool(self.listeners) and not any(f.quiesced or f.shutting_down for f in self.fronts)
+    def reload(self) -> str:
+        """Take on a new configuration, or none of it: the reason why not, or an empty string."""
+        return self._reloader.reload()
 
     def quiesce(self) -> None:
-        """Send clients away: health says no, idle connections end now and busy ones with their answer."""
-        if not self.fronts[0].quiesced:
-            log.say("drain", f"{self.config.name} sends clients away, {self.core.unanswered} in work")
-        for front in self.fronts:
-            front.quiesced = True
-            front.close_idle(self._loop.time())
+        """Send clients away, and go on running."""
+        self._lifecycle.quiesce()
 
     def resume(self) -> None:
         """Take clients again."""
-        if self.fronts[0].quiesced:
-            log.say("drain", f"{self.config.name} takes clients again")
-        for front in self.fronts:
-            front.quiesced = False
+        self._lifecycle.resume()
 
-    def figures(self) -> list[str]:
-        """The figures in their line form."""
+    def leave(self, *, planned: bool = False) -> None:
+        """Begin a graceful shutdown; a second call hastens it."""
+        self._lifecycle.leave(planned=planned)
+
+    def metrics(self) -> list[str]:
+        """Return the metrics in their line form."""
         core = self.core
-        classes = [c.name for c in core.settings.classes if c.name not in core.settings.retired]
+        classes = [
+            class_.name for class_ in core.settings.classes if class_.name not in core.settings.retired
+        ]
         avoiding = avoided(core.scheduler.nodes.values())
         return core.figures.lines(classes, core.unanswered, core.nodes.values(), avoiding)
 
-    def _call(self, call: Call) -> tuple[int, bytes]:
-        """An operator's call: its status and body."""
-        if call is Call.HEALTH:
-            return (200, b"yes\n") if self.takes_clients else (503, b"no\n")
-        if call is Call.STATS:
-            return 200, "".join(line + "\n" for line in self.figures()).encode()
-        self.quiesce() if call is Call.QUIESCE else self.resume()
+    def _on_console_call(self, call: Call) -> tuple[int, bytes]:
+        """Carry out an operator's call, and return the status and body of its answer."""
+        match call:
+            case Call.HEALTH:
+                return (200, b"yes\n") if self.takes_clients else (503, b"no\n")
+            case Call.STATS:
+                return 200, "".join(line + "\n" for line in self.metrics()).encode()
+            case Call.QUIESCE:
+                self.quiesce()
+            case _:
+                self.resume()
         return 200, b"ok\n"
-
-    def reload(self) -> str:
-        """Take on a new configuration, or none of it and say why; what was taken and learnt stays.
-
-        Guards against ending on SIGHUP with all that was taken, and against half a configuration.
-        """
-        try:
-            new = self._reread(self.config)
-            _check_like(self.config.settings, new.settings)
-            new = replace(new, settings=merge(self.config.settings, new.settings))
-            told = self._reread_operator(new.settings) if self._reread_operator else None
-            if told is not None:
-                for part in self.parts:
-                    part.check(told)
-            if new.listen != self.config.listen and self.listeners:
-                listener = Listener(new.listen, self.fronts[0].accept)
-                self.listeners[0].close()
-                self.listeners[0] = listener
-        except (ConfigError, SettingsError, OSError) as fault:
-            self.core.figures.reloaded(False)
-            log.say("reload", f"the new configuration is not used: {fault}")
-            return str(fault)
-        self.core.figures.reloaded(True)
-        self.config = new
-        self.core.adopt(new.settings)
-        self._reader.adopt(new.settings)
-        self._http.settings = self.pool.settings = new.settings
-        for part in self.parts:
-            part.adopt(new)
-            if told is not None:
-                part.retold(told)
-        self._share_out(new)
-        self.watch.adopt(new.discovery, new.settings)
-        where = f"discovery at {new.discovery[0]}:{new.discovery[1]}"
-        log.say("reload", f"the new configuration is in force; {where}, {new.sockets} descriptors")
-        return ""
-
-    def leave(self, *, planned: bool = False) -> None:
-        """Begin to end, by SIGTERM or by a plan of the fleet; told once more, make haste."""
-        self._planned |= planned and not self._stop.is_set()
-        if not self._stop.is_set():
-            log.say("stop", f"{self.config.name} was told to end; {self.core.unanswered} requests in work")
-            self._stop.set()
-        elif self._departure is not None:
-            log.say("stop", f"{self.config.name} was told again to end, and makes haste")
-            self._departure.hasten(self._loop.time())
-            self._end_by(self._departure)
-
-    async def finish(self) -> None:
-        """Serve on for as long as the kill leaves time, answer all that was taken, and close."""
-        longest = max(c.deadline for c in self.config.settings.classes) / 1000
-        plan = GracefulShutdown(
-            self._loop.time(), longest, self.config.seed, self._times, planned=self._planned
-        )
-        self._departure, last = plan, ShutdownPhase.ACCEPTING_CONNECTIONS
-        for front in self.fronts:
-            front.shutdown = plan
-        self._end_by(plan)
-        closing: list[Listener] = []
-        while (phase := plan.phase(self._loop.time() + SETTLE)) is not ShutdownPhase.COMPLETED:
-            if phase is not ShutdownPhase.ACCEPTING_CONNECTIONS:
-                while self.listeners:
-                    closing.append(self.listeners.pop())
-                    closing[-1].close()
-                for front in self.fronts:
-                    front.closing = True
-            listeners = self.listeners or not all(listener.closed for listener in closing)
-            if not listeners and not any(front.clients for front in self.fronts):
-                break
-            if phase is not last:
-                held, owed = sum(len(front.clients) for front in self.fronts), self.core.unanswered
-                log.say("stop", f"{PHASES[phase]}; {held} connections, {owed} requests in work")
-                last = phase
-            if (
-                phase >= ShutdownPhase.FINAL_ANSWERS
-                or phase is ShutdownPhase.DRAINING_CONNECTIONS
-                and self._planned
-            ):
-                for front in self.fronts:
-                    front.close_idle(self._loop.time(), LOOK)
-            await asyncio.sleep(LOOK)
-        for listener in closing:
-            listener.close_now()
-        await self._settle()
-        for front in self.fronts:  # those that stopped halfway, and those that never read
-            front.close()
-        self.watch.stop()
-        self.pool.close()
-        if self._console_listener is not None and self.console is not None:
-            self._console_listener.close()
-            self.console.close()
-        for part in self.parts:
-            await part.close()
-        if self._timer is not None:
-            self._timer.cancel()
-        broken = ", ".join(f"{name}: {n}" for name, n in invariants.broken.items()) or "none"
-        log.say("stop", f"{self.config.name} has answered all it took; invariants broken: {broken}")
-
-    async def _settle(self) -> None:
-        """Read nothing more, and answer what was read last.
-
-        Guards against a close over a request that came in the last moment: it was read, so it is owed an
-        answer, and what was not read its client sends once more elsewhere.
-        """
-        end = self._loop.time() + SETTLE
-        for front in self.fronts:
-            front.stop_reading()
-        while not all(front.settled for front in self.fronts) and self._loop.time() < end:
-            self._turn()
-            for front in self.fronts:
-                front.reject_partial_requests()
-            await asyncio.sleep(SETTLE_LOOK)
-
-    def _end_by(self, plan: GracefulShutdown) -> None:
-        """Have all that is taken answered by the departure's ``until``, on the core's clock."""
-        ahead = clock.now() - self._loop.time() * 1000
-        self.core.end_by(plan.answer_by * 1000 + ahead, plan.available_again_at * 1000 + ahead)
-        self._wake()
-
-    async def _reach(
-        self, node: api.NodeId, address: Address, connect_ms: float, patience: float
-    ) -> streams.Stream:
-        return await self._connect(node, address, connect_ms, patience)
-
-    async def _dial(self, node: api.NodeId, address: Address, patience: float) -> Link:
-        return await self._dialers.get(node, self._http.dial)(node, address, patience)
-
-    def _take(self, work: Work, done: Done) -> int:
-        """The last step of every front's way to the core."""
-        return self.core.submit(clock.now(), work, done)
-
-    def _depart(self, rid: int) -> None:
-        for part in self.parts:
-            part.departed(rid)
-        self.core.depart(rid)
-
-    def _listed(self, listing: Listing | None) -> None:
-        self._heard.set()
-        if listing is None:
-            self.core.listed(api.NodeList(api.ListKind.FAILED, 0, ()))
-        else:
-            news = listing.news
-            for part in self.parts:
-                news = part.listing(news)
-            self._learn(news, listing.dials)
-
-    def _learn(self, news: api.NodeList, dials: dict[api.NodeId, Address]) -> None:
-        gone = self.core.listed(news)
-        self.pool.update_addresses(dials, gone)
-        for part in self.parts:
-            part.listed(gone)
-
-    def _ended(self, rid: int, number: int, ended: Ended) -> None:
-        self.core.ended(clock.now(), rid, number, ended)
-
-    def _may_go(self, rid: int, number: int) -> bool:
-        return self.core.may_go(clock.now(), rid, number)
-
-    def _wake(self) -> None:
-        """Events wait: all that comes in this turn of the loop goes to the module as one batch."""
-        if not self._scheduled:
-            self._scheduled = True
-            self._loop.call_soon(self._turn)
-
-    def _turn(self) -> None:
-        self._scheduled = False
-        now = clock.now()
-        self.core.turn(now)
-        if self._timer is not None:
-            self._timer.cancel()
-        due = self.core.due()
-        self._timer = None if due is None else self._loop.call_later(max(0.0, due - now) / 1000, self._turn)
-
-
-def _through(part: Part, onward: Submit, work: Work, done: Done) -> int:
-    return part.submit(work, done, onward)
-
-
-def _check_like(old: api.Settings, new: api.Settings) -> None:
-    """What open requests and the module's knowledge are counted by must keep its names and places."""
-    for what in ("plans", "zones", "kinds"):
-        names = [[getattr(x, "name", x) for x in getattr(s, what)] for s in (old, new)]
-        if names[0] != names[1]:
-            raise ConfigError(f"the names of its {what} differ, which takes a restart")
--- /dev/null
+++ b/sabledyke/application/shutdown_driver.py
@@ -0,0 +1,115 @@
+"""Carries out a graceful shutdown: closes listeners and idle connections in time, and answers what is owed.
+
+When each phase begins, and which connections close, is decided by ``shutdown.graceful_shutdown``.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from sabledyke import log
+from sabledyke.application.assembly import Assembly
+from sabledyke.net.listener import Listener
+from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
+
+PHASE_DESCRIPTIONS = {
+    ShutdownPhase.SERVING_OPEN_CONNECTIONS: "the listener is closed, open connections are served on",
+    ShutdownPhase.DRAINING_CONNECTIONS: "answers end their connections",
+    ShutdownPhase.FINAL_ANSWERS: "final answers",
+}
+POLL_INTERVAL_S = 0.01  # between checks of how far the shutdown has come
+SETTLE_S = 0.04  # before the end, from which on nothing is read any more
+SETTLE_POLL_INTERVAL_S = 0.002  # between checks whether all that was read has its answer
+
+
+class ShutdownDriver:
+    """Runs the phases of one graceful shutdown."""
+
+    def __init__(
+        self, assembly: Assembly, listeners: list[Listener], plan: GracefulShutdown, *, planned: bool
+    ) -> None:
+        self.plan = plan
+        self._assembly = assembly
+        self._listeners = listeners  # shared with the life cycle: those that still accept
+        self._closing_listeners: list[Listener] = []
+        self._planned = planned
+        self._loop = asyncio.get_running_loop()
+
+    async def run(self) -> None:
+        """Serve on for as long as the kill leaves time, and answer all that was accepted."""
+        for frontend in self._assembly.fronts:
+            frontend.shutdown = self.plan
+        self._set_end()
+        await self._serve_until_end()
+        for listener in self._closing_listeners:
+            listener.close_now()
+        await self._settle()
+        for frontend in self._assembly.fronts:  # those that stopped halfway, and those that never read
+            frontend.close()
+
+    def hasten(self) -> None:
+        """End sooner."""
+        self.plan.hasten(self._loop.time())
+        self._set_end()
+
+    def _set_end(self) -> None:
+        self._assembly.driver.end_by(self.plan.answer_by, self.plan.available_again_at)
+
+    async def _serve_until_end(self) -> None:
+        logged_phase = ShutdownPhase.ACCEPTING_CONNECTIONS
+        while (phase := self._current_phase()) is not ShutdownPhase.COMPLETED:
+            if phase is not ShutdownPhase.ACCEPTING_CONNECTIONS:
+                self._stop_accepting()
+            if self._all_connections_closed():
+                return
+            if phase is not logged_phase:
+                self._log_phase(phase)
+                logged_phase = phase
+            if self._closes_idle_connections(phase):
+                for frontend in self._assembly.fronts:
+                    frontend.close_idle(self._loop.time(), POLL_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def _current_phase(self) -> ShutdownPhase:
+        return self.plan.phase(self._loop.time() + SETTLE_S)
+
+    def _stop_accepting(self) -> None:
+        while self._listeners:
+            listener = self._listeners.pop()
+            self._closing_listeners.append(listener)
+            listener.close()
+        for frontend in self._assembly.fronts:
+            frontend.closing = True
+
+    def _all_connections_closed(self) -> bool:
+        if self._listeners or not all(listener.closed for listener in self._closing_listeners):
+            return False
+        return not any(frontend.clients for frontend in self._assembly.fronts)
+
+    def _log_phase(self, phase: ShutdownPhase) -> None:
+        connections = sum(len(frontend.clients) for frontend in self._assembly.fronts)
+        unanswered = self._assembly.core.unanswered
+        log.say(
+            "stop", f"{PHASE_DESCRIPTIONS[phase]}; {connections} connections, {unanswered} requests in work"
+        )
+
+    def _closes_idle_connections(self, phase: ShutdownPhase) -> bool:
+        if phase is ShutdownPhase.DRAINING_CONNECTIONS:
+            return self._planned
+        return phase >= ShutdownPhase.FINAL_ANSWERS
+
+    async def _settle(self) -> None:
+        """Read nothing more, and answer what was read last.
+
+        Guards against a close over a request that came in the last moment: it was read, so it is owed an
+        answer, and what was not read its client sends once more elsewhere.
+        """
+        frontends = self._assembly.fronts
+        end_s = self._loop.time() + SETTLE_S
+        for frontend in frontends:
+            frontend.stop_reading()
+        while not all(frontend.settled for frontend in frontends) and self._loop.time() < end_s:
+            self._assembly.driver.run_batch()
+            for frontend in frontends:
+                frontend.reject_partial_requests()
+            await asyncio.sleep(SETTLE_POLL_INTERVAL_S)
--- a/sabledyke/shutdown/graceful_shutdown.py
+++ b/sabledyke/shutdown/graceful_shutdown.py
@@ -45,6 +45,9 @@
     unavailable_s: float = 1.0  # after the end, until somebody serves at this address again
 
 
+DEFAULT_TIMES = ShutdownTimes()
+
+
 class GracefulShutdown:
     """One scheduler's leaving; ``until`` is when all that it takes has to be answered."""
 
@@ -53,7 +56,7 @@
         told: float,
         longest: float,
         seed: int,
-        times: ShutdownTimes = ShutdownTimes(),  # noqa: B008
+        times: ShutdownTimes = DEFAULT_TIMES,
         *,
         planned: bool = False,
     ) -> None:
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -122,12 +122,12 @@
         """The server stops where it stands: nothing is answered, written or closed in good order."""
         while self.server.listeners:
             self.server.listeners.pop().close()
-        self.server._turn = lambda: None  # type: ignore[method-assign]  # a dead process's guards do not fire
+        self.server.assembly.driver.run_batch = lambda: None  # type: ignore[method-assign]  # a dead process's guards do not fire
         recorder = self.recorder
         recorder._ending = True
         if recorder._pump is not None:
             recorder._pump.cancel()
-        for timer in (recorder._gathering, recorder._ticking, self.server._timer):
+        for timer in (recorder._gathering, recorder._ticking, self.server.assembly.driver._timer):
             if timer is not None:
                 timer.cancel()
         if recorder._session is not None:
--- a/tests/test_attempt_recheck.py
+++ b/tests/test_attempt_recheck.py
@@ -26,10 +26,10 @@
     """A dialer whose connections come up when the test lets them."""
 
     def __init__(self, rig: Rig) -> None:
-        self._dial = rig.server._http.dial
+        self._dial = rig.server.assembly.http_dialer.dial
         self.asked, self.go = asyncio.Event(), asyncio.Event()
         rig.server.pool.close_idle(b"plain")
-        rig.server._dialers[b"plain"] = self
+        rig.server.assembly.dialers[b"plain"] = self
 
     async def __call__(self, node: api.NodeId, address: Address, patience: float) -> Any:
         link = await self._dial(node, address, patience)
@@ -44,16 +44,18 @@
 
 def drains(rig: Rig, line: Line) -> None:
     rig.server.core.settings = replace(rig.server.core.settings, drain_grace=0.0)
-    rig.server._listed(discovery.read(DRAINS | {"hosts": [HOST | {"health": "draining"}]}, DEPLOYMENT))
+    rig.server.assembly.on_endpoint_list(
+        discovery.read(DRAINS | {"hosts": [HOST | {"health": "draining"}]}, DEPLOYMENT)
+    )
 
 
 def is_gone(rig: Rig, line: Line) -> None:
     rig.server.core.settings = replace(rig.server.core.settings, drain_grace=0.0)
-    rig.server._listed(discovery.read(GONE, DEPLOYMENT))
+    rig.server.assembly.on_endpoint_list(discovery.read(GONE, DEPLOYMENT))
 
 
 def starts_anew(rig: Rig, line: Line) -> None:
-    rig.server._listed(discovery.read(change(HOST, 2, born_ms=5.0), DEPLOYMENT))
+    rig.server.assembly.on_endpoint_list(discovery.read(change(HOST, 2, born_ms=5.0), DEPLOYMENT))
 
 
 def has_no_time(rig: Rig, line: Line) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from sabledyke.application import server
+from sabledyke.application import lifecycle
 from sabledyke.core import Ended
 from sabledyke.net import frontend, listener, streams
 from sabledyke.policy import interface as api
@@ -87,7 +87,7 @@
     """The program is told to end, and its last moment comes right after a request has come so far."""
 
     async def story(rig: Rig) -> None:
-        monkeypatch.setattr(server, "GracefulShutdown", Scripted)
+        monkeypatch.setattr(lifecycle, "GracefulShutdown", Scripted)
         Scripted.current = begins
         line = await Line.open(rig)
         rig.server.leave()
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -115,7 +115,7 @@
 
 
 async def leave(rig: Program) -> asyncio.Task[None]:
-    rig.server._times = SHORT
+    rig.server._lifecycle._times = SHORT
     rig.server.leave()
     return asyncio.create_task(rig.server.finish())
 
@@ -227,10 +227,10 @@
         if what == "again":
             rig.server.leave()
             rig.server.leave()
-            plan, now = rig.server._departure, asyncio.get_running_loop().time()
-            assert (
-                plan is not None and plan.completed_at <= now + SHORT.hastened_s
-            )  # and not the second time from anew
+            shutdown = rig.server._lifecycle._shutdown
+            now = asyncio.get_running_loop().time()
+            assert shutdown is not None
+            assert shutdown.plan.completed_at <= now + SHORT.hastened_s  # and not the second time from anew
         elif what == "reload":
             rig.config = replace(rig.config, settings=replace(rig.config.settings, max_attempts=2))
             rig.server.reload()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -313,10 +313,10 @@
         nvme = rig.server.parts[-1]
         assert isinstance(nvme, NvmeExtension)
         nvme.dialer._nqn_by_node[b"spare"] = NQN
-        rig.server._dialers[b"spare"] = nvme.dialer.dial
+        rig.server.assembly.dialers[b"spare"] = nvme.dialer.dial
         rig.discovery.add("spare", spare.port, 2)
         rig.discovery.hosts = rig.discovery.hosts[1:]  # none that speaks HTTP
-        rig.server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
         for box in (rig.nvme, spare):
             box.mercy, box.deadly = 1000, deadly
         info = INFO.replace("shard=0", "shard=-1") + "Idempotency-Key: k\nContent-Length: 3000\n"
@@ -599,9 +599,9 @@
         association = nvme.dialer._associations[b"block"]
         assert set(server.core.nodes) == set(server.pool._addresses) == {b"plain", b"block"}
         rig.discovery.hosts.pop()
-        server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
         delta = {"seq": 2, "whole": False, "hosts": [rig.discovery.hosts[0] | {"health": "gone"}]}
-        server._listed(discovery.read(delta, DEPLOYMENT))
+        server.assembly.on_endpoint_list(discovery.read(delta, DEPLOYMENT))
         assert not server.core.nodes and not server.pool._addresses and not server.pool._open_count
         assert association.node_removed and not nvme.dialer._associations
         host.close()
@@ -618,10 +618,12 @@
         for n, (size, full, status) in enumerate(
             ((300_000, False, 200), (1 << 21, False, 503), (300_000, True, 503), (60_000, True, 200))
         ):
-            rig.server._room.used_bytes = rig.server._room.limit_bytes + 1 if full else 0
+            rig.server.assembly.response_memory.used_bytes = (
+                rig.server.assembly.response_memory.limit_bytes + 1 if full else 0
+            )
             got, _, body = await ask(rig.port, GET.format(n, n, INFO))
             assert got == status and (got != 200 or body == b"x" * size)
-        rig.server._room.used_bytes = 0
+        rig.server.assembly.response_memory.used_bytes = 0
 
     play(story)
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -131,13 +131,13 @@
 def test_a_call_is_answered_while_the_data_path_is_full() -> None:
     async def story(rig: Rig) -> None:
         asked, go = held_back(rig)
-        figures, open_ = rig.server.figures, list[int]()
+        figures, open_ = rig.server.metrics, list[int]()
 
         def read() -> list[str]:  # requests end by their deadlines while the call is under way
             open_.append(rig.server.core.unanswered)
             return figures()
 
-        setattr(rig.server, "figures", read)  # noqa: B010
+        setattr(rig.server, "metrics", read)  # noqa: B010
         asks = [GET.format(1, f"i{n}", INFO) for n in range(100)]
         waiting = [asyncio.create_task(ask(rig.port, text)) for text in asks]
         await asked.wait()
@@ -266,7 +266,7 @@
         def bad(_: object) -> Config:
             raise ConfigError("config.json: setting deadline of read must be above 0, not -5.0")
 
-        rig.server._reread = bad
+        rig.server._reloader._read_config = bad
         before = rig.server.core.settings
         rig.server.reload()
         assert rig.server.core.settings is before
--- a/tests/test_store_link.py
+++ b/tests/test_store_link.py
@@ -238,7 +238,7 @@
     async def story(made: LinkRig) -> None:
         assert (await made.put("k"))[0] == 200
         made.discovery.hosts.pop()
-        made.server._listed(discovery.read(made.discovery.listing(), DEPLOYMENT))
+        made.server.assembly.on_endpoint_list(discovery.read(made.discovery.listing(), DEPLOYMENT))
         while made.postgres._writers:
             await asyncio.sleep(0.005)
 
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -266,7 +266,7 @@
         born = int(time.time() * 1000)
         await box.renew(server_context(*ROOT.issue("plain")), reset=True)
         rig.discovery.hosts[0]["born_ms"] = born
-        rig.server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
         until = time.monotonic() + 5
         while await rig.ask() != 200:
             assert time.monotonic() < until
@@ -447,7 +447,7 @@
         assert await rig.ask() == 200  # its handshake was nobody's wait
         assert rig.part.connector.full + rig.part.connector.resumed == handshakes == 2
         rig.discovery.hosts.pop()
-        rig.server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
         await asyncio.sleep(0.15)
         assert not rig.server.pool._open_count and not rig.part._used  # none to a box that is gone
 
