--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -9,7 +9,8 @@
 from sabledyke import log
 from sabledyke.core import Answer, Verdict
 from sabledyke.net import streams
-from sabledyke.net.frontend import REQUEST_TIMEOUT_S, ClientConnection, Frontend, Submit
+from sabledyke.net.client_connection import REQUEST_TIMEOUT_S, ClientConnection, Submit
+from sabledyke.net.frontend import Frontend
 from sabledyke.protocol.blocks import Translator
 from sabledyke.protocol.nvme import Command, Completion, NvmeError, Status, Target
 
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from sabledyke.net.frontend import ClientConnection
+from sabledyke.net.client_connection import ClientConnection
 from tests.test_net import GET, INFO, Rig, held_back
 
 
