--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -1,4 +1,8 @@
-"""Connections to boxes, whatever they speak, and the attempts on them: one at a time on each."""
+"""Connections to storage nodes, whatever they speak, and the attempts on them: one at a time on each.
+
+The pool is the core's innermost transport. It owns the connections and the timers of attempts; whether and
+where an attempt goes is decided by the core.
+"""
 
 from __future__ import annotations
 
@@ -13,42 +17,54 @@
 from sabledyke.policy import interface as api
 from sabledyke.policy.interface import Outcome
 
+IDLE_TIMEOUT_SHARE = 0.6  # of the time after which nodes close idle connections: ours are closed by then
+PRECONNECT_TIMEOUT_FACTOR = 2  # of the connect time-out
+
 Address = tuple[str, int]
+# Request, number of the attempt, and how it ended.
 ReportAttempt = Callable[[int, int, Ended], None]
-MaySend = Callable[[int, int], bool]  # may this attempt be written now? See ``core.Core.may_go``
-IDLE_TIMEOUT_SHARE = 0.6  # of the time after which boxes close idle connections: ours are closed by then
+# Request and number of the attempt: may it be written now? See ``core.Core.may_go``.
+MaySend = Callable[[int, int], bool]
 
 
 class PeerProtocolError(Fault):
-    """A box does not speak its protocol; the text says where."""
+    """A storage node does not speak its protocol; the text says where."""
 
     code, remedy = "box-garbled", "look at the box's version"
 
 
 class Link(Protocol):
-    """An open connection to a box."""
+    """An open connection to a storage node."""
 
     @property
     def closed(self) -> bool:
-        """It is of no more use."""
+        """Whether it is of no more use."""
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the box may have run what was exchanged last."""
+        """Whether the node may have run what was exchanged last."""
 
     @property
     def reusable(self) -> bool:
         """Whether another exchange may follow the last."""
 
     async def exchange(self, work: Work, timeout: float) -> Ended:
-        """One attempt; a StreamClosedError or BadPeer where it breaks."""
+        """Carry out one attempt.
+
+        Args:
+            work: The request.
+            timeout: What the attempt may take, in milliseconds.
+
+        Raises:
+            StreamClosedError: The connection broke.
+            PeerProtocolError: The node does not speak its protocol.
+        """
 
-    def enter_idle(self, heard: Callable[[], None]) -> None:
-        """Nothing is asked for now; ``heard`` is called when its peer ends it or says something all the
-        same."""
+    def enter_idle(self, on_activity: Callable[[], None]) -> None:
+        """Wait for no answer; ``on_activity`` is called when the peer sends or closes all the same."""
 
     def leave_idle(self) -> bool:
-        """An exchange is to come; whether the link is fit for it."""
+        """Prepare for an exchange, and tell whether the link is fit for it."""
 
     def close(self) -> None:
         """End it, whatever is under way on it."""
@@ -60,52 +76,49 @@
 Connect = Callable[[api.NodeId, Address, float, float], Awaitable[streams.Stream]]
 
 
-async def connect_plain(_: api.NodeId, address: Address, connect_ms: float, __: float) -> streams.Stream:
-    """The connection that no part has made another of."""
+async def connect_plain(
+    _node: api.NodeId, address: Address, connect_ms: float, _attempt_ms: float
+) -> streams.Stream:
+    """Connect as no extension has wrapped it."""
     return await streams.connect(address, connect_ms)
 
 
-class _PooledConnection:
-    """A link and its place in the pool."""
-
-    def __init__(self, node: api.NodeId, address: Address, link: Link) -> None:
-        self.node, self.address, self.link = node, address, link
-        self.expiry: asyncio.TimerHandle | None = None
-
-
-class _Attempt:
-    """An attempt under way."""
-
-    def __init__(self, rid: int, number: int, node: api.NodeId, work: Work) -> None:
-        self.rid, self.number, self.node, self.work = rid, number, node, work
-        self.connection: _PooledConnection | None = None
-        self.until = 0.0  # the loop's time at which it expires
-        self.timer: asyncio.TimerHandle | None = None
-        self.task: asyncio.Task[None] | None = None
-
-    @property
-    def may_have_run(self) -> bool:
-        return self.connection is not None and self.connection.link.may_have_run
-
-
 class ConnectionPool:
-    """The core's transport: keeps at most ``most`` connections and opens them with ``dial``."""
+    """Carries attempts to storage nodes over a bounded number of connections.
+
+    Args:
+        settings: The settings in force.
+        report: Called once for each attempt, when it has ended.
+        max_connections: How many connections there may be.
+        dial: Opens a connection.
+        may_send: Asked right before an attempt is written.
+    """
 
     def __init__(
-        self, settings: api.Settings, report: ReportAttempt, most: int, dial: Dial, permit: MaySend
+        self,
+        settings: api.Settings,
+        report: ReportAttempt,
+        max_connections: int,
+        dial: Dial,
+        may_send: MaySend,
     ) -> None:
-        self.settings, self._report, self.max_connections, self._dial = settings, report, most, dial
-        self._may_send = permit
+        self.settings = settings
+        self.max_connections = max_connections
+        self._report = report
+        self._dial = dial
+        self._may_send = may_send
         self._addresses: dict[api.NodeId, Address] = {}
         self._idle: dict[api.NodeId, list[_PooledConnection]] = {}
         self._attempts: dict[tuple[int, int], _Attempt] = {}
         self._open_count = 0
-        self._preconnects: dict[api.NodeId, asyncio.Task[None]] = {}  # one at a time for a box
+        self._preconnects: dict[api.NodeId, asyncio.Task[None]] = {}  # one at a time for a node
         self._closed = False
 
-    def update_addresses(self, addresses: dict[api.NodeId, Address], gone: Iterable[api.NodeId] = ()) -> None:
-        """Learn where nodes listen and which are gone; connections to a former address are not used again."""
-        for node in gone:
+    def update_addresses(
+        self, addresses: dict[api.NodeId, Address], removed: Iterable[api.NodeId] = ()
+    ) -> None:
+        """Note where nodes listen and which are removed; idle connections to former addresses are closed."""
+        for node in removed:
             if self._addresses.pop(node, None):
                 self.close_idle(node)
         for node, address in addresses.items():
@@ -115,18 +128,18 @@
 
     def start(self, rid: int, number: int, node: api.NodeId, work: Work, timeout: float) -> None:
         """See ``core.Transport``."""
+        loop = asyncio.get_running_loop()
         attempt = _Attempt(rid, number, node, work)
         self._attempts[rid, number] = attempt
-        loop = asyncio.get_running_loop()
-        attempt.until = loop.time() + timeout / 1000
-        attempt.timer = loop.call_at(attempt.until, self._expire, attempt)
+        attempt.expires_at_s = loop.time() + timeout / 1000
+        attempt.timer = loop.call_at(attempt.expires_at_s, self._expire, attempt)
         attempt.task = loop.create_task(self._carry_out(attempt, timeout))
 
     def cancel(self, rid: int, number: int) -> None:
         """See ``core.Transport``."""
         attempt = self._attempts.get((rid, number))
         if attempt is not None:
-            self._complete(attempt, Ended(Outcome.CANCELLED, _given_up(attempt)))
+            self._complete(attempt, Ended(Outcome.CANCELLED, attempt.abort()))
 
     def close_idle(self, node: api.NodeId) -> None:
         """See ``core.Transport``."""
@@ -134,25 +147,14 @@
             self._discard(connection)
 
     def preconnect(self, node: api.NodeId) -> None:
-        """Open a connection ahead of need, where none rests and there is room; nothing is said on it."""
-        if (
-            self._idle.get(node)
-            or node not in self._addresses
-            or self._open_count >= self.max_connections
-            or self._closed
-        ):
+        """Open a connection ahead of need, where none is idle and capacity remains; nothing is sent on it."""
+        if self._idle.get(node) or node not in self._addresses:
+            return
+        if self._open_count >= self.max_connections or self._closed:
             return
         if node not in self._preconnects:
             self._preconnects[node] = asyncio.get_running_loop().create_task(self._preconnect(node))
 
-    async def _preconnect(self, node: api.NodeId) -> None:
-        try:
-            self._return_connection(await self._open(node, 2 * self.settings.connect_timeout))
-        except (streams.StreamClosedError, PeerProtocolError, OSError):
-            return  # whoever needs one will find out
-        finally:
-            del self._preconnects[node]
-
     def close(self) -> None:
         """Close what is idle, at the end."""
         self._closed = True
@@ -161,32 +163,44 @@
         for node in list(self._idle):
             self.close_idle(node)
 
-    async def _carry_out(self, attempt: _Attempt, timeout: float) -> None:
+    async def _preconnect(self, node: api.NodeId) -> None:
+        timeout_ms = PRECONNECT_TIMEOUT_FACTOR * self.settings.connect_timeout
         try:
-            connection = self._reuse(attempt.node) or await self._open(attempt.node, timeout)
-            if (attempt.rid, attempt.number) not in self._attempts:  # given up while the connection came up
+            self._return_connection(await self._open(node, timeout_ms))
+        except (streams.StreamClosedError, PeerProtocolError, OSError):
+            return  # whoever needs one will find out
+        finally:
+            del self._preconnects[node]
+
+    async def _carry_out(self, attempt: _Attempt, timeout_ms: float) -> None:
+        try:
+            connection = self._reuse(attempt.node) or await self._open(attempt.node, timeout_ms)
+            if (attempt.request_id, attempt.number) not in self._attempts:  # given up meanwhile
                 self._return_connection(connection)
                 return
-            # Guards against going by what held when the connection was asked for: it may have come up late.
-            left = (attempt.until - asyncio.get_running_loop().time()) * 1000
-            if left <= 0 or not self._may_send(attempt.rid, attempt.number):
+            # Guards against going by what held when the connection was requested: it may have come up late.
+            remaining_ms = (attempt.expires_at_s - asyncio.get_running_loop().time()) * 1000
+            if remaining_ms <= 0 or not self._may_send(attempt.request_id, attempt.number):
                 self._return_connection(connection)
                 self._complete(attempt, Ended(Outcome.MOOT, False))
                 return
             attempt.connection = connection
-            ended = await connection.link.exchange(attempt.work, left)
-        except (streams.StreamClosedError, PeerProtocolError, OSError) as fault:
-            if isinstance(fault, PeerProtocolError):
-                log.say("box", f"{api.name_of(attempt.node)} is not understood: {fault}")
-            ran = attempt.may_have_run
-            self._complete(attempt, Ended(Outcome.RESET if ran else Outcome.NO_CONNECTION, ran))
+            ended = await connection.link.exchange(attempt.work, remaining_ms)
+        except (streams.StreamClosedError, PeerProtocolError, OSError) as error:
+            self._on_attempt_broken(attempt, error)
             return
         if attempt.connection is not None and connection.link.reusable:
             attempt.connection = None
             self._return_connection(connection)
         self._complete(attempt, ended)
 
-    async def _open(self, node: api.NodeId, patience: float) -> _PooledConnection:
+    def _on_attempt_broken(self, attempt: _Attempt, error: Exception) -> None:
+        if isinstance(error, PeerProtocolError):
+            log.say("box", f"{api.name_of(attempt.node)} is not understood: {error}")
+        ran = attempt.may_have_run
+        self._complete(attempt, Ended(Outcome.RESET if ran else Outcome.NO_CONNECTION, ran))
+
+    async def _open(self, node: api.NodeId, timeout_ms: float) -> _PooledConnection:
         address = self._addresses.get(node)
         if self._open_count >= self.max_connections:
             self._evict_idle()
@@ -195,7 +209,7 @@
             raise streams.StreamClosedError
         self._open_count += 1
         try:
-            return _PooledConnection(node, address, await self._dial(node, address, patience))
+            return _PooledConnection(node, address, await self._dial(node, address, timeout_ms))
         except BaseException:
             self._open_count -= 1
             raise
@@ -203,7 +217,7 @@
     def _evict_idle(self) -> None:
         """Close the oldest idle connection of the node that has most of them."""
         if self._idle:
-            node = max(self._idle, key=lambda n: len(self._idle[n]))
+            node = max(self._idle, key=lambda candidate: len(self._idle[candidate]))
             self._drop_idle(self._idle[node][0])
 
     def _reuse(self, node: api.NodeId) -> _PooledConnection | None:
@@ -215,17 +229,18 @@
         return None
 
     def _return_connection(self, connection: _PooledConnection) -> None:
+        """Keep a connection for later attempts, where it can still serve one."""
         moved = self._addresses.get(connection.node) != connection.address
         if self._closed or connection.link.closed or moved:
             self._discard(connection)
             return
         self._idle.setdefault(connection.node, []).append(connection)
-        after = self.settings.idle_timeout * IDLE_TIMEOUT_SHARE / 1000
-        connection.expiry = asyncio.get_running_loop().call_later(after, self._drop_idle, connection)
+        timeout_s = self.settings.idle_timeout * IDLE_TIMEOUT_SHARE / 1000
+        connection.expiry = asyncio.get_running_loop().call_later(timeout_s, self._drop_idle, connection)
         connection.link.enter_idle(lambda: self._drop_idle(connection))
 
     def _remove_idle(self, connection: _PooledConnection) -> bool:
-        """Out of the idle ones; whether it can be used."""
+        """Take a connection out of the idle ones, and tell whether it can be used."""
         self._idle[connection.node].remove(connection)
         if not self._idle[connection.node]:
             del self._idle[connection.node]
@@ -243,23 +258,51 @@
         self._open_count -= 1
 
     def _expire(self, attempt: _Attempt) -> None:
-        ran = _given_up(attempt)
+        ran = attempt.abort()
         self._complete(attempt, Ended(Outcome.TIMEOUT if ran else Outcome.NO_CONNECTION, ran))
 
     def _complete(self, attempt: _Attempt, ended: Ended) -> None:
-        """The one report of an attempt; a connection it still holds is closed, which gives it up."""
-        if self._attempts.pop((attempt.rid, attempt.number), None) is None:
+        """Report an attempt, once; a connection that it still holds is closed, which gives it up."""
+        if self._attempts.pop((attempt.request_id, attempt.number), None) is None:
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        connection, attempt.connection = attempt.connection, None
+        connection = attempt.connection
+        attempt.connection = None
         if connection is not None:
             self._discard(connection)
-        self._report(attempt.rid, attempt.number, ended)
+        self._report(attempt.request_id, attempt.number, ended)
 
 
-def _given_up(attempt: _Attempt) -> bool:
-    """Close what an attempt holds; only then can be said for good whether it may have run."""
-    if attempt.connection is not None:
-        attempt.connection.link.close()
-    return attempt.may_have_run
+class _PooledConnection:
+    """A link and its place in the pool."""
+
+    def __init__(self, node: api.NodeId, address: Address, link: Link) -> None:
+        self.node = node
+        self.address = address
+        self.link = link
+        self.expiry: asyncio.TimerHandle | None = None
+
+
+class _Attempt:
+    """An attempt in flight."""
+
+    def __init__(self, request_id: int, number: int, node: api.NodeId, work: Work) -> None:
+        self.request_id = request_id
+        self.number = number
+        self.node = node
+        self.work = work
+        self.connection: _PooledConnection | None = None
+        self.expires_at_s = 0.0  # by the loop's clock
+        self.timer: asyncio.TimerHandle | None = None
+        self.task: asyncio.Task[None] | None = None
+
+    @property
+    def may_have_run(self) -> bool:
+        return self.connection is not None and self.connection.link.may_have_run
+
+    def abort(self) -> bool:
+        """Close the connection in use: only then is it final whether the attempt may have run."""
+        if self.connection is not None:
+            self.connection.link.close()
+        return self.may_have_run
--- a/sabledyke/net/console.py
+++ b/sabledyke/net/console.py
@@ -1,7 +1,7 @@
-"""The thin driver of the operators' console: its own connections, one call each, answered and closed.
+"""The operators' console: its own connections, one call on each, answered and closed.
 
-It reads a call, hands it to ``calls`` (the server's), writes what that returns and closes. It decides
-nothing about the scheduler; its only bounds are on its own connections.
+It reads a call, hands it to the server, writes the answer and closes. It decides nothing about the scheduler;
+it only bounds its own connections.
 """
 
 from __future__ import annotations
@@ -17,41 +17,56 @@
 from sabledyke.protocol.console import MAX_CALL, Call, answer, route
 from sabledyke.protocol.http import HttpError, Message, Parser
 
-MAX_CONNECTIONS = 32  # connections of the console at a time; at the bound the oldest makes room
-CALL_TIMEOUT_S = 2.0  # seconds for a call to come in whole and its answer to be taken
+MAX_CONNECTIONS = 32  # at the bound the oldest is closed for each new one
+CALL_TIMEOUT_S = 2.0  # for a call to come in and its answer to be read
 
 
 class Console:
-    """All connections to the console."""
+    """All connections to the console.
 
-    def __init__(self, calls: Callable[[Call], tuple[int, bytes]]) -> None:
-        self._handle_call = calls
-        self._connections: OrderedDict[asyncio.Task[None], streams.IOStream] = (
-            OrderedDict()
-        )  # the oldest first
-        self.eviction_count = 0  # log lines said about the bound: one, until it is no longer reached
+    Args:
+        handle_call: Carries out a call, and returns the status and body of its answer.
+
+    Attributes:
+        eviction_count: Connections closed at the bound since it was reached; the first is logged.
+    """
+
+    def __init__(self, handle_call: Callable[[Call], tuple[int, bytes]]) -> None:
+        self.eviction_count = 0
+        self._handle_call = handle_call
+        # The oldest first.
+        self._connections: OrderedDict[asyncio.Task[None], streams.IOStream] = OrderedDict()
 
     def accept(self, sock: socket.socket, _address: object = None) -> None:
-        """Serve a call; the oldest connection makes room where there are too many.
+        """Serve a call; where there are too many connections, the oldest is closed.
 
-        Guards against callers that connect and say nothing: they hold a place for 2 s at most, and a new
-        caller never waits for them.
+        Guards against callers that connect and stay silent: they hold a connection for ``CALL_TIMEOUT_S`` at
+        most, and a new caller never waits for them.
         """
         if len(self._connections) >= MAX_CONNECTIONS:
-            if not self.eviction_count:
-                log.say(
-                    "console", f"{MAX_CONNECTIONS} console connections: the oldest is closed for each new one"
-                )
-            self.eviction_count += 1
-            task, stream = self._connections.popitem(last=False)
-            stream.close()
-            task.cancel()
+            self._evict_oldest()
         elif len(self._connections) < MAX_CONNECTIONS // 2:
             self.eviction_count = 0
         stream = stream_of(sock)
         task = asyncio.get_running_loop().create_task(self._serve(stream))
         self._connections[task] = stream
-        task.add_done_callback(lambda t: self._connections.pop(t, None))
+        task.add_done_callback(lambda done: self._connections.pop(done, None))
+
+    def close(self) -> None:
+        """End all connections."""
+        for task, stream in list(self._connections.items()):
+            stream.close()
+            task.cancel()
+
+    def _evict_oldest(self) -> None:
+        if not self.eviction_count:
+            log.say(
+                "console", f"{MAX_CONNECTIONS} console connections: the oldest is closed for each new one"
+            )
+        self.eviction_count += 1
+        task, stream = self._connections.popitem(last=False)
+        stream.close()
+        task.cancel()
 
     async def _serve(self, stream: streams.IOStream) -> None:
         try:
@@ -64,28 +79,28 @@
 
     async def _answer(self, stream: streams.IOStream) -> bytes:
         try:
-            message = await _read(stream)
+            message = await _read_call(stream)
             call = route(message)
-        except HttpError as fault:
-            log.say("console", f"a call was turned down: {fault}")
-            return answer(fault.status)
+        except HttpError as error:
+            log.say("console", f"a call was turned down: {error}")
+            return answer(error.status)
         status, body = self._handle_call(call)
         return answer(status, body, head=message.method == "HEAD")
 
-    def close(self) -> None:
-        """End all connections."""
-        for task, stream in list(self._connections.items()):
-            stream.close()
-            task.cancel()
 
+async def _read_call(stream: streams.IOStream) -> Message:
+    """Return one complete call.
 
-async def _read(stream: streams.IOStream) -> Message:
-    """One whole call; an HttpError for what is wrong with it, a StreamClosedError where the caller leaves."""
-    parser, held = Parser(), 0
+    Raises:
+        HttpError: The call is larger than any call, or not HTTP.
+        StreamClosedError: The caller has closed.
+    """
+    parser = Parser()
+    received_bytes = 0
     while True:
         data = await stream.read_bytes(MAX_CALL, partial=True)
-        held += len(data)
-        if held > MAX_CALL:
+        received_bytes += len(data)
+        if received_bytes > MAX_CALL:
             raise HttpError("a call larger than any call")
         parser.feed(data)
         message = parser.next()
--- a/tests/test_attempt_recheck.py
+++ b/tests/test_attempt_recheck.py
@@ -65,7 +65,7 @@
 
 def is_late(rig: Rig, line: Line) -> None:
     for flight in rig.server.pool._attempts.values():
-        flight.until -= 0.5
+        flight.expires_at_s -= 0.5
 
 
 @pytest.mark.parametrize(
