--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: one call after the other, as long as the module wants it."""
+"""Watches the endpoint list that discovery serves: one call after the other, as long as the core wants it."""
 
 from __future__ import annotations
 
@@ -15,13 +15,22 @@
 from sabledyke.protocol.versions import Verdict, Versions
 from sabledyke.protocol.watch_timeout import ASKED, PUSHED, Silence, Terms
 
-# How a call may end that brings no list; all else is a fault of this program's.
+# How a call may end that brings no list; any other error is a fault of this program.
 EXPECTED_ERRORS = (streams.StreamClosedError, HttpError, ListError, OSError, TimeoutError)
-MIN_CALL_S = 0.05  # seconds that a call takes at least where it brings nothing new
+MIN_CALL_S = 0.05  # where a call brings nothing new
+CONNECT_TIMEOUT_FACTOR = 4  # of the connect time-out to storage nodes
 
 
 class EndpointWatch:
-    """Discovery as the core asks it."""
+    """Discovery, as the core asks it; see ``core.Lists``.
+
+    Args:
+        address: Where discovery listens.
+        settings: The settings in force.
+        since: The version of the cached list, where there is one.
+        report: Called with each new list, and with None where a call failed.
+        seed: For the back-off between calls.
+    """
 
     def __init__(
         self,
@@ -31,7 +40,9 @@
         report: Callable[[Listing | None], None],
         seed: int = 0,
     ) -> None:
-        self._address, self._settings, self._report = address, settings, report
+        self._address = address
+        self._settings = settings
+        self._report = report
         self._versions = Versions(since)
         self._task: asyncio.Task[None] | None = None
         self._fetches: set[asyncio.Task[None]] = set()
@@ -41,46 +52,37 @@
 
     @property
     def pushed(self) -> bool:
-        """Lists are pushed: an agent on this machine holds them, and what it holds counts as told."""
+        """Whether lists are pushed: an agent on this machine holds them, and they count as delivered."""
         return not self._settings.asks_list
 
-    @property
-    def _timeouts(self) -> Terms:
-        return PUSHED if self.pushed else ASKED
-
     def start(self) -> None:
-        """Begin to watch where lists are pushed; elsewhere the module asks when it wants."""
+        """Begin to watch where lists are pushed; elsewhere the core begins when it wants."""
         if self.pushed:
             self.watch(True)
 
     def stop(self) -> None:
-        """Watch no more, also where lists are pushed: the program ends."""
+        """Watch no more, also where lists are pushed: the program stops."""
         if self._resume_timer is not None:
             self._resume_timer.cancel()
             self._resume_timer = None
         self.watch(False)
 
     def adopt(self, address: tuple[str, int], settings: api.Settings) -> None:
-        """Go by new settings; watch at a new address from now on, beginning with the whole list.
+        """Put new settings in force, and watch at a new address, beginning with the complete list.
 
-        Guards against waiting for the old address to break: what discovery tells counts as told by then. A
-        list of another service may be numbered otherwise, so changes since the old one's mean nothing there.
+        Guards against waiting for the old address to break: what discovery publishes counts as delivered by
+        then. Another service may number its lists otherwise, so changes since the old one's do not fit.
         """
         self._settings = settings
         if address != self._address:
             self._address = address
             self._versions.renew()
-            self._cancel_calls()  # what a call to the old address still brings is not told
+            self._cancel_calls()  # what a call to the old address still brings is not reported
             self.watch(True)
         elif self._wanted:
-            self.watch(True)  # where calls failed: the pause until the next one may be of the old settings
+            self.watch(True)  # the pause after a failed call may be of the old settings
         self.start()
 
-    def _cancel_calls(self) -> None:
-        self.watch(False)
-        for task in self._fetches:
-            task.cancel()
-
     def watch(self, on: bool) -> None:
         """See ``core.Lists``."""
         self._wanted = on
@@ -96,59 +98,78 @@
         self._fetches.add(task)
         task.add_done_callback(self._fetches.discard)
 
+    @property
+    def _timeouts(self) -> Terms:
+        return PUSHED if self.pushed else ASKED
+
+    @property
+    def _connect_timeout_ms(self) -> float:
+        return self._settings.connect_timeout * CONNECT_TIMEOUT_FACTOR
+
+    def _cancel_calls(self) -> None:
+        self.watch(False)
+        for task in self._fetches:
+            task.cancel()
+
     async def _fetch(self) -> None:
         try:
-            stream = await streams.connect(self._address, self._settings.connect_timeout * 4)
+            stream = await streams.connect(self._address, self._connect_timeout_ms)
             try:
                 self._on_response(await self._call(stream, None))
             finally:
                 streams.abort(stream)
-        except EXPECTED_ERRORS as fault:
-            self._report_failure(fault)
-        except Exception as fault:
-            self._report_failure(fault)
-            _unexpected(fault)
+        except EXPECTED_ERRORS as error:
+            self._report_failure(error)
+        except Exception as error:
+            self._report_failure(error)
+            _log_unexpected(error)
 
     async def _watch(self) -> None:
-        """The next call follows the last answer at once: 200 ms after it, changes could be lost."""
+        """Call until an error ends it; each call follows the last answer at once.
+
+        200 ms after an answer, changes could be lost.
+        """
         stream: streams.IOStream | None = None
         try:
             while True:
                 if stream is None or not streams.is_silent(stream):
-                    stream = await streams.connect(self._address, self._settings.connect_timeout * 4)
-                asked = asyncio.get_running_loop().time()
-                try:
-                    answer = await self._call(stream, self._versions.since)
-                except TimeoutError:  # broken, though nothing says so: what it may miss is asked for anew
-                    streams.abort(stream)
-                    pause = self._backoff.fell_silent(self._timeouts)
-                    log.say("discovery", f"a call fell silent: the next in {pause:.2f} s")
-                    await asyncio.sleep(pause)
-                    continue
-                self._backoff.answered()
-                new = self._on_response(answer)
-                if not answer.keep_alive:
-                    streams.abort(stream)
-                if not new and asyncio.get_running_loop().time() - asked < MIN_CALL_S:
-                    # Guards against spinning where the same is told again at once, ever anew.
-                    await asyncio.sleep(MIN_CALL_S)
-        except EXPECTED_ERRORS as fault:
-            self._on_watch_failure(fault)
-        except Exception as fault:  # guards against a fault of ours ending the watch for good
-            self._on_watch_failure(fault)
-            _unexpected(fault)
+                    stream = await streams.connect(self._address, self._connect_timeout_ms)
+                await self._call_for_changes(stream)
+        except EXPECTED_ERRORS as error:
+            self._on_watch_failure(error)
+        except Exception as error:  # guards against our own fault ending the watch for good
+            self._on_watch_failure(error)
+            _log_unexpected(error)
         finally:
             if stream is not None:
                 streams.abort(stream)
 
-    def _on_watch_failure(self, fault: Exception) -> None:
-        """The watch ended: where lists are asked for the module takes it up, else it is taken up here."""
+    async def _call_for_changes(self, stream: streams.IOStream) -> None:
+        called_at_s = asyncio.get_running_loop().time()
+        try:
+            answer = await self._call(stream, self._versions.since)
+        except TimeoutError:  # broken, though nothing says so: what it may miss is requested again
+            streams.abort(stream)
+            pause_s = self._backoff.fell_silent(self._timeouts)
+            log.say("discovery", f"a call fell silent: the next in {pause_s:.2f} s")
+            await asyncio.sleep(pause_s)
+            return
+        self._backoff.answered()
+        is_new = self._on_response(answer)
+        if not answer.keep_alive:
+            streams.abort(stream)
+        if not is_new and asyncio.get_running_loop().time() - called_at_s < MIN_CALL_S:
+            # Guards against spinning where the same list comes at once, again and again.
+            await asyncio.sleep(MIN_CALL_S)
+
+    def _on_watch_failure(self, error: Exception) -> None:
+        """Report the failure; where lists are pushed, resume the watch later, else the core does."""
         self._task = None
-        self._report_failure(fault)
+        self._report_failure(error)
         if self.pushed and self._wanted and self._resume_timer is None:
-            # Guards against missing what the agent holds: it counts as told whether asked for or not.
-            pause = self._backoff.broke(self._timeouts)
-            self._resume_timer = asyncio.get_running_loop().call_later(pause, self._resume_watch)
+            # Guards against missing what the agent holds: it counts as delivered, requested or not.
+            pause_s = self._backoff.broke(self._timeouts)
+            self._resume_timer = asyncio.get_running_loop().call_later(pause_s, self._resume_watch)
 
     def _resume_watch(self) -> None:
         self._resume_timer = None
@@ -169,7 +190,11 @@
         return answer
 
     def _on_response(self, answer: Message) -> bool:
-        """Pass on what is new, and say whether anything was; a ListError for what is set aside."""
+        """Report what is new in an answer, and tell whether anything was.
+
+        Raises:
+            ListError: The list cannot be used, or is older than the one known.
+        """
         listing = parse(answer.body, self._settings)
         if listing.fault:
             self._versions.doubt()
@@ -185,12 +210,13 @@
             log.say("discovery", f"version {listing.news.version} came again, nothing of it is new")
         return verdict is Verdict.TAKEN
 
-    def _report_failure(self, fault: Exception) -> None:
-        reason = getattr(fault, "real_error", None) or fault  # what closed the stream says more
+    def _report_failure(self, error: Exception) -> None:
+        reason = getattr(error, "real_error", None) or error  # what closed the stream says more
         log.say("discovery", f"a call failed: {str(reason) or type(reason).__name__}")
         self._report(None)
 
 
-def _unexpected(fault: Exception) -> None:
-    log.say("fault", "".join(traceback.format_exception(fault)))
-    check(False, "a call for the list ends as expected", repr(fault))
+def _log_unexpected(error: Exception) -> None:
+    """Log a fault of this program with its stack, and count the invariant that it breaks."""
+    log.say("fault", "".join(traceback.format_exception(error)))
+    check(False, "a call for the list ends as expected", repr(error))
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -1,4 +1,4 @@
-"""A connection to a box that speaks the platform's HTTP/1.1."""
+"""Connections to storage nodes that speak the platform's HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -13,72 +13,88 @@
 
 
 class HttpLink(streams.StreamLink):
-    """See ``pool.Link``."""
+    """A connection that carries one request at a time; see ``connection_pool.Link``."""
 
     def __init__(
-        self, host: str, stream: streams.Stream, reader: Reader, room: streams.ResponseMemory
+        self, host: str, stream: streams.Stream, reader: Reader, response_memory: streams.ResponseMemory
     ) -> None:
         super().__init__(stream)
-        self._host, self._reader, self._response_memory = host, reader, room
+        self.reusable = True
+        self._host = host
+        self._reader = reader
+        self._response_memory = response_memory
         self._parser = Parser(responses=True)
         self._written: asyncio.Future[None] | None = None
-        self.reusable = True
 
     @property
     def may_have_run(self) -> bool:
-        """Whether its last byte has left: a write that is done tells so, one that failed never did."""
+        """Whether the request's last byte was sent: a write that failed did not send it."""
         return self._written is not None and self._written.done() and self._written.exception() is None
 
     async def exchange(self, work: Work, timeout: float) -> Ended:
-        """See ``pool.Link``."""
+        """See ``connection_pool.Link``."""
         self.reusable = False
         self._written = None
         self._written = asyncio.ensure_future(self.stream.write(to_box(work, self._host, timeout)))
         try:
             answer = await self._read_response()
-        except HttpError as fault:
-            raise PeerProtocolError(str(fault)) from None
+        except HttpError as error:
+            raise PeerProtocolError(str(error)) from None
         self.reusable = answer.keep_alive and self.may_have_run and self._parser.idle
         return self._reader.ended(answer)
 
     async def _read_response(self) -> Message:
-        held = 0
+        """Return the response, and count what is read of it as memory in use meanwhile."""
+        held_bytes = 0
         try:
             while True:
                 try:
                     data = await self.read_ahead.read()
                 except streams.StreamClosedError as end:
-                    # Guards against taking a cut answer for a whole one: only an orderly end closes a body
-                    # that states no length; a reset or a fault broke it off, and it may have run.
-                    whole = self._parser.end() if end.real_error is None else None
-                    if whole is None:
-                        raise
-                    return whole
+                    return self._complete_at_end(end)
                 self._parser.feed(data)
                 answer = self._parser.next()
                 if answer is not None:
                     return answer
-                self._response_memory.used_bytes += self._parser.held - held
-                held = self._parser.held
-                if self._response_memory.full and held > MAX_BODY:  # what is small always fits
+                self._response_memory.used_bytes += self._parser.held - held_bytes
+                held_bytes = self._parser.held
+                if self._response_memory.full and held_bytes > MAX_BODY:  # what is small always fits
                     raise HttpError("no room for so large an answer")
         finally:
-            self._response_memory.used_bytes -= held
+            self._response_memory.used_bytes -= held_bytes
+
+    def _complete_at_end(self, end: streams.StreamClosedError) -> Message:
+        """Return the response that the end of the stream completes, else raise ``end``.
+
+        Guards against taking a cut response for a complete one: only an orderly end closes a body that states
+        no length; a reset or a fault broke it off, and it may have run.
+        """
+        message = self._parser.end() if end.real_error is None else None
+        if message is None:
+            raise end
+        return message
 
 
 class HttpDialer:
-    """Opens such connections."""
+    """Opens HTTP connections to storage nodes.
+
+    Attributes:
+        settings: The settings in force.
+    """
 
     def __init__(
         self,
         settings: api.Settings,
         reader: Reader,
-        room: streams.ResponseMemory,
+        response_memory: streams.ResponseMemory,
         connect: Connect = connect_plain,
     ) -> None:
-        self.settings, self._reader, self._response_memory, self._connect = settings, reader, room, connect
+        self.settings = settings
+        self._reader = reader
+        self._response_memory = response_memory
+        self._connect = connect
 
-    async def dial(self, node: api.NodeId, address: Address, patience: float) -> HttpLink:
-        """See ``pool.Dial``."""
-        stream = await self._connect(node, address, self.settings.connect_timeout, patience)
+    async def dial(self, node: api.NodeId, address: Address, timeout_ms: float) -> HttpLink:
+        """See ``connection_pool.Dial``."""
+        stream = await self._connect(node, address, self.settings.connect_timeout, timeout_ms)
         return HttpLink(f"{address[0]}:{address[1]}", stream, self._reader, self._response_memory)
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -1,4 +1,4 @@
-"""NVMe over TCP as an optional part: the front for its hosts, and the links to boxes that speak it."""
+"""NVMe over TCP as an extension: the front end for its hosts, and the links to nodes that speak it."""
 
 from __future__ import annotations
 
@@ -19,44 +19,53 @@
 
 
 class NvmeExtension(Part):
-    """See ``parts.Part``."""
+    """Serves hosts and reaches storage nodes over NVMe; see ``application.extensions.Part``.
+
+    Args:
+        host: What the server offers to its extensions.
+        section: The operator's file.
+    """
 
     def __init__(self, host: Host, section: Operator) -> None:
         settings = host.config.settings
-        self._section, self._boxes = section, dict(section.boxes)
-        translator = self._translator = Translator(settings, section.nqn, section.volumes)
+        self._section = section
+        self._nqn_by_node = dict(section.boxes)
+        translator = Translator(settings, section.nqn, section.volumes)
+        self._translator = translator
         self.dialer = NvmeDialer(
-            settings, translator, self._boxes, section.host_nqn, host.connect, host.slack
+            settings, translator, self._nqn_by_node, section.host_nqn, host.connect, host.slack
         )
-        self._front = Frontend(
+        self._frontend = Frontend(
             "NVMe",
             section.connections,
-            lambda front, stream: NvmeClientConnection(front, stream, translator, host.submit, host.depart),
+            lambda frontend, stream: NvmeClientConnection(
+                frontend, stream, translator, host.submit, host.depart
+            ),
             host.room,
         )
 
     def dialers(self) -> dict[api.NodeId, Dial]:
-        """See ``parts.Part``."""
-        return dict.fromkeys(self._boxes, self.dialer.dial)
+        """See ``application.extensions.Part``."""
+        return dict.fromkeys(self._nqn_by_node, self.dialer.dial)
 
     def fronts(self) -> Sequence[tuple[Frontend, tuple[str, int]]]:
-        """See ``parts.Part``."""
-        return [(self._front, self._section.listen)] if self._section.listen else []
+        """See ``application.extensions.Part``."""
+        return [(self._frontend, self._section.listen)] if self._section.listen else []
 
     def adopt(self, config: Config) -> None:
-        """See ``parts.Part``."""
+        """See ``application.extensions.Part``."""
         self.dialer.settings = self._translator.settings = config.settings
 
     def listed(self, gone: Iterable[api.NodeId]) -> None:
-        """See ``parts.Part``."""
+        """See ``application.extensions.Part``."""
         for node in gone:
             self.dialer.forget(node)
 
     async def close(self) -> None:
-        """See ``parts.Part``."""
+        """See ``application.extensions.Part``."""
         self.dialer.close()
 
 
 def set_up(host: Host, section: Operator) -> Part | None:
-    """The part, where the operator's file asks for it."""
+    """Return the extension, where the operator's file asks for it."""
     return NvmeExtension(host, section) if section.listen or section.boxes else None
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -1,4 +1,7 @@
-"""Connections to boxes that speak NVMe over TCP: one association a box, one command a time on each queue."""
+"""Connections to storage nodes that speak NVMe over TCP.
+
+There is one association with a node, and one command at a time on each of its I/O queues.
+"""
 
 from __future__ import annotations
 
@@ -28,208 +31,248 @@
     property_set,
 )
 
-KEEP_ALIVE_MS = 15000  # ms without a command after which a box may end the association
+KEEP_ALIVE_MS = 15000  # without a command, after which a node may end the association
+KEEP_ALIVE_INTERVAL_S = KEEP_ALIVE_MS / 3000  # between Keep Alive commands, and for the answer to one
+READY_POLL_INTERVAL_S = 0.01  # between checks whether a controller is ready
 CONTROLLER_ENABLE = 1 | 6 << 16 | 4 << 20  # CC: enabled, entries of 64 and 16 bytes
 
+# Opens a stream to an address within so many milliseconds.
+OpenStream = Callable[[Address, float], Awaitable[streams.Stream]]
 
-class _Channel:
-    """One queue's connection."""
 
-    def __init__(self, stream: streams.Stream) -> None:
-        self.stream, self.read_ahead, self.machine = stream, streams.ReadAhead(stream), Initiator()
-        self.written: asyncio.Future[None] | None = None
+class NvmeDialer:
+    """Opens I/O queues; keeps one association with each storage node.
 
-    async def execute(
-        self, command: Command, payload: bytes = b"", *, inside: bool = False
-    ) -> tuple[Completion, bytes]:
-        """One command; a StreamClosedError or BadPeer where it breaks."""
-        self.written = None
-        try:
-            self.machine.submit(command, payload, inside=inside)
-            while True:
-                if self.machine.output:
-                    data, self.machine.output = bytes(self.machine.output), bytearray()
-                    written = asyncio.ensure_future(self.stream.write(data))
-                    self.written = self.written or written
-                for done in self.machine.feed(await self.read_ahead.read()):
-                    return done
-        except NvmeError as fault:
-            streams.abort(self.stream)
-            raise PeerProtocolError(str(fault)) from None
+    Args:
+        settings: The settings in force.
+        translator: Translates requests to commands.
+        nqn_by_node: The name of each node's subsystem.
+        host_nqn: The name of this host.
+        connect: Opens a stream to a node.
+        slack_ms: What ``connect`` may take beyond the connection itself.
+    """
 
-    async def execute_or_fail(self, command: Command, payload: bytes = b"") -> int:
-        """One command of the set-up: its result, or a BadPeer."""
-        done, _ = await self.execute(command, payload, inside=bool(payload))
-        if done.status != Status.OK:
-            streams.abort(self.stream)
-            raise PeerProtocolError(f"status {done.status:#x} to command {command.opcode:#x}")
-        return done.result
+    def __init__(
+        self,
+        settings: api.Settings,
+        translator: Translator,
+        nqn_by_node: dict[api.NodeId, str],
+        host_nqn: str,
+        connect: Connect = connect_plain,
+        slack_ms: float = 0.0,
+    ) -> None:
+        self.settings = settings
+        self._translator = translator
+        self._nqn_by_node = nqn_by_node
+        self._host = uuid.uuid4().bytes, host_nqn
+        self._connect = connect
+        self._slack_ms = slack_ms
+        self._associations: dict[api.NodeId, _Association] = {}
+
+    async def dial(self, node: api.NodeId, address: Address, timeout_ms: float) -> NvmeLink:
+        """See ``connection_pool.Dial``."""
+        association = self._associations.get(node)
+        if association is None or association.address != address:
+            if association is not None:
+                association.close()
+            association = self._associate(node, address)
+        queue_timeout_ms = min(timeout_ms, self.settings.connect_timeout + self._slack_ms)
+        async with asyncio.timeout(queue_timeout_ms / 1000):
+            channel = await association.open_queue(queue_timeout_ms)
+        return NvmeLink(channel, self._translator)
+
+    def forget(self, node: api.NodeId) -> None:
+        """End the association with a node that is removed, once what is in flight there has ended.
+
+        Guards against keeping an association, and its descriptor, with every node there ever was.
+        """
+        association = self._associations.pop(node, None)
+        if association is not None:
+            association.node_removed = True
+
+    def close(self) -> None:
+        """End all associations."""
+        for association in self._associations.values():
+            association.close()
+
+    def _associate(self, node: api.NodeId, address: Address) -> _Association:
+        association = _Association(
+            address,
+            self._nqn_by_node[node],
+            self._host,
+            lambda where, ms: self._connect(node, where, self.settings.connect_timeout, ms),
+        )
+        self._associations[node] = association
+        return association
 
 
 class NvmeLink(streams.StreamLink):
-    """See ``pool.Link``: an I/O queue."""
+    """An I/O queue; see ``connection_pool.Link``."""
 
     def __init__(self, channel: _Channel, translator: Translator) -> None:
         super().__init__(channel.stream, channel.read_ahead)
-        self._channel, self._translator = channel, translator
         self.reusable = True
+        self._channel = channel
+        self._translator = translator
         self._work: Work | None = None
 
     @property
     def may_have_run(self) -> bool:
-        """A read's command that was written, or any byte of a write's data.
+        """Whether a read's command, or any byte of a write's data, was sent.
 
-        Guards against a write that is cut off mid-transfer: a box may have begun to store what it has.
+        Guards against a write that is cut off mid-transfer: a node may have begun to store what it has.
         """
         written = self._channel.written
         if self._work is None or written is None:
             return False
         if self._work.write:
-            return self._channel.machine.data_out
+            return self._channel.initiator.data_out
         return written.done() and written.exception() is None
 
     async def exchange(self, work: Work, timeout: float) -> Ended:
-        """See ``pool.Link``; the time-out is the pool's, NVMe states none."""
-        self.reusable, self._work, self._channel.written = False, work, None
+        """See ``connection_pool.Link``; the time-out is the pool's, NVMe states none."""
+        self.reusable = False
+        self._work = work
+        self._channel.written = None
         try:
             command, payload = self._translator.to_box(work)
-        except NotHere as fault:
-            log.say("box", str(fault))
+        except NotHere as error:
+            log.say("box", str(error))
             self.reusable = True
             return Ended(Outcome.ERROR, False)
-        done, data = await self._channel.execute(command, payload)
-        self.reusable = not self._channel.machine.surplus
-        return self._translator.from_box(work, done, data)
+        completion, data = await self._channel.execute(command, payload)
+        self.reusable = not self._channel.initiator.surplus
+        return self._translator.from_box(work, completion, data)
+
+
+class _Channel:
+    """The connection of one queue."""
+
+    def __init__(self, stream: streams.Stream) -> None:
+        self.stream = stream
+        self.read_ahead = streams.ReadAhead(stream)
+        self.initiator = Initiator()
+        self.written: asyncio.Future[None] | None = None
+
+    async def execute(
+        self, command: Command, payload: bytes = b"", *, inside: bool = False
+    ) -> tuple[Completion, bytes]:
+        """Run one command.
 
+        Raises:
+            StreamClosedError: The connection broke.
+            PeerProtocolError: The node broke the protocol.
+        """
+        self.written = None
+        try:
+            self.initiator.submit(command, payload, inside=inside)
+            while True:
+                self._send_output()
+                for completed in self.initiator.feed(await self.read_ahead.read()):
+                    return completed
+        except NvmeError as error:
+            streams.abort(self.stream)
+            raise PeerProtocolError(str(error)) from None
+
+    async def execute_or_fail(self, command: Command, payload: bytes = b"") -> int:
+        """Run one command of the set-up, and return its result; a PeerProtocolError where it fails."""
+        completion, _ = await self.execute(command, payload, inside=bool(payload))
+        if completion.status != Status.OK:
+            streams.abort(self.stream)
+            raise PeerProtocolError(f"status {completion.status:#x} to command {command.opcode:#x}")
+        return completion.result
 
-OpenStream = Callable[[Address, float], Awaitable[streams.Stream]]  # within so many milliseconds
+    def _send_output(self) -> None:
+        if not self.initiator.output:
+            return
+        data = bytes(self.initiator.output)
+        self.initiator.output = bytearray()
+        written = asyncio.ensure_future(self.stream.write(data))
+        self.written = self.written or written
 
 
 class _Association:
-    """The admin queue of a box, and the numbers of its I/O queues."""
+    """The admin queue of a storage node, and the numbers of its I/O queues."""
 
     def __init__(self, address: Address, nqn: str, host: tuple[bytes, str], connect: OpenStream) -> None:
-        self.address, self._nqn, self._host, self._connect = address, nqn, host, connect
+        self.address = address
+        self.node_removed = False  # from the endpoint list
+        self._nqn = nqn
+        self._host = host
+        self._connect = connect
         self._admin: _Channel | None = None
-        self._cntlid = 0
+        self._controller_id = 0
         self._max_queues = 0
         self._last_queue = 0
         self._queues: dict[int, streams.Stream] = {}
         self._lock = asyncio.Lock()
         self._keep_alive_task: asyncio.Task[None] | None = None
-        self.node_removed = False  # the box is gone from the list
 
-    async def queue(self, timeout: float) -> _Channel:
-        """A new I/O queue."""
+    async def open_queue(self, timeout_ms: float) -> _Channel:
+        """Open a new I/O queue, and the admin queue before where there is none."""
         async with self._lock:
             if self._admin is None or self._admin.stream.closed():
-                await self._associate(timeout)
+                await self._open_admin_queue(timeout_ms)
             number = self._next_queue_number()
-            channel = _Channel(await self._connect(self.address, timeout))
+            channel = _Channel(await self._connect(self.address, timeout_ms))
             self._queues[number] = channel.stream
         try:
-            await channel.execute_or_fail(*connect(self._nqn, number, self._cntlid, self._host, 0))
+            await channel.execute_or_fail(*connect(self._nqn, number, self._controller_id, self._host, 0))
         except BaseException:
             streams.abort(channel.stream)
             raise
         return channel
 
+    def close(self) -> None:
+        """End the association."""
+        if self._keep_alive_task is not None:
+            self._keep_alive_task.cancel()
+        if self._admin is not None:
+            streams.abort(self._admin.stream)
+
     def _next_queue_number(self) -> int:
-        """The queue number unused for longest: a box may take a while to see that a queue is gone."""
+        """Return the number unused for longest: a node may take a while to see that a queue is gone."""
         for _ in range(self._max_queues):
             self._last_queue = self._last_queue % self._max_queues + 1
             if self._last_queue not in self._queues or self._queues[self._last_queue].closed():
                 return self._last_queue
         raise PeerProtocolError("no queue to spare")
 
-    async def _associate(self, timeout: float) -> None:
-        admin = _Channel(await self._connect(self.address, timeout))
+    async def _open_admin_queue(self, timeout_ms: float) -> None:
+        admin = _Channel(await self._connect(self.address, timeout_ms))
         try:
-            self._cntlid = (
-                await admin.execute_or_fail(*connect(self._nqn, 0, DYNAMIC, self._host, KEEP_ALIVE_MS))
-                & 0xFFFF
-            )
-            await admin.execute_or_fail(property_get(Prop.CAP))
-            await admin.execute_or_fail(property_set(Prop.CC, CONTROLLER_ENABLE))
-            while not await admin.execute_or_fail(property_get(Prop.CSTS)) & 1:
-                await asyncio.sleep(0.01)
-            wanted = (MAX_QUEUES - 1) * 0x10001
-            granted = await admin.execute_or_fail(
-                Command(Admin.SET_FEATURES, 0, cdw10=(7, wanted, 0, 0, 0, 0))
-            )
+            self._max_queues = await self._set_up_controller(admin)
         except BaseException:
             streams.abort(admin.stream)
             raise
-        self._max_queues = min(granted & 0xFFFF, granted >> 16, MAX_QUEUES - 1) + 1
-        self._queues, self._admin = {}, admin
+        self._queues = {}
+        self._admin = admin
         if self._keep_alive_task is not None:
             self._keep_alive_task.cancel()
         self._keep_alive_task = asyncio.get_running_loop().create_task(self._send_keep_alives(admin))
 
+    async def _set_up_controller(self, admin: _Channel) -> int:
+        """Connect and enable a controller, and return how many I/O queues it grants."""
+        command = connect(self._nqn, 0, DYNAMIC, self._host, KEEP_ALIVE_MS)
+        self._controller_id = await admin.execute_or_fail(*command) & 0xFFFF
+        await admin.execute_or_fail(property_get(Prop.CAP))
+        await admin.execute_or_fail(property_set(Prop.CC, CONTROLLER_ENABLE))
+        while not await admin.execute_or_fail(property_get(Prop.CSTS)) & 1:
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
+        wanted = (MAX_QUEUES - 1) * 0x10001
+        set_queues = Command(Admin.SET_FEATURES, 0, cdw10=(7, wanted, 0, 0, 0, 0))
+        granted = await admin.execute_or_fail(set_queues)
+        return min(granted & 0xFFFF, granted >> 16, MAX_QUEUES - 1) + 1
+
     async def _send_keep_alives(self, admin: _Channel) -> None:
-        """Keep Alive, until the admin queue breaks; what hangs on it breaks with it."""
+        """Send Keep Alive commands until the admin queue breaks, which ends the other queues with it."""
         try:
             while True:
-                await asyncio.sleep(KEEP_ALIVE_MS / 3000)
+                await asyncio.sleep(KEEP_ALIVE_INTERVAL_S)
                 if self.node_removed and all(stream.closed() for stream in self._queues.values()):
-                    return streams.abort(admin.stream)
-                async with asyncio.timeout(KEEP_ALIVE_MS / 3000):
+                    streams.abort(admin.stream)
+                    return
+                async with asyncio.timeout(KEEP_ALIVE_INTERVAL_S):
                     await admin.execute_or_fail(Command(Admin.KEEP_ALIVE, 0))
         except (streams.StreamClosedError, PeerProtocolError, OSError):
             streams.abort(admin.stream)
-
-    def close(self) -> None:
-        """Leave the box."""
-        if self._keep_alive_task is not None:
-            self._keep_alive_task.cancel()
-        if self._admin is not None:
-            streams.abort(self._admin.stream)
-
-
-class NvmeDialer:
-    """Opens I/O queues."""
-
-    def __init__(
-        self,
-        settings: api.Settings,
-        translator: Translator,
-        boxes: dict[api.NodeId, str],
-        host_nqn: str,
-        connect: Connect = connect_plain,
-        slack: float = 0.0,
-    ) -> None:
-        self._connect, self._slack = connect, slack  # ms that the way may take beyond a connection
-        self.settings, self._translator, self._nqn_by_node = settings, translator, boxes
-        self._host = uuid.uuid4().bytes, host_nqn
-        self._associations: dict[api.NodeId, _Association] = {}
-
-    async def dial(self, node: api.NodeId, address: Address, patience: float) -> NvmeLink:
-        """See ``pool.Dial``."""
-        known = self._associations.get(node)
-        if known is None or known.address != address:
-            if known is not None:
-                known.close()
-            known = self._associations[node] = _Association(
-                address,
-                self._nqn_by_node[node],
-                self._host,
-                lambda where, ms: self._connect(node, where, self.settings.connect_timeout, ms),
-            )
-        within = min(patience, self.settings.connect_timeout + self._slack)
-        async with asyncio.timeout(within / 1000):
-            channel = await known.queue(within)
-        return NvmeLink(channel, self._translator)
-
-    def forget(self, node: api.NodeId) -> None:
-        """The box is gone from the list: leave it once what is out there has ended.
-
-        Guards against keeping an association, and its descriptor, with every box there ever was.
-        """
-        association = self._associations.pop(node, None)
-        if association is not None:
-            association.node_removed = True
-
-    def close(self) -> None:
-        """Leave all boxes."""
-        for association in self._associations.values():
-            association.close()
--- a/sabledyke/net/streams.py
+++ b/sabledyke/net/streams.py
@@ -1,4 +1,4 @@
-"""What all drivers need of Tornado's streams."""
+"""Streams of bytes: what drivers use of Tornado's, and what an encrypting one has to offer as well."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-READ_SIZE_BYTES = 64 * 1024  # bytes asked of a stream at a time
+READ_SIZE_BYTES = 64 * 1024  # requested of a stream at a time
 PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
@@ -23,20 +23,24 @@
         """The socket underneath, None once closed."""
 
     def closed(self) -> bool:
-        """It cannot be used any more."""
+        """Tell whether it cannot be used any more."""
 
     def close(self) -> None:
         """End it."""
 
     def write(self, data: bytes, /) -> asyncio.Future[None]:
-        """Send; done once the kernel has taken the last byte."""
+        """Send; done once the kernel has accepted the last byte."""
 
     def read_bytes(self, num_bytes: int, partial: bool = ...) -> Awaitable[bytes]:
-        """What comes, as it comes; a StreamClosedError at the end."""
+        """Return what comes, as it comes; a StreamClosedError at the end."""
 
 
 async def connect(address: tuple[str, int], timeout_ms: float) -> IOStream:
-    """An open stream; a StreamClosedError where it does not come up in time."""
+    """Open a stream.
+
+    Raises:
+        StreamClosedError: The connection did not come up in time.
+    """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     stream = IOStream(socket.socket(family, socket.SOCK_STREAM), read_chunk_size=READ_SIZE_BYTES)
     timer = asyncio.get_running_loop().call_later(timeout_ms / 1000, stream.close)
@@ -54,23 +58,24 @@
 class ResponseMemory:
     """Memory for answers on their way, shared by all connections.
 
-    Guards against many large answers at once, or clients that take them in slowly, using up the memory.
+    Guards against many large answers at once, or clients that read them slowly, using up the memory.
     """
 
-    def __init__(self, size: int) -> None:
-        self.limit_bytes, self.used_bytes = size, 0
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
+        self.used_bytes = 0
 
     @property
     def full(self) -> bool:
-        """No more may be taken in."""
+        """Whether no more may be read."""
         return self.used_bytes > self.limit_bytes
 
 
 class ReadAhead:
     """Reads a stream for a link, also while no answer is awaited.
 
-    Guards against an answer that was not asked for, sent while the connection rests: the stream would take
-    it into its buffer, where it looks like nothing, and it would be read as the answer to the next request.
+    Guards against an unrequested answer, sent while the connection is idle: the stream would read it into its
+    buffer unseen, and it would be taken for the answer to the next request.
     """
 
     def __init__(self, stream: Stream) -> None:
@@ -79,63 +84,65 @@
         self._on_activity: Callable[[], None] = lambda: None
 
     async def read(self) -> bytes:
-        """What comes next."""
-        ahead, self._pending_read = self._pending_read, None
-        return await (ahead or self._stream.read_bytes(READ_SIZE_BYTES, partial=True))
-
-    def enter_idle(self, heard: Callable[[], None]) -> None:
-        """Nothing is to come from now on; ``heard`` is called if it does, or if the stream ends."""
-        self._on_activity = heard
+        """Return what comes next."""
+        pending = self._pending_read
+        self._pending_read = None
+        return await (pending or self._stream.read_bytes(READ_SIZE_BYTES, partial=True))
+
+    def enter_idle(self, on_activity: Callable[[], None]) -> None:
+        """Expect nothing; ``on_activity`` is called if something comes all the same, or the stream ends."""
+        self._on_activity = on_activity
         try:
             self._pending_read = asyncio.ensure_future(self._stream.read_bytes(READ_SIZE_BYTES, partial=True))
             self._pending_read.add_done_callback(self._on_read)
         except StreamClosedError:
-            asyncio.get_running_loop().call_soon(heard)
+            asyncio.get_running_loop().call_soon(on_activity)
 
-    def _on_read(self, ahead: asyncio.Future[bytes]) -> None:
-        if not ahead.cancelled():
-            ahead.exception()  # an end while it rests is nobody's fault
+    def _on_read(self, read: asyncio.Future[bytes]) -> None:
+        if not read.cancelled():
+            read.exception()  # an end while it is idle is no fault
         self._on_activity()
 
     def leave_idle(self) -> bool:
-        """An answer is to come next; whether the stream is fit for it."""
+        """Expect an answer, and tell whether the stream is fit for it."""
         self._on_activity = lambda: None
         return self._pending_read is not None and not self._pending_read.done() and is_silent(self._stream)
 
 
 class StreamLink:
-    """What links that stand on one stream have in common; see ``pool.Link``."""
+    """What links over one stream have in common; see ``connection_pool.Link``."""
 
-    def __init__(self, stream: Stream, inbox: ReadAhead | None = None) -> None:
-        self.stream, self.read_ahead = stream, inbox or ReadAhead(stream)
+    def __init__(self, stream: Stream, read_ahead: ReadAhead | None = None) -> None:
+        self.stream = stream
+        self.read_ahead = read_ahead or ReadAhead(stream)
 
     @property
     def closed(self) -> bool:
-        """See ``pool.Link``."""
+        """See ``connection_pool.Link``."""
         return bool(self.stream.closed())
 
     def close(self) -> None:
-        """See ``pool.Link``."""
+        """See ``connection_pool.Link``."""
         abort(self.stream)
 
-    def enter_idle(self, heard: Callable[[], None]) -> None:
-        """See ``pool.Link``."""
-        self.read_ahead.enter_idle(heard)
+    def enter_idle(self, on_activity: Callable[[], None]) -> None:
+        """See ``connection_pool.Link``."""
+        self.read_ahead.enter_idle(on_activity)
 
     def leave_idle(self) -> bool:
-        """See ``pool.Link``."""
+        """See ``connection_pool.Link``."""
         return self.read_ahead.leave_idle()
 
 
 def is_silent(stream: Stream) -> bool:
-    """Open, and the peer has neither said nor ended anything that was not read yet.
+    """Tell whether it is open, and the peer has neither sent nor ended anything that was not read.
 
-    Guards against sending on a pooled connection whose end has arrived but was not looked at: what is
-    written there may have run for all we know, and could not be sent again.
+    Guards against sending on a pooled connection whose end has arrived but was not processed: what is
+    written there may have run for all that is known, and could not be sent again.
     """
     if stream.closed() or stream.socket is None:
         return False
-    if not getattr(stream, "rested", True):  # what it has taken in already says otherwise
+    if not getattr(stream, "rested", True):  # what it has read already says otherwise
         return False
     try:
         stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -147,9 +154,9 @@
 
 
 def peer_closed(stream: Stream) -> bool:
-    """Whether the peer has closed or reset its side, also behind bytes that were not read yet.
+    """Tell whether the peer has closed or reset its side, also behind bytes that were not read.
 
-    Guards against sending on a request whose client has gone while nobody looked at its connection.
+    Guards against forwarding a request whose client is gone while nobody reads from its connection.
     """
     if stream.closed() or stream.socket is None:
         return True
@@ -159,7 +166,7 @@
 
 
 def stop_reading(stream: Stream) -> None:
-    """Have the loop look no more at what comes on a stream: it stays unread, unless a write has to wait.
+    """Leave unread what comes on a stream, unless a write has to wait.
 
     A pending read ends only with the stream. Not for streams that encrypt, which read to write.
     """
@@ -168,13 +175,13 @@
 
 
 def may_access_volume(stream: Stream, volume: int) -> bool:
-    """Whether who speaks through it may touch a volume: all may, where nothing says who they are."""
+    """Tell whether its peer may access a volume: each may, where nothing says who the peer is."""
     rights: frozenset[int] | None = getattr(stream, "rights", None)
     return rights is None or volume in rights
 
 
 def half_close(stream: Stream) -> bool:
-    """End sending but not reading; False where the stream cannot, as one that encrypts."""
+    """End sending but not reading; return False where the stream cannot, as one that encrypts."""
     if not isinstance(stream, IOStream) or stream.closed():
         return False
     try:
@@ -185,7 +192,7 @@
 
 
 def abort(stream: Stream) -> None:
-    """Close, whatever state it is in."""
+    """Close a stream, whatever its state."""
     if not stream.closed():
         stream.close()
 
