--- /dev/null
+++ b/tests/application/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the running server: start, reload, console, drain and shutdown."""
--- /dev/null
+++ b/tests/application/test_console.py
@@ -0,0 +1,153 @@
+"""The operators' console: its calls, its bounds, its metrics, and a drain."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import Counter
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from sabledyke.net.console import MAX_CONNECTIONS
+from tests.standins import ask, http, read_http
+from tests.support.console_calls import call, stats
+from tests.support.server_rig import GET, INFO, PUT, Rig, held_back, play
+
+
+def test_the_console_answers_each_call_and_turns_down_the_wrong_ones() -> None:
+    async def scenario(rig: Rig) -> None:
+        port = rig.server.console_port
+        assert (await call(port, "GET", "/admin/health"))[:3:2] == (200, b"")
+        assert (await call(port, "GET", "/admin/nothing"))[0] == 404
+        assert (await call(port, "POST", "/admin/health"))[0] == 405
+        assert (await call(port, "GET", "/admin/quiesce"))[0] == 405
+        for garbage in (b"\x00\xff garbage\r\n\r\n", b"GET /admin/health HTTP/1.1\r\nX: " + b"x" * 9000):
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.write(garbage)
+            assert (await reader.read()).startswith(b"HTTP/1.1 400")
+            writer.close()
+        for _ in range(2):  # twice is yes, and as once
+            assert (await call(port, "POST", "/admin/quiesce"))[0] == 200
+        assert (await call(port, "GET", "/admin/health"))[0] == 503
+        assert (await call(port, "POST", "/admin/resume"))[0] == 200
+        assert (await call(port, "POST", "/admin/resume"))[0] == 200  # without a quiesce: yes
+        assert (await call(port, "GET", "/admin/health"))[0] == 200
+
+    play(scenario, console=True)
+
+
+@settings(max_examples=25, derandomize=True, deadline=None)
+@given(st.lists(st.integers(1, 40), max_size=6))
+def test_a_call_in_any_cuts_gets_the_same_answer(cuts: list[int]) -> None:
+    async def scenario(rig: Rig) -> None:
+        whole = b"GET /admin/stats HTTP/1.1\r\nHost: c\r\n\r\n"
+        reader, writer = await asyncio.open_connection("127.0.0.1", rig.server.console_port)
+        at = 0
+        for cut in cuts:
+            writer.write(whole[at : at + cut])
+            await writer.drain()
+            at += cut
+        writer.write(whole[at:])
+        assert (await reader.read()).startswith(b"HTTP/1.1 200")
+        writer.close()
+
+    play(scenario, console=True)
+
+
+def test_silent_callers_cost_a_real_one_nothing() -> None:
+    async def scenario(rig: Rig) -> None:
+        port = rig.server.console_port
+        silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)]
+        assert (await call(rig.server.console_port, "GET", "/admin/health"))[0] == 200
+        assert len(rig.server.console._connections) <= MAX_CONNECTIONS  # type: ignore[union-attr]
+        for _, writer in silent:
+            writer.close()
+
+    play(scenario, console=True)
+
+
+def test_a_call_is_answered_while_the_data_path_is_full() -> None:
+    async def scenario(rig: Rig) -> None:
+        asked, go = held_back(rig)
+        figures, open_ = rig.server.metrics, list[int]()
+
+        def read() -> list[str]:  # requests end by their deadlines while the call is under way
+            open_.append(rig.server.core.unanswered)
+            return figures()
+
+        setattr(rig.server, "metrics", read)  # noqa: B010
+        asks = [GET.format(1, f"i{n}", INFO) for n in range(100)]
+        waiting = [asyncio.create_task(ask(rig.port, text)) for text in asks]
+        await asked.wait()
+        while rig.server.core.unanswered + rig.server.core.figures.told[0] < 40:
+            await asyncio.sleep(0.01)
+        status, body, _ = await call(rig.server.console_port, "GET", "/admin/stats")
+        assert status == 200 and [stats(body)["svc.concurrent"]] == open_ != [0]
+        go.set()
+        assert {s for s, _, _ in await asyncio.gather(*waiting)} <= {200, 503}
+
+    play(scenario, console=True)
+
+
+def test_the_figures_are_what_clients_saw() -> None:
+    async def scenario(rig: Rig) -> None:
+        no = http(503, b"", "Srv-Declined: 1")
+        said = {"read": http(200, b"x"), "ok": http(200), "no": no, "bad": http(500)}
+
+        async def answer(writer: object) -> bytes | None:
+            return said[rig.http.seen[-1][1]["req-id"].partition("-")[0]]
+
+        rig.http.answer = answer
+        seen: Counter[str] = Counter()
+        asks = [("read", GET)] * 7 + [(k, PUT) for k in ("ok", "no", "bad") * 3]
+        for n, (kind, text) in enumerate(asks):
+            headers = INFO + f"Idempotency-Key: k{n}\nContent-Length: 0\n" if text is PUT else INFO
+            status, _, _ = await ask(rig.port, text.format(1, f"{kind}-{n}", headers))
+            verdict = {200: "success", 503: "overload", 500: "error"}[status]
+            seen[f"svc.{verdict}.{'read' if kind == 'read' else 'write'}"] += 1
+        figures = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
+        for name, count in seen.items():
+            assert figures[name] == count, (name, figures)
+        assert sum(v for k, v in figures.items() if k.split(".")[1] in ("success", "overload", "error")) == 16
+        assert figures["svc.dispatches"] == len(rig.http.seen)
+        assert figures["svc.concurrent"] == 0 and figures["svc.targets"] == 2
+        assert figures["svc.reload_success"] == figures["svc.reload_failure"] == 0
+        rig.server.reload()
+        after = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
+        assert after["svc.reload_success"] == 1
+
+    play(scenario, console=True)
+
+
+def test_a_drain_ends_idle_busy_and_pipelined_connections_and_resume_undoes_it() -> None:
+    async def scenario(rig: Rig) -> None:
+        one = GET.format(1, "{}", INFO).replace("\n", "\r\n")
+        idle_reader, idle = await asyncio.open_connection("127.0.0.1", rig.port)
+        idle.write(one.format("before").encode())
+        assert (await read_http(idle_reader))[0].startswith("HTTP/1.1 200")
+        asked, go = held_back(rig)
+        busy_reader, busy = await asyncio.open_connection("127.0.0.1", rig.port)
+        busy.write(one.format("busy").encode())
+        piped_reader, piped = await asyncio.open_connection("127.0.0.1", rig.port)
+        piped.write((one.format("p1") + one.format("p2")).encode())
+        await asked.wait()
+        while rig.server.core.unanswered < 2:
+            await asyncio.sleep(0.01)
+        assert (await call(rig.server.console_port, "POST", "/admin/quiesce"))[0] == 200
+        assert await idle_reader.read() == b""  # closed at once
+        assert (await ask(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 503
+        go.set()
+        first, headers, _ = await read_http(busy_reader)
+        assert first.startswith("HTTP/1.1 200") and headers["connection"] == "close"
+        assert await busy_reader.read() == b""
+        answers = [await read_http(piped_reader) for _ in range(2)]  # both read, both answered
+        assert [h.get("connection") for _, h, _ in answers] == [None, "close"]
+        assert await piped_reader.read() == b""
+        assert rig.server.listeners and not rig.server.takes_clients  # the process goes on
+        assert (await call(rig.server.console_port, "POST", "/admin/resume"))[0] == 200
+        status, headers, _ = await ask(rig.port, "GET /_health HTTP/1.1\n\n")
+        assert status == 200 and "connection" not in headers
+        for writer in (idle, busy, piped):
+            writer.close()
+
+    play(scenario, console=True)
--- /dev/null
+++ b/tests/application/test_reload.py
@@ -0,0 +1,117 @@
+"""A new configuration by SIGHUP: all of it is put in force, or none."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+from dataclasses import replace
+
+import pytest
+
+from sabledyke.config import Config, ConfigError
+from sabledyke.settings import MOST_CLASSES, SettingsError, merge
+from tests.helpers import HELD
+from tests.standins import Discovery, ask
+from tests.support.console_calls import call, stats
+from tests.support.server_rig import DEPLOYMENT, GET, INFO, Rig, held_back, play
+
+
+def test_sighup_takes_on_a_whole_configuration_or_none_of_it(capfd: pytest.CaptureFixture[str]) -> None:
+    """A request in work lives through both; discovery is watched at its new address at once."""
+
+    async def scenario(rig: Rig) -> None:
+        async def reloaded(line: str) -> None:
+            os.kill(os.getpid(), signal.SIGHUP)
+            while line not in capfd.readouterr().err:
+                await asyncio.sleep(0.001)
+
+        run = asyncio.create_task(rig.server.run())
+        asked, go = held_back(rig)
+        one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        await asked.wait()
+        old, new = rig.config, Discovery()
+        await new.open()
+        new.add("plain", rig.http.port, 0)
+        renamed = replace(DEPLOYMENT, plans=DEPLOYMENT.plans[::-1])
+        rig.config = replace(old, settings=renamed, discovery=("127.0.0.1", new.port))
+        await reloaded("is not used: the names of its plans differ")
+        assert rig.server.core.settings is DEPLOYMENT and not new.calls
+        settings = replace(DEPLOYMENT, mean_units=3, plans=(replace(DEPLOYMENT.plans[0], weight=9), HELD))
+        rig.config = replace(old, settings=settings, discovery=("127.0.0.1", new.port), sockets=128)
+        await reloaded("the new configuration is in force")
+        while len(new.calls) < 2:
+            await asyncio.sleep(0.001)
+        assert new.calls[0] == "GET /catalog/members HTTP/1.1" and "since=1" in new.calls[1]
+        scheduler = rig.server.core.scheduler
+        assert scheduler.mean == 3 and next(iter(scheduler.volumes.values())).plan.weight == 9
+        assert b"plain" in scheduler.nodes and rig.server.pool.max_connections == 32
+        go.set()
+        assert (await one)[::2] == (200, b"late")
+        os.kill(os.getpid(), signal.SIGTERM)
+        await run
+        new.die()
+
+    play(scenario)
+
+
+def test_merged_classes_keep_their_places_and_removed_ones_are_retired() -> None:
+    read, write = DEPLOYMENT.classes
+    added = replace(DEPLOYMENT, classes=(replace(write, deadline=500), read, replace(read, name="new")))
+    once = merge(DEPLOYMENT, added)
+    assert [c.name for c in once.classes] == ["read", "write", "new"] and not once.retired
+    assert once.classes[1].deadline == 500  # its effects change in its place
+    removed = merge(once, replace(DEPLOYMENT, classes=(replace(read, name="new"),)))
+    assert [c.name for c in removed.classes] == ["read", "write", "new"]
+    assert removed.retired == {"read", "write"}
+    back = merge(removed, DEPLOYMENT)
+    assert [c.name for c in back.classes] == ["read", "write", "new"] and back.retired == {"new"}
+    many = replace(DEPLOYMENT, classes=tuple(replace(read, name=f"c{n}") for n in range(MOST_CLASSES)))
+    with pytest.raises(SettingsError):
+        merge(DEPLOYMENT, many)
+
+
+def test_a_class_added_then_removed_binds_new_requests_and_spares_open_ones() -> None:
+    async def scenario(rig: Rig) -> None:
+        read, write = DEPLOYMENT.classes
+        asked, go = held_back(rig)
+        open_read = asyncio.create_task(ask(rig.port, GET.format(1, "before", INFO)))
+        await asked.wait()
+        rig.config = replace(
+            rig.config,
+            settings=replace(
+                DEPLOYMENT, classes=(*DEPLOYMENT.classes, replace(read, name="fresh")), max_attempts=2
+            ),
+        )
+        rig.server.reload()
+        rig.http.answer = None
+        named = GET.format(1, "{}", INFO).replace("Req-Kind: read", "Req-Kind: fresh")
+        assert (await ask(rig.port, named.format("new-1")))[0] == 200
+        fewer = replace(DEPLOYMENT, classes=(write, replace(read, name="fresh")))
+        rig.config = replace(rig.config, settings=fewer)
+        rig.server.reload()
+        assert (await ask(rig.port, GET.format(1, "gone", INFO)))[0] == 400  # "read" takes no new request
+        assert (await ask(rig.port, named.format("new-2")))[0] == 200
+        go.set()
+        assert (await open_read)[0] == 200  # it kept its class through both
+        figures = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
+        assert figures["svc.success.fresh"] == 2 and figures["svc.success.read"] == 1
+        assert figures["svc.reload_success"] == 2 and rig.server.core.settings.max_attempts == 3
+
+    play(scenario, console=True)
+
+
+def test_a_bad_file_is_turned_down_whole_and_counted(capfd: pytest.CaptureFixture[str]) -> None:
+    async def scenario(rig: Rig) -> None:
+        def bad(_: object) -> Config:
+            raise ConfigError("config.json: setting deadline of read must be above 0, not -5.0")
+
+        rig.server._reloader._read_config = bad
+        before = rig.server.core.settings
+        rig.server.reload()
+        assert rig.server.core.settings is before
+        assert capfd.readouterr().err.count("reload: the new configuration is not used") == 1
+        figures = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
+        assert (figures["svc.reload_failure"], figures["svc.reload_success"]) == (1, 0)
+
+    play(scenario, console=True)
--- /dev/null
+++ b/tests/application/test_shutdown.py
@@ -0,0 +1,193 @@
+"""Graceful shutdown of the whole server, also before clients that do not make it easy."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from dataclasses import replace
+
+import pytest
+
+from tests.standins import Reader, Writer, ask, http, read_http
+from tests.support.server_rig import GET, INFO, PUT, SHORT_SHUTDOWN, Rig, held_back, play
+
+
+def test_the_end_waits_for_what_was_taken() -> None:
+    async def scenario(rig: Rig) -> None:
+        asked, go = held_back(rig)
+        one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        await asked.wait()
+        rig.server.leave()
+        end = asyncio.create_task(rig.server.finish())
+        while not rig.server.fronts[0].shutting_down:
+            await asyncio.sleep(0)
+        two = await ask(rig.port, "GET /_health HTTP/1.1\n\n")  # still let in
+        waiting = socket.create_connection(("127.0.0.1", rig.port))  # the machine has accepted it: taken
+        waiting.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
+        rig.server.listeners[0].close()
+        rig.server.listeners.pop(0)
+        assert two[0] == 200 and "connection" not in two[1]  # it stays as long as it may
+        assert (await asyncio.to_thread(waiting.recv, 99)).startswith(b"HTTP/1.1 200")
+        waiting.close()
+        go.set()
+        status, headers, body = await one
+        assert (status, "connection" in headers, body) == (200, False, b"late")
+        await end
+        with pytest.raises(OSError):
+            await ask(rig.port, "GET /_health HTTP/1.1\n\n")
+
+    play(scenario)
+
+
+def test_a_client_that_never_finishes_asking_does_not_hold_up_the_end() -> None:
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+        writer.write(b"GET /half")
+        while all(c.idle for c in rig.server.fronts[0].clients):
+            await asyncio.sleep(0)
+        rig.server.leave()
+        await rig.server.finish()
+        assert (await reader.read()).startswith(b"HTTP/1.1 503")  # and it hears why
+        writer.close()
+
+    play(scenario)
+
+
+ONE = GET.format(1, "i{}", INFO).replace("\n", "\r\n")
+
+
+async def leave(rig: Rig) -> asyncio.Task[None]:
+    rig.server._lifecycle._times = SHORT_SHUTDOWN
+    rig.server.leave()
+    return asyncio.create_task(rig.server.finish())
+
+
+async def say(writer: Writer, n: object) -> None:
+    writer.write(ONE.replace("i{}", f"i{n}").encode())
+
+
+def test_open_connections_are_served_on_and_end_with_an_answer() -> None:
+    """The listener closes; who is connected is served until the end, and no answer is missing."""
+
+    async def scenario(rig: Rig) -> None:
+        lines = [await asyncio.open_connection("127.0.0.1", rig.port) for _ in range(8)]
+        end, loop = await leave(rig), asyncio.get_running_loop()
+        began = loop.time()
+
+        async def client(line: tuple[Reader, Writer], k: int) -> tuple[float, bool, list[int]]:
+            said, last = [], False
+            for n in range(10_000):
+                await say(line[1], f"{k}-{n}")
+                first, headers, _ = await read_http(line[0])
+                said.append(int(first.split()[1]))
+                if last := headers.get("connection") == "close":
+                    break
+                await asyncio.sleep(0.02)
+            assert await line[0].read() == b""
+            return loop.time() - began, last, said
+
+        ends = await asyncio.gather(*(client(line, k) for k, line in enumerate(lines)))
+        await end
+        assert all(last and set(said) <= {200, 503} and said[0] == 200 for _, last, said in ends)
+        assert sum(s == 200 for _, _, said in ends for s in said) > 8 * 10
+        with pytest.raises(OSError):
+            await asyncio.open_connection("127.0.0.1", rig.port)
+
+    play(scenario)
+
+
+def test_what_a_hanging_box_holds_is_answered_before_the_end() -> None:
+    async def scenario(rig: Rig) -> None:
+        asked, _ = held_back(rig)  # never let go
+        texts = [GET.format(1, "r", INFO), PUT.format(1, "w", INFO + "Content-Length: 0\n")]
+        owed = [asyncio.create_task(ask(rig.port, text)) for text in texts]
+        await asked.wait()
+        while rig.server.core.unanswered < 2:
+            await asyncio.sleep(0.01)
+        await (await leave(rig))
+        assert [status for status, _, _ in await asyncio.gather(*owed)] == [503, 500]
+
+    play(scenario)
+
+
+@pytest.mark.parametrize("kind", ["pipelines", "never reads", "a byte at a time", "sends after the last"])
+def test_who_makes_it_hard_neither_holds_up_the_end_nor_harms_the_others(kind: str) -> None:
+    async def scenario(rig: Rig) -> None:
+        async def big(_: Writer) -> bytes | None:
+            return http(200, b"x" * 40_000)
+
+        rig.http.answer = big
+        good = await asyncio.open_connection("127.0.0.1", rig.port)
+        bad, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+        end, n = await leave(rig), 0
+
+        async def nuisance() -> None:
+            for k in range(10_000):
+                if kind == "a byte at a time":
+                    writer.write(ONE.encode()[k : k + 1])
+                else:
+                    await say(writer, f"bad{k}")
+                if kind == "sends after the last":
+                    first = (await read_http(bad))[0]
+                    assert first.split()[1] in ("200", "503")
+                await asyncio.sleep(0.005 if kind != "a byte at a time" else 0.1)
+
+        other = asyncio.create_task(nuisance())
+        while not end.done():
+            await say(good[1], f"good{n}")
+            n += 1
+            try:
+                first, headers, _ = await read_http(good[0])
+            except asyncio.IncompleteReadError:
+                break  # closed between requests, once nothing is begun any more
+            assert first.split()[1] in ("200", "503")
+            if headers.get("connection") == "close":
+                break
+            await asyncio.sleep(0.02)
+        async with asyncio.timeout(2 * 1.5):
+            await end
+        other.cancel()
+        writer.transport.abort()
+        assert n > 10 and not rig.server.core.unanswered
+
+    play(scenario)
+
+
+@pytest.mark.parametrize("what", ["again", "reload", "quiesced before", "resumed meanwhile"])
+def test_what_else_is_asked_of_it_while_it_leaves(what: str) -> None:
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+        await say(writer, 0)
+        assert (await read_http(reader))[0].split()[1] == "200"
+        if what == "quiesced before":
+            rig.server.quiesce()
+            assert await reader.read() == b""  # an idle connection ended with the drain
+            reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+        end = await leave(rig)
+        began = asyncio.get_running_loop().time()
+        await asyncio.sleep(0.2)  # the listener is closed by now
+        if what == "again":
+            rig.server.leave()
+            rig.server.leave()
+            shutdown = rig.server._lifecycle._shutdown
+            now = asyncio.get_running_loop().time()
+            assert shutdown is not None
+            assert (
+                shutdown.plan.completed_at <= now + SHORT_SHUTDOWN.hastened_s
+            )  # and not the second time from anew
+        elif what == "reload":
+            rig.config = replace(rig.config, settings=replace(rig.config.settings, max_attempts=2))
+            rig.server.reload()
+            assert rig.server.core.settings.max_attempts == 2 and not rig.server.listeners
+        elif what == "resumed meanwhile":
+            rig.server.resume()
+        await say(writer, 1)
+        first, headers, _ = await read_http(reader)
+        assert first.split()[1] == "200"  # whatever it was: who is connected is served
+        assert (headers.get("connection") == "close") >= (what == "quiesced before")
+        assert not rig.server.takes_clients
+        await end
+        took = asyncio.get_running_loop().time() - began
+        assert took < {"again": 1.0, "quiesced before": 1.0}.get(what, 3.0)
+
+    play(scenario)
--- a/tests/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -1,4 +1,4 @@
-"""What an attempt is checked for in the turn that writes it: client, node, time left, window of its key."""
+"""What is checked when an attempt is written: client, node, time left, window of its key."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 from sabledyke.policy import interface as api
 from sabledyke.protocol import discovery
 from tests import helpers
-from tests.crossings import Line, request, until
+from tests.support.endpoint_lists import DRAINS, GONE, HOST, change
+from tests.support.request_steps import Line, request, until
+from tests.support.server_rig import DEPLOYMENT, KEYED, Rig, play
 from tests.test_core import Bench
-from tests.test_net import DEPLOYMENT, DRAINS, GONE, HOST, KEYED, Rig, change, play
 
 Act = Callable[[Rig, Line], None]
 
@@ -82,7 +83,7 @@
 def test_an_attempt_is_looked_at_again_in_the_turn_that_writes_it(meanwhile: Act, goes: bool) -> None:
     """A connection to a storage node comes up late: what was decided then may not hold any more."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
         dial, ends = LateDial(rig), list[Ended]()
         rig.server.core.figures.attempted = lambda *_: None  # type: ignore[method-assign]
@@ -108,7 +109,7 @@
         rig.server.core.settings = DEPLOYMENT
         line.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_written() -> None:
@@ -144,7 +145,7 @@
 def test_a_request_with_hardly_any_time_left_is_refused_unsent() -> None:
     """A storage node may drop what comes so late without a word; nothing of it has run."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         attempts, ended = list[int](), rig.server.core.ended
 
         def note(now: float, rid: int, number: int, end: Ended) -> None:
@@ -164,4 +165,4 @@
             line.close()
         assert not invariants.broken
 
-    play(story)
+    play(scenario)
--- /dev/null
+++ b/tests/net/test_connection_pool.py
@@ -0,0 +1,85 @@
+"""The pool of connections to storage nodes: their bound, and what makes one unfit."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+from sabledyke.net import streams
+from sabledyke.net.nvme_extension import NvmeExtension
+from sabledyke.protocol import discovery
+from tests.standins import ask, http
+from tests.support.server_rig import DEPLOYMENT, GET, INFO, PUT, Rig, play
+
+
+def test_a_connection_whose_end_has_come_is_not_used_again() -> None:
+    async def scenario() -> None:
+        for last in (b"", b"408"):
+            ours, theirs = socket.socketpair()
+            ours.setblocking(False)
+            stream = streams.IOStream(ours)
+            assert streams.is_silent(stream)
+            theirs.sendall(last)
+            theirs.close()
+            assert not streams.is_silent(stream)
+            stream.close()
+            assert not streams.is_silent(stream)
+
+    asyncio.run(scenario())
+
+
+def test_connections_to_boxes_stay_under_their_bound() -> None:
+    async def scenario(rig: Rig) -> None:
+        rig.server.pool.max_connections = 1
+        for n, shard in enumerate((0, 1, 0, 1)):
+            text = PUT.format(1, n, INFO.replace("shard=0", f"shard={shard}") + "Content-Length: 0\n")
+            assert (await ask(rig.port, text.replace("/1/", f"/{shard + 1}/")))[0] == 200
+            assert rig.server.pool._open_count == 1
+
+    play(scenario)
+
+
+def test_an_answer_that_nobody_asked_for_is_never_served() -> None:
+    """A box says something more while its connection rests: the next request goes over another one."""
+
+    async def scenario(rig: Rig) -> None:
+        links: list[object] = []
+
+        async def twice(writer: asyncio.StreamWriter) -> bytes | None:
+            if writer not in links:
+                links.append(writer)
+            return http(200, b"right")
+
+        rig.http.answer = twice
+        for n in range(3):
+            assert (await ask(rig.port, GET.format(1, n, INFO)))[::2] == (200, b"right")
+            writer = links[-1]
+            assert isinstance(writer, asyncio.StreamWriter)
+            stream = rig.server.pool._idle[b"plain"][0].link.stream  # type: ignore[attr-defined]
+            writer.write(http(200, b"wrong"))
+            while not stream.closed() and not stream._read_buffer_size:
+                await asyncio.sleep(0)
+        assert len(links) == 3
+
+    play(scenario)
+
+
+def test_boxes_that_are_gone_are_forgotten() -> None:
+    async def scenario(rig: Rig) -> None:
+        host = await rig.host()
+        assert await host.write(2, 0, bytes(512)) == 0
+        assert (await ask(rig.port, GET.format(1, "i", INFO)))[0] == 200
+        server = rig.server
+        nvme = server.parts[-1]
+        assert isinstance(nvme, NvmeExtension)
+        association = nvme.dialer._associations[b"block"]
+        assert set(server.core.nodes) == set(server.pool._addresses) == {b"plain", b"block"}
+        rig.discovery.hosts.pop()
+        server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        delta = {"seq": 2, "whole": False, "hosts": [rig.discovery.hosts[0] | {"health": "gone"}]}
+        server.assembly.on_endpoint_list(discovery.read(delta, DEPLOYMENT))
+        assert not server.core.nodes and not server.pool._addresses and not server.pool._open_count
+        assert association.node_removed and not nvme.dialer._associations
+        host.close()
+
+    play(scenario)
--- /dev/null
+++ b/tests/net/test_endpoint_watch.py
@@ -0,0 +1,187 @@
+"""The watch on discovery at rare moments, and how long a list may go without a request for it."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from sabledyke import invariants
+from sabledyke.net import endpoint_watch
+from sabledyke.policy import interface as api
+from sabledyke.protocol import discovery
+from sabledyke.protocol.watch_timeout import ASKED, PUSHED, Silence
+from tests import helpers
+from tests.standins import Discovery
+from tests.support.endpoint_lists import DRAINS, GONE, HOST, change
+from tests.support.request_steps import until
+from tests.support.server_rig import DEPLOYMENT
+
+
+def listen_to(
+    scenario: Callable[
+        [endpoint_watch.EndpointWatch, Discovery, list[discovery.Listing | None]], Awaitable[None]
+    ],
+    script: list[Any],
+    **changes: Any,
+) -> None:
+    """Play a scenario with a watch on a scripted discovery."""
+
+    async def run() -> None:
+        found, seen = Discovery(), list[discovery.Listing | None]()
+        await found.open()
+        found.hosts, found.script = [HOST], list(script)
+        settings = replace(DEPLOYMENT, **changes)
+        look = endpoint_watch.EndpointWatch(("127.0.0.1", found.port), settings, None, seen.append)
+        async with asyncio.timeout(30):
+            await scenario(look, found, seen)
+        look.stop()
+        found.die()
+
+    asyncio.run(run())
+
+
+@pytest.mark.parametrize("asks", [False, True])
+def test_a_fault_of_ours_does_not_end_the_watch_for_good(
+    asks: bool, capfd: pytest.CaptureFixture[str]
+) -> None:
+    async def scenario(
+        look: endpoint_watch.EndpointWatch, found: Discovery, seen: list[discovery.Listing | None]
+    ) -> None:
+        faults, tell = [RuntimeError("a fault of ours")], look._report
+
+        def report(listing: discovery.Listing | None) -> None:
+            if listing is not None and faults:
+                raise faults.pop()
+            tell(listing)
+
+        look._report = report
+        look.watch(True)
+        await until(lambda: seen)
+        assert seen == [None] and not faults  # the module hears that the call failed
+        if asks:
+            look.watch(True)  # as it does then
+        await until(lambda: len(seen) > 1)
+        assert seen[1] is not None
+
+    listen_to(scenario, [DRAINS], asks_list=asks)
+    assert "a fault of ours" in capfd.readouterr().err
+    invariants.broken.clear()
+
+
+@pytest.mark.parametrize("asked_before", [False, True])
+def test_a_new_address_is_asked_at_once_and_the_old_one_tells_nothing_more(asked_before: bool) -> None:
+    """A change counts as told 4 s after SIGHUP, whether or not the module has asked for a list yet."""
+
+    async def scenario(
+        look: endpoint_watch.EndpointWatch, found: Discovery, seen: list[discovery.Listing | None]
+    ) -> None:
+        new = Discovery()
+        await new.open()
+        new.hosts = [HOST | {"health": "draining"}]
+        if asked_before:
+            look.watch(True)
+            await until(lambda: seen)
+            seen.clear()
+        look.fetch()
+        await until(lambda: len(found.calls) > asked_before)  # a call is out at the old address
+        look.adopt(("127.0.0.1", new.port), replace(DEPLOYMENT, mean_units=3))
+        await until(lambda: seen)
+        for _ in range(50):
+            await asyncio.sleep(0.001)
+        told = [listing.news.entries[0].state.name for listing in seen if listing is not None]
+        assert told == ["DRAINING"] and len(seen) == 1
+        new.die()
+
+    listen_to(scenario, [])
+
+
+@pytest.mark.parametrize("hosts", [3, 30, 200, 3200])
+def test_after_failed_calls_the_list_is_asked_for_before_a_drain_must_be_known(hosts: int) -> None:
+    """Told 6 s after discovery can be reached, and 2 s of grace; a call takes up to 3 s, and 0.15 s go by."""
+    rig = helpers.Rig(asks_list=True, hosts=hosts)
+    for _ in range(60):
+        told = rig.do(api.NodeList(api.ListKind.FAILED, 0, ()))
+        (timer,) = helpers.of(told, api.SetTimer)
+        assert 0 < timer.delay <= 6000 + 2000 - 3000 - 150 - 350
+        rig.now += timer.delay
+    rig.scheduler.adopt(replace(rig.scheduler.s, mean_units=3))
+    (timer,) = helpers.of(rig.do(api.NodeList(api.ListKind.FAILED, 0, ())), api.SetTimer)
+    assert timer.delay <= rig.scheduler.discovery.first_call_spread  # new settings: the pauses begin anew
+
+
+def test_a_silent_call_is_made_anew_before_what_it_missed_counts_as_told() -> None:
+    for seed in range(200):
+        line, at = Silence(seed), 0.0
+        for terms, told in ((ASKED, max(6.0, ASKED.wait + 2)), (PUSHED, 2.0)):  # at once, 2 s to drain
+            assert terms.wait + terms.spare + line.fell_silent(terms) <= told
+            line.answered()
+        pauses = [line.fell_silent(ASKED) for _ in range(50)]
+        assert max(pauses) <= 2 * ASKED.jitter
+        for _ in range(9):
+            at = line.broke(PUSHED)
+        assert at == PUSHED.again[1]
+    spread = [Silence(seed).fell_silent(ASKED) for seed in range(200)]
+    assert all(30 < sum(k / 4 <= p < (k + 1) / 4 for p in spread) < 71 for k in range(4))  # not in step
+
+
+@pytest.mark.parametrize(
+    "pushed, script, states",
+    [
+        (True, [DRAINS, None, GONE], ["READY", "DRAINING", None, "GONE"]),  # taken up where it was cut
+        (False, [DRAINS, None, GONE], []),
+        (True, [DRAINS, DRAINS, GONE], ["READY", "DRAINING", "GONE"]),  # repeated: set aside, and said once
+        # Silent from the first byte on, after a change, in the middle of an answer: asked anew, and no more.
+        (True, [bytearray(), DRAINS, bytearray(), GONE], ["READY", "DRAINING", "GONE"]),
+        (
+            True,
+            [DRAINS, bytearray(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"), GONE],
+            ["READY", "DRAINING", "GONE"],
+        ),
+        (True, [DRAINS, b'{"seq": 3, "whole": false, "hosts": [', GONE], ["READY", "DRAINING", None, "GONE"]),
+        # Older than what is held, or out of order: set aside, and the whole list is asked for.
+        (True, [GONE, DRAINS, change(HOST, 4, True)], ["READY", "GONE", None, "READY"]),
+        # An older whole list is taken once a second call brings one too: it counts from the start.
+        (True, [GONE, change(HOST, 1, True), change(HOST, 1, True)], ["READY", "GONE", None, "READY"]),
+        (
+            True,
+            [change(HOST, 2, born_ms=5.0), change(HOST, 3, born_ms="nan"), GONE],
+            ["READY", "READY", None, "GONE"],
+        ),
+        # One garbled entry hides no drain beside it, and nobody is taken for gone.
+        (
+            True,
+            [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINS["hosts"][0]]}, change(HOST, 2, True)],
+            ["READY", "DRAINING", None, "READY"],
+        ),
+    ],
+)
+def test_pushed_lists_are_watched_unasked_and_bad_news_undoes_no_drain(
+    pushed: bool,
+    script: list[dict[str, Any] | bytes | None],
+    states: list[str | None],
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(endpoint_watch, "PUSHED", replace(PUSHED, wait=0.05, spare=0.05))
+
+    async def run() -> None:
+        agent, seen = Discovery(), list[discovery.Listing | None]()
+        await agent.open()
+        agent.hosts, agent.script, agent.indent = [HOST], list(script), 2
+        settings = replace(DEPLOYMENT, asks_list=not pushed)
+        look = endpoint_watch.EndpointWatch(("127.0.0.1", agent.port), settings, None, seen.append)
+        look.start()
+        async with asyncio.timeout(10):
+            while len(seen) < len(states):
+                await asyncio.sleep(0.01)
+        await asyncio.sleep(0.1)
+        look.stop()
+        agent.die()
+        told = [e for s in seen for e in ([None] if s is None else s.news.entries)]
+        assert [None if e is None else e.state.name for e in told] == states
+        assert pushed or not agent.calls
+
+    asyncio.run(run())
--- /dev/null
+++ b/tests/net/test_http_messages.py
@@ -0,0 +1,97 @@
+"""HTTP messages that come slowly, without a length, or after 100 Continue."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from sabledyke.net import http_frontend
+from sabledyke.protocol.http import HttpError, Parser
+from tests.standins import ask, read_http
+from tests.support.server_rig import GET, INFO, PUT, Rig, play
+
+
+def test_a_body_that_comes_slowly_but_comes_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(rig: Rig) -> None:
+        monkeypatch.setattr(http_frontend, "REQUEST_TIMEOUT_S", 0.2)
+        head = PUT.format(1, "slow", INFO + "Idempotency-Key: s\nContent-Length: 8\n").replace("\n", "\r\n")
+        reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+        writer.write(head.encode())
+        for byte in b"12345678":  # 8 pieces over 0.8 s: four times its patience, never 0.2 s apart
+            await asyncio.sleep(0.1)
+            writer.write(bytes([byte]))
+        first, _, body = await read_http(reader)
+        assert first.startswith("HTTP/1.1 200") and body == b"12345678"
+        writer.write(head.replace("Req-Id: slow", "Req-Id: stops").encode() + b"1234")
+        assert (await reader.read()).startswith(b"HTTP/1.1 408")  # one that stops is given up
+        writer.close()
+
+    play(scenario)
+
+
+@settings(max_examples=40, derandomize=True, deadline=None)
+@given(st.binary(max_size=300), st.lists(st.integers(1, 50), max_size=8))
+def test_an_answer_that_ends_with_its_connection_is_whole_only_at_an_orderly_end(
+    body: bytes, cuts: list[int]
+) -> None:
+    whole = b"HTTP/1.1 200 OK\r\nX: y\r\n\r\n" + body
+    parser, at = Parser(responses=True), 0
+    for cut in [*cuts, len(whole)]:
+        parser.feed(whole[at : at + cut])
+        at += cut
+        assert parser.next() is None  # never whole before its end
+    message = parser.end()
+    assert message is not None and message.body == body and not message.keep_alive
+    for cut_off in (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1234", b"HTTP/1.1 200 OK\r\nX:"):
+        broken = Parser(responses=True)
+        broken.feed(cut_off)
+        assert broken.next() is None
+        with pytest.raises(HttpError):
+            broken.end()
+
+
+def test_a_box_that_closes_after_an_answer_without_length_serves_and_one_reset_does_not() -> None:
+    async def scenario(rig: Rig) -> None:
+        async def closes(writer: asyncio.StreamWriter) -> bytes | None:
+            writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nuntil the end")
+            await writer.drain()
+            writer.close()
+            return b""
+
+        rig.http.answer = closes
+        assert (await ask(rig.port, GET.format(1, "c", INFO)))[::2] == (200, b"until the end")
+
+        async def resets(writer: asyncio.StreamWriter) -> bytes | None:
+            writer.write(b"HTTP/1.1 200 OK\r\n\r\ncut")
+            await writer.drain()
+            sock = writer.get_extra_info("socket")
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            writer.transport.abort()
+            return b""
+
+        rig.http.answer = resets
+        assert (await ask(rig.port, GET.format(1, "r", INFO)))[0] in (500, 503)
+
+    play(scenario)
+
+
+def test_a_client_that_expects_100_continue_is_told_to_send_its_body() -> None:
+    async def scenario(rig: Rig) -> None:
+        head = PUT.format(1, "e", INFO + "Idempotency-Key: e\nExpect: 100-continue\nContent-Length: 5\n")
+        reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+        writer.write(head.replace("\n", "\r\n").encode())
+        assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
+        writer.write(b"hello")
+        first, _, body = await read_http(reader)
+        assert first.startswith("HTTP/1.1 200") and body == b"hello"
+        too_large = head.replace("Content-Length: 5", f"Content-Length: {1 << 25}").replace("Id: e", "Id: f")
+        writer.write(too_large.replace("\n", "\r\n").encode())
+        assert (await reader.read()).startswith(b"HTTP/1.1 413")  # refused before its body is sent
+        writer.close()
+
+    play(scenario)
--- a/tests/test_node_connections.py
+++ b/tests/net/test_node_connections.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.standins import Writer, ask, http
-from tests.test_net import GET, INFO, PUT, Rig, play
+from tests.support.server_rig import GET, INFO, PUT, Rig, play
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
@@ -81,7 +81,7 @@
 def test_whatever_a_node_answers_its_client_gets_one_whole_answer(answer: object, keyed: bool) -> None:
     """What is served is what a node said whole; after it, the next request is served as ever."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         served = ANSWERS[answer]  # type: ignore[index]
         rig.http.answer = answer  # type: ignore[assignment]
         text = PUT.format(1, "spoilt", INFO + "Idempotency-Key: k\nContent-Length: 0\n") if keyed else ""
@@ -94,14 +94,14 @@
         assert (await ask(rig.port, GET.format(2, "next", INFO)))[0] == 200
         assert not rig.server.core.unanswered
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("ends", ["closed", "reset", "said something"])
 def test_a_connection_that_its_node_ended_while_it_rested_is_not_written_to(ends: str) -> None:
     """In the very turn in which its end has come; nobody has looked at it yet."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         writers: list[Writer] = []
 
         async def note(writer: Writer) -> bytes | None:
@@ -125,4 +125,4 @@
         assert (status, body) == (200, b"good") and writers[1] is not writers[0]
         assert len(rig.http.seen) == 2
 
-    play(story)
+    play(scenario)
--- /dev/null
+++ b/tests/net/test_nvme.py
@@ -0,0 +1,152 @@
+"""NVMe over TCP: hosts, and storage nodes that speak it."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from sabledyke.net.nvme_extension import NvmeExtension
+from sabledyke.net.nvme_frontend import NvmeClientConnection
+from sabledyke.protocol import discovery
+from tests.standins import NQN, NvmeBox, ask, http
+from tests.support.server_rig import DEPLOYMENT, INFO, PUT, Rig, play
+
+
+@pytest.mark.parametrize("nsid", [1, 2])
+def test_an_nvme_host_writes_and_reads_through_either_kind_of_box(nsid: int) -> None:
+    async def scenario(rig: Rig) -> None:
+        host, data = await rig.host(), bytes(range(256)) * 32
+        assert await host.write(nsid, 16, data) == 0
+        if nsid == 1:
+            first, headers, body = rig.http.seen[-1]
+            assert first == f"PUT /api/{1:016x}/{16:016x} HTTP/1.1" and body == data
+            assert len(headers["idempotency-key"]) == 16
+
+            async def stored(_: object) -> bytes | None:
+                return http(200, data)
+
+            rig.http.answer = stored
+        assert await host.read(nsid, 16, 16) == (0, data)
+        host.close()
+
+    play(scenario)
+
+
+def test_what_is_not_supported_gets_its_status() -> None:
+    async def scenario(rig: Rig) -> None:
+        host = await rig.host()
+        status, page = await host.identify(1)
+        assert status == 0 and page[78:80] == host.cntlid.to_bytes(2, "little")
+        assert (await host.identify(2))[1][:20] == b"".join(n.to_bytes(4, "little") for n in (1, 2, 3, 4, 0))
+        assert (await host.identify(0, 1))[1][:8] == (4096).to_bytes(8, "little")
+        dnr = 1 << 14
+        assert (await host.identify(0, 99))[0] == 0x0B | dnr
+        assert (await host.identify(0x1C))[0] == 0x02 | dnr
+        assert await host.admin(0x18) == 0
+        assert await host.admin(0x02) == 0x01 | dnr
+        assert await host.admin(0x09, (6,)) == 0x02 | dnr
+        assert (await host.read(9, 0, 1))[0] == 0x0B | dnr
+        assert (await host.read(1, 4090, 7))[0] == 0x80 | dnr
+        assert (await host.read(1, 120, 16))[0] == 0x02 | dnr  # across a stripe
+        assert (await host.command(host.io, 0, 1))[0] == 0  # Flush
+        assert (await host.command(host.io, 8, 1))[0] == 0x01 | dnr
+        host.close()
+
+    play(scenario)
+
+
+def test_refused_commands_may_come_again_and_failed_ones_may_not() -> None:
+    async def scenario(rig: Rig) -> None:
+        host = await rig.host()
+        rig.nvme.status = 0x82
+        status = await host.write(2, 0, bytes(512))
+        assert status & 0x7FF == 0x82 and not status >> 14 and status >> 11 & 3
+        rig.nvme.status = 0x06
+        assert await host.write(2, 0, bytes(512)) == 0x06 | 1 << 14
+        host.close()
+
+    play(scenario)
+
+
+def test_a_silent_nvme_box_costs_a_host_no_more_than_its_deadline() -> None:
+    async def scenario(rig: Rig) -> None:
+        rig.nvme.stalled = True
+        host = await rig.host()
+        for status in (await host.write(2, 0, bytes(512)), (await host.read(2, 0, 1))[0]):
+            assert status & 0x7FF in (0x82, 0x06)  # an answer, though the box gave none
+        assert not rig.server.core.unanswered
+        host.close()
+
+    play(scenario)
+
+
+@pytest.mark.parametrize("deadly", [True, False])
+def test_a_write_cut_off_mid_transfer_is_not_sent_beyond_its_key(deadly: bool) -> None:
+    """A box breaks off with part of the data: the write may have begun, only its cell may see it again."""
+
+    async def scenario(rig: Rig) -> None:
+        spare = NvmeBox()  # another cell
+        await spare.open()
+        nvme = rig.server.parts[-1]
+        assert isinstance(nvme, NvmeExtension)
+        nvme.dialer._nqn_by_node[b"spare"] = NQN
+        rig.server.assembly.dialers[b"spare"] = nvme.dialer.dial
+        rig.discovery.add("spare", spare.port, 2)
+        rig.discovery.hosts = rig.discovery.hosts[1:]  # none that speaks HTTP
+        rig.server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        for box in (rig.nvme, spare):
+            box.mercy, box.deadly = 1000, deadly
+        info = INFO.replace("shard=0", "shard=-1") + "Idempotency-Key: k\nContent-Length: 3000\n"
+        text = PUT.format(1, "i", info)
+        status, _, _ = await ask(rig.port, text, bytes(3000))
+        assert sorted((rig.nvme.begun, spare.begun)) == [0, 1 if deadly else 2]
+        assert len(rig.nvme.writes + spare.writes) == (0 if deadly else 1)
+        assert status == (500 if deadly else 200)
+        spare.die()
+
+    play(scenario)
+
+
+def test_http_and_nvme_boxes_serve_a_grade_alike() -> None:
+    """The same work of two grades to both kinds of boxes, by both fronts: a grade gets the same of each."""
+
+    async def scenario(rig: Rig) -> None:
+        async def by_http(tier: str, volume: int, shard: int, n: int) -> bool:
+            info = INFO.replace("shard=0", f"shard={shard}") + f"Idempotency-Key: {volume}-{n}\n"
+            info += "Content-Length: 4\n"
+            text = PUT.format(n, f"{volume}-{n}", info).replace("/1/", f"/{volume}/").replace("gold", tier)
+            return (await ask(rig.port, text, b"data"))[0] == 200
+
+        async def by_nvme(volume: int, n: int) -> int:
+            host = await rig.host()
+            served = 0
+            for i in range(n):
+                served += await host.write(volume, 1024 + i, bytes(512)) == 0
+            host.close()
+            return served
+
+        volumes = {("gold", 0): 1, ("gold", 1): 2, ("held", 0): 3, ("held", 1): 4}
+        http_asks = [by_http(tier, v, shard, n) for (tier, shard), v in volumes.items() for n in range(3)]
+        answers = await asyncio.gather(*http_asks)
+        nvme = await asyncio.gather(*(by_nvme(v, 3) for v in volumes.values()))
+        served = {key: sum(answers[3 * i : 3 * i + 3]) + nvme[i] for i, key in enumerate(volumes)}
+        for grade in ("gold", "held"):
+            assert served[grade, 0] == served[grade, 1] > 0
+        assert len(rig.nvme.writes) == served["gold", 1] + served["held", 1]
+        assert len(rig.http.seen) == served["gold", 0] + served["held", 0]
+
+    play(scenario)
+
+
+def test_a_host_past_its_keep_alive_time_is_let_go() -> None:
+    async def scenario(rig: Rig) -> None:
+        host = await rig.host()
+        target = next(c for c in rig.server.fronts[1].clients if isinstance(c, NvmeClientConnection)).target
+        target.keep_alive = 50
+        assert await host.admin(0x18) == 0
+        assert await host.io[0].read() == b""  # its queues go with its controller
+        assert not target.subsystem.controllers
+        host.close()
+
+    play(scenario)
--- a/tests/test_crossings.py
+++ b/tests/net/test_request_interruptions.py
@@ -3,21 +3,18 @@
 from __future__ import annotations
 
 import asyncio
-import errno
-import socket
 from collections.abc import Callable
-from typing import Any
 
 import pytest
 
 from sabledyke.application import lifecycle
 from sabledyke.core import Ended
-from sabledyke.net import frontend, listener, streams
+from sabledyke.net import streams
 from sabledyke.policy import interface as api
 from sabledyke.protocol.http import MAX_INPUT
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
-from tests.crossings import Line, Step, request, until
-from tests.test_net import Rig, play
+from tests.support.request_steps import Line, Step, request, until
+from tests.support.server_rig import Rig, play
 
 Act = Callable[[Rig, Line], None]
 
@@ -45,7 +42,7 @@
 def test_a_close_never_drops_a_request_that_was_read(step: Step, act: Act) -> None:
     """Whatever ends connections at rest, a request that has come in gets its whole answer."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
         await line.reach(step)
         act(rig, line)
@@ -59,7 +56,7 @@
             assert said == b""
         line.close()
 
-    play(story)
+    play(scenario)
 
 
 class Scripted(GracefulShutdown):
@@ -86,7 +83,7 @@
 ) -> None:
     """The program is told to end, and its last moment comes right after a request has come so far."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(lifecycle, "GracefulShutdown", Scripted)
         Scripted.current = begins
         line = await Line.open(rig)
@@ -111,14 +108,14 @@
         await end
         line.close()
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize(("many", "crowded"), [(3, False), (3, True), (60, False), (110, False)])
 def test_who_sends_many_requests_at_once_gets_them_answered(many: int, crowded: bool) -> None:
     """Guards against ending a connection, because of what comes behind it, under a request in work."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
         if crowded:
             rig.server.fronts[0].crowded_above = 0
@@ -139,12 +136,12 @@
             assert answers.count(b"HTTP/1.1 400") == 1
         line.close()
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("behind", [0, 1, 110])
 def test_a_client_that_goes_is_seen_also_behind_much_that_it_sent(behind: int) -> None:
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         line, outcomes = await Line.open(rig), list[api.Outcome]()
         report = rig.server.pool._report
 
@@ -164,14 +161,14 @@
         await until(lambda: line.client not in rig.server.fronts[0].clients)
         assert len(rig.http.seen) == asked and not rig.server.core.unanswered
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("read", [False, True])
 def test_what_comes_behind_a_last_answer_is_not_begun_and_the_answer_arrives(read: bool) -> None:
     """It stays unread; or the stream had read it when the last byte of a slow answer was written."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
         closing = request("last").replace(b"Req-Kind", b"Connection: close\r\nReq-Kind")
         line.socket.sendall(closing)
@@ -193,73 +190,4 @@
         assert len(rig.http.seen) == seen
         line.close()
 
-    play(story)
-
-
-class Faulty:
-    """A listening socket whose accept fails as told, and then works."""
-
-    def __init__(self, real: socket.socket, faults: list[int]) -> None:
-        self._real, self.faults, self.calls = real, faults, 0
-
-    def accept(self) -> tuple[socket.socket, Any]:
-        """See ``socket.socket``."""
-        self.calls += 1
-        if self.faults:
-            raise OSError(fault := self.faults.pop(0), errno.errorcode[fault])
-        return self._real.accept()
-
-    def __getattr__(self, name: str) -> Any:
-        return getattr(self._real, name)
-
-
-HARD = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
-
-
-@pytest.mark.parametrize("fault", sorted(listener.TRANSIENT_ACCEPT_ERRNOS) + HARD)
-@pytest.mark.parametrize("closes", [False, True])
-def test_a_failed_accept_hides_no_connection_and_never_spins(fault: int, closes: bool) -> None:
-    async def story(rig: Rig) -> None:
-        opened, clients = rig.server.listeners[0], rig.server.fronts[0].clients
-        opened._socket = faulty = Faulty(opened._socket, [fault])  # type: ignore[assignment]
-        known = set(clients)
-        sock = socket.create_connection(("127.0.0.1", rig.port))
-        if closes:
-            rig.server.listeners.remove(opened)
-            opened.close()
-        if fault in HARD and not closes:
-            await until(lambda: faulty.calls)
-            assert not asyncio.get_running_loop().remove_reader(faulty.fileno())  # it pauses
-        while not set(clients) - known:
-            await asyncio.sleep(0.001)
-        assert faulty.calls <= 4  # the failed one, the connection, and one or two that found nothing
-        if fault in listener.TRANSIENT_ACCEPT_ERRNOS:
-            assert opened._retry_timer is None  # no pause: what failed was that connection alone
-        if closes:
-            while not opened.closed:
-                await asyncio.sleep(0.001)
-        sock.close()
-
-    play(story)
-
-
-def test_a_connection_that_breaks_as_it_is_accepted_hides_none_behind_it(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    async def story(rig: Rig) -> None:
-        clients, broken = rig.server.fronts[0].clients, list[bool]()
-        accepted = frontend.stream_of
-
-        def breaks(sock: socket.socket) -> streams.IOStream:
-            if not broken:
-                broken.append(True)
-                raise OSError(errno.EINVAL, "Invalid argument")
-            return accepted(sock)
-
-        monkeypatch.setattr(frontend, "stream_of", breaks)
-        pair = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2)]
-        await until(lambda: broken and len(clients) == 1)
-        for sock in pair:
-            sock.close()
-
-    play(story)
+    play(scenario)
--- /dev/null
+++ b/tests/net/test_requests.py
@@ -0,0 +1,134 @@
+"""Requests through the whole server on loopback: answers, failures and their bounds."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from sabledyke.core import Ended
+from sabledyke.policy import interface as api
+from tests.standins import ask, http
+from tests.support.server_rig import GET, INFO, PUT, Rig, held_back, play
+
+
+def test_requests_pass_unchanged_and_answers_come_back() -> None:
+    async def scenario(rig: Rig) -> None:
+        assert (await ask(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 200
+        text = PUT.format("ab", "id-1", INFO + "Idempotency-Key: k1\nContent-Length: 5\n")
+        assert (await ask(rig.port, text, b"hello"))[::2] == (200, b"hello")
+        first, headers, body = rig.http.seen[-1]
+        assert first == "PUT /api/1/ab?q=1 HTTP/1.1" and body == b"hello"
+        assert headers["req-id"] == "id-1" and headers["idempotency-key"] == "k1"
+        assert 0 < float(headers["req-deadline"]) <= 1
+
+    play(scenario)
+
+
+def test_bad_bytes_harm_only_their_sender() -> None:
+    async def scenario(rig: Rig) -> None:
+        for text, status in (
+            ("no http\n\n", 400),
+            (GET.format("zz", "i", ""), 400),
+            (PUT.format(1, "i", "Content-Length: 99999\n"), 413),
+            ("GET / HTTP/1.1\nX: " + "x" * 20000 + "\n\n", 431),
+        ):
+            assert (await ask(rig.port, text))[0] == status
+        reader, writer = await asyncio.open_connection("127.0.0.1", rig.nvme_port)
+        writer.write(bytes([77]) * 200)
+        assert (await reader.read())[0] == 3  # C2HTermReq, then the end
+        assert (await ask(rig.port, GET.format(1, "i", INFO)))[0] == 200
+
+    play(scenario)
+
+
+@pytest.mark.parametrize(
+    ("answer", "status", "tries"),
+    [
+        (http(500), 500, 3),
+        (http(503, b"", "Srv-Declined: 1"), 503, 3),
+        (b"garbage\r\n\r\n", 500, 3),
+        (None, 500, 3),
+    ],
+)
+def test_a_failed_write_stays_within_its_attempts(answer: bytes | None, status: int, tries: int) -> None:
+    async def scenario(rig: Rig) -> None:
+        async def say(_: object) -> bytes | None:
+            return answer
+
+        rig.http.answer = say
+        text = PUT.format(1, "i", INFO + "Idempotency-Key: k\nContent-Length: 0\n")
+        assert (await ask(rig.port, text))[0] == status
+        assert 1 <= len(rig.http.seen) <= tries and {s[1]["req-id"] for s in rig.http.seen} == {"i"}
+
+    play(scenario)
+
+
+def test_a_client_that_leaves_calls_its_attempt_off() -> None:
+    async def scenario(rig: Rig) -> None:
+        ended, outcomes = asyncio.Event(), []
+        tell = rig.server.core.ended
+
+        def note(now: float, rid: int, number: int, end: Ended) -> None:
+            outcomes.append(end.outcome)
+            ended.set()
+            tell(now, rid, number, end)
+
+        async def wait(_: object) -> bytes | None:
+            client.close()
+            await ended.wait()
+            return None
+
+        rig.http.answer = wait
+        rig.server.core.ended = note  # type: ignore[method-assign]
+        _, client = await asyncio.open_connection("127.0.0.1", rig.port)
+        client.write(GET.format(1, "i", INFO).replace("\n", "\r\n").encode())
+        await ended.wait()
+        assert outcomes == [api.Outcome.CANCELLED] and not rig.server.core.unanswered
+
+    play(scenario)
+
+
+def test_a_silent_box_costs_a_client_no_more_than_its_deadline() -> None:
+    async def scenario(rig: Rig) -> None:
+        async def never(_: object) -> bytes | None:
+            await asyncio.sleep(3600)
+            return None
+
+        rig.http.answer = never
+        text = GET.format(1, "i", INFO)
+        status, _, _ = await ask(rig.port, text)
+        assert status in (500, 503)
+
+    play(scenario)
+
+
+def test_an_id_in_use_is_not_taken_again() -> None:
+    async def scenario(rig: Rig) -> None:
+        asked, go = held_back(rig)
+        one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        await asked.wait()
+        assert (await ask(rig.port, GET.format(1, "i", INFO)))[0] == 409
+        go.set()
+        assert (await one)[::2] == (200, b"late") and len(rig.http.seen) == 1
+
+    play(scenario)
+
+
+def test_large_answers_pass_while_there_is_room_for_them() -> None:
+    async def scenario(rig: Rig) -> None:
+        async def large(_: object) -> bytes | None:
+            return http(200, b"x" * size)
+
+        rig.http.answer = large
+        for n, (size, full, status) in enumerate(
+            ((300_000, False, 200), (1 << 21, False, 503), (300_000, True, 503), (60_000, True, 200))
+        ):
+            rig.server.assembly.response_memory.used_bytes = (
+                rig.server.assembly.response_memory.limit_bytes + 1 if full else 0
+            )
+            got, _, body = await ask(rig.port, GET.format(n, n, INFO))
+            assert got == status and (got != 200 or body == b"x" * size)
+        rig.server.assembly.response_memory.used_bytes = 0
+
+    play(scenario)
--- /dev/null
+++ b/tests/shutdown/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the graceful shutdown."""
--- /dev/null
+++ b/tests/shutdown/test_graceful_shutdown.py
@@ -0,0 +1,103 @@
+"""The schedule of a graceful shutdown, and what the core answers at its end."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from sabledyke import invariants
+from sabledyke.core import Answer, Verdict
+from sabledyke.policy import interface as api
+from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase, ShutdownTimes
+from tests.helpers import FIXED, SETTINGS, WRITE, Rig
+from tests.test_core import Bench
+
+
+@FIXED
+@given(st.floats(0.05, 20), st.floats(0, 4), st.floats(0, 4), st.booleans())
+def test_it_only_goes_forward_and_is_gone_before_the_kill(
+    longest: float, at: float, later: float, hastened: bool
+) -> None:
+    plan, kill = GracefulShutdown(100.0, longest, 1), 100 + min(longest, 3) + 0.7
+    if hastened:
+        plan.hasten(100 + at)
+        assert plan.completed_at <= max(100 + at + ShutdownTimes().hastened_s, kill)
+    one, two = sorted((100 + at, 100 + at + later))
+    assert plan.phase(one) <= plan.phase(two)
+    assert (
+        plan.phase(kill - 0.1) is ShutdownPhase.COMPLETED
+        and plan.answer_by <= plan.completed_at < plan.available_again_at
+    )
+    assert not any(plan.ends_connection(100 + k / 9) for k in range(5)) or hastened or longest < 0.6
+    assert plan.ends_connection(plan.answer_by) and (
+        plan.completed_at - plan.answer_by >= 0.09 or hastened or longest < 0.1
+    )
+
+
+def test_answers_part_from_clients_by_and_by() -> None:
+    plans = [GracefulShutdown(0.0, 3.0, seed) for seed in range(400)]
+    begins = plans[0].answer_by - ShutdownTimes().draining_s
+    ended = [
+        sum(p.ends_connection(begins + k * ShutdownTimes().draining_s / 4) for p in plans) / 400
+        for k in range(4)
+    ]
+    assert ended[0] == 0 and all(abs(ended[k] - k / 4) < 0.08 for k in range(4)), ended
+
+
+def test_by_a_plan_connections_that_rest_go_evenly_and_none_is_left_for_the_end() -> None:
+    """Else what comes in the last moments would be refused, though others of the fleet serve."""
+    for planned, gone in ((False, [0, 0, 0, 400]), (True, [0, 133, 267, 400])):
+        plan, left, seen = GracefulShutdown(0.0, 3.0, 7, planned=planned), 400, list[int]()
+        for look in range(400):
+            now = look / 100
+            if now in (0.5, 1.5, 2.5, 3.5):  # the listener closes at 0.6, and it is over at 3.58
+                seen.append(400 - left)
+            left -= sum(plan.closes_idle(now, 0.01) for _ in range(left))
+        assert all(abs(was - is_) < 45 for was, is_ in zip(gone, seen, strict=True)), (planned, seen)
+
+
+@pytest.mark.parametrize(
+    "changes, sends, verdict",
+    [
+        ({}, True, Verdict.REFUSED),  # may be repeated: coming again is harmless
+        ({"class_": 1, "write": True}, True, Verdict.FAILED),  # it may have run
+        ({"class_": 1, "write": True}, False, Verdict.REFUSED),  # never sent
+    ],
+)
+def test_at_the_end_everybody_who_is_owed_an_answer_gets_one(
+    changes: dict[str, object], sends: bool, verdict: Verdict
+) -> None:
+    bench = Bench(None if sends else lambda now, events: [])  # a module that keeps silent
+    once = replace(WRITE, repeat=api.Repeat.AT_MOST_ONCE)
+    bench.core.settings = replace(SETTINGS, classes=(SETTINGS.classes[0], once))
+    rid = bench.ask(**changes)
+    assert bool(bench.started) is sends
+    bench.core.scheduler.handle = lambda now, events: []  # type: ignore[method-assign]
+    bench.core.end_by(bench.now + 100, bench.now + 1e6)
+    bench.wait(99)
+    assert not bench.answers
+    bench.wait(1)
+    assert bench.answers == [Answer(verdict, retry_after=SETTINGS.max_retry_after)]
+    bench.ask(ident="late")  # what still comes is answered within a look
+    bench.wait(10)
+    assert [a.verdict for a in bench.answers[1:]] == [Verdict.REFUSED] and not bench.core.unanswered
+    assert not invariants.broken and (not sends or bench.core._open[rid].out)
+
+
+def test_what_cannot_be_finished_is_refused_at_once_and_not_begun() -> None:
+    rig = Rig(hosts=1)
+    for _ in range(20):  # an answer takes 100 ms
+        rig.end(rig.ask(), took=100)
+        rig.wait(100)
+    held = [rig.ask() for _ in range(40)]
+    rig.scheduler.end_by(rig.now + 150)
+    rig.wait(20)
+    early = [r for r in held if rig.answers(r)]
+    rig.wait(90)
+    late = rig.ask()
+    rig.wait(20)
+    assert early and not rig.sends(late) and rig.answers(late)
+    assert all(job.soon <= rig.scheduler.until for job in rig.scheduler.jobs.values())
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -20,7 +20,7 @@
 from tests.helpers import BRISK
 from tests.standins import Discovery, Service, ask, http, read_http
 from tests.standins.postgres import Postgres
-from tests.test_net import DEPLOYMENT, GET, PUT
+from tests.support.server_rig import DEPLOYMENT, GET, PUT
 
 BACKENDS = ("sqlite", "postgresql")
 
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Fixtures that tests of several packages share."""
--- a/tests/crossings.py
+++ b/tests/support/request_steps.py
@@ -1,7 +1,7 @@
-"""A client's connection to the program, moved on step by step, so that a test can act between two of them.
+"""A client's connection, moved on step by step, so that a test can act between two of them.
 
-The program runs in the test's own event loop: between two of the test's turns of the loop it stands still.
-Nothing here waits for a time; what is not reached fails by the limit of ``play``.
+The program runs in the test's own event loop: between two of the test's iterations it stands still. Nothing
+here waits for a time; what is not reached fails by the limit of ``play``.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from sabledyke.net.client_connection import ClientConnection
-from tests.test_net import GET, INFO, Rig, held_back
+from tests.support.server_rig import GET, INFO, Rig, held_back
 
 
 class Step(Enum):
--- a/tests/test_store_link.py
+++ b/tests/test_store_link.py
@@ -20,7 +20,7 @@
 from tests.standins import Discovery, ask
 from tests.standins.postgres import Cut, Point, Postgres, fault_at, nothing
 from tests.store_rig import BACKENDS
-from tests.test_net import DEPLOYMENT, GET, PUT
+from tests.support.server_rig import DEPLOYMENT, GET, PUT
 
 INFO = "IO-Info: units=1,shard=0,hosts=1\n"
 
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -22,7 +22,7 @@
 from tests.standins import Discovery, NvmeBox, NvmeHost, Service, http, read_http
 from tests.standins.keys import Authority
 from tests.standins.tls import Between, Saying, TlsBox, server_context
-from tests.test_net import DEPLOYMENT, GET, INFO, NVME, PUT, VOLUME
+from tests.support.server_rig import DEPLOYMENT, GET, INFO, NVME, PUT, VOLUME
 
 ROOT, OTHER = Authority(), Authority("other")
 CHAIN, KEY = ROOT.issue("plain")
