--- a/sabledyke/application/lifecycle.py
+++ b/sabledyke/application/lifecycle.py
@@ -87,7 +87,9 @@
         fronts = self._assembly.fronts
         if not fronts[0].quiesced:
             name = self._assembly.config.name
-            log.say("drain", f"{name} sends clients away, {self._assembly.core.unanswered} in work")
+            log.say(
+                "drain", f"{name} drains its clients, {self._assembly.core.unanswered} requests in flight"
+            )
         for front in fronts:
             front.quiesced = True
             front.close_idle(self._loop.time())
@@ -96,7 +98,7 @@
         """Take clients again."""
         fronts = self._assembly.fronts
         if fronts[0].quiesced:
-            log.say("drain", f"{self._assembly.config.name} takes clients again")
+            log.say("drain", f"{self._assembly.config.name} accepts clients again")
         for front in fronts:
             front.quiesced = False
 
@@ -109,10 +111,10 @@
         name = self._assembly.config.name
         if not self.stop_requested:
             self._stops_by_plan = planned
-            log.say("stop", f"{name} was told to end; {self._assembly.core.unanswered} requests in work")
+            log.say("stop", f"{name} was told to stop; {self._assembly.core.unanswered} requests in flight")
             self._stop_event.set()
         elif self._shutdown is not None:
-            log.say("stop", f"{name} was told again to end, and makes haste")
+            log.say("stop", f"{name} was told again to stop, and hastens its shutdown")
             self._shutdown.hasten()
 
     async def finish(self) -> None:
@@ -160,7 +162,7 @@
         if self._console is not None and config.console is not None:
             self._console_listener = Listener(config.console, self._console.accept)
             where = f"{config.console[0]}:{self._console_listener.port}"
-            log.say("start", f"{config.name} takes operators' calls at {where}")
+            log.say("start", f"{config.name} serves the console at {where}")
 
     async def _close(self) -> None:
         """Close what the server has opened, and log whether an invariant was broken."""
@@ -174,4 +176,4 @@
         self._assembly.driver.cancel_timer()
         broken = ", ".join(f"{name}: {count}" for name, count in invariants.broken.items()) or "none"
         name = self._assembly.config.name
-        log.say("stop", f"{name} has answered all it took; invariants broken: {broken}")
+        log.say("stop", f"{name} has answered all accepted requests; invariants broken: {broken}")
--- a/sabledyke/application/shutdown_driver.py
+++ b/sabledyke/application/shutdown_driver.py
@@ -13,7 +13,7 @@
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
 
 PHASE_DESCRIPTIONS = {
-    ShutdownPhase.SERVING_OPEN_CONNECTIONS: "the listener is closed, open connections are served on",
+    ShutdownPhase.SERVING_OPEN_CONNECTIONS: "the listener is closed, open connections are served",
     ShutdownPhase.DRAINING_CONNECTIONS: "answers end their connections",
     ShutdownPhase.FINAL_ANSWERS: "final answers",
 }
@@ -90,7 +90,7 @@
         connections = sum(len(frontend.clients) for frontend in self._assembly.fronts)
         unanswered = self._assembly.core.unanswered
         log.say(
-            "stop", f"{PHASE_DESCRIPTIONS[phase]}; {connections} connections, {unanswered} requests in work"
+            "stop", f"{PHASE_DESCRIPTIONS[phase]}; {connections} connections, {unanswered} requests in flight"
         )
 
     def _closes_idle_connections(self, phase: ShutdownPhase) -> bool:
--- a/sabledyke/net/console.py
+++ b/sabledyke/net/console.py
@@ -82,7 +82,7 @@
             message = await _read_call(stream)
             call = route(message)
         except HttpError as error:
-            log.say("console", f"a call was turned down: {error}")
+            log.say("console", f"a call was rejected: {error}")
             return answer(error.status)
         status, body = self._handle_call(call)
         return answer(status, body, head=message.method == "HEAD")
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -151,7 +151,7 @@
         except TimeoutError:  # broken, though nothing says so: what it may miss is requested again
             streams.abort(stream)
             pause_s = self._backoff.fell_silent(self._timeouts)
-            log.say("discovery", f"a call fell silent: the next in {pause_s:.2f} s")
+            log.say("discovery", f"a call timed out: the next in {pause_s:.2f} s")
             await asyncio.sleep(pause_s)
             return
         self._backoff.answered()
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -21,7 +21,7 @@
 from tests.support.server_rig import DEPLOYMENT
 
 
-def listen_to(
+def play_watch(
     scenario: Callable[
         [endpoint_watch.EndpointWatch, Discovery, list[discovery.Listing | None]], Awaitable[None]
     ],
@@ -31,15 +31,15 @@
     """Play a scenario with a watch on a scripted discovery."""
 
     async def run() -> None:
-        found, seen = Discovery(), list[discovery.Listing | None]()
-        await found.open()
-        found.hosts, found.script = [HOST], list(script)
+        service, seen = Discovery(), list[discovery.Listing | None]()
+        await service.open()
+        service.hosts, service.script = [HOST], list(script)
         settings = replace(DEPLOYMENT, **changes)
-        look = endpoint_watch.EndpointWatch(("127.0.0.1", found.port), settings, None, seen.append)
+        watch = endpoint_watch.EndpointWatch(("127.0.0.1", service.port), settings, None, seen.append)
         async with asyncio.timeout(30):
-            await scenario(look, found, seen)
-        look.stop()
-        found.die()
+            await scenario(watch, service, seen)
+        watch.stop()
+        service.die()
 
     asyncio.run(run())
 
@@ -49,25 +49,25 @@
     asks: bool, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(
-        look: endpoint_watch.EndpointWatch, found: Discovery, seen: list[discovery.Listing | None]
+        watch: endpoint_watch.EndpointWatch, service: Discovery, seen: list[discovery.Listing | None]
     ) -> None:
-        faults, tell = [RuntimeError("a fault of ours")], look._report
+        faults, tell = [RuntimeError("a fault of ours")], watch._report
 
         def report(listing: discovery.Listing | None) -> None:
             if listing is not None and faults:
                 raise faults.pop()
             tell(listing)
 
-        look._report = report
-        look.watch(True)
+        watch._report = report
+        watch.watch(True)
         await until(lambda: seen)
         assert seen == [None] and not faults  # the module hears that the call failed
         if asks:
-            look.watch(True)  # as it does then
+            watch.watch(True)  # as it does then
         await until(lambda: len(seen) > 1)
         assert seen[1] is not None
 
-    listen_to(scenario, [DRAINS], asks_list=asks)
+    play_watch(scenario, [DRAINS], asks_list=asks)
     assert "a fault of ours" in capfd.readouterr().err
     invariants.broken.clear()
 
@@ -77,18 +77,18 @@
     """A change counts as told 4 s after SIGHUP, whether or not the module has asked for a list yet."""
 
     async def scenario(
-        look: endpoint_watch.EndpointWatch, found: Discovery, seen: list[discovery.Listing | None]
+        watch: endpoint_watch.EndpointWatch, service: Discovery, seen: list[discovery.Listing | None]
     ) -> None:
         new = Discovery()
         await new.open()
         new.hosts = [HOST | {"health": "draining"}]
         if asked_before:
-            look.watch(True)
+            watch.watch(True)
             await until(lambda: seen)
             seen.clear()
-        look.fetch()
-        await until(lambda: len(found.calls) > asked_before)  # a call is out at the old address
-        look.adopt(("127.0.0.1", new.port), replace(DEPLOYMENT, mean_units=3))
+        watch.fetch()
+        await until(lambda: len(service.calls) > asked_before)  # a call is out at the old address
+        watch.adopt(("127.0.0.1", new.port), replace(DEPLOYMENT, mean_units=3))
         await until(lambda: seen)
         for _ in range(50):
             await asyncio.sleep(0.001)
@@ -96,7 +96,7 @@
         assert told == ["DRAINING"] and len(seen) == 1
         new.die()
 
-    listen_to(scenario, [])
+    play_watch(scenario, [])
 
 
 @pytest.mark.parametrize("hosts", [3, 30, 200, 3200])
@@ -172,13 +172,13 @@
         await agent.open()
         agent.hosts, agent.script, agent.indent = [HOST], list(script), 2
         settings = replace(DEPLOYMENT, asks_list=not pushed)
-        look = endpoint_watch.EndpointWatch(("127.0.0.1", agent.port), settings, None, seen.append)
-        look.start()
+        watch = endpoint_watch.EndpointWatch(("127.0.0.1", agent.port), settings, None, seen.append)
+        watch.start()
         async with asyncio.timeout(10):
             while len(seen) < len(states):
                 await asyncio.sleep(0.01)
         await asyncio.sleep(0.1)
-        look.stop()
+        watch.stop()
         agent.die()
         told = [e for s in seen for e in ([None] if s is None else s.news.entries)]
         assert [None if e is None else e.state.name for e in told] == states
