--- a/tests/application/test_console.py
+++ b/tests/application/test_console.py
@@ -89,7 +89,7 @@
     play(scenario, console=True)
 
 
-def test_the_figures_are_what_clients_saw() -> None:
+def test_the_metrics_are_what_clients_saw() -> None:
     async def scenario(rig: Rig) -> None:
         no = http(503, b"", "Srv-Declined: 1")
         said = {"read": http(200, b"x"), "ok": http(200), "no": no, "bad": http(500)}
--- a/tests/application/test_reload.py
+++ b/tests/application/test_reload.py
@@ -101,7 +101,7 @@
     play(scenario, console=True)
 
 
-def test_a_bad_file_is_turned_down_whole_and_counted(capfd: pytest.CaptureFixture[str]) -> None:
+def test_a_bad_file_is_rejected_completely_and_counted(capfd: pytest.CaptureFixture[str]) -> None:
     async def scenario(rig: Rig) -> None:
         def bad(_: object) -> Config:
             raise ConfigError("config.json: setting deadline of read must be above 0, not -5.0")
--- a/tests/application/test_shutdown.py
+++ b/tests/application/test_shutdown.py
@@ -12,7 +12,7 @@
 from tests.support.server_rig import GET, INFO, PUT, SHORT_SHUTDOWN, Rig, held_back, play
 
 
-def test_the_end_waits_for_what_was_taken() -> None:
+def test_a_shutdown_waits_for_accepted_requests() -> None:
     async def scenario(rig: Rig) -> None:
         asked, go = held_back(rig)
         one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
@@ -96,7 +96,7 @@
     play(scenario)
 
 
-def test_what_a_hanging_box_holds_is_answered_before_the_end() -> None:
+def test_requests_at_an_unresponsive_node_are_answered_before_the_end() -> None:
     async def scenario(rig: Rig) -> None:
         asked, _ = held_back(rig)  # never let go
         texts = [GET.format(1, "r", INFO), PUT.format(1, "w", INFO + "Content-Length: 0\n")]
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("kind", ["pipelines", "never reads", "a byte at a time", "sends after the last"])
-def test_who_makes_it_hard_neither_holds_up_the_end_nor_harms_the_others(kind: str) -> None:
+def test_a_misbehaving_client_neither_delays_the_end_nor_harms_others(kind: str) -> None:
     async def scenario(rig: Rig) -> None:
         async def big(_: Writer) -> bytes | None:
             return http(200, b"x" * 40_000)
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("what", ["again", "reload", "quiesced before", "resumed meanwhile"])
-def test_what_else_is_asked_of_it_while_it_leaves(what: str) -> None:
+def test_operators_calls_and_signals_during_a_shutdown(what: str) -> None:
     async def scenario(rig: Rig) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         await say(writer, 0)
--- a/tests/application/test_start.py
+++ b/tests/application/test_start.py
@@ -21,7 +21,7 @@
     return None
 
 
-def test_a_new_version_takes_over_the_address_with_nothing_turned_back() -> None:
+def test_a_new_version_takes_over_the_address_with_no_request_rejected() -> None:
     async def scenario(rig: Rig) -> None:
         config = replace(rig.config, name="n0-new", listen=("127.0.0.1", rig.port))
         new = Server(config, None, BRISK)  # binding the same port fails without SO_REUSEPORT
@@ -46,7 +46,7 @@
     play(scenario)
 
 
-def test_told_to_end_before_its_doors_are_open_it_opens_none() -> None:
+def test_a_server_stopped_before_its_listeners_open_opens_none() -> None:
     async def scenario(rig: Rig) -> None:
         new = Server(replace(rig.config, name="young"), None, BRISK)
         run = asyncio.create_task(new.run())
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize(
     "in_turn, down, knows", [(True, False, True), (True, True, False), (False, False, False)]
 )
-def test_who_comes_back_in_its_turn_has_the_list_before_its_doors_open(
+def test_a_server_started_within_a_budget_has_the_list_before_its_listeners_open(
     in_turn: bool, down: bool, knows: bool
 ) -> None:
     """Others ask by chance within seconds, as many may start together; nobody waits for a discovery that
--- a/tests/net/test_client_limits.py
+++ b/tests/net/test_client_limits.py
@@ -30,7 +30,7 @@
     play(scenario)
 
 
-def test_who_connects_and_does_not_go_on_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_connects_and_sends_no_request_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     """The silent and half-silent of both fronts get their error or close; a connected host stays."""
 
     async def scenario(rig: Rig) -> None:
@@ -51,7 +51,7 @@
     play(scenario)
 
 
-def test_where_it_is_crowded_answers_end_their_connections_and_rests_are_short(
+def test_a_crowded_front_end_closes_connections_after_answers_and_sooner_when_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(rig: Rig) -> None:
@@ -71,7 +71,9 @@
     play(scenario)
 
 
-def test_the_silent_and_the_curious_make_room_before_who_asked(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_and_health_checking_clients_are_evicted_before_those_with_requests(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(frontend, "EVICTION_GRACE_S", 0.0)
         rig.server.fronts[0].max_clients = 3
@@ -94,7 +96,7 @@
     play(scenario)
 
 
-def test_a_crowd_at_the_door_is_let_in_by_and_by() -> None:
+def test_a_crowd_of_connections_is_accepted_in_batches() -> None:
     async def scenario(rig: Rig) -> None:
         opened, clients = rig.server.listeners[0], rig.server.fronts[0].clients
         crowd = [
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -28,7 +28,7 @@
     asyncio.run(scenario())
 
 
-def test_connections_to_boxes_stay_under_their_bound() -> None:
+def test_connections_to_nodes_stay_under_their_bound() -> None:
     async def scenario(rig: Rig) -> None:
         rig.server.pool.max_connections = 1
         for n, shard in enumerate((0, 1, 0, 1)):
@@ -39,7 +39,7 @@
     play(scenario)
 
 
-def test_an_answer_that_nobody_asked_for_is_never_served() -> None:
+def test_an_unrequested_answer_is_never_served() -> None:
     """A box says something more while its connection rests: the next request goes over another one."""
 
     async def scenario(rig: Rig) -> None:
@@ -64,7 +64,7 @@
     play(scenario)
 
 
-def test_boxes_that_are_gone_are_forgotten() -> None:
+def test_removed_nodes_are_forgotten() -> None:
     async def scenario(rig: Rig) -> None:
         host = await rig.host()
         assert await host.write(2, 0, bytes(512)) == 0
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("asked_before", [False, True])
-def test_a_new_address_is_asked_at_once_and_the_old_one_tells_nothing_more(asked_before: bool) -> None:
+def test_a_new_address_is_polled_at_once_and_the_old_one_reports_nothing_more(asked_before: bool) -> None:
     """A change counts as told 4 s after SIGHUP, whether or not the module has asked for a list yet."""
 
     async def scenario(
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("hosts", [3, 30, 200, 3200])
-def test_after_failed_calls_the_list_is_asked_for_before_a_drain_must_be_known(hosts: int) -> None:
+def test_after_failed_calls_the_list_is_requested_before_a_drain_must_be_known(hosts: int) -> None:
     """Told 6 s after discovery can be reached, and 2 s of grace; a call takes up to 3 s, and 0.15 s go by."""
     rig = helpers.Rig(asks_list=True, hosts=hosts)
     for _ in range(60):
@@ -113,7 +113,7 @@
     assert timer.delay <= rig.scheduler.discovery.first_call_spread  # new settings: the pauses begin anew
 
 
-def test_a_silent_call_is_made_anew_before_what_it_missed_counts_as_told() -> None:
+def test_a_silent_call_is_repeated_before_what_it_missed_counts_as_delivered() -> None:
     for seed in range(200):
         line, at = Silence(seed), 0.0
         for terms, told in ((ASKED, max(6.0, ASKED.wait + 2)), (PUSHED, 2.0)):  # at once, 2 s to drain
@@ -159,7 +159,7 @@
         ),
     ],
 )
-def test_pushed_lists_are_watched_unasked_and_bad_news_undoes_no_drain(
+def test_pushed_lists_are_watched_unrequested_and_a_bad_update_undoes_no_drain(
     pushed: bool,
     script: list[dict[str, Any] | bytes | None],
     states: list[str | None],
--- a/tests/net/test_http_messages.py
+++ b/tests/net/test_http_messages.py
@@ -55,7 +55,7 @@
             broken.end()
 
 
-def test_a_box_that_closes_after_an_answer_without_length_serves_and_one_reset_does_not() -> None:
+def test_a_close_completes_an_answer_without_length_and_a_reset_does_not() -> None:
     async def scenario(rig: Rig) -> None:
         async def closes(writer: asyncio.StreamWriter) -> bytes | None:
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nuntil the end")
@@ -80,7 +80,7 @@
     play(scenario)
 
 
-def test_a_client_that_expects_100_continue_is_told_to_send_its_body() -> None:
+def test_a_client_that_expects_100_continue_gets_it() -> None:
     async def scenario(rig: Rig) -> None:
         head = PUT.format(1, "e", INFO + "Idempotency-Key: e\nExpect: 100-continue\nContent-Length: 5\n")
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
--- a/tests/net/test_nvme.py
+++ b/tests/net/test_nvme.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("nsid", [1, 2])
-def test_an_nvme_host_writes_and_reads_through_either_kind_of_box(nsid: int) -> None:
+def test_an_nvme_host_writes_and_reads_through_either_kind_of_node(nsid: int) -> None:
     async def scenario(rig: Rig) -> None:
         host, data = await rig.host(), bytes(range(256)) * 32
         assert await host.write(nsid, 16, data) == 0
@@ -69,7 +69,7 @@
     play(scenario)
 
 
-def test_a_silent_nvme_box_costs_a_host_no_more_than_its_deadline() -> None:
+def test_an_unresponsive_nvme_node_costs_a_host_no_more_than_its_deadline() -> None:
     async def scenario(rig: Rig) -> None:
         rig.nvme.stalled = True
         host = await rig.host()
@@ -108,7 +108,7 @@
     play(scenario)
 
 
-def test_http_and_nvme_boxes_serve_a_grade_alike() -> None:
+def test_http_and_nvme_nodes_serve_a_plan_alike() -> None:
     """The same work of two grades to both kinds of boxes, by both fronts: a grade gets the same of each."""
 
     async def scenario(rig: Rig) -> None:
@@ -139,7 +139,7 @@
     play(scenario)
 
 
-def test_a_host_past_its_keep_alive_time_is_let_go() -> None:
+def test_a_host_past_its_keep_alive_time_is_disconnected() -> None:
     async def scenario(rig: Rig) -> None:
         host = await rig.host()
         target = next(c for c in rig.server.fronts[1].clients if isinstance(c, NvmeClientConnection)).target
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("read", [False, True])
-def test_what_comes_behind_a_last_answer_is_not_begun_and_the_answer_arrives(read: bool) -> None:
+def test_a_request_behind_the_last_answer_is_not_started_and_the_answer_arrives(read: bool) -> None:
     """It stays unread; or the stream had read it when the last byte of a slow answer was written."""
 
     async def scenario(rig: Rig) -> None:
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -64,7 +64,7 @@
     play(scenario)
 
 
-def test_a_client_that_leaves_calls_its_attempt_off() -> None:
+def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async def scenario(rig: Rig) -> None:
         ended, outcomes = asyncio.Event(), []
         tell = rig.server.core.ended
@@ -89,7 +89,7 @@
     play(scenario)
 
 
-def test_a_silent_box_costs_a_client_no_more_than_its_deadline() -> None:
+def test_an_unresponsive_node_costs_a_client_no_more_than_its_deadline() -> None:
     async def scenario(rig: Rig) -> None:
         async def never(_: object) -> bytes | None:
             await asyncio.sleep(3600)
@@ -103,7 +103,7 @@
     play(scenario)
 
 
-def test_an_id_in_use_is_not_taken_again() -> None:
+def test_an_id_in_use_is_not_accepted_again() -> None:
     async def scenario(rig: Rig) -> None:
         asked, go = held_back(rig)
         one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
--- a/tests/shutdown/test_graceful_shutdown.py
+++ b/tests/shutdown/test_graceful_shutdown.py
@@ -18,7 +18,7 @@
 
 @FIXED
 @given(st.floats(0.05, 20), st.floats(0, 4), st.floats(0, 4), st.booleans())
-def test_it_only_goes_forward_and_is_gone_before_the_kill(
+def test_phases_only_go_forward_and_complete_before_the_kill(
     longest: float, at: float, later: float, hastened: bool
 ) -> None:
     plan, kill = GracefulShutdown(100.0, longest, 1), 100 + min(longest, 3) + 0.7
@@ -37,7 +37,7 @@
     )
 
 
-def test_answers_part_from_clients_by_and_by() -> None:
+def test_answers_end_connections_with_a_growing_chance() -> None:
     plans = [GracefulShutdown(0.0, 3.0, seed) for seed in range(400)]
     begins = plans[0].answer_by - ShutdownTimes().draining_s
     ended = [
@@ -47,7 +47,7 @@
     assert ended[0] == 0 and all(abs(ended[k] - k / 4) < 0.08 for k in range(4)), ended
 
 
-def test_by_a_plan_connections_that_rest_go_evenly_and_none_is_left_for_the_end() -> None:
+def test_a_planned_shutdown_closes_idle_connections_evenly_and_leaves_none_for_the_end() -> None:
     """Else what comes in the last moments would be refused, though others of the fleet serve."""
     for planned, gone in ((False, [0, 0, 0, 400]), (True, [0, 133, 267, 400])):
         plan, left, seen = GracefulShutdown(0.0, 3.0, 7, planned=planned), 400, list[int]()
@@ -67,7 +67,7 @@
         ({"class_": 1, "write": True}, False, Verdict.REFUSED),  # never sent
     ],
 )
-def test_at_the_end_everybody_who_is_owed_an_answer_gets_one(
+def test_at_the_end_every_unanswered_request_gets_an_answer(
     changes: dict[str, object], sends: bool, verdict: Verdict
 ) -> None:
     bench = Bench(None if sends else lambda now, events: [])  # a module that keeps silent
@@ -87,7 +87,7 @@
     assert not invariants.broken and (not sends or bench.core._open[rid].out)
 
 
-def test_what_cannot_be_finished_is_refused_at_once_and_not_begun() -> None:
+def test_requests_that_cannot_finish_are_rejected_at_once_and_not_started() -> None:
     rig = Rig(hosts=1)
     for _ in range(20):  # an answer takes 100 ms
         rig.end(rig.ask(), took=100)
