--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -14,10 +14,10 @@
 from typing import TYPE_CHECKING, Protocol
 
 from sabledyke.application.core_driver import CoreDriver
-from sabledyke.application.extensions import Done, Host, Part, Submit
+from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
 from sabledyke.application.resource_limits import apply_resource_limits
 from sabledyke.config import Config
-from sabledyke.core import Core, Transport, Work
+from sabledyke.core import ClientRequest, Core, Transport
 from sabledyke.net import streams
 from sabledyke.net.connection_pool import (
     Address,
@@ -32,12 +32,12 @@
 from sabledyke.net.frontend import Frontend
 from sabledyke.net.http_frontend import HttpClientConnection
 from sabledyke.net.http_link import HttpDialer
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeId
 from sabledyke.protocol.discovery import Listing
 from sabledyke.protocol.gateway import Ids, Reader
 
 if TYPE_CHECKING:  # loaded only where it is named: a plain start must be quick
-    from sabledyke.operator_config import Operator
+    from sabledyke.operator_config import OperatorConfig
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,11 +46,11 @@
 
     module: str
     function: str
-    is_configured: Callable[[Operator], object]
+    is_configured: Callable[[OperatorConfig], object]
 
-    def load(self, host: Host, operator: Operator) -> Part | None:
+    def load(self, host: ServerContext, operator: OperatorConfig) -> Extension | None:
         """Load the module and make the extension, which may still find that it has nothing to do."""
-        made: Part | None = getattr(importlib.import_module(self.module), self.function)(host, operator)
+        made: Extension | None = getattr(importlib.import_module(self.module), self.function)(host, operator)
         return made
 
 
@@ -97,7 +97,7 @@
         list_answered: Set once a call to discovery has ended, whatever it brought.
     """
 
-    def __init__(self, config: Config, operator: Operator | None, control: ServerControl) -> None:
+    def __init__(self, config: Config, operator: OperatorConfig | None, control: ServerControl) -> None:
         settings = config.settings
         self.config = config
         self.list_answered = asyncio.Event()
@@ -108,7 +108,7 @@
         self.http_dialer = HttpDialer(settings, self.reader, self.response_memory, self._connect_through_all)
         self.parts = self._make_extensions(operator, control)
         report = self._chain_reports()
-        self.dialers: dict[api.NodeId, Dial] = {}
+        self.dialers: dict[NodeId, Dial] = {}
         for part in self.parts:
             self.dialers.update(part.dialers())
         self._submit = self._chain_submit()
@@ -129,24 +129,24 @@
         """Pass an endpoint list to the extensions, the core and the pool; None where a call failed."""
         self.list_answered.set()
         if listing is None:
-            self.core.listed(api.NodeList(api.ListKind.FAILED, 0, ()))
+            self.core.on_endpoint_list(EndpointList(ListKind.FAILED, 0, ()))
             return
         update = listing.news
         for part in self.parts:
-            update = part.listing(update)
+            update = part.adjust_endpoint_list(update)
         self._apply_list(update, listing.dials)
 
-    def _apply_list(self, update: api.NodeList, addresses: dict[api.NodeId, Address]) -> None:
-        removed = self.core.listed(update)
+    def _apply_list(self, update: EndpointList, addresses: dict[NodeId, Address]) -> None:
+        removed = self.core.on_endpoint_list(update)
         self.pool.update_addresses(addresses, removed)
         for part in self.parts:
-            part.listed(removed)
+            part.on_nodes_removed(removed)
 
     def _make_watch(self, config: Config) -> EndpointWatch:
         version = config.known.news.version if config.known else None
         return EndpointWatch(config.discovery, config.settings, version, self.on_endpoint_list, config.seed)
 
-    def _make_extensions(self, operator: Operator | None, control: ServerControl) -> list[Part]:
+    def _make_extensions(self, operator: OperatorConfig | None, control: ServerControl) -> list[Extension]:
         if operator is None:
             return []
         host = self._make_host(control)
@@ -154,9 +154,9 @@
         made = [factory.load(host, operator) for factory in wanted]
         return [part for part in made if part is not None]
 
-    def _make_host(self, control: ServerControl) -> Host:
+    def _make_host(self, control: ServerControl) -> ServerContext:
         """Return what extensions see of the server; what is not made yet is looked up when it is used."""
-        return Host(
+        return ServerContext(
             config=self.config,
             room=self.response_memory,
             entry=lambda node: self.core.nodes[node],
@@ -168,9 +168,9 @@
             leaving=lambda: control.stop_requested,
             reload=control.reload,
             leave=lambda: control.leave(planned=True),
-            answers=lambda: self.core.figures.told,
-            busy=lambda node: self.core.busy(node),
-            relist=lambda entries: self._apply_list(api.NodeList(api.ListKind.DELTA, 0, tuple(entries)), {}),
+            answers=lambda: self.core.metrics.answer_totals,
+            busy=lambda node: self.core.has_attempts_at(node),
+            relist=lambda entries: self._apply_list(EndpointList(ListKind.DELTA, 0, tuple(entries)), {}),
         )
 
     def _chain_submit(self) -> Submit:
@@ -182,28 +182,28 @@
     def _chain_connect(self) -> Connect:
         connect: Connect = connect_plain
         for part in reversed(self.parts):
-            connect = part.connect(connect)
+            connect = part.wrap_connect(connect)
         return connect
 
     def _chain_reports(self) -> ReportAttempt:
         report: ReportAttempt = self.driver.on_attempt_completed
         for part in self.parts:
-            report = part.reports(report)
+            report = part.wrap_report(report)
         return report
 
     def _chain_transports(self) -> Transport:
         transport: Transport = self.pool
         for part in reversed(self.parts):
-            transport = part.transport(transport)
+            transport = part.wrap_transport(transport)
         return transport
 
     def _add_frontends(self, config: Config) -> None:
         self._add_frontend(self._make_http_frontend(), config.listen)
         for part in self.parts:
-            for frontend, address in part.fronts():
+            for frontend, address in part.frontends():
                 self._add_frontend(frontend, address)
         for frontend in self.fronts:
-            guards = [part.guard(frontend.name) for part in self.parts]
+            guards = [part.connection_guard(frontend.name) for part in self.parts]
             frontend.guard = next((guard for guard in guards if guard is not None), None)
 
     def _add_frontend(self, frontend: Frontend, address: Address) -> None:
@@ -222,17 +222,17 @@
 
     def _on_client_gone(self, request_id: int) -> None:
         for part in self.parts:
-            part.departed(request_id)
-        self.core.depart(request_id)
+            part.on_client_disconnected(request_id)
+        self.core.on_client_disconnected(request_id)
 
     async def _connect_through_all(
-        self, node: api.NodeId, address: Address, connect_ms: float, timeout_ms: float
+        self, node: NodeId, address: Address, connect_ms: float, timeout_ms: float
     ) -> streams.Stream:
         return await self._connect(node, address, connect_ms, timeout_ms)
 
-    async def _dial(self, node: api.NodeId, address: Address, timeout_ms: float) -> Link:
+    async def _dial(self, node: NodeId, address: Address, timeout_ms: float) -> Link:
         return await self.dialers.get(node, self.http_dialer.dial)(node, address, timeout_ms)
 
 
-def _submit_through(part: Part, onward: Submit, work: Work, done: Done) -> int:
+def _submit_through(part: Extension, onward: Submit, work: ClientRequest, done: Done) -> int:
     return part.submit(work, done, onward)
--- a/sabledyke/application/core_driver.py
+++ b/sabledyke/application/core_driver.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from sabledyke.application.extensions import Done
-from sabledyke.core import Core, Ended, Work
+from sabledyke.core import AttemptResult, ClientRequest, Core
 from sabledyke.net import clock
 
 
@@ -23,7 +23,7 @@
         self._batch_scheduled = False
         self._timer: asyncio.TimerHandle | None = None
 
-    def submit(self, work: Work, done: Done) -> int:
+    def submit(self, work: ClientRequest, done: Done) -> int:
         """Hand a request to the core, as the last step of every front end's way.
 
         Returns:
@@ -31,13 +31,13 @@
         """
         return self.core.submit(clock.now(), work, done)
 
-    def on_attempt_completed(self, request_id: int, number: int, ended: Ended) -> None:
+    def on_attempt_completed(self, request_id: int, number: int, ended: AttemptResult) -> None:
         """Report the outcome of an attempt to the core."""
-        self.core.ended(clock.now(), request_id, number, ended)
+        self.core.on_attempt_completed(clock.now(), request_id, number, ended)
 
     def may_send(self, request_id: int, number: int) -> bool:
         """Tell whether an attempt may still be written now."""
-        return self.core.may_go(clock.now(), request_id, number)
+        return self.core.may_write(clock.now(), request_id, number)
 
     def end_by(self, answer_by_s: float, available_again_at_s: float) -> None:
         """Have every request answered by a time of the event loop's clock.
@@ -47,7 +47,7 @@
             available_again_at_s: When rejected clients may expect a server at this address again.
         """
         offset_ms = clock.now() - self._loop.time() * 1000
-        self.core.end_by(answer_by_s * 1000 + offset_ms, available_again_at_s * 1000 + offset_ms)
+        self.core.shut_down_by(answer_by_s * 1000 + offset_ms, available_again_at_s * 1000 + offset_ms)
         self.wake()
 
     def wake(self) -> None:
@@ -60,9 +60,9 @@
         """Process the events that wait and the timers that are due, and arm the timer of the next batch."""
         self._batch_scheduled = False
         now_ms = clock.now()
-        self.core.turn(now_ms)
+        self.core.run_batch(now_ms)
         self.cancel_timer()
-        due_ms = self.core.due()
+        due_ms = self.core.next_batch_due()
         if due_ms is None:
             self._timer = None
             return
--- a/sabledyke/application/lifecycle.py
+++ b/sabledyke/application/lifecycle.py
@@ -11,7 +11,7 @@
 from sabledyke.application.shutdown_driver import ShutdownDriver
 from sabledyke.net.console import Console
 from sabledyke.net.listener import Listener
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, ListKind
 from sabledyke.protocol.discovery import Listing
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownTimes
 
@@ -64,7 +64,7 @@
         await self.open()
         if not self.stop_requested:  # else it was told to stop before it accepted anything
             self._begin()
-            if any(part.in_turn for part in self._assembly.parts):
+            if any(part.waits_for_budget for part in self._assembly.parts):
                 await self._await_first_list()
             self._open_listeners()
             gc.collect()
@@ -87,7 +87,7 @@
         fronts = self._assembly.fronts
         if not fronts[0].quiesced:
             name = self._assembly.config.name
-            log.say(
+            log.emit(
                 "drain", f"{name} drains its clients, {self._assembly.core.unanswered} requests in flight"
             )
         for front in fronts:
@@ -98,7 +98,7 @@
         """Take clients again."""
         fronts = self._assembly.fronts
         if fronts[0].quiesced:
-            log.say("drain", f"{self._assembly.config.name} accepts clients again")
+            log.emit("drain", f"{self._assembly.config.name} accepts clients again")
         for front in fronts:
             front.quiesced = False
 
@@ -111,16 +111,16 @@
         name = self._assembly.config.name
         if not self.stop_requested:
             self._stops_by_plan = planned
-            log.say("stop", f"{name} was told to stop; {self._assembly.core.unanswered} requests in flight")
+            log.emit("stop", f"{name} was told to stop; {self._assembly.core.unanswered} requests in flight")
             self._stop_event.set()
         elif self._shutdown is not None:
-            log.say("stop", f"{name} was told again to stop, and hastens its shutdown")
+            log.emit("stop", f"{name} was told again to stop, and hastens its shutdown")
             self._shutdown.hasten()
 
     async def finish(self) -> None:
         """Shut down gracefully, and close everything."""
         settings = self._assembly.config.settings
-        longest_deadline_s = max(class_.deadline for class_ in settings.classes) / 1000
+        longest_deadline_s = max(class_.deadline_ms for class_ in settings.classes) / 1000
         plan = GracefulShutdown(
             self._loop.time(),
             longest_deadline_s,
@@ -134,7 +134,7 @@
 
     def _begin(self) -> None:
         """Pass the cached endpoint list to the core, and begin to watch for changes."""
-        empty = Listing(api.NodeList(api.ListKind.CACHED, 0, ()), {})
+        empty = Listing(EndpointList(ListKind.CACHED, 0, ()), {})
         self._assembly.on_endpoint_list(self._assembly.config.known or empty)
         self._assembly.watch.start()
         self._assembly.driver.run_batch()
@@ -158,11 +158,11 @@
         for front, address in zip(self._assembly.fronts, self._assembly.listen_addresses, strict=True):
             listener = Listener(address, front.accept)
             self.listeners.append(listener)
-            log.say("start", f"{config.name} serves at {address[0]}:{listener.port}")
+            log.emit("start", f"{config.name} serves at {address[0]}:{listener.port}")
         if self._console is not None and config.console is not None:
             self._console_listener = Listener(config.console, self._console.accept)
             where = f"{config.console[0]}:{self._console_listener.port}"
-            log.say("start", f"{config.name} serves the console at {where}")
+            log.emit("start", f"{config.name} serves the console at {where}")
 
     async def _close(self) -> None:
         """Close what the server has opened, and log whether an invariant was broken."""
@@ -174,6 +174,6 @@
         for part in self._assembly.parts:
             await part.close()
         self._assembly.driver.cancel_timer()
-        broken = ", ".join(f"{name}: {count}" for name, count in invariants.broken.items()) or "none"
+        broken = ", ".join(f"{name}: {count}" for name, count in invariants.violations.items()) or "none"
         name = self._assembly.config.name
-        log.say("stop", f"{name} has answered all accepted requests; invariants broken: {broken}")
+        log.emit("stop", f"{name} has answered all accepted requests; invariants broken: {broken}")
--- a/sabledyke/application/reload.py
+++ b/sabledyke/application/reload.py
@@ -10,15 +10,14 @@
 from sabledyke.application.assembly import Assembly
 from sabledyke.config import Config, ConfigError
 from sabledyke.net.listener import Listener
-from sabledyke.policy import interface as api
+from sabledyke.policy.settings import Settings
 from sabledyke.settings import SettingsError, merge
 
 if TYPE_CHECKING:
-    from sabledyke.operator_config import Operator
+    from sabledyke.operator_config import OperatorConfig
 
 ReadConfig = Callable[[Config], Config]
-ReadOperator = Callable[[api.Settings], "Operator | None"]
-FIXED_NAMES = ("plans", "zones", "kinds")
+ReadOperator = Callable[[Settings], "OperatorConfig | None"]
 
 
 class Reloader:
@@ -44,19 +43,19 @@
         Returns:
             Why the new configuration is not used; an empty string where it is in force.
         """
-        metrics = self._assembly.core.figures
+        metrics = self._assembly.core.metrics
         try:
             config = self._read_merged_config()
             operator = self._read_checked_operator(config)
             self._move_listener(config)
         except (ConfigError, SettingsError, OSError) as error:
-            metrics.reloaded(False)
-            log.say("reload", f"the new configuration is not used: {error}")
+            metrics.count_reload(False)
+            log.emit("reload", f"the new configuration is not used: {error}")
             return str(error)
-        metrics.reloaded(True)
+        metrics.count_reload(True)
         self._apply(config, operator)
         where = f"discovery at {config.discovery[0]}:{config.discovery[1]}"
-        log.say("reload", f"the new configuration is in force; {where}, {config.sockets} descriptors")
+        log.emit("reload", f"the new configuration is in force; {where}, {config.sockets} descriptors")
         return ""
 
     def _read_merged_config(self) -> Config:
@@ -65,13 +64,13 @@
         _require_same_names(current.settings, config.settings)
         return replace(config, settings=merge(current.settings, config.settings))
 
-    def _read_checked_operator(self, config: Config) -> Operator | None:
+    def _read_checked_operator(self, config: Config) -> OperatorConfig | None:
         if self._read_operator is None:
             return None
         operator = self._read_operator(config.settings)
         if operator is not None:
             for part in self._assembly.parts:
-                part.check(operator)
+                part.check_operator_config(operator)
         return operator
 
     def _move_listener(self, config: Config) -> None:
@@ -82,28 +81,34 @@
         self._listeners[0].close()
         self._listeners[0] = listener
 
-    def _apply(self, config: Config, operator: Operator | None) -> None:
+    def _apply(self, config: Config, operator: OperatorConfig | None) -> None:
         assembly = self._assembly
         settings = config.settings
         assembly.config = config
-        assembly.core.adopt(settings)
+        assembly.core.apply_settings(settings)
         assembly.reader.adopt(settings)
         assembly.http_dialer.settings = settings
         assembly.pool.settings = settings
         for part in assembly.parts:
-            part.adopt(config)
+            part.apply_config(config)
             if operator is not None:
-                part.retold(operator)
+                part.apply_operator_config(operator)
         assembly.apply_limits()
         assembly.watch.adopt(config.discovery, settings)
 
 
-def _require_same_names(old: api.Settings, new: api.Settings) -> None:
+def _require_same_names(old: Settings, new: Settings) -> None:
     """Raise a ConfigError where names differ by which open requests and learnt state are counted."""
-    for field in FIXED_NAMES:
-        if _names(old, field) != _names(new, field):
-            raise ConfigError(f"the names of its {field} differ, which takes a restart")
-
-
-def _names(settings: api.Settings, field: str) -> list[object]:
-    return [getattr(item, "name", item) for item in getattr(settings, field)]
+    new_names = _fixed_names(new)
+    for section, names in _fixed_names(old).items():
+        if names != new_names[section]:
+            raise ConfigError(f"the names of its {section} differ, which takes a restart")
+
+
+def _fixed_names(settings: Settings) -> dict[str, list[str]]:
+    """Return the names that stay for the life of a process, by their section of the file."""
+    return {
+        "plans": [plan.name for plan in settings.plans],
+        "zones": list(settings.zones),
+        "kinds": list(settings.node_kinds),
+    }
--- a/sabledyke/application/resource_limits.py
+++ b/sabledyke/application/resource_limits.py
@@ -29,11 +29,11 @@
     settings = config.settings
     usable_descriptors = config.sockets - RESERVED_DESCRIPTORS
     node_connections = usable_descriptors // NODE_DESCRIPTOR_DIVISOR
-    longest_deadline_ms = max(class_.deadline for class_ in settings.classes)
+    longest_deadline_ms = max(class_.deadline_ms for class_ in settings.classes)
     http, *others = frontends
     response_memory.limit_bytes = int(config.memory * RESPONSE_MEMORY_SHARE)
     for frontend in frontends:  # past its deadline a client has given up
         frontend.write_timeout_s = longest_deadline_ms / 1000 + CLIENT_READ_GRACE_S
-    http.crowded_above = CROWDED_SHARE * settings.most_open
+    http.crowded_above = CROWDED_SHARE * settings.max_open_requests
     http.max_clients = usable_descriptors - node_connections - sum(other.max_clients for other in others)
     pool.max_connections = node_connections
--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -8,13 +8,13 @@
 from sabledyke.application.lifecycle import Lifecycle
 from sabledyke.application.reload import ReadConfig, ReadOperator, Reloader
 from sabledyke.config import Config
-from sabledyke.metrics import avoided
+from sabledyke.metrics import unresponsive_count
 from sabledyke.net.console import Console
 from sabledyke.protocol.console import Call
 from sabledyke.shutdown.graceful_shutdown import DEFAULT_TIMES, ShutdownTimes
 
 if TYPE_CHECKING:  # loaded only where it is named: a plain start must be quick
-    from sabledyke.operator_config import Operator
+    from sabledyke.operator_config import OperatorConfig
 
 
 class Server:
@@ -31,7 +31,7 @@
     def __init__(
         self,
         config: Config,
-        operator: Operator | None = None,
+        operator: OperatorConfig | None = None,
         times: ShutdownTimes = DEFAULT_TIMES,
         reread: ReadConfig = lambda config: config,
         reread_operator: ReadOperator | None = None,
@@ -98,10 +98,12 @@
         """Return the metrics in their line form."""
         core = self.core
         classes = [
-            class_.name for class_ in core.settings.classes if class_.name not in core.settings.retired
+            class_.name
+            for class_ in core.settings.classes
+            if class_.name not in core.settings.retired_classes
         ]
-        avoiding = avoided(core.scheduler.nodes.values())
-        return core.figures.lines(classes, core.unanswered, core.nodes.values(), avoiding)
+        avoiding = unresponsive_count(core.scheduler.nodes.values())
+        return core.metrics.format_lines(classes, core.unanswered, core.nodes.values(), avoiding)
 
     def _on_console_call(self, call: Call) -> tuple[int, bytes]:
         """Carry out an operator's call, and return the status and body of its answer."""
--- a/sabledyke/application/shutdown_driver.py
+++ b/sabledyke/application/shutdown_driver.py
@@ -89,7 +89,7 @@
     def _log_phase(self, phase: ShutdownPhase) -> None:
         connections = sum(len(frontend.clients) for frontend in self._assembly.fronts)
         unanswered = self._assembly.core.unanswered
-        log.say(
+        log.emit(
             "stop", f"{PHASE_DESCRIPTIONS[phase]}; {connections} connections, {unanswered} requests in flight"
         )
 
--- a/sabledyke/net/client_connection.py
+++ b/sabledyke/net/client_connection.py
@@ -6,12 +6,12 @@
 from abc import ABC, abstractmethod
 from collections.abc import Callable
 
-from sabledyke.core import Answer, Work
+from sabledyke.core import Answer, ClientRequest
 from sabledyke.net import streams
 
 REQUEST_TIMEOUT_S = 2.25  # for the first request after connecting, and for each that has begun
 
-Submit = Callable[[Work, Callable[[Answer], None]], int]
+Submit = Callable[[ClientRequest, Callable[[Answer], None]], int]
 
 
 class ClientConnection(ABC):
--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -11,23 +11,24 @@
 from typing import Protocol
 
 from sabledyke import log
-from sabledyke.core import Ended, Work
-from sabledyke.errors import Fault
+from sabledyke.core import AttemptResult, ClientRequest
+from sabledyke.errors import SabledykeError
 from sabledyke.net import streams
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeId, node_name
+from sabledyke.policy.settings import Settings
 
 IDLE_TIMEOUT_SHARE = 0.6  # of the time after which nodes close idle connections: ours are closed by then
 PRECONNECT_TIMEOUT_FACTOR = 2  # of the connect time-out
 
 Address = tuple[str, int]
 # Request, number of the attempt, and how it ended.
-ReportAttempt = Callable[[int, int, Ended], None]
+ReportAttempt = Callable[[int, int, AttemptResult], None]
 # Request and number of the attempt: may it be written now? See ``core.Core.may_go``.
 MaySend = Callable[[int, int], bool]
 
 
-class PeerProtocolError(Fault):
+class PeerProtocolError(SabledykeError):
     """A storage node does not speak its protocol; the text says where."""
 
     code, remedy = "box-garbled", "look at the box's version"
@@ -48,7 +49,7 @@
     def reusable(self) -> bool:
         """Whether another exchange may follow the last."""
 
-    async def exchange(self, work: Work, timeout: float) -> Ended:
+    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
         """Carry out one attempt.
 
         Args:
@@ -71,13 +72,13 @@
 
 
 # Node, address, and the milliseconds that the attempt has.
-Dial = Callable[[api.NodeId, Address, float], Awaitable[Link]]
+Dial = Callable[[NodeId, Address, float], Awaitable[Link]]
 # Node, address, milliseconds for the connection itself, and those that the attempt has.
-Connect = Callable[[api.NodeId, Address, float, float], Awaitable[streams.Stream]]
+Connect = Callable[[NodeId, Address, float, float], Awaitable[streams.Stream]]
 
 
 async def connect_plain(
-    _node: api.NodeId, address: Address, connect_ms: float, _attempt_ms: float
+    _node: NodeId, address: Address, connect_ms: float, _attempt_ms: float
 ) -> streams.Stream:
     """Connect as no extension has wrapped it."""
     return await streams.connect(address, connect_ms)
@@ -96,7 +97,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         report: ReportAttempt,
         max_connections: int,
         dial: Dial,
@@ -107,16 +108,14 @@
         self._report = report
         self._dial = dial
         self._may_send = may_send
-        self._addresses: dict[api.NodeId, Address] = {}
-        self._idle: dict[api.NodeId, list[_PooledConnection]] = {}
+        self._addresses: dict[NodeId, Address] = {}
+        self._idle: dict[NodeId, list[_PooledConnection]] = {}
         self._attempts: dict[tuple[int, int], _Attempt] = {}
         self._open_count = 0
-        self._preconnects: dict[api.NodeId, asyncio.Task[None]] = {}  # one at a time for a node
+        self._preconnects: dict[NodeId, asyncio.Task[None]] = {}  # one at a time for a node
         self._closed = False
 
-    def update_addresses(
-        self, addresses: dict[api.NodeId, Address], removed: Iterable[api.NodeId] = ()
-    ) -> None:
+    def update_addresses(self, addresses: dict[NodeId, Address], removed: Iterable[NodeId] = ()) -> None:
         """Note where nodes listen and which are removed; idle connections to former addresses are closed."""
         for node in removed:
             if self._addresses.pop(node, None):
@@ -126,7 +125,7 @@
                 self.close_idle(node)
             self._addresses[node] = address
 
-    def start(self, rid: int, number: int, node: api.NodeId, work: Work, timeout: float) -> None:
+    def start(self, rid: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
         """See ``core.Transport``."""
         loop = asyncio.get_running_loop()
         attempt = _Attempt(rid, number, node, work)
@@ -139,14 +138,14 @@
         """See ``core.Transport``."""
         attempt = self._attempts.get((rid, number))
         if attempt is not None:
-            self._complete(attempt, Ended(Outcome.CANCELLED, attempt.abort()))
+            self._complete(attempt, AttemptResult(Outcome.CANCELLED, attempt.abort()))
 
-    def close_idle(self, node: api.NodeId) -> None:
+    def close_idle(self, node: NodeId) -> None:
         """See ``core.Transport``."""
         for connection in self._idle.pop(node, []):
             self._discard(connection)
 
-    def preconnect(self, node: api.NodeId) -> None:
+    def preconnect(self, node: NodeId) -> None:
         """Open a connection ahead of need, where none is idle and capacity remains; nothing is sent on it."""
         if self._idle.get(node) or node not in self._addresses:
             return
@@ -163,8 +162,8 @@
         for node in list(self._idle):
             self.close_idle(node)
 
-    async def _preconnect(self, node: api.NodeId) -> None:
-        timeout_ms = PRECONNECT_TIMEOUT_FACTOR * self.settings.connect_timeout
+    async def _preconnect(self, node: NodeId) -> None:
+        timeout_ms = PRECONNECT_TIMEOUT_FACTOR * self.settings.connect_timeout_ms
         try:
             self._return_connection(await self._open(node, timeout_ms))
         except (streams.StreamClosedError, PeerProtocolError, OSError):
@@ -182,7 +181,7 @@
             remaining_ms = (attempt.expires_at_s - asyncio.get_running_loop().time()) * 1000
             if remaining_ms <= 0 or not self._may_send(attempt.request_id, attempt.number):
                 self._return_connection(connection)
-                self._complete(attempt, Ended(Outcome.MOOT, False))
+                self._complete(attempt, AttemptResult(Outcome.EXPIRED, False))
                 return
             attempt.connection = connection
             ended = await connection.link.exchange(attempt.work, remaining_ms)
@@ -196,16 +195,16 @@
 
     def _on_attempt_broken(self, attempt: _Attempt, error: Exception) -> None:
         if isinstance(error, PeerProtocolError):
-            log.say("box", f"{api.name_of(attempt.node)} is not understood: {error}")
+            log.emit("box", f"{node_name(attempt.node)} is not understood: {error}")
         ran = attempt.may_have_run
-        self._complete(attempt, Ended(Outcome.RESET if ran else Outcome.NO_CONNECTION, ran))
+        self._complete(attempt, AttemptResult(Outcome.RESET if ran else Outcome.NO_CONNECTION, ran))
 
-    async def _open(self, node: api.NodeId, timeout_ms: float) -> _PooledConnection:
+    async def _open(self, node: NodeId, timeout_ms: float) -> _PooledConnection:
         address = self._addresses.get(node)
         if self._open_count >= self.max_connections:
             self._evict_idle()
         if address is None or self._open_count >= self.max_connections:
-            log.say("pool", f"no connection to spare for {api.name_of(node)}")
+            log.emit("pool", f"no connection to spare for {node_name(node)}")
             raise streams.StreamClosedError
         self._open_count += 1
         try:
@@ -220,7 +219,7 @@
             node = max(self._idle, key=lambda candidate: len(self._idle[candidate]))
             self._drop_idle(self._idle[node][0])
 
-    def _reuse(self, node: api.NodeId) -> _PooledConnection | None:
+    def _reuse(self, node: NodeId) -> _PooledConnection | None:
         while self._idle.get(node):
             connection = self._idle[node][-1]
             if self._remove_idle(connection):
@@ -235,7 +234,7 @@
             self._discard(connection)
             return
         self._idle.setdefault(connection.node, []).append(connection)
-        timeout_s = self.settings.idle_timeout * IDLE_TIMEOUT_SHARE / 1000
+        timeout_s = self.settings.idle_timeout_ms * IDLE_TIMEOUT_SHARE / 1000
         connection.expiry = asyncio.get_running_loop().call_later(timeout_s, self._drop_idle, connection)
         connection.link.enter_idle(lambda: self._drop_idle(connection))
 
@@ -259,9 +258,9 @@
 
     def _expire(self, attempt: _Attempt) -> None:
         ran = attempt.abort()
-        self._complete(attempt, Ended(Outcome.TIMEOUT if ran else Outcome.NO_CONNECTION, ran))
+        self._complete(attempt, AttemptResult(Outcome.TIMEOUT if ran else Outcome.NO_CONNECTION, ran))
 
-    def _complete(self, attempt: _Attempt, ended: Ended) -> None:
+    def _complete(self, attempt: _Attempt, ended: AttemptResult) -> None:
         """Report an attempt, once; a connection that it still holds is closed, which gives it up."""
         if self._attempts.pop((attempt.request_id, attempt.number), None) is None:
             return
@@ -277,7 +276,7 @@
 class _PooledConnection:
     """A link and its place in the pool."""
 
-    def __init__(self, node: api.NodeId, address: Address, link: Link) -> None:
+    def __init__(self, node: NodeId, address: Address, link: Link) -> None:
         self.node = node
         self.address = address
         self.link = link
@@ -287,7 +286,7 @@
 class _Attempt:
     """An attempt in flight."""
 
-    def __init__(self, request_id: int, number: int, node: api.NodeId, work: Work) -> None:
+    def __init__(self, request_id: int, number: int, node: NodeId, work: ClientRequest) -> None:
         self.request_id = request_id
         self.number = number
         self.node = node
--- a/sabledyke/net/console.py
+++ b/sabledyke/net/console.py
@@ -60,7 +60,7 @@
 
     def _evict_oldest(self) -> None:
         if not self.eviction_count:
-            log.say(
+            log.emit(
                 "console", f"{MAX_CONNECTIONS} console connections: the oldest is closed for each new one"
             )
         self.eviction_count += 1
@@ -82,7 +82,7 @@
             message = await _read_call(stream)
             call = route(message)
         except HttpError as error:
-            log.say("console", f"a call was rejected: {error}")
+            log.emit("console", f"a call was rejected: {error}")
             return answer(error.status)
         status, body = self._handle_call(call)
         return answer(status, body, head=message.method == "HEAD")
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -9,7 +9,7 @@
 from sabledyke import log
 from sabledyke.invariants import check
 from sabledyke.net import streams
-from sabledyke.policy import interface as api
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.discovery import ListError, Listing, parse, target
 from sabledyke.protocol.http import HttpError, Message, Parser, encode_request
 from sabledyke.protocol.versions import Verdict, Versions
@@ -35,7 +35,7 @@
     def __init__(
         self,
         address: tuple[str, int],
-        settings: api.Settings,
+        settings: Settings,
         since: int | None,
         report: Callable[[Listing | None], None],
         seed: int = 0,
@@ -53,7 +53,7 @@
     @property
     def pushed(self) -> bool:
         """Whether lists are pushed: an agent on this machine holds them, and they count as delivered."""
-        return not self._settings.asks_list
+        return not self._settings.polls_endpoint_list
 
     def start(self) -> None:
         """Begin to watch where lists are pushed; elsewhere the core begins when it wants."""
@@ -67,7 +67,7 @@
             self._resume_timer = None
         self.watch(False)
 
-    def adopt(self, address: tuple[str, int], settings: api.Settings) -> None:
+    def adopt(self, address: tuple[str, int], settings: Settings) -> None:
         """Put new settings in force, and watch at a new address, beginning with the complete list.
 
         Guards against waiting for the old address to break: what discovery publishes counts as delivered by
@@ -104,7 +104,7 @@
 
     @property
     def _connect_timeout_ms(self) -> float:
-        return self._settings.connect_timeout * CONNECT_TIMEOUT_FACTOR
+        return self._settings.connect_timeout_ms * CONNECT_TIMEOUT_FACTOR
 
     def _cancel_calls(self) -> None:
         self.watch(False)
@@ -151,7 +151,7 @@
         except TimeoutError:  # broken, though nothing says so: what it may miss is requested again
             streams.abort(stream)
             pause_s = self._backoff.fell_silent(self._timeouts)
-            log.say("discovery", f"a call timed out: the next in {pause_s:.2f} s")
+            log.emit("discovery", f"a call timed out: the next in {pause_s:.2f} s")
             await asyncio.sleep(pause_s)
             return
         self._backoff.answered()
@@ -207,16 +207,16 @@
         if verdict is Verdict.TAKEN:
             self._report(listing)
         elif listing.news.entries:
-            log.say("discovery", f"version {listing.news.version} came again, nothing of it is new")
+            log.emit("discovery", f"version {listing.news.version} came again, nothing of it is new")
         return verdict is Verdict.TAKEN
 
     def _report_failure(self, error: Exception) -> None:
         reason = getattr(error, "real_error", None) or error  # what closed the stream says more
-        log.say("discovery", f"a call failed: {str(reason) or type(reason).__name__}")
+        log.emit("discovery", f"a call failed: {str(reason) or type(reason).__name__}")
         self._report(None)
 
 
 def _log_unexpected(error: Exception) -> None:
     """Log a fault of this program with its stack, and count the invariant that it breaks."""
-    log.say("fault", "".join(traceback.format_exception(error)))
+    log.emit("fault", "".join(traceback.format_exception(error)))
     check(False, "a call for the list ends as expected", repr(error))
--- a/sabledyke/net/frontend.py
+++ b/sabledyke/net/frontend.py
@@ -22,7 +22,8 @@
 EVICTION_GRACE_S = 0.05  # a new connection is not evicted before
 FIRST_REQUEST_GRACE_S = 0.3  # a new connection is not closed by a drain before: its request may come
 
-# Checks a connection before it counts as a client; see ``Part.guard`` of ``application.extensions``.
+# Checks a connection before it counts as a client; see ``application.extensions``:
+# ``Extension.connection_guard``.
 Guard = Callable[[streams.IOStream], Awaitable[streams.Stream | None]]
 
 
@@ -158,7 +159,7 @@
         Guards against a crowd of handshakes that never end, or that cost clients their connections.
         """
         if self.closing or len(self._pending_handshakes) >= MAX_PENDING_HANDSHAKES:
-            log.say("front", f"{len(self._pending_handshakes)} {self.name} handshakes: a new one is closed")
+            log.emit("front", f"{len(self._pending_handshakes)} {self.name} handshakes: a new one is closed")
             sock.close()
             return
         task = asyncio.get_running_loop().create_task(self._admit_guarded(stream_of(sock), guard))
@@ -190,7 +191,7 @@
             return True
         evicted = self._find_evictable()
         closed = "an idle one" if evicted else "a new one"
-        log.say("front", f"{len(self.clients)} {self.name} clients: {closed} is closed")
+        log.emit("front", f"{len(self.clients)} {self.name} clients: {closed} is closed")
         if evicted is None:
             return False
         evicted.close()
--- a/sabledyke/net/http_frontend.py
+++ b/sabledyke/net/http_frontend.py
@@ -157,7 +157,7 @@
         if not streams.may_access_volume(self.stream, work.volume):
             raise HttpError("a client without a right to this volume", 403)
         self._ids.claim(clock.now(), work)
-        work.present = self._client_present
+        work.client_connected = self._client_present
 
         def on_answer(answer: Answer) -> None:
             self._request_id = None
@@ -241,7 +241,7 @@
 
     def _reject_bad_request(self, error: HttpError) -> None:
         """Answer bad bytes where nothing is being answered, and end the connection."""
-        log.say("front", f"a client sent a bad request: {error}")
+        log.emit("front", f"a client sent a bad request: {error}")
         if self._request_id is None and not self._writing and not self.stream.closed():
             self._write(encode_response(error.status, close=True), last=True)
         else:
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -4,10 +4,11 @@
 
 import asyncio
 
-from sabledyke.core import Ended, Work
+from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import streams
 from sabledyke.net.connection_pool import Address, Connect, PeerProtocolError, connect_plain
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.gateway import Reader, to_box
 from sabledyke.protocol.http import MAX_BODY, HttpError, Message, Parser
 
@@ -31,7 +32,7 @@
         """Whether the request's last byte was sent: a write that failed did not send it."""
         return self._written is not None and self._written.done() and self._written.exception() is None
 
-    async def exchange(self, work: Work, timeout: float) -> Ended:
+    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
         """See ``connection_pool.Link``."""
         self.reusable = False
         self._written = None
@@ -84,7 +85,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         reader: Reader,
         response_memory: streams.ResponseMemory,
         connect: Connect = connect_plain,
@@ -94,7 +95,7 @@
         self._response_memory = response_memory
         self._connect = connect
 
-    async def dial(self, node: api.NodeId, address: Address, timeout_ms: float) -> HttpLink:
+    async def dial(self, node: NodeId, address: Address, timeout_ms: float) -> HttpLink:
         """See ``connection_pool.Dial``."""
-        stream = await self._connect(node, address, self.settings.connect_timeout, timeout_ms)
+        stream = await self._connect(node, address, self.settings.connect_timeout_ms, timeout_ms)
         return HttpLink(f"{address[0]}:{address[1]}", stream, self._reader, self._response_memory)
--- a/sabledyke/net/listener.py
+++ b/sabledyke/net/listener.py
@@ -95,7 +95,7 @@
             except BlockingIOError:
                 return True
             except OSError as error:
-                log.say("front", f"a connection was not accepted: {error}")
+                log.emit("front", f"a connection was not accepted: {error}")
                 if error.errno in TRANSIENT_ACCEPT_ERRNOS:
                     continue
                 return False
@@ -107,7 +107,7 @@
             sock.setblocking(False)
             self._accept(sock, address)
         except OSError as error:
-            log.say("front", f"a connection broke as it was accepted: {error}")
+            log.emit("front", f"a connection broke as it was accepted: {error}")
             sock.close()
 
     def _drain_backlog(self, retries: int) -> None:
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -5,28 +5,28 @@
 from collections.abc import Iterable, Sequence
 from typing import TYPE_CHECKING
 
-from sabledyke.application.extensions import Host, Part
+from sabledyke.application.extensions import Extension, ServerContext
 from sabledyke.net.connection_pool import Dial
 from sabledyke.net.frontend import Frontend
 from sabledyke.net.nvme_frontend import NvmeClientConnection
 from sabledyke.net.nvme_link import NvmeDialer
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
 from sabledyke.protocol.blocks import Translator
 
 if TYPE_CHECKING:
     from sabledyke.config import Config
-    from sabledyke.operator_config import Operator
+    from sabledyke.operator_config import OperatorConfig
 
 
-class NvmeExtension(Part):
-    """Serves hosts and reaches storage nodes over NVMe; see ``application.extensions.Part``.
+class NvmeExtension(Extension):
+    """Serves hosts and reaches storage nodes over NVMe; see ``application.extensions.Extension``.
 
     Args:
         host: What the server offers to its extensions.
         section: The operator's file.
     """
 
-    def __init__(self, host: Host, section: Operator) -> None:
+    def __init__(self, host: ServerContext, section: OperatorConfig) -> None:
         settings = host.config.settings
         self._section = section
         self._nqn_by_node = dict(section.boxes)
@@ -44,28 +44,28 @@
             host.room,
         )
 
-    def dialers(self) -> dict[api.NodeId, Dial]:
-        """See ``application.extensions.Part``."""
+    def dialers(self) -> dict[NodeId, Dial]:
+        """See ``application.extensions.Extension``."""
         return dict.fromkeys(self._nqn_by_node, self.dialer.dial)
 
-    def fronts(self) -> Sequence[tuple[Frontend, tuple[str, int]]]:
-        """See ``application.extensions.Part``."""
+    def frontends(self) -> Sequence[tuple[Frontend, tuple[str, int]]]:
+        """See ``application.extensions.Extension``."""
         return [(self._frontend, self._section.listen)] if self._section.listen else []
 
-    def adopt(self, config: Config) -> None:
-        """See ``application.extensions.Part``."""
+    def apply_config(self, config: Config) -> None:
+        """See ``application.extensions.Extension``."""
         self.dialer.settings = self._translator.settings = config.settings
 
-    def listed(self, gone: Iterable[api.NodeId]) -> None:
-        """See ``application.extensions.Part``."""
+    def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
+        """See ``application.extensions.Extension``."""
         for node in gone:
             self.dialer.forget(node)
 
     async def close(self) -> None:
-        """See ``application.extensions.Part``."""
+        """See ``application.extensions.Extension``."""
         self.dialer.close()
 
 
-def set_up(host: Host, section: Operator) -> Part | None:
+def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
     """Return the extension, where the operator's file asks for it."""
     return NvmeExtension(host, section) if section.listen or section.boxes else None
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -7,7 +7,7 @@
 from math import inf
 
 from sabledyke import log
-from sabledyke.core import Answer, Verdict
+from sabledyke.core import Answer, AnswerStatus
 from sabledyke.net import streams
 from sabledyke.net.client_connection import REQUEST_TIMEOUT_S, ClientConnection, Submit
 from sabledyke.net.frontend import Frontend
@@ -87,7 +87,7 @@
         except streams.StreamClosedError:
             self.close()
         except NvmeError as error:
-            log.say("front", f"an NVMe host broke the protocol: {error}")
+            log.emit("front", f"an NVMe host broke the protocol: {error}")
             if not self.stream.closed():
                 await self._flush_error()
             self.close()
@@ -109,13 +109,13 @@
                 asyncio.get_running_loop().create_task(self._flush_late())
 
         if self._frontend.rejects_requests:  # guards against a host that never pauses holding up the end
-            self.target.complete(*self._translator.completion(command, Answer(Verdict.REFUSED)))
+            self.target.complete(*self._translator.completion(command, Answer(AnswerStatus.REJECTED)))
             return
         work = self._translator.work(command, payload)
         if not streams.may_access_volume(self.stream, work.volume):
             self.target.complete(Completion(command.cid, Status.ACCESS_DENIED, dnr=True), b"")
             return
-        work.present = lambda: not streams.peer_closed(self.stream)
+        work.client_connected = lambda: not streams.peer_closed(self.stream)
         self._request_ids[command.cid] = self._submit(work, on_answer)
 
     def _restart_keep_alive(self) -> None:
@@ -128,7 +128,7 @@
             self._keep_alive_timer = loop.call_later(timeout_s, self._on_keep_alive_timeout)
 
     def _on_keep_alive_timeout(self) -> None:
-        log.say("front", "an NVMe host kept silent past its keep-alive time")
+        log.emit("front", "an NVMe host kept silent past its keep-alive time")
         self.close()
 
     async def _flush(self) -> None:
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -10,11 +10,12 @@
 from collections.abc import Awaitable, Callable
 
 from sabledyke import log
-from sabledyke.core import Ended, Work
+from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import streams
 from sabledyke.net.connection_pool import Address, Connect, PeerProtocolError, connect_plain
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeId
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.blocks import NotHere, Translator
 from sabledyke.protocol.nvme import (
     DYNAMIC,
@@ -54,9 +55,9 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         translator: Translator,
-        nqn_by_node: dict[api.NodeId, str],
+        nqn_by_node: dict[NodeId, str],
         host_nqn: str,
         connect: Connect = connect_plain,
         slack_ms: float = 0.0,
@@ -67,21 +68,21 @@
         self._host = uuid.uuid4().bytes, host_nqn
         self._connect = connect
         self._slack_ms = slack_ms
-        self._associations: dict[api.NodeId, _Association] = {}
+        self._associations: dict[NodeId, _Association] = {}
 
-    async def dial(self, node: api.NodeId, address: Address, timeout_ms: float) -> NvmeLink:
+    async def dial(self, node: NodeId, address: Address, timeout_ms: float) -> NvmeLink:
         """See ``connection_pool.Dial``."""
         association = self._associations.get(node)
         if association is None or association.address != address:
             if association is not None:
                 association.close()
             association = self._associate(node, address)
-        queue_timeout_ms = min(timeout_ms, self.settings.connect_timeout + self._slack_ms)
+        queue_timeout_ms = min(timeout_ms, self.settings.connect_timeout_ms + self._slack_ms)
         async with asyncio.timeout(queue_timeout_ms / 1000):
             channel = await association.open_queue(queue_timeout_ms)
         return NvmeLink(channel, self._translator)
 
-    def forget(self, node: api.NodeId) -> None:
+    def forget(self, node: NodeId) -> None:
         """End the association with a node that is removed, once what is in flight there has ended.
 
         Guards against keeping an association, and its descriptor, with every node there ever was.
@@ -95,12 +96,12 @@
         for association in self._associations.values():
             association.close()
 
-    def _associate(self, node: api.NodeId, address: Address) -> _Association:
+    def _associate(self, node: NodeId, address: Address) -> _Association:
         association = _Association(
             address,
             self._nqn_by_node[node],
             self._host,
-            lambda where, ms: self._connect(node, where, self.settings.connect_timeout, ms),
+            lambda where, ms: self._connect(node, where, self.settings.connect_timeout_ms, ms),
         )
         self._associations[node] = association
         return association
@@ -114,7 +115,7 @@
         self.reusable = True
         self._channel = channel
         self._translator = translator
-        self._work: Work | None = None
+        self._work: ClientRequest | None = None
 
     @property
     def may_have_run(self) -> bool:
@@ -129,7 +130,7 @@
             return self._channel.initiator.data_out
         return written.done() and written.exception() is None
 
-    async def exchange(self, work: Work, timeout: float) -> Ended:
+    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
         """See ``connection_pool.Link``; the time-out is the pool's, NVMe states none."""
         self.reusable = False
         self._work = work
@@ -137,9 +138,9 @@
         try:
             command, payload = self._translator.to_box(work)
         except NotHere as error:
-            log.say("box", str(error))
+            log.emit("box", str(error))
             self.reusable = True
-            return Ended(Outcome.ERROR, False)
+            return AttemptResult(Outcome.ERROR, False)
         completion, data = await self._channel.execute(command, payload)
         self.reusable = not self._channel.initiator.surplus
         return self._translator.from_box(work, completion, data)
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -14,12 +14,13 @@
 
 from sabledyke import log
 from sabledyke.application.extensions import Done, Submit
-from sabledyke.core import GUARD, Answer, Ended, Transport, Verdict, Work
+from sabledyke.core import ANSWER_GUARD_MS, Answer, AnswerStatus, AttemptResult, ClientRequest, Transport
 from sabledyke.invariants import check
 from sabledyke.net import clock
 from sabledyke.net.connection_pool import ReportAttempt
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeEntry, NodeId, NodeState, node_name
+from sabledyke.policy.settings import Settings
 from sabledyke.store import startup, statements
 from sabledyke.store.connect import CONNECT, PATIENCE, patiently
 from sabledyke.store.database_errors import Kind, StoreFault
@@ -29,7 +30,9 @@
 from sabledyke.store.types import Batch, Drift, Entry, Found, Sent, name_of, token_of
 
 TICK = 0.05  # seconds between looks at what waits, while anything does
-MARGIN = GUARD + 1000 * TICK + 10  # ms before its deadline by which a served answer is passed on or given up
+MARGIN = (
+    ANSWER_GUARD_MS + 1000 * TICK + 10
+)  # ms before its deadline by which a served answer is passed on or given up
 FLUSH = 1.0  # seconds at the end for what is still to be written
 
 Opener = Callable[[float], Awaitable[Session]]  # seconds for a connection to come up
@@ -39,8 +42,8 @@
 class _Held:
     """An attempt that waits for its intent."""
 
-    node: api.NodeId
-    work: Work
+    node: NodeId
+    work: ClientRequest
     name: str
     asked: float
     deadline: float
@@ -50,7 +53,7 @@
 class _Asked:
     """A write in work, for its entry and for drift."""
 
-    work: Work
+    work: ClientRequest
     name: str  # empty where it has no key
     began: float
     deadline: float
@@ -64,8 +67,8 @@
         self,
         keeper: Keeper,
         opener: Opener,
-        settings: api.Settings,
-        entry: Callable[[api.NodeId], api.NodeEntry],
+        settings: Settings,
+        entry: Callable[[NodeId], NodeEntry],
     ) -> None:
         self.keeper, self.settings = keeper, settings
         self._opener, self._entry = opener, entry
@@ -93,29 +96,31 @@
             self._session = await self._opener(PATIENCE)
         await startup.migrate(self._session)
         position = await startup.new_life(self._session, self.keeper.instance)
-        longest = max(c.repeat_window for c in self.settings.classes)
+        longest = max(c.deduplication_window_ms for c in self.settings.classes)
         now = clock.now()
         recent = await startup.recent(self._session, now - longest)
         self.keeper.opened(position, recent, now + longest)
 
     # Between fronts and the core.
 
-    def submit(self, work: Work, done: Done, onward: Submit) -> int:
+    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
         """Hand work on; a keyed write only while it can be recorded."""
         now = clock.now()
         name = name_of(work)
         if not work.write:
             return onward(work, lambda answer: self._was_read(work, now, answer, done))
         if name and not self.keeper.takes():
-            advice = self.keeper.health.advice(now, self.settings.max_retry_after)
-            self._loop.call_soon(done, Answer(Verdict.REFUSED, retry_after=advice))
+            advice = self.keeper.health.advice(now, self.settings.max_retry_after_ms)
+            self._loop.call_soon(done, Answer(AnswerStatus.REJECTED, retry_after_ms=advice))
             return 0
-        self.drift.writing((work.volume, work.key))
+        self.drift.writing((work.volume, work.data_key))
         first = self.keeper.earlier(name) if name else None
         if first is not None:
-            ran = api.NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, api.NodeState.GONE)
-            work.ran = first.at, ran
-        asked = _Asked(work, name, now, now + work.remaining - MARGIN, hashlib.sha256(work.body).hexdigest())
+            ran = NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, NodeState.GONE)
+            work.possible_execution = first.at, ran
+        asked = _Asked(
+            work, name, now, now + work.remaining_ms - MARGIN, hashlib.sha256(work.body).hexdigest()
+        )
         rid = onward(work, lambda answer: self._finished(rid, asked, answer, done))
         self._asked[rid] = asked
         return rid
@@ -124,16 +129,16 @@
         """The client of a request has gone: a write is finished, and nobody is told."""
         asked = self._asked.pop(rid, None)
         if asked is not None:
-            self.drift.written(clock.now(), (asked.work.volume, asked.work.key), None)
+            self.drift.written(clock.now(), (asked.work.volume, asked.work.data_key), None)
             self._journal(asked, "departed", None)
 
     def _finished(self, rid: int, asked: _Asked, answer: Answer, done: Done) -> None:
         self._asked.pop(rid, None)
-        served = answer.verdict is Verdict.SERVED
-        piece = asked.work.volume, asked.work.key
+        served = answer.status is AnswerStatus.SERVED
+        piece = asked.work.volume, asked.work.data_key
         self.drift.written(clock.now(), piece, asked.digest if served else None)
         if not served or not asked.name:
-            self._journal(asked, answer.verdict.value, None)
+            self._journal(asked, answer.status.value, None)
             done(answer)
             return
         self._last_ticket += 1
@@ -144,16 +149,16 @@
         if not asked.name:
             return
         work, now = asked.work, clock.now()
-        at = work.sent_to
+        at = work.last_node
         entry = Entry(
             at=int(now),
             began=int(asked.began),
-            class_=self.settings.classes[work.class_].name,
+            class_=self.settings.classes[work.class_index].name,
             volume=f"{work.volume:016x}",
             key=token_of(work),
-            piece=f"{work.key:016x}",
+            piece=f"{work.data_key:016x}",
             shard=at.shard if at else work.shard,
-            box=api.name_of(at.node) if at else "",
+            box=node_name(at.node_id) if at else "",
             units=work.units,
             digest=asked.digest,
             outcome=outcome,
@@ -161,18 +166,18 @@
         self._do(self.keeper.finished(now, asked.name, entry, ticket, asked.deadline))
         self._kick()
 
-    def _was_read(self, work: Work, asked: float, answer: Answer, done: Done) -> None:
-        piece = work.volume, work.key
-        if answer.verdict is Verdict.SERVED and self.drift.wants(asked, piece):
-            digest, at = hashlib.sha256(answer.body).hexdigest(), work.sent_to
-            box = api.name_of(at.node) if at else ""
+    def _was_read(self, work: ClientRequest, asked: float, answer: Answer, done: Done) -> None:
+        piece = work.volume, work.data_key
+        if answer.status is AnswerStatus.SERVED and self.drift.wants(asked, piece):
+            digest, at = hashlib.sha256(answer.body).hexdigest(), work.last_node
+            box = node_name(at.node_id) if at else ""
             found = self.drift.read(clock.now(), asked, piece, digest, box)
             if found is not None:
                 self._differs(found)
         done(answer)
 
     def _differs(self, found: Drift) -> None:
-        log.say(
+        log.emit(
             "drift",
             f"{found.box} shows volume {found.volume} piece {found.piece} with digest"
             f" {found.got[:12]}, where {found.wanted[:12]} was written",
@@ -182,7 +187,7 @@
 
     # Between the core and the pool.
 
-    def start(self, rid: int, number: int, node: api.NodeId, work: Work, timeout: float) -> None:
+    def start(self, rid: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
         """See ``core.Transport``."""
         name = name_of(work)
         if not name:
@@ -191,7 +196,7 @@
         entry, now, attempt = self._entry(node), clock.now(), (rid, number)
         self._held[attempt] = _Held(node, work, name, now, now + timeout)
         sent = Sent(now, entry.shard, entry.zone)
-        kind = self.settings.classes[work.class_]
+        kind = self.settings.classes[work.class_index]
         effects = self.keeper.attempt(now, attempt, name, sent, now + timeout, kind)
         if any(not isinstance(e, Go) for e in effects):
             self._loop.call_soon(self._do, effects)  # a transport never reports from inside a call
@@ -204,21 +209,21 @@
         attempt = rid, number
         if attempt in self._held:
             if self.keeper.withdrawn(attempt):
-                self._end(attempt, Ended(Outcome.CANCELLED, False))
+                self._end(attempt, AttemptResult(Outcome.CANCELLED, False))
         else:
             self.inner.cancel(rid, number)
 
-    def close_idle(self, node: api.NodeId) -> None:
+    def close_idle(self, node: NodeId) -> None:
         """See ``core.Transport``."""
         self.inner.close_idle(node)
 
-    def ended(self, rid: int, number: int, ended: Ended) -> None:
+    def ended(self, rid: int, number: int, ended: AttemptResult) -> None:
         """What the transport below reports."""
         known = self._out.pop((rid, number), None)
         if known is not None:
             name, waited = known
             self.keeper.ended(name, may_have_run=ended.may_have_run)
-            ended = replace(ended, waited=waited)
+            ended = replace(ended, held_back_ms=waited)
         self.report(rid, number, ended)
 
     # Carrying out.
@@ -233,19 +238,19 @@
                     left = max(1.0, held.deadline - now)
                     self.inner.start(*attempt, held.node, held.work, left)
                 case Moot(attempt):
-                    self._end(attempt, Ended(Outcome.MOOT, False))
+                    self._end(attempt, AttemptResult(Outcome.EXPIRED, False))
                 case Blocked(attempt):
-                    self._end(attempt, Ended(Outcome.ERROR, True))
+                    self._end(attempt, AttemptResult(Outcome.ERROR, True))
                 case Told(ticket, kept):
                     done, answer = self._tickets.pop(ticket)
-                    done(answer if kept else Answer(Verdict.FAILED))
+                    done(answer if kept else Answer(AnswerStatus.FAILED))
                 case Say(text):
-                    log.say("store", text)
+                    log.emit("store", text)
 
-    def _end(self, attempt: Attempt, ended: Ended) -> None:
+    def _end(self, attempt: Attempt, ended: AttemptResult) -> None:
         held = self._held.pop(attempt, None)
         if held is not None:
-            self.report(*attempt, replace(ended, waited=clock.now() - held.asked))
+            self.report(*attempt, replace(ended, held_back_ms=clock.now() - held.asked))
 
     def _kick(self) -> None:
         """Something may wait for the database: a batch gathers what comes with it."""
@@ -270,7 +275,7 @@
             return
         if (fault := task.exception()) is not None:
             # Guards against a fault here ending the record for good, with all that waits for it.
-            log.say("fault", "".join(traceback.format_exception(fault)))
+            log.emit("fault", "".join(traceback.format_exception(fault)))
             told = StoreFault(Kind.BROKEN, repr(fault), uncertain=True)
             keeper, now = self.keeper, clock.now()
             self._do(keeper.failed(now, told) if keeper.flight is not None else keeper.unreachable(now, told))
@@ -357,7 +362,7 @@
         self._ending = True
         left = self.keeper.unwritten
         if left:
-            log.say("store", f"{left} entries of the journal could not be written before the end")
+            log.emit("store", f"{left} entries of the journal could not be written before the end")
         for timer in (self._gathering, self._ticking):
             if timer is not None:
                 timer.cancel()
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -15,12 +15,13 @@
 from dataclasses import replace
 
 from sabledyke import log
-from sabledyke.core import Ended, Work
+from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import clock
 from sabledyke.net.connection_pool import Address
 from sabledyke.net.streams import StreamClosedError
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeId, node_name
+from sabledyke.policy.settings import Settings
 from sabledyke.store import statements
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import StoreFault
@@ -37,7 +38,7 @@
 class _SqlBox:
     """One database: its sessions, and how many there may be."""
 
-    def __init__(self, box: Box, target: Target, settings: api.Settings) -> None:
+    def __init__(self, box: Box, target: Target, settings: Settings) -> None:
         self.box, self.target, self.settings = box, target, settings
         self.permits = asyncio.Semaphore(box.connections)
         self.left = False  # it is gone from the list
@@ -53,7 +54,7 @@
             if not session.closed and now - since < IDLE_S:
                 return session
             session.abort()
-        session = await connect(self.target, connect_s=self.settings.connect_timeout / 1000)
+        session = await connect(self.target, connect_s=self.settings.connect_timeout_ms / 1000)
         if not self._ready:
             try:
                 await session.script(statements.BOX)
@@ -100,7 +101,7 @@
         if self._session is not None:
             self._session.abort()
 
-    async def exchange(self, work: Work, timeout: float) -> Ended:
+    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
         """See ``pool.Link``."""
         self.may_have_run, self.reusable = False, False
         deadline = clock.now() + timeout
@@ -115,7 +116,7 @@
         try:
             self._session = await self._box.take()
         except StoreFault as fault:
-            log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
+            log.emit("box", f"{node_name(self._box.box.node)} {fault}")
             raise StreamClosedError from None
         return self._session
 
@@ -124,27 +125,27 @@
             self._box.give(self._session)
             self._session = None
 
-    async def _read(self, work: Work) -> Ended:
+    async def _read(self, work: ClientRequest) -> AttemptResult:
         session = await self._take()
         self.may_have_run = True
         try:
-            rows = await session.query(statements.GET_PIECE, f"{work.volume:016x}", f"{work.key:016x}")
+            rows = await session.query(statements.GET_PIECE, f"{work.volume:016x}", f"{work.data_key:016x}")
         except StoreFault as fault:
-            log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
+            log.emit("box", f"{node_name(self._box.box.node)} {fault}")
             if session.closed:
                 raise StreamClosedError from None
-            return Ended(Outcome.ERROR, True)
+            return AttemptResult(Outcome.ERROR, True)
         finally:
             self._give()
         if not rows:
-            return Ended(Outcome.ERROR, True)
+            return AttemptResult(Outcome.ERROR, True)
         body = rows[0][0]
         assert isinstance(body, bytes)
-        return Ended(Outcome.OK, True, body)
+        return AttemptResult(Outcome.OK, True, body)
 
-    async def _write(self, work: Work, deadline: float) -> Ended:
+    async def _write(self, work: ClientRequest, deadline: float) -> AttemptResult:
         attempt = secrets.token_hex(12)
-        name = name_of(work) or f"-/{work.volume:x}/{work.ident}"
+        name = name_of(work) or f"-/{work.volume:x}/{work.client_request_id}"
         steps = self._steps(work, name, attempt)
         session = await self._take()
         patience = (deadline - clock.now()) * PATIENCE / 1000
@@ -159,10 +160,10 @@
         except StoreFault as fault:
             if not fault.uncertain:
                 self.may_have_run = False
-                log.say("box", f"{api.name_of(self._box.box.node)} {fault}")
+                log.emit("box", f"{node_name(self._box.box.node)} {fault}")
                 if session.closed:
                     raise StreamClosedError from None
-                return Ended(Outcome.REJECTED, False)
+                return AttemptResult(Outcome.REJECTED, False)
             session.abort()
         else:
             return self._ended(results[2][0] if results[2] else None)
@@ -178,8 +179,8 @@
 
         return await session.transact(steps, committing)
 
-    def _steps(self, work: Work, name: str, attempt: str) -> list[Step]:
-        now, volume, piece = int(clock.now()), f"{work.volume:016x}", f"{work.key:016x}"
+    def _steps(self, work: ClientRequest, name: str, attempt: str) -> list[Step]:
+        now, volume, piece = int(clock.now()), f"{work.volume:016x}", f"{work.data_key:016x}"
         result = hashlib.sha256(work.body).hexdigest().encode()
         steps = [
             Step(statements.CLAIM, [(name, attempt, now, result)]),
@@ -191,14 +192,14 @@
             steps.append(Step(statements.FORGET_KEYS, [(now - int(self._kept),)]))
         return steps
 
-    def _ended(self, row: Row | None) -> Ended:
+    def _ended(self, row: Row | None) -> AttemptResult:
         """What the key says after the transaction: done by this attempt, or by whichever was first."""
         if row is None or row[1] != "done":
-            return Ended(Outcome.ERROR, True)
+            return AttemptResult(Outcome.ERROR, True)
         assert isinstance(row[2], bytes)
-        return Ended(Outcome.OK, True, row[2])
+        return AttemptResult(Outcome.OK, True, row[2])
 
-    async def _resolve(self, doubt: Doubt, name: str) -> Ended:
+    async def _resolve(self, doubt: Doubt, name: str) -> AttemptResult:
         """Ask until the write is known to have run or not, or its time is over."""
         while (question := doubt.next(clock.now())) is not Next.NOTHING:
             try:
@@ -225,28 +226,28 @@
                 await asyncio.sleep(0.01)
             finally:
                 self._give()
-        log.say(
+        log.emit(
             "box",
-            f"{api.name_of(self._box.box.node)} lost a commit's answer: it {doubt.verdict.value}"
+            f"{node_name(self._box.box.node)} lost a commit's answer: it {doubt.verdict.value}"
             f" after {doubt.tries} questions",
         )
         match doubt.verdict:
             case Verdict.SERVED:
-                return Ended(Outcome.OK, True, doubt.result)
+                return AttemptResult(Outcome.OK, True, doubt.result)
             case Verdict.NEVER:
                 self.may_have_run = False
-                return Ended(Outcome.REJECTED, False)
-        return Ended(Outcome.RESET, True)
+                return AttemptResult(Outcome.REJECTED, False)
+        return AttemptResult(Outcome.RESET, True)
 
 
 class SqlDialer:
     """Opens such links."""
 
-    def __init__(self, settings: api.Settings, boxes: dict[api.NodeId, Box], kept: float) -> None:
+    def __init__(self, settings: Settings, boxes: dict[NodeId, Box], kept: float) -> None:
         self.settings, self.boxes, self._kept = settings, boxes, kept
-        self._open: dict[api.NodeId, _SqlBox] = {}
+        self._open: dict[NodeId, _SqlBox] = {}
 
-    async def dial(self, node: api.NodeId, address: Address, patience: float) -> SqlLink:
+    async def dial(self, node: NodeId, address: Address, patience: float) -> SqlLink:
         """See ``pool.Dial``."""
         box = self.boxes[node]
         target = box.target
@@ -260,7 +261,7 @@
         known.settings = self.settings
         return SqlLink(known, self._kept)
 
-    def forget(self, node: api.NodeId) -> None:
+    def forget(self, node: NodeId) -> None:
         """The box is gone from the list: its sessions are closed, those in use after it."""
         known = self._open.pop(node, None)
         if known is not None:
--- a/tests/application/test_reload.py
+++ b/tests/application/test_reload.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sabledyke.config import Config, ConfigError
-from sabledyke.settings import MOST_CLASSES, SettingsError, merge
+from sabledyke.settings import MAX_CLASSES, SettingsError, merge
 from tests.helpers import HELD
 from tests.standins import Discovery, ask
 from tests.support.console_calls import call, stats
@@ -44,7 +44,10 @@
             await asyncio.sleep(0.001)
         assert new.calls[0] == "GET /catalog/members HTTP/1.1" and "since=1" in new.calls[1]
         scheduler = rig.server.core.scheduler
-        assert scheduler.mean == 3 and next(iter(scheduler.volumes.values())).plan.weight == 9
+        assert (
+            scheduler.context.mean_units == 3
+            and next(iter(scheduler.quotas.volumes.values())).plan.weight == 9
+        )
         assert b"plain" in scheduler.nodes and rig.server.pool.max_connections == 32
         go.set()
         assert (await one)[::2] == (200, b"late")
@@ -57,16 +60,16 @@
 
 def test_merged_classes_keep_their_places_and_removed_ones_are_retired() -> None:
     read, write = DEPLOYMENT.classes
-    added = replace(DEPLOYMENT, classes=(replace(write, deadline=500), read, replace(read, name="new")))
+    added = replace(DEPLOYMENT, classes=(replace(write, deadline_ms=500), read, replace(read, name="new")))
     once = merge(DEPLOYMENT, added)
-    assert [c.name for c in once.classes] == ["read", "write", "new"] and not once.retired
-    assert once.classes[1].deadline == 500  # its effects change in its place
+    assert [c.name for c in once.classes] == ["read", "write", "new"] and not once.retired_classes
+    assert once.classes[1].deadline_ms == 500  # its effects change in its place
     removed = merge(once, replace(DEPLOYMENT, classes=(replace(read, name="new"),)))
     assert [c.name for c in removed.classes] == ["read", "write", "new"]
-    assert removed.retired == {"read", "write"}
+    assert removed.retired_classes == {"read", "write"}
     back = merge(removed, DEPLOYMENT)
-    assert [c.name for c in back.classes] == ["read", "write", "new"] and back.retired == {"new"}
-    many = replace(DEPLOYMENT, classes=tuple(replace(read, name=f"c{n}") for n in range(MOST_CLASSES)))
+    assert [c.name for c in back.classes] == ["read", "write", "new"] and back.retired_classes == {"new"}
+    many = replace(DEPLOYMENT, classes=tuple(replace(read, name=f"c{n}") for n in range(MAX_CLASSES)))
     with pytest.raises(SettingsError):
         merge(DEPLOYMENT, many)
 
--- a/tests/application/test_start.py
+++ b/tests/application/test_start.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sabledyke import invariants
-from sabledyke.application.extensions import Part
+from sabledyke.application.extensions import Extension
 from sabledyke.application.server import Server
 from sabledyke.config import Config
 from tests.helpers import BRISK
@@ -41,7 +41,7 @@
         await new.finish()
         setattr(rig.server, "leave", lambda: None)  # noqa: B010 - the rig's own end: already over
         setattr(rig.server, "finish", _over)  # noqa: B010
-        assert not invariants.broken
+        assert not invariants.violations
 
     play(scenario)
 
@@ -72,15 +72,15 @@
     """
 
     async def run() -> None:
-        found, part = Discovery(), Part()
+        found, part = Discovery(), Extension()
         await found.open()
         found.add("plain", 1, 0)
-        settings = replace(DEPLOYMENT, hosts=64)
+        settings = replace(DEPLOYMENT, scheduler_count=64)
         here = ("127.0.0.1", 1 if down else found.port)
         server = Server(
             Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, None, settings), None, SHORT_SHUTDOWN
         )
-        part.in_turn = in_turn
+        part.waits_for_budget = in_turn
         server.parts.append(part)
         ends = asyncio.create_task(server.run())
         while not server.listeners:
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -11,7 +11,8 @@
 
 from sabledyke import invariants
 from sabledyke.net import endpoint_watch
-from sabledyke.policy import interface as api
+from sabledyke.policy.actions import SetTimer
+from sabledyke.policy.nodes import EndpointList, ListKind
 from sabledyke.protocol import discovery
 from sabledyke.protocol.watch_timeout import ASKED, PUSHED, Silence
 from tests import helpers
@@ -67,9 +68,9 @@
         await until(lambda: len(seen) > 1)
         assert seen[1] is not None
 
-    play_watch(scenario, [DRAINS], asks_list=asks)
+    play_watch(scenario, [DRAINS], polls_endpoint_list=asks)
     assert "a fault of ours" in capfd.readouterr().err
-    invariants.broken.clear()
+    invariants.violations.clear()
 
 
 @pytest.mark.parametrize("asked_before", [False, True])
@@ -102,15 +103,17 @@
 @pytest.mark.parametrize("hosts", [3, 30, 200, 3200])
 def test_after_failed_calls_the_list_is_requested_before_a_drain_must_be_known(hosts: int) -> None:
     """Told 6 s after discovery can be reached, and 2 s of grace; a call takes up to 3 s, and 0.15 s go by."""
-    rig = helpers.Rig(asks_list=True, hosts=hosts)
+    rig = helpers.Rig(polls_endpoint_list=True, scheduler_count=hosts)
     for _ in range(60):
-        told = rig.do(api.NodeList(api.ListKind.FAILED, 0, ()))
-        (timer,) = helpers.of(told, api.SetTimer)
-        assert 0 < timer.delay <= 6000 + 2000 - 3000 - 150 - 350
-        rig.now += timer.delay
-    rig.scheduler.adopt(replace(rig.scheduler.s, mean_units=3))
-    (timer,) = helpers.of(rig.do(api.NodeList(api.ListKind.FAILED, 0, ())), api.SetTimer)
-    assert timer.delay <= rig.scheduler.discovery.first_call_spread  # new settings: the pauses begin anew
+        told = rig.do(EndpointList(ListKind.FAILED, 0, ()))
+        (timer,) = helpers.of(told, SetTimer)
+        assert 0 < timer.delay_ms <= 6000 + 2000 - 3000 - 150 - 350
+        rig.now += timer.delay_ms
+    rig.scheduler.apply_settings(replace(rig.scheduler.context.settings, mean_units=3))
+    (timer,) = helpers.of(rig.do(EndpointList(ListKind.FAILED, 0, ())), SetTimer)
+    assert (
+        timer.delay_ms <= rig.scheduler.discovery.first_call_spread_ms
+    )  # new settings: the pauses begin anew
 
 
 def test_a_silent_call_is_repeated_before_what_it_missed_counts_as_delivered() -> None:
@@ -171,7 +174,7 @@
         agent, seen = Discovery(), list[discovery.Listing | None]()
         await agent.open()
         agent.hosts, agent.script, agent.indent = [HOST], list(script), 2
-        settings = replace(DEPLOYMENT, asks_list=not pushed)
+        settings = replace(DEPLOYMENT, polls_endpoint_list=not pushed)
         watch = endpoint_watch.EndpointWatch(("127.0.0.1", agent.port), settings, None, seen.append)
         watch.start()
         async with asyncio.timeout(10):
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -8,9 +8,9 @@
 import pytest
 
 from sabledyke.application import lifecycle
-from sabledyke.core import Ended
+from sabledyke.core import AttemptResult
 from sabledyke.net import streams
-from sabledyke.policy import interface as api
+from sabledyke.policy.events import Outcome
 from sabledyke.protocol.http import MAX_INPUT
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
 from tests.support.request_steps import Line, Step, request, until
@@ -142,10 +142,10 @@
 @pytest.mark.parametrize("behind", [0, 1, 110])
 def test_a_client_that_goes_is_seen_also_behind_much_that_it_sent(behind: int) -> None:
     async def scenario(rig: Rig) -> None:
-        line, outcomes = await Line.open(rig), list[api.Outcome]()
+        line, outcomes = await Line.open(rig), list[Outcome]()
         report = rig.server.pool._report
 
-        def note(rid: int, number: int, ended: Ended) -> None:
+        def note(rid: int, number: int, ended: AttemptResult) -> None:
             outcomes.append(ended.outcome)
             report(rid, number, ended)
 
@@ -157,7 +157,7 @@
         line.close()
         asked = len(rig.http.seen)
         await until(lambda: outcomes)
-        assert outcomes == [api.Outcome.CANCELLED]  # and not by its time
+        assert outcomes == [Outcome.CANCELLED]  # and not by its time
         await until(lambda: line.client not in rig.server.fronts[0].clients)
         assert len(rig.http.seen) == asked and not rig.server.core.unanswered
 
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from sabledyke.core import Ended
-from sabledyke.policy import interface as api
+from sabledyke.core import AttemptResult
+from sabledyke.policy.events import Outcome
 from tests.standins import ask, http
 from tests.support.server_rig import GET, INFO, PUT, Rig, held_back, play
 
@@ -67,9 +67,9 @@
 def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async def scenario(rig: Rig) -> None:
         ended, outcomes = asyncio.Event(), []
-        tell = rig.server.core.ended
+        tell = rig.server.core.on_attempt_completed
 
-        def note(now: float, rid: int, number: int, end: Ended) -> None:
+        def note(now: float, rid: int, number: int, end: AttemptResult) -> None:
             outcomes.append(end.outcome)
             ended.set()
             tell(now, rid, number, end)
@@ -80,11 +80,11 @@
             return None
 
         rig.http.answer = wait
-        rig.server.core.ended = note  # type: ignore[method-assign]
+        rig.server.core.on_attempt_completed = note  # type: ignore[method-assign]
         _, client = await asyncio.open_connection("127.0.0.1", rig.port)
         client.write(GET.format(1, "i", INFO).replace("\n", "\r\n").encode())
         await ended.wait()
-        assert outcomes == [api.Outcome.CANCELLED] and not rig.server.core.unanswered
+        assert outcomes == [Outcome.CANCELLED] and not rig.server.core.unanswered
 
     play(scenario)
 
--- a/tests/shutdown/test_graceful_shutdown.py
+++ b/tests/shutdown/test_graceful_shutdown.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from sabledyke import invariants
-from sabledyke.core import Answer, Verdict
-from sabledyke.policy import interface as api
+from sabledyke.core import Answer, AnswerStatus
+from sabledyke.policy.settings import RepeatSafety
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase, ShutdownTimes
 from tests.helpers import FIXED, SETTINGS, WRITE, Rig
 from tests.test_core import Bench
@@ -62,42 +62,45 @@
 @pytest.mark.parametrize(
     "changes, sends, verdict",
     [
-        ({}, True, Verdict.REFUSED),  # may be repeated: coming again is harmless
-        ({"class_": 1, "write": True}, True, Verdict.FAILED),  # it may have run
-        ({"class_": 1, "write": True}, False, Verdict.REFUSED),  # never sent
+        ({}, True, AnswerStatus.REJECTED),  # may be repeated: coming again is harmless
+        ({"class_index": 1, "write": True}, True, AnswerStatus.FAILED),  # it may have run
+        ({"class_index": 1, "write": True}, False, AnswerStatus.REJECTED),  # never sent
     ],
 )
 def test_at_the_end_every_unanswered_request_gets_an_answer(
-    changes: dict[str, object], sends: bool, verdict: Verdict
+    changes: dict[str, object], sends: bool, verdict: AnswerStatus
 ) -> None:
     bench = Bench(None if sends else lambda now, events: [])  # a module that keeps silent
-    once = replace(WRITE, repeat=api.Repeat.AT_MOST_ONCE)
+    once = replace(WRITE, repeat_safety=RepeatSafety.AT_MOST_ONCE)
     bench.core.settings = replace(SETTINGS, classes=(SETTINGS.classes[0], once))
     rid = bench.ask(**changes)
     assert bool(bench.started) is sends
-    bench.core.scheduler.handle = lambda now, events: []  # type: ignore[method-assign]
-    bench.core.end_by(bench.now + 100, bench.now + 1e6)
+    bench.core.scheduler.handle = lambda now_ms, events: []  # type: ignore[method-assign]
+    bench.core.shut_down_by(bench.now + 100, bench.now + 1e6)
     bench.wait(99)
     assert not bench.answers
     bench.wait(1)
-    assert bench.answers == [Answer(verdict, retry_after=SETTINGS.max_retry_after)]
-    bench.ask(ident="late")  # what still comes is answered within a look
+    assert bench.answers == [Answer(verdict, retry_after_ms=SETTINGS.max_retry_after_ms)]
+    bench.ask(client_request_id="late")  # what still comes is answered within a look
     bench.wait(10)
-    assert [a.verdict for a in bench.answers[1:]] == [Verdict.REFUSED] and not bench.core.unanswered
-    assert not invariants.broken and (not sends or bench.core._open[rid].out)
+    assert [a.status for a in bench.answers[1:]] == [AnswerStatus.REJECTED] and not bench.core.unanswered
+    assert not invariants.violations and (not sends or bench.core._open[rid].out)
 
 
 def test_requests_that_cannot_finish_are_rejected_at_once_and_not_started() -> None:
-    rig = Rig(hosts=1)
+    rig = Rig(scheduler_count=1)
     for _ in range(20):  # an answer takes 100 ms
         rig.end(rig.ask(), took=100)
         rig.wait(100)
     held = [rig.ask() for _ in range(40)]
-    rig.scheduler.end_by(rig.now + 150)
+    rig.scheduler.shut_down_by(rig.now + 150)
     rig.wait(20)
     early = [r for r in held if rig.answers(r)]
     rig.wait(90)
     late = rig.ask()
     rig.wait(20)
     assert early and not rig.sends(late) and rig.answers(late)
-    assert all(job.soon <= rig.scheduler.until for job in rig.scheduler.jobs.values())
+    assert all(
+        job.full_value_until_ms <= rig.scheduler.context.shutdown_at_ms
+        for job in rig.scheduler.requests.requests.values()
+    )
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -92,11 +92,11 @@
         assert table is not None and table.record is not None
         return table.record
 
-    def extras(self) -> operator_config.Operator:
+    def extras(self) -> operator_config.OperatorConfig:
         """The operator's file."""
         words = {"SABLEDYKE_STORE_PASSWORD": "secret"}
         store = section.read(tomllib.loads(self.text)["store"], words)
-        return operator_config.Operator(store=store)
+        return operator_config.OperatorConfig(store=store)
 
     def listing(self) -> Any:
         """The list of boxes."""
@@ -182,7 +182,7 @@
 async def rig(tmp_path: Path, backend: str, extra: str = "") -> AsyncIterator[StoreRig]:
     """A deployment whose first server lives; at the end no invariant is broken and the journal holds."""
     made = StoreRig(tmp_path, backend, extra)
-    invariants.broken.clear()
+    invariants.violations.clear()
     log._limiter = log.Limiter()  # lines of other tests do not count
     async with asyncio.timeout(30):
         for service in (*made.boxes, made.discovery):
@@ -200,4 +200,4 @@
                 box.die()
             made.discovery.die()
             await made.postgres.end()
-    assert not invariants.broken
+    assert not invariants.violations
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -9,21 +9,27 @@
 from sabledyke import invariants, operator_config
 from sabledyke.application.server import Server
 from sabledyke.config import Config
-from sabledyke.policy import interface as api
+from sabledyke.policy.settings import DeduplicationScope, RepeatSafety
 from sabledyke.protocol import discovery
 from tests.helpers import BRISK, HELD, READ, SETTINGS, WRITE
 from tests.standins import NQN, Discovery, HttpBox, NvmeBox, NvmeHost, http
 
-KEYED = replace(WRITE, aim=900, repeat=api.Repeat.DEDUPLICATED, group=api.Group.CELL, repeat_window=1500)
+KEYED = replace(
+    WRITE,
+    latency_objective_ms=900,
+    repeat_safety=RepeatSafety.DEDUPLICATED,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window_ms=1500,
+)
 
 
 DEPLOYMENT = replace(
     SETTINGS,
-    classes=(replace(READ, aim=900), KEYED),
+    classes=(replace(READ, latency_objective_ms=900), KEYED),
     plans=(replace(HELD, name="gold"), HELD),
-    asks_list=True,
-    hosts=1,
-    kinds=("m",),
+    polls_endpoint_list=True,
+    scheduler_count=1,
+    node_kinds=("m",),
 )
 
 
@@ -95,7 +101,7 @@
         await self.server.finish()
         for service in (self.http, self.nvme, self.discovery):
             service.die()
-        assert not invariants.broken
+        assert not invariants.violations
 
 
 def play(scenario: Callable[[Rig], Awaitable[None]], store: str = "", console: bool = False) -> None:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -18,12 +18,12 @@
 from sabledyke.lease import extension, leader_tasks, section
 from sabledyke.lease.etcd_authority import EtcdAuthority
 from sabledyke.lease.fencing import Fence
-from sabledyke.lease.manager import Keeper, Lost
+from sabledyke.lease.manager import Keeper, LeaseLostError
 from sabledyke.lease.sql_authority import TableAuthority
 from sabledyke.lease.types import (
     Ask,
     Authority,
-    AuthorityFault,
+    AuthorityError,
     Granted,
     Look,
     Release,
@@ -34,7 +34,7 @@
     Take,
     Times,
 )
-from sabledyke.operator_config import Operator
+from sabledyke.operator_config import OperatorConfig
 from sabledyke.protocol.discovery import ListError
 from sabledyke.store import maintenance, startup
 from sabledyke.store.connect import connect
@@ -148,7 +148,7 @@
         self.asked.append(ask)
         reply = self.replies.pop(0) if self.replies else None
         if reply is None:
-            raise AuthorityFault("scripted")
+            raise AuthorityError("scripted")
         return reply
 
 
@@ -163,13 +163,13 @@
             await asyncio.sleep(0)
         now[0] += 5000  # it stands still before the answer reaches it
         while len(script.asked) < 4:
-            with pytest.raises(Lost):
+            with pytest.raises(LeaseLostError):
                 keeper.token()
             await asyncio.sleep(0)
         await keeper.held.wait()
         assert keeper.token() == 7 and keeper.state.until <= now[0] + TIMES.acts
         now[0] += TIMES.acts
-        with pytest.raises(Lost):
+        with pytest.raises(LeaseLostError):
             keeper.token()
         await keeper.stop()
         await task
@@ -209,7 +209,7 @@
         act = leader_tasks.act_of(backup, record)
         for token in (4, 5, 7):
             await act(Held(token))  # type: ignore[arg-type]
-        with pytest.raises(leader_tasks.Refused):
+        with pytest.raises(leader_tasks.FencedError):
             await act(Held(6))  # type: ignore[arg-type]
         names = sorted(f.name.split(".")[1] for f in folder.iterdir())
         assert names == ["5", "7"]  # the newest two, and nothing half done
@@ -285,9 +285,9 @@
 
 
 def test_new_times_and_duties_take_no_restart_and_another_authority_does(tmp_path: Path) -> None:
-    def told(path: str, **more: Any) -> Operator:
+    def told(path: str, **more: Any) -> OperatorConfig:
         text = {"path": str(tmp_path / path), "ttl_ms": 500, "renew_ms": 50, "margin_ms": 50, "duty": [CALL]}
-        return Operator(lease=section.read(text | more, None))
+        return OperatorConfig(lease=section.read(text | more, None))
 
     async def run() -> None:
         first, second = told("l"), told("l", ttl_ms=800, duty=[CALL, CALL | {"name": "e"}])
@@ -297,9 +297,9 @@
         await made._keepers[0].held.wait()
         before = made._keepers[0].token()
         with pytest.raises(ConfigError, match="takes a restart"):
-            made.check(told("other"))
-        made.check(second)
-        made.retold(second)
+            made.check_operator_config(told("other"))
+        made.check_operator_config(second)
+        made.apply_operator_config(second)
         while len(made._keepers) != 2 or not all(keeper.held.is_set() for keeper in made._keepers):
             await asyncio.sleep(0.01)
         assert [k.times.ttl for k in made._keepers] == [800, 800] and made._keepers[0].token() > before
