--- /dev/null
+++ b/sabledyke/application/reload.py
@@ -0,0 +1,114 @@
+"""Takes on a new configuration while the server runs, as SIGHUP asks for: all of it, or none."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from sabledyke import log
+from sabledyke.application.assembly import Assembly
+from sabledyke.config import Config, ConfigError
+from sabledyke.net.listener import Listener
+from sabledyke.policy.settings import Settings
+from sabledyke.settings import SettingsError, merge
+
+if TYPE_CHECKING:
+    from sabledyke.operator_config import OperatorConfig
+
+ReadConfig = Callable[[Config], Config]
+ReadOperator = Callable[[Settings], "OperatorConfig | None"]
+
+
+class Reloader:
+    """Reads the configuration again and puts it in force; accepted requests and learnt state stay."""
+
+    def __init__(
+        self,
+        assembly: Assembly,
+        listeners: list[Listener],
+        read_config: ReadConfig,
+        read_operator: ReadOperator | None,
+    ) -> None:
+        self._assembly = assembly
+        self._listeners = listeners  # shared with the life cycle; the first one is HTTP's
+        self._read_config = read_config
+        self._read_operator = read_operator
+
+    def reload(self) -> str:
+        """Take on a new configuration, or none of it.
+
+        Guards against ending on SIGHUP with all that was accepted, and against half a configuration.
+
+        Returns:
+            Why the new configuration is not used; an empty string where it is in force.
+        """
+        metrics = self._assembly.core.metrics
+        try:
+            config = self._read_merged_config()
+            operator = self._read_checked_operator(config)
+            self._move_listener(config)
+        except (ConfigError, SettingsError, OSError) as error:
+            metrics.count_reload(False)
+            log.emit("reload", f"the new configuration is not used: {error}")
+            return str(error)
+        metrics.count_reload(True)
+        self._apply(config, operator)
+        where = f"discovery at {config.discovery[0]}:{config.discovery[1]}"
+        log.emit("reload", f"the new configuration is in force; {where}, {config.sockets} descriptors")
+        return ""
+
+    def _read_merged_config(self) -> Config:
+        current = self._assembly.config
+        config = self._read_config(current)
+        _require_same_names(current.settings, config.settings)
+        return replace(config, settings=merge(current.settings, config.settings))
+
+    def _read_checked_operator(self, config: Config) -> OperatorConfig | None:
+        if self._read_operator is None:
+            return None
+        operator = self._read_operator(config.settings)
+        if operator is not None:
+            for part in self._assembly.parts:
+                part.check_operator_config(operator)
+        return operator
+
+    def _move_listener(self, config: Config) -> None:
+        """Listen for HTTP clients at the new address, where it differs and listeners are open."""
+        if config.listen == self._assembly.config.listen or not self._listeners:
+            return
+        listener = Listener(config.listen, self._assembly.fronts[0].accept)
+        self._listeners[0].close()
+        self._listeners[0] = listener
+
+    def _apply(self, config: Config, operator: OperatorConfig | None) -> None:
+        assembly = self._assembly
+        settings = config.settings
+        assembly.config = config
+        assembly.core.apply_settings(settings)
+        assembly.reader.adopt(settings)
+        assembly.http_dialer.settings = settings
+        assembly.pool.settings = settings
+        for part in assembly.parts:
+            part.apply_config(config)
+            if operator is not None:
+                part.apply_operator_config(operator)
+        assembly.apply_limits()
+        assembly.watch.adopt(config.discovery, settings)
+
+
+def _require_same_names(old: Settings, new: Settings) -> None:
+    """Raise a ConfigError where names differ by which open requests and learnt state are counted."""
+    new_names = _fixed_names(new)
+    for section, names in _fixed_names(old).items():
+        if names != new_names[section]:
+            raise ConfigError(f"the names of its {section} differ, which takes a restart")
+
+
+def _fixed_names(settings: Settings) -> dict[str, list[str]]:
+    """Return the names that stay for the life of a process, by their section of the file."""
+    return {
+        "plans": [plan.name for plan in settings.plans],
+        "zones": list(settings.zones),
+        "kinds": list(settings.node_kinds),
+    }
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -1,4 +1,4 @@
-"""NVMe over TCP as an optional part: the front for its hosts, and the links to boxes that speak it."""
+"""NVMe over TCP as an extension: the front end for its hosts, and the links to nodes that speak it."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from sabledyke.application.extensions import Extension, ServerContext
 from sabledyke.net.connection_pool import Dial
-from sabledyke.net.frontend import Front
-from sabledyke.net.nvme_frontend import NvmeClient
+from sabledyke.net.frontend import Frontend
+from sabledyke.net.nvme_frontend import NvmeClientConnection
 from sabledyke.net.nvme_link import NvmeDialer
 from sabledyke.policy.nodes import NodeId
 from sabledyke.protocol.blocks import Translator
@@ -18,45 +18,54 @@
     from sabledyke.operator_config import OperatorConfig
 
 
-class NvmePart(Extension):
-    """See ``parts.Part``."""
+class NvmeExtension(Extension):
+    """Serves hosts and reaches storage nodes over NVMe; see ``application.extensions.Extension``.
+
+    Args:
+        host: What the server offers to its extensions.
+        section: The operator's file.
+    """
 
     def __init__(self, host: ServerContext, section: OperatorConfig) -> None:
         settings = host.config.settings
-        self._section, self._boxes = section, dict(section.boxes)
-        translator = self._translator = Translator(settings, section.nqn, section.volumes)
+        self._section = section
+        self._nqn_by_node = dict(section.boxes)
+        translator = Translator(settings, section.nqn, section.volumes)
+        self._translator = translator
         self.dialer = NvmeDialer(
-            settings, translator, self._boxes, section.host_nqn, host.connect, host.slack
+            settings, translator, self._nqn_by_node, section.host_nqn, host.connect, host.slack
         )
-        self._front = Front(
+        self._frontend = Frontend(
             "NVMe",
             section.connections,
-            lambda front, stream: NvmeClient(front, stream, translator, host.submit, host.depart),
+            lambda frontend, stream: NvmeClientConnection(
+                frontend, stream, translator, host.submit, host.depart
+            ),
             host.room,
         )
 
     def dialers(self) -> dict[NodeId, Dial]:
-        """See ``parts.Part``."""
-        return dict.fromkeys(self._boxes, self.dialer.dial)
+        """See ``application.extensions.Extension``."""
+        return dict.fromkeys(self._nqn_by_node, self.dialer.dial)
 
-    def frontends(self) -> Sequence[tuple[Front, tuple[str, int]]]:
-        """See ``parts.Part``."""
-        return [(self._front, self._section.listen)] if self._section.listen else []
+    def frontends(self) -> Sequence[tuple[Frontend, tuple[str, int]]]:
+        """See ``application.extensions.Extension``."""
+        return [(self._frontend, self._section.listen)] if self._section.listen else []
 
     def apply_config(self, config: Config) -> None:
-        """See ``parts.Part``."""
+        """See ``application.extensions.Extension``."""
         self.dialer.settings = self._translator.settings = config.settings
 
     def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
-        """See ``parts.Part``."""
+        """See ``application.extensions.Extension``."""
         for node in gone:
             self.dialer.forget(node)
 
     async def close(self) -> None:
-        """See ``parts.Part``."""
+        """See ``application.extensions.Extension``."""
         self.dialer.close()
 
 
 def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
-    """The part, where the operator's file asks for it."""
-    return NvmePart(host, section) if section.listen or section.boxes else None
+    """Return the extension, where the operator's file asks for it."""
+    return NvmeExtension(host, section) if section.listen or section.boxes else None
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -16,7 +16,7 @@
 from sabledyke.application.extensions import Done, Submit
 from sabledyke.core import ANSWER_GUARD_MS, Answer, AnswerStatus, AttemptResult, ClientRequest, Transport
 from sabledyke.net import clock
-from sabledyke.net.connection_pool import Report
+from sabledyke.net.connection_pool import ReportAttempt
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeEntry, NodeId, NodeState, node_name
 from sabledyke.policy.settings import Settings
@@ -110,11 +110,9 @@
         settings: Settings,
         entry: Callable[[NodeId], NodeEntry],
     ) -> None:
-        self.intents = intents
-        self.settings = settings
-        self.writer = BatchWriter(intents, opener, self._carry_out)
-        self.drift = DriftDetector()
-        self.report: Report
+        self.keeper, self.settings = keeper, settings
+        self._opener, self._entry = opener, entry
+        self.report: ReportAttempt
         self.inner: Transport
         self._entry = entry
         self._loop = asyncio.get_running_loop()
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -47,12 +47,12 @@
         self._retention_ms = retention_ms
         self._session: Session | None = None
 
-    def rest(self, heard: Callable[[], None]) -> None:
-        """See ``connection_pool.Link``: a session is checked when it is acquired."""
+    def enter_idle(self, heard: Callable[[], None]) -> None:
+        """See ``pool.Link``: a session is looked at when it is taken."""
 
-    def wake(self) -> bool:
-        """See ``connection_pool.Link``."""
-        return not self._pool.closed
+    def leave_idle(self) -> bool:
+        """See ``pool.Link``."""
+        return not self._box.left
 
     def close(self) -> None:
         """See ``connection_pool.Link``."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,7 +13,7 @@
 from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeState
 from sabledyke.policy.scheduler import Scheduler
 from sabledyke.policy.settings import DeduplicationScope, Plan, RepeatSafety, RequestClass, Settings
-from sabledyke.shutdown.graceful_shutdown import Times
+from sabledyke.shutdown.graceful_shutdown import ShutdownTimes
 
 READ = RequestClass(
     "read",
@@ -63,7 +63,15 @@
     report_fields=(),
 )
 T = TypeVar("T")
-BRISK = Times(linger=0.1, longest=0.6, grace=0.4, margin=0.1, last=0.1, parting=0.2, haste=0.2)  # 0.9 s
+BRISK = ShutdownTimes(
+    listener_open_s=0.1,
+    max_deadline_s=0.6,
+    kill_grace_s=0.4,
+    kill_margin_s=0.1,
+    final_answers_s=0.1,
+    draining_s=0.2,
+    hastened_s=0.2,
+)  # 0.9 s
 
 
 def node(
--- a/tests/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -1,4 +1,4 @@
-"""What an attempt is checked for in the turn that writes it: client, node, time left, window of its key."""
+"""What is checked when an attempt is written: client, node, time left, window of its key."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 from sabledyke.policy.nodes import NodeId
 from sabledyke.protocol import discovery
 from tests import helpers
-from tests.crossings import Line, request, until
+from tests.support.endpoint_lists import DRAINS, GONE, HOST, change
+from tests.support.request_steps import Line, request, until
+from tests.support.server_rig import DEPLOYMENT, KEYED, Rig, play
 from tests.test_core import Bench
-from tests.test_net import DEPLOYMENT, DRAINS, GONE, HOST, KEYED, Rig, change, play
 
 Act = Callable[[Rig, Line], None]
 
@@ -28,10 +29,10 @@
     """A dialer whose connections come up when the test lets them."""
 
     def __init__(self, rig: Rig) -> None:
-        self._dial = rig.server._http.dial
+        self._dial = rig.server.assembly.http_dialer.dial
         self.asked, self.go = asyncio.Event(), asyncio.Event()
         rig.server.pool.close_idle(b"plain")
-        rig.server._dialers[b"plain"] = self
+        rig.server.assembly.dialers[b"plain"] = self
 
     async def __call__(self, node: NodeId, address: Address, patience: float) -> Any:
         link = await self._dial(node, address, patience)
@@ -46,16 +47,18 @@
 
 def drains(rig: Rig, line: Line) -> None:
     rig.server.core.settings = replace(rig.server.core.settings, drain_grace_ms=0.0)
-    rig.server._listed(discovery.read(DRAINS | {"hosts": [HOST | {"health": "draining"}]}, DEPLOYMENT))
+    rig.server.assembly.on_endpoint_list(
+        discovery.read(DRAINS | {"hosts": [HOST | {"health": "draining"}]}, DEPLOYMENT)
+    )
 
 
 def is_gone(rig: Rig, line: Line) -> None:
     rig.server.core.settings = replace(rig.server.core.settings, drain_grace_ms=0.0)
-    rig.server._listed(discovery.read(GONE, DEPLOYMENT))
+    rig.server.assembly.on_endpoint_list(discovery.read(GONE, DEPLOYMENT))
 
 
 def starts_anew(rig: Rig, line: Line) -> None:
-    rig.server._listed(discovery.read(change(HOST, 2, born_ms=5.0), DEPLOYMENT))
+    rig.server.assembly.on_endpoint_list(discovery.read(change(HOST, 2, born_ms=5.0), DEPLOYMENT))
 
 
 def has_no_time(rig: Rig, line: Line) -> None:
@@ -65,7 +68,7 @@
 
 def is_late(rig: Rig, line: Line) -> None:
     for flight in rig.server.pool._attempts.values():
-        flight.until -= 0.5
+        flight.expires_at_s -= 0.5
 
 
 @pytest.mark.parametrize(
@@ -82,7 +85,7 @@
 def test_an_attempt_is_looked_at_again_in_the_turn_that_writes_it(meanwhile: Act, goes: bool) -> None:
     """A connection to a storage node comes up late: what was decided then may not hold any more."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
         dial, ends = LateDial(rig), list[AttemptResult]()
         rig.server.core.metrics.count_attempt = lambda *_: None  # type: ignore[method-assign]
@@ -108,7 +111,7 @@
         rig.server.core.settings = DEPLOYMENT
         line.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_written() -> None:
@@ -144,7 +147,7 @@
 def test_a_request_with_hardly_any_time_left_is_refused_unsent() -> None:
     """A storage node may drop what comes so late without a word; nothing of it has run."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         attempts, ended = list[int](), rig.server.core.on_attempt_completed
 
         def note(now: float, rid: int, number: int, end: AttemptResult) -> None:
@@ -165,4 +168,4 @@
             line.close()
         assert not invariants.violations
 
-    play(story)
+    play(scenario)
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -22,8 +22,7 @@
 from tests.helpers import BRISK
 from tests.standins import Discovery, Service, ask, http, read_http
 from tests.standins.postgres import Postgres
-from tests.standins.postgres_faults import no_fault
-from tests.test_net import DEPLOYMENT, GET, PUT
+from tests.support.server_rig import DEPLOYMENT, GET, PUT
 
 RECOVERY_TIMEOUT_S = 5  # within which a store that is back is found
 BACKENDS = ("sqlite", "postgresql")
@@ -128,17 +127,20 @@
         """The server stops where it stands: nothing is answered, written or closed in good order."""
         while self.server.listeners:
             self.server.listeners.pop().close()
-        self.server._turn = lambda: None  # type: ignore[method-assign]  # a dead process's guards do not fire
-        writer = self.recording_transport.writer
-        writer.stop()
-        if self.server._timer is not None:
-            self.server._timer.cancel()
-        if writer.session is not None:
-            writer.session.abort()
+        self.server.assembly.driver.run_batch = lambda: None  # type: ignore[method-assign]  # a dead process's guards do not fire
+        recorder = self.recorder
+        recorder._ending = True
+        if recorder._pump is not None:
+            recorder._pump.cancel()
+        for timer in (recorder._gathering, recorder._ticking, self.server.assembly.driver._timer):
+            if timer is not None:
+                timer.cancel()
+        if recorder._session is not None:
+            recorder._session.abort()
         for front in self.server.fronts:
             front.closing = True
             for client in list(front.clients):
-                client.departed = lambda: None  # type: ignore[method-assign]
+                client.on_client_gone = lambda: None  # type: ignore[method-assign]
                 client.close()
         self.server.watch.watch(False)
         for attempt in list(self.server.pool._attempts.values()):
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -22,7 +22,7 @@
 from tests.standins import Discovery, NvmeBox, NvmeHost, Service, http, read_http
 from tests.standins.keys import Authority
 from tests.standins.tls import Between, Saying, TlsBox, server_context
-from tests.test_net import DEPLOYMENT, GET, INFO, NVME, PUT, VOLUME
+from tests.support.server_rig import DEPLOYMENT, GET, INFO, NVME, PUT, VOLUME
 
 ROOT, OTHER = Authority(), Authority("other")
 CHAIN, KEY = ROOT.issue("plain")
@@ -74,7 +74,7 @@
         self.box.die()
         self.discovery.die()
         assert not invariants.violations
-        assert not self.server.pool._count  # no descriptor is lost
+        assert not self.server.pool._open_count  # no descriptor is lost
 
     @property
     def part(self) -> TlsPart:
@@ -268,7 +268,7 @@
         born = int(time.time() * 1000)
         await box.renew(server_context(*ROOT.issue("plain")), reset=True)
         rig.discovery.hosts[0]["born_ms"] = born
-        rig.server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
         until = time.monotonic() + 5
         while await rig.ask() != 200:
             assert time.monotonic() < until
@@ -350,7 +350,7 @@
 def test_handshakes_that_do_not_end_push_no_client_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("sabledyke.net.frontend.GATE", 8)
+    monkeypatch.setattr("sabledyke.net.frontend.MAX_PENDING_HANDSHAKES", 8)
     monkeypatch.setattr("sabledyke.tls.extension.CLIENT_MS", 300.0)
     box = TlsBox(GOOD)
 
@@ -362,12 +362,12 @@
         inside[1].write(text)
         assert (await read_http(inside[0]))[0].split()[1] == "200"
         crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(30)]
-        while len(rig.server.fronts[0]._at_the_gate) < 8:
+        while len(rig.server.fronts[0]._pending_handshakes) < 8:
             await asyncio.sleep(0.005)
         assert len(rig.server.fronts[0].clients) == 1
         inside[1].write(text.replace(b"Req-Id: in", b"Req-Id: again"))
         assert (await read_http(inside[0]))[0].split()[1] == "200"
-        while rig.server.fronts[0]._at_the_gate:  # each is given up in time
+        while rig.server.fronts[0]._pending_handshakes:  # each is given up in time
             await asyncio.sleep(0.01)
         for _, writer in crowd:
             writer.close()
@@ -449,9 +449,9 @@
         assert await rig.ask() == 200  # its handshake was nobody's wait
         assert rig.part.connector.full + rig.part.connector.resumed == handshakes == 2
         rig.discovery.hosts.pop()
-        rig.server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
         await asyncio.sleep(0.15)
-        assert not rig.server.pool._count and not rig.part._used  # none to a box that is gone
+        assert not rig.server.pool._open_count and not rig.part._used  # none to a box that is gone
 
     play(tmp_path, box, story)
 
