--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -11,7 +11,7 @@
 from sabledyke.net.nvme_frontend import NvmeClient
 from sabledyke.net.nvme_link import NvmeDialer
 from sabledyke.policy import interface as api
-from sabledyke.protocol.blocks import Translator
+from sabledyke.protocol.nvme.blocks import Translator
 
 if TYPE_CHECKING:
     from sabledyke.config import Config
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -10,8 +10,8 @@
 from sabledyke.core import Answer, Verdict
 from sabledyke.net import streams
 from sabledyke.net.frontend import ASKING, Client, Front, Submit
-from sabledyke.protocol.blocks import Translator
 from sabledyke.protocol.nvme import Command, Completion, NvmeError, Status, Target
+from sabledyke.protocol.nvme.blocks import Translator
 
 
 class NvmeClient(Client):
@@ -46,11 +46,11 @@
         """See ``Client``; a queue that rests is bounded by its keep-alive time."""
         if self._flushing:
             return self._front.reading
-        return ASKING if self.fresh or self.target.halfway else inf
+        return ASKING if self.fresh or self.target.has_partial_input else inf
 
     def departed(self) -> None:
         """See ``Client``; a controller ends with its admin queue, and takes its other queues along."""
-        controller, queue = self.target.controller, self.target.queue
+        controller, queue = self.target.controller, self.target.queue_id
         self.target.close()
         rids, self._rids = list(self._rids.values()), {}
         for rid in rids:
@@ -68,11 +68,11 @@
             while True:
                 data = await self.receive()
                 self._front.touch(self)
-                frames = self.target.frames
+                frames = self.target.pdus_received
                 for command, payload in self.target.feed(data):
                     self._take(command, payload)
                 self._watch()
-                if not self.fresh and self.target.frames != frames:
+                if not self.fresh and self.target.pdus_received != frames:
                     self.since = asyncio.get_running_loop().time()
                 self.fresh = self.fresh and self.target.controller is None
                 await self._flush()  # a host that reads nothing is not read from
@@ -86,26 +86,26 @@
 
     def _take(self, command: Command, payload: bytes) -> None:
         def done(answer: Answer) -> None:
-            if self._rids.pop(command.cid, None) is not None and not self.stream.closed():
-                self.target.complete(*self._translator.completion(command, answer))
+            if self._rids.pop(command.command_id, None) is not None and not self.stream.closed():
+                self.target.complete(*self._translator.to_completion(command, answer))
                 asyncio.get_running_loop().create_task(self._flush_late())
 
         if self._front.over:  # guards against a host that never pauses holding up the end
-            self.target.complete(*self._translator.completion(command, Answer(Verdict.REFUSED)))
+            self.target.complete(*self._translator.to_completion(command, Answer(Verdict.REFUSED)))
             return
-        work = self._translator.work(command, payload)
+        work = self._translator.to_work(command, payload)
         if not streams.permits(self.stream, work.volume):
-            self.target.complete(Completion(command.cid, Status.ACCESS_DENIED, dnr=True), b"")
+            self.target.complete(Completion(command.command_id, Status.ACCESS_DENIED, do_not_retry=True), b"")
             return
         work.present = lambda: not streams.departed(self.stream)
-        self._rids[command.cid] = self._submit(work, done)
+        self._rids[command.command_id] = self._submit(work, done)
 
     def _watch(self) -> None:
         """Close once the host has sent nothing for the time it gave at its connect."""
         if self._expiry is not None:
             self._expiry.cancel()
-        if self.target.keep_alive:
-            after = self.target.keep_alive / 1000
+        if self.target.keep_alive_ms:
+            after = self.target.keep_alive_ms / 1000
             self._expiry = asyncio.get_running_loop().call_later(after, self._silent)
 
     def _silent(self) -> None:
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -12,21 +12,22 @@
 from sabledyke.net.connection_pool import Address, BadPeer, Connect, plain
 from sabledyke.policy import interface as api
 from sabledyke.policy.interface import Outcome
-from sabledyke.protocol.blocks import NotHere, Translator
 from sabledyke.protocol.nvme import (
-    DYNAMIC,
-    MAX_QUEUES,
-    Admin,
+    DYNAMIC_CONTROLLER_ID,
+    MAX_IO_QUEUES,
+    AdminOpcode,
     Command,
     Completion,
+    HostIdentity,
     Initiator,
     NvmeError,
-    Prop,
+    Property,
     Status,
-    connect,
-    property_get,
-    property_set,
+    connect_command,
+    property_get_command,
+    property_set_command,
 )
+from sabledyke.protocol.nvme.blocks import NoPlaceError, Translator
 
 KEEP_ALIVE = 15000  # ms without a command after which a box may end the association
 ENABLE = 1 | 6 << 16 | 4 << 20  # CC: enabled, entries of 64 and 16 bytes
@@ -45,7 +46,7 @@
         """One command; a StreamClosedError or BadPeer where it breaks."""
         self.written = None
         try:
-            self.machine.submit(command, payload, inside=inside)
+            self.machine.submit(command, payload, in_capsule=inside)
             while True:
                 if self.machine.output:
                     data, self.machine.output = bytes(self.machine.output), bytearray()
@@ -85,21 +86,21 @@
         if self._work is None or written is None:
             return False
         if self._work.write:
-            return self._channel.machine.data_out
+            return self._channel.machine.write_data_sent
         return written.done() and written.exception() is None
 
     async def exchange(self, work: Work, timeout: float) -> Ended:
         """See ``pool.Link``; the time-out is the pool's, NVMe states none."""
         self.reusable, self._work, self._channel.written = False, work, None
         try:
-            command, payload = self._translator.to_box(work)
-        except NotHere as fault:
+            command, payload = self._translator.to_node_command(work)
+        except NoPlaceError as fault:
             log.say("box", str(fault))
             self.reusable = True
             return Ended(Outcome.ERROR, False)
         done, data = await self._channel.run(command, payload)
-        self.reusable = not self._channel.machine.surplus
-        return self._translator.from_box(work, done, data)
+        self.reusable = not self._channel.machine.has_surplus_input
+        return self._translator.from_node_completion(work, done, data)
 
 
 Open = Callable[[Address, float], Awaitable[streams.Stream]]  # within so many milliseconds
@@ -108,7 +109,7 @@
 class _Association:
     """The admin queue of a box, and the numbers of its I/O queues."""
 
-    def __init__(self, address: Address, nqn: str, host: tuple[bytes, str], connect: Open) -> None:
+    def __init__(self, address: Address, nqn: str, host: HostIdentity, connect: Open) -> None:
         self.address, self._nqn, self._host, self._connect = address, nqn, host, connect
         self._admin: _Channel | None = None
         self._cntlid = 0
@@ -128,7 +129,7 @@
             channel = _Channel(await self._connect(self.address, timeout))
             self._queues[number] = channel.stream
         try:
-            await channel.must(*connect(self._nqn, number, self._cntlid, self._host, 0))
+            await channel.must(*connect_command(self._nqn, number, self._cntlid, self._host, 0))
         except BaseException:
             streams.abort(channel.stream)
             raise
@@ -145,17 +146,22 @@
     async def _associate(self, timeout: float) -> None:
         admin = _Channel(await self._connect(self.address, timeout))
         try:
-            self._cntlid = await admin.must(*connect(self._nqn, 0, DYNAMIC, self._host, KEEP_ALIVE)) & 0xFFFF
-            await admin.must(property_get(Prop.CAP))
-            await admin.must(property_set(Prop.CC, ENABLE))
-            while not await admin.must(property_get(Prop.CSTS)) & 1:
+            self._cntlid = (
+                await admin.must(
+                    *connect_command(self._nqn, 0, DYNAMIC_CONTROLLER_ID, self._host, KEEP_ALIVE)
+                )
+                & 0xFFFF
+            )
+            await admin.must(property_get_command(Property.CAP))
+            await admin.must(property_set_command(Property.CC, ENABLE))
+            while not await admin.must(property_get_command(Property.CSTS)) & 1:
                 await asyncio.sleep(0.01)
-            wanted = (MAX_QUEUES - 1) * 0x10001
-            granted = await admin.must(Command(Admin.SET_FEATURES, 0, cdw10=(7, wanted, 0, 0, 0, 0)))
+            wanted = (MAX_IO_QUEUES - 1) * 0x10001
+            granted = await admin.must(Command(AdminOpcode.SET_FEATURES, 0, dwords=(7, wanted, 0, 0, 0, 0)))
         except BaseException:
             streams.abort(admin.stream)
             raise
-        self._most = min(granted & 0xFFFF, granted >> 16, MAX_QUEUES - 1) + 1
+        self._most = min(granted & 0xFFFF, granted >> 16, MAX_IO_QUEUES - 1) + 1
         self._queues, self._admin = {}, admin
         if self._keeping is not None:
             self._keeping.cancel()
@@ -169,7 +175,7 @@
                 if self.left and all(stream.closed() for stream in self._queues.values()):
                     return streams.abort(admin.stream)
                 async with asyncio.timeout(KEEP_ALIVE / 3000):
-                    await admin.must(Command(Admin.KEEP_ALIVE, 0))
+                    await admin.must(Command(AdminOpcode.KEEP_ALIVE, 0))
         except (streams.StreamClosedError, BadPeer, OSError):
             streams.abort(admin.stream)
 
@@ -195,7 +201,7 @@
     ) -> None:
         self._connect, self._slack = connect, slack  # ms that the way may take beyond a connection
         self.settings, self._translator, self._boxes = settings, translator, boxes
-        self._host = uuid.uuid4().bytes, host_nqn
+        self._host = HostIdentity(uuid.uuid4().bytes, host_nqn)
         self._associations: dict[api.NodeId, _Association] = {}
 
     async def dial(self, node: api.NodeId, address: Address, patience: float) -> NvmeLink:
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -10,9 +10,9 @@
 
 from sabledyke.errors import OperatorError
 from sabledyke.policy import interface as api
-from sabledyke.protocol.blocks import MAX_DATA, Volume
 from sabledyke.protocol.discovery import address
-from sabledyke.protocol.nvme import BLOCK
+from sabledyke.protocol.nvme import BLOCK_BYTES, MAX_DATA_BYTES
+from sabledyke.protocol.nvme.blocks import NvmeVolume
 from sabledyke.store import section
 from sabledyke.store.section import Section, Target
 from sabledyke.toml_tables import Milliseconds, Table, convert, from_file, parsed
@@ -26,7 +26,7 @@
     from sabledyke.tls.section import Section as TlsSection
 
 NQN = 223  # bytes of a name
-LARGEST = MAX_DATA // BLOCK  # blocks of one command
+LARGEST = MAX_DATA_BYTES // BLOCK_BYTES  # blocks of one command
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,7 +37,7 @@
     connections: int = 32
     nqn: str = ""
     host_nqn: str = ""
-    volumes: tuple[Volume, ...] = ()
+    volumes: tuple[NvmeVolume, ...] = ()
     boxes: tuple[tuple[api.NodeId, str], ...] = ()  # nodes that speak NVMe, and their subsystems
     store: Section | None = None
     tls: TlsSection | None = None
@@ -68,7 +68,7 @@
     stripe: Annotated[tuple[Annotated[int, Meta(ge=0, lt=65536)], ...], Meta(min_length=1)]
     stripe_blocks: Annotated[int, Meta(ge=1, le=65535)] = LARGEST
     hosts: Annotated[int, Meta(ge=1, le=1000)] = 1
-    unit_bytes: Annotated[int, Meta(ge=BLOCK, le=MAX_DATA)] = 8192
+    unit_bytes: Annotated[int, Meta(ge=BLOCK_BYTES, le=MAX_DATA_BYTES)] = 8192
     read_deadline_ms: Milliseconds | None = None
     write_deadline_ms: Milliseconds | None = None
     object_blocks: Annotated[int, Meta(ge=1, le=LARGEST)] = 8
@@ -192,7 +192,7 @@
     return tls.read(data)
 
 
-def _volume(row: VolumeRow, number: int, settings: api.Settings) -> Volume:
+def _volume(row: VolumeRow, number: int, settings: api.Settings) -> NvmeVolume:
     def place(key: str, names: list[str]) -> int:
         if (name := str(getattr(row, key))) not in names:
             where = f"file.nvme.volume[{number}].{key}"
@@ -201,19 +201,19 @@
 
     classes, plans = [c.name for c in settings.classes], [p.name for p in settings.plans]
     read_class, write_class = place("read_class", classes), place("write_class", classes)
-    return Volume(
-        namespace=row.namespace,
-        volume=int(row.volume, 16),
-        plan=place("grade", plans),
+    return NvmeVolume(
+        namespace_id=row.namespace,
+        volume_id=int(row.volume, 16),
+        plan_index=place("grade", plans),
         read_class=read_class,
         write_class=write_class,
-        blocks=row.blocks,
-        stripe=row.stripe,
+        block_count=row.blocks,
+        stripe_shards=row.stripe,
         stripe_blocks=row.stripe_blocks,
-        hosts=float(row.hosts),
+        host_count=float(row.hosts),
         unit_bytes=row.unit_bytes,
-        read_deadline=row.read_deadline_ms or settings.classes[read_class].deadline,
-        write_deadline=row.write_deadline_ms or settings.classes[write_class].deadline,
+        read_deadline_ms=row.read_deadline_ms or settings.classes[read_class].deadline,
+        write_deadline_ms=row.write_deadline_ms or settings.classes[write_class].deadline,
         object_blocks=row.object_blocks,
     )
 
--- /dev/null
+++ b/sabledyke/protocol/nvme/blocks.py
@@ -0,0 +1,212 @@
+"""Translation between NVMe commands and scheduled requests, for hosts and for storage nodes.
+
+Hosts' commands become ``Work``, and its answer their completion; ``Work`` becomes commands to storage nodes,
+and their completions the outcome of an attempt. A piece of data of an HTTP client is stored in blocks with a
+prefix that holds its length.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import re
+import secrets
+from dataclasses import dataclass
+
+from sabledyke.core import Answer, Ended, Verdict, Work
+from sabledyke.errors import Fault
+from sabledyke.policy import interface as api
+from sabledyke.policy.interface import Outcome
+from sabledyke.protocol.nvme.commands import (
+    Command,
+    Completion,
+    IoOpcode,
+    Response,
+    Submission,
+    transfer_command,
+)
+from sabledyke.protocol.nvme.limits import BLOCK_BYTES
+from sabledyke.protocol.nvme.status import Status, retry_delay_index
+from sabledyke.protocol.nvme.subsystem import Namespace, Subsystem
+
+DEFAULT_RETRY_DELAY_MS = 100.0
+"""Retry delay of a rejected command where the policy gave no advice."""
+
+_LENGTH_PREFIX_BYTES = 4  # the length of an HTTP client's data + 1; 0 where none was written
+_KEY_DIGITS = re.compile("[0-9a-f]{16}")
+
+
+class NoPlaceError(Fault):
+    """The request has no place on a storage node that speaks NVMe; the text says why."""
+
+    code = "nvme-volume"
+    remedy = "correct nvme.volume in the operator's file"
+
+
+@dataclass(slots=True, frozen=True)
+class NvmeVolume:
+    """A volume as a namespace, and how its commands are scheduled; one row of the operator's file.
+
+    Attributes:
+        namespace_id: The namespace.
+        volume_id: The volume that it is.
+        plan_index: Index of its plan in the settings.
+        read_class: Index of the request class of its reads.
+        write_class: Index of the request class of its writes.
+        block_count: Its size.
+        stripe_shards: The shards that hold its data in turn ...
+        stripe_blocks: ... for this many blocks each.
+        host_count: Number of hosts that share the volume.
+        unit_bytes: Bytes that count as one unit of a request's cost.
+        read_deadline_ms: Deadline of a read.
+        write_deadline_ms: Deadline of a write.
+        object_blocks: Capacity of one piece of data that an HTTP client writes.
+    """
+
+    namespace_id: int
+    volume_id: int
+    plan_index: int
+    read_class: int
+    write_class: int
+    block_count: int
+    stripe_shards: tuple[int, ...]
+    stripe_blocks: int
+    host_count: float
+    unit_bytes: int
+    read_deadline_ms: float
+    write_deadline_ms: float
+    object_blocks: int
+
+    def shard_of(self, block: int) -> int:
+        """Return the shard that holds a block."""
+        stripe = block // self.stripe_blocks
+        return self.stripe_shards[stripe % len(self.stripe_shards)]
+
+
+class Translator:
+    """Translates in both directions, under the volumes of an operator's file.
+
+    Attributes:
+        settings: The settings in force; the caller replaces them.
+        subsystem: What hosts connect to.
+    """
+
+    def __init__(self, settings: api.Settings, nqn: str, volumes: tuple[NvmeVolume, ...]) -> None:
+        self.settings = settings
+        self.subsystem = Subsystem(
+            nqn,
+            {volume.namespace_id: Namespace(volume.block_count, volume.stripe_blocks) for volume in volumes},
+        )
+        self._by_namespace_id = {volume.namespace_id: volume for volume in volumes}
+        self._by_volume_id = {volume.volume_id: volume for volume in volumes}
+
+    def to_work(self, command: Command, data: bytes) -> Work:
+        """Return a host's read or write, which was checked against its namespace, as a request."""
+        volume = self._by_namespace_id[command.namespace_id]
+        write = command.opcode == IoOpcode.WRITE
+        size_bytes = command.block_count * BLOCK_BYTES
+        units = -(-size_bytes // volume.unit_bytes)
+        return Work(
+            class_=volume.write_class if write else volume.read_class,
+            plan=volume.plan_index,
+            volume=volume.volume_id,
+            key=command.start_block,
+            units=max(1.0, min(self.settings.most_units, units)),
+            shard=volume.shard_of(command.start_block),
+            hosts=volume.host_count,
+            remaining=volume.write_deadline_ms if write else volume.read_deadline_ms,
+            repeated=False,
+            write=write,
+            ident=secrets.token_hex(8),
+            token=_token(command.idempotency_key) if write else "",
+            body=data,
+            length=0 if write else size_bytes,
+        )
+
+    def to_completion(self, command: Command, answer: Answer) -> Response:
+        """Return the final answer for a host: a rejected request may be retried, a failed one may not."""
+        if answer.verdict is Verdict.REFUSED:
+            delay_index = retry_delay_index(answer.retry_after or DEFAULT_RETRY_DELAY_MS)
+            rejection = Completion(command.command_id, Status.NOT_READY, retry_delay_index=delay_index)
+            return Response(rejection, b"")
+        is_read = command.opcode == IoOpcode.READ
+        # A storage node may also return less than was requested.
+        too_short = is_read and len(answer.body) != command.block_count * BLOCK_BYTES
+        if answer.verdict is Verdict.FAILED or too_short:
+            return Response(Completion(command.command_id, Status.INTERNAL, do_not_retry=True), b"")
+        return Response(Completion(command.command_id, Status.OK), answer.body if is_read else b"")
+
+    def to_node_command(self, work: Work) -> Submission:
+        """Return a request as a command to a storage node.
+
+        Raises:
+            NoPlaceError: The request has no place on a storage node that speaks NVMe.
+        """
+        volume = self._by_volume_id.get(work.volume)
+        if volume is None:
+            raise NoPlaceError(f"volume {work.volume:016x} has no namespace")
+        if work.target:
+            return _object_command(work, volume)
+        if not work.write:
+            read = transfer_command(IoOpcode.READ, volume.namespace_id, work.key, work.length)
+            return Submission(read, b"")
+        return _write_submission(volume.namespace_id, work.key, work.body, work.token)
+
+    def from_node_completion(self, work: Work, completion: Completion, data: bytes) -> Ended:
+        """Return a storage node's completion as the outcome of an attempt."""
+        if completion.status == Status.NOT_READY and not completion.do_not_retry:
+            return Ended(Outcome.REJECTED, False)
+        if completion.status != Status.OK:
+            return Ended(Outcome.ERROR, True)
+        if work.write or not work.target:
+            return Ended(Outcome.OK, True, data)
+        body = _object_body(data)
+        if body is None:
+            return Ended(Outcome.ERROR, True)
+        return Ended(Outcome.OK, True, body)
+
+
+def _object_command(work: Work, volume: NvmeVolume) -> Submission:
+    """Return the command for an HTTP client's piece of data.
+
+    Each piece has as many blocks as its volume gives one, and its number says where they start.
+    """
+    start_block = work.key * volume.object_blocks
+    capacity_bytes = volume.object_blocks * BLOCK_BYTES
+    if start_block + volume.object_blocks > volume.block_count:
+        raise NoPlaceError(f"piece {work.key:x} is past the end of its namespace")
+    if not work.write:
+        read = transfer_command(IoOpcode.READ, volume.namespace_id, start_block, capacity_bytes)
+        return Submission(read, b"")
+    if len(work.body) + _LENGTH_PREFIX_BYTES > capacity_bytes:
+        raise NoPlaceError(f"{len(work.body)} bytes do not fit a piece of {capacity_bytes}")
+    data = (len(work.body) + 1).to_bytes(_LENGTH_PREFIX_BYTES, "big") + work.body
+    whole_blocks = -(-len(data) // BLOCK_BYTES)
+    padded = data.ljust(whole_blocks * BLOCK_BYTES, b"\0")
+    return _write_submission(volume.namespace_id, start_block, padded, work.token)
+
+
+def _object_body(data: bytes) -> bytes | None:
+    """Return the piece of data that blocks hold, or None where they hold none."""
+    size_bytes = int.from_bytes(data[:_LENGTH_PREFIX_BYTES], "big") - 1
+    if not 0 <= size_bytes <= len(data) - _LENGTH_PREFIX_BYTES:
+        return None
+    return data[_LENGTH_PREFIX_BYTES : _LENGTH_PREFIX_BYTES + size_bytes]
+
+
+def _write_submission(namespace_id: int, start_block: int, data: bytes, token: str) -> Submission:
+    key = _idempotency_key(token)
+    return Submission(transfer_command(IoOpcode.WRITE, namespace_id, start_block, len(data), key), data)
+
+
+def _token(idempotency_key: int) -> str:
+    """Return the key of a host's write as text; a write without one is given its own."""
+    return f"{idempotency_key:016x}" if idempotency_key else secrets.token_hex(8)
+
+
+def _idempotency_key(token: str) -> int:
+    """Return an idempotency key as the 64 bits that a write command has for it; 0 for none."""
+    if not token:
+        return 0
+    if _KEY_DIGITS.fullmatch(token):
+        return int(token, 16)
+    return int.from_bytes(hashlib.sha256(token.encode()).digest()[:8], "big")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -410,7 +410,7 @@
     async def story(rig: Rig) -> None:
         host = await rig.host()
         target = next(c for c in rig.server.fronts[1].clients if isinstance(c, NvmeClient)).target
-        target.keep_alive = 50
+        target.keep_alive_ms = 50
         assert await host.admin(0x18) == 0
         assert await host.io[0].read() == b""  # its queues go with its controller
         assert not target.subsystem.controllers
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -14,7 +14,6 @@
 from sabledyke import operator_config
 from sabledyke.core import Answer, Verdict
 from sabledyke.protocol import discovery, gateway, nvme
-from sabledyke.protocol.blocks import Translator
 from sabledyke.protocol.http import (
     MAX_BODY,
     HttpError,
@@ -23,6 +22,7 @@
     encode_request,
     encode_response,
 )
+from sabledyke.protocol.nvme.blocks import Translator
 from tests.helpers import FIXED, SETTINGS, SIZES, pieces, spoilt
 
 REQUESTS = encode_request("PUT", "/api/1/2?x", [("Req-Id", "a"), ("X", "")], b"body") + encode_request(
@@ -58,6 +58,7 @@
 }
 JSON = st.recursive(st.none() | st.integers(-9, 9) | st.text(max_size=3), st.lists)
 NQN = "nqn.test"
+HOST = nvme.HostIdentity(bytes(16), "nqn.host")
 
 
 def http(parser: Parser, parts: list[bytes]) -> list[Message]:
@@ -73,13 +74,13 @@
     """What a host says to set up its admin queue, and then to look at a namespace."""
     machine = nvme.Initiator()
     for command, data in (
-        nvme.connect(NQN, 0, nvme.DYNAMIC, (bytes(16), "nqn.host"), 0),
-        (nvme.property_set(nvme.Prop.CC, 1), b""),
-        (nvme.property_get(nvme.Prop.CSTS), b""),
-        (nvme.Command(nvme.Admin.IDENTIFY, 0, 1, sgl_length=4096), b""),
-        (nvme.Command(nvme.Admin.KEEP_ALIVE, 0), b""),
+        nvme.connect_command(NQN, 0, nvme.DYNAMIC_CONTROLLER_ID, HOST, 0),
+        (nvme.property_set_command(nvme.Property.CC, 1), b""),
+        (nvme.property_get_command(nvme.Property.CSTS), b""),
+        (nvme.Command(nvme.AdminOpcode.IDENTIFY, 0, 1, sgl_length=4096), b""),
+        (nvme.Command(nvme.AdminOpcode.KEEP_ALIVE, 0), b""),
     ):
-        machine.submit(command, data, inside=bool(data))
+        machine.submit(command, data, in_capsule=bool(data))
         machine._command = None  # only what it sends is wanted
     return bytes(machine.output)
 
@@ -143,7 +144,7 @@
     whole = answers([session()])[1]
     assert answers(pieces(session(), sizes))[1] == whole
     machine = nvme.Initiator()
-    machine.submit(*nvme.connect(NQN, 0, nvme.DYNAMIC, (bytes(16), "nqn.host"), 0), inside=True)
+    machine.submit(*nvme.connect_command(NQN, 0, nvme.DYNAMIC_CONTROLLER_ID, HOST, 0), in_capsule=True)
     got = [d for p in pieces(whole[: 128 + 24], sizes) for d in machine.feed(p)]
     assert [(d.status, d.result) for d, _ in got] == [(nvme.Status.OK, 1)]
 
@@ -156,11 +157,11 @@
         for part in pieces(host, sizes):
             target.feed(part)
     except nvme.NvmeError:
-        assert nvme.Pdu.C2H_TERM in target.output
+        assert nvme.PduType.C2H_TERM in target.output
     target.close()
     assert not target.subsystem.controllers
     machine = nvme.Initiator()
-    machine.submit(nvme.Command(nvme.Admin.IDENTIFY, 0, 1, sgl_length=4096))
+    machine.submit(nvme.Command(nvme.AdminOpcode.IDENTIFY, 0, 1, sgl_length=4096))
     with contextlib.suppress(nvme.NvmeError):
         for part in pieces(box, sizes):
             machine.feed(part)
@@ -193,25 +194,31 @@
     headers = {**HEADERS, "idempotency-key": "k" * keyed}
     reader = gateway.Reader(SETTINGS)
     work = reader.work(Message("PUT", f"/api/9/{piece}", headers=headers, body=body))
-    command, data = translator.to_box(work)
-    assert command.slba == piece * 8 and bool(command.cdw2) is keyed and len(data) % 512 == 0
+    command, data = translator.to_node_command(work)
+    assert (
+        command.start_block == piece * 8 and bool(command.idempotency_key) is keyed and len(data) % 512 == 0
+    )
     read = reader.work(Message("GET", f"/api/9/{piece}", headers=headers))
-    stored = data.ljust(translator.to_box(read)[0].sgl_length, b"\0")
-    assert translator.from_box(read, nvme.Completion(1, 0), stored).body == body
-    done, _ = translator.completion(command, Answer(Verdict.REFUSED, retry_after=250))
-    assert (done.status, done.dnr, nvme.RETRY_DELAYS[done.crd - 1]) == (nvme.Status.NOT_READY, False, 300)
+    stored = data.ljust(translator.to_node_command(read)[0].sgl_length, b"\0")
+    assert translator.from_node_completion(read, nvme.Completion(1, 0), stored).body == body
+    done, _ = translator.to_completion(command, Answer(Verdict.REFUSED, retry_after=250))
+    assert (done.status, done.do_not_retry, nvme.RETRY_DELAYS_MS[done.retry_delay_index - 1]) == (
+        nvme.Status.NOT_READY,
+        False,
+        300,
+    )
 
 
 def test_a_host_with_more_commands_than_its_queue_is_cut_off() -> None:
     target, _ = answers([session()])
     assert target.controller is not None
-    target.queue = 1
-    read = nvme.transfer(nvme.Op.READ, 1, 0, 512)
-    for read.cid in range(1, nvme.QUEUE + 1):
-        assert len(target.feed(nvme.pdu(nvme.Pdu.COMMAND, read.pack()))) == 1
-    read.cid = nvme.QUEUE + 1
+    target.queue_id = 1
+    read = nvme.transfer_command(nvme.IoOpcode.READ, 1, 0, 512)
+    for read.command_id in range(1, nvme.QUEUE_ENTRIES + 1):
+        assert len(target.feed(nvme.encode_pdu(nvme.PduType.COMMAND, read.pack()))) == 1
+    read.command_id = nvme.QUEUE_ENTRIES + 1
     with pytest.raises(nvme.NvmeError, match="more commands"):
-        target.feed(nvme.pdu(nvme.Pdu.COMMAND, read.pack()))
+        target.feed(nvme.encode_pdu(nvme.PduType.COMMAND, read.pack()))
 
 
 @pytest.mark.parametrize(
@@ -229,13 +236,16 @@
 
 def test_what_follows_a_completion_does_not_spoil_it() -> None:
     machine = nvme.Initiator()
-    machine.submit(nvme.Command(nvme.Admin.KEEP_ALIVE, 0))
-    ready, done = nvme.pdu(nvme.Pdu.IC_RESP, struct.pack("<HBBI", 0, 0, 0, 4096)), nvme.Completion(1, 0)
-    whole = nvme.pdu(nvme.Pdu.RESPONSE, done.pack(0, 0))
-    assert [d.cid for d, _ in machine.feed(ready + whole)] == [1] and not machine.surplus
-    machine.submit(nvme.Command(nvme.Admin.KEEP_ALIVE, 0))
-    again = nvme.pdu(nvme.Pdu.RESPONSE, nvme.Completion(2, 0).pack(0, 0))
-    assert [d.cid for d, _ in machine.feed(again + whole)] == [2] and machine.surplus
+    machine.submit(nvme.Command(nvme.AdminOpcode.KEEP_ALIVE, 0))
+    ready, done = (
+        nvme.encode_pdu(nvme.PduType.IC_RESP, struct.pack("<HBBI", 0, 0, 0, 4096)),
+        nvme.Completion(1, 0),
+    )
+    whole = nvme.encode_pdu(nvme.PduType.RESPONSE, done.pack(0, 0))
+    assert [d.command_id for d, _ in machine.feed(ready + whole)] == [1] and not machine.has_surplus_input
+    machine.submit(nvme.Command(nvme.AdminOpcode.KEEP_ALIVE, 0))
+    again = nvme.encode_pdu(nvme.PduType.RESPONSE, nvme.Completion(2, 0).pack(0, 0))
+    assert [d.command_id for d, _ in machine.feed(again + whole)] == [2] and machine.has_surplus_input
 
 
 def test_a_client_is_held_to_the_figures_of_the_settings() -> None:
--- a/tests/transcripts/nvme_names.py
+++ b/tests/transcripts/nvme_names.py
@@ -3,25 +3,27 @@
 from __future__ import annotations
 
 from sabledyke.protocol.nvme import (
-    DYNAMIC,
+    DYNAMIC_CONTROLLER_ID,
     Command,
     Completion,
+    HostIdentity,
     Initiator,
     Namespace,
     NvmeError,
-    Prop,
+    Property,
     Status,
     Subsystem,
     Target,
-    connect,
-    property_get,
-    property_set,
-    transfer,
+    connect_command,
+    property_get_command,
+    property_set_command,
+    transfer_command,
 )
-from sabledyke.protocol.nvme import Op as Opcode
+from sabledyke.protocol.nvme import IoOpcode as Opcode
 
 NAMESPACES = {1: (4096, 128), 7: (1 << 33, 0)}  # number: blocks, and blocks that commands may not cross
 NQN, HOST_NQN, HOST_ID = "nqn.2026-12.example:front", "nqn.2026-12.example:host", bytes(range(16))
+HOST = HostIdentity(HOST_ID, HOST_NQN)
 ProtocolError = NvmeError
 
 
@@ -40,7 +42,7 @@
             taken = self._target.feed(data)
         except NvmeError:
             taken = []
-        self.waiting += [(command.cid, payload) for command, payload in taken]
+        self.waiting += [(command.command_id, payload) for command, payload in taken]
         return self.sent()
 
     def sent(self) -> bytes:
@@ -55,12 +57,12 @@
 
     def rejected(self, cid: int, delay: int) -> bytes:
         """Complete a command with Namespace Not Ready, to come again after a delay by its index."""
-        self._target.complete(Completion(cid, Status.NOT_READY, crd=delay))
+        self._target.complete(Completion(cid, Status.NOT_READY, retry_delay_index=delay))
         return self.sent()
 
     def failed(self, cid: int) -> bytes:
         """Complete a command with Internal Error, not to come again."""
-        self._target.complete(Completion(cid, Status.INTERNAL, dnr=True))
+        self._target.complete(Completion(cid, Status.INTERNAL, do_not_retry=True))
         return self.sent()
 
 
@@ -71,7 +73,7 @@
         self._initiator = Initiator()
 
     def _submit(self, command: Command, data: bytes = b"", *, inside: bool = False) -> bytes:
-        self._initiator.submit(command, data, inside=inside)
+        self._initiator.submit(command, data, in_capsule=inside)
         return self.sent()
 
     def sent(self) -> bytes:
@@ -79,36 +81,39 @@
         data, self._initiator.output = bytes(self._initiator.output), bytearray()
         return data
 
-    def connect(self, queue: int, controller: int = DYNAMIC) -> bytes:
+    def connect(self, queue: int, controller: int = DYNAMIC_CONTROLLER_ID) -> bytes:
         """Connect a queue."""
-        return self._submit(*connect(NQN, queue, controller, (HOST_ID, HOST_NQN), 15000), inside=True)
+        return self._submit(*connect_command(NQN, queue, controller, HOST, 15000), inside=True)
 
     def read_property(self, offset: int) -> bytes:
         """Property Get."""
-        return self._submit(property_get(Prop(offset)))
+        return self._submit(property_get_command(Property(offset)))
 
     def write_property(self, offset: int, value: int) -> bytes:
         """Property Set."""
-        return self._submit(property_set(Prop(offset), value))
+        return self._submit(property_set_command(Property(offset), value))
 
     def admin(self, opcode: int, namespace: int = 0, size: int = 0, *words: int) -> bytes:
         """Any other command of the admin queue, with its CDW10 and up."""
         padded = (*words, *(0 for _ in range(6 - len(words))))
         first, second, third, fourth, fifth, sixth = padded
         command = Command(opcode, 0, namespace, sgl_length=size)
-        command.cdw10 = (first, second, third, fourth, fifth, sixth)
+        command.dwords = (first, second, third, fourth, fifth, sixth)
         return self._submit(command)
 
     def read(self, namespace: int, block: int, size: int) -> bytes:
         """Read whole blocks."""
-        return self._submit(transfer(Opcode.READ, namespace, block, size))
+        return self._submit(transfer_command(Opcode.READ, namespace, block, size))
 
     def write(self, namespace: int, block: int, data: bytes, key: int, *, inside: bool = False) -> bytes:
         """Write whole blocks under an idempotency key."""
-        return self._submit(transfer(Opcode.WRITE, namespace, block, len(data), key), data, inside=inside)
+        return self._submit(
+            transfer_command(Opcode.WRITE, namespace, block, len(data), key), data, inside=inside
+        )
 
     def receive(self, data: bytes) -> list[tuple[int, bool, int, int, bytes]]:
         """Take a node's bytes; returns completions: status, DNR, retry delay, result, and data read."""
         return [
-            (done.status, done.dnr, done.crd, done.result, read) for done, read in self._initiator.feed(data)
+            (done.status, done.do_not_retry, done.retry_delay_index, done.result, read)
+            for done, read in self._initiator.feed(data)
         ]
