--- a/sabledyke/__main__.py
+++ b/sabledyke/__main__.py
@@ -141,7 +141,7 @@
         print(f"sabledyke: {fault}", file=sys.stderr)
         return 2
     if command == "check-config":
-        known = settings.known.news.entries if settings.known else ()
+        known = settings.known.update.entries if settings.known else ()
         print(
             f"{settings.name}: listens at {settings.listen[0]}:{settings.listen[1]}, "
             f"{len(known)} nodes known, {len(settings.settings.classes)} classes, "
--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -25,9 +25,10 @@
 from sabledyke.net.http_link import HttpDialer
 from sabledyke.net.listener import Listener
 from sabledyke.policy import interface as api
-from sabledyke.protocol.console import Call
-from sabledyke.protocol.discovery import Listing
-from sabledyke.protocol.gateway import Ids, Reader
+from sabledyke.protocol.console import ConsoleCall
+from sabledyke.protocol.discovery import EndpointListing
+from sabledyke.protocol.gateway import MessageReader
+from sabledyke.protocol.request_ids import RequestIds
 from sabledyke.settings import SettingsError, merge
 from sabledyke.shutdown.graceful_shutdown import Departure, Phase, Times
 
@@ -82,9 +83,9 @@
         self._planned = False  # it leaves by a plan of the fleet
         self._heard = asyncio.Event()  # discovery was called, whatever came of it
         settings, known = config.settings, config.known
-        held = known.news.version if known else None
+        held = known.update.version if known else None
         self.watch = Watch(config.discovery, settings, held, self._listed, config.seed)
-        self._reader = Reader(settings)
+        self._reader = MessageReader(settings)
         self._room = streams.Room(0)
         self._http = HttpDialer(settings, self._reader, self._room, self._reach)
         self.parts = self._set_up_parts(operator)
@@ -103,7 +104,7 @@
         for part in reversed(self.parts):
             transport = part.transport(transport)
         self.core = Core(settings, config.seed, transport, self.watch, self._wake)
-        ids = Ids()
+        ids = RequestIds()
         http = Front(
             "HTTP",
             0,
@@ -185,7 +186,7 @@
 
     def _begin(self) -> None:
         """Tell the core what is known of the boxes, and have the list asked for."""
-        self._listed(self.config.known or Listing(api.NodeList(api.ListKind.CACHED, 0, ()), {}))
+        self._listed(self.config.known or EndpointListing(api.NodeList(api.ListKind.CACHED, 0, ()), {}))
         self.watch.start()
         self._turn()
 
@@ -243,13 +244,13 @@
         avoiding = avoided(core.scheduler.nodes.values())
         return core.figures.lines(classes, core.unanswered, core.nodes.values(), avoiding)
 
-    def _call(self, call: Call) -> tuple[int, bytes]:
+    def _call(self, call: ConsoleCall) -> tuple[int, bytes]:
         """An operator's call: its status and body."""
-        if call is Call.HEALTH:
+        if call is ConsoleCall.HEALTH:
             return (200, b"yes\n") if self.takes_clients else (503, b"no\n")
-        if call is Call.STATS:
+        if call is ConsoleCall.STATS:
             return 200, "".join(line + "\n" for line in self.figures()).encode()
-        self.quiesce() if call is Call.QUIESCE else self.resume()
+        self.quiesce() if call is ConsoleCall.QUIESCE else self.resume()
         return 200, b"ok\n"
 
     def reload(self) -> str:
@@ -276,7 +277,7 @@
         self.core.figures.reloaded(True)
         self.config = new
         self.core.adopt(new.settings)
-        self._reader.adopt(new.settings)
+        self._reader.apply_settings(new.settings)
         self._http.settings = self.pool.settings = new.settings
         for part in self.parts:
             part.adopt(new)
@@ -381,15 +382,15 @@
             part.departed(rid)
         self.core.depart(rid)
 
-    def _listed(self, listing: Listing | None) -> None:
+    def _listed(self, listing: EndpointListing | None) -> None:
         self._heard.set()
         if listing is None:
             self.core.listed(api.NodeList(api.ListKind.FAILED, 0, ()))
         else:
-            news = listing.news
+            news = listing.update
             for part in self.parts:
                 news = part.listing(news)
-            self._learn(news, listing.dials)
+            self._learn(news, listing.addresses)
 
     def _learn(self, news: api.NodeList, dials: dict[api.NodeId, Address]) -> None:
         gone = self.core.listed(news)
--- a/sabledyke/compacted_log/section.py
+++ b/sabledyke/compacted_log/section.py
@@ -12,7 +12,7 @@
 from sabledyke.compacted_log.compaction import Policy
 from sabledyke.compacted_log.records import Shelf
 from sabledyke.errors import OperatorError
-from sabledyke.protocol.discovery import address
+from sabledyke.protocol.discovery import parse_address
 from sabledyke.toml_tables import Table, convert, wants
 
 PLAIN = Policy()
@@ -71,7 +71,7 @@
     if said.etcd:
         wants("board", "aiohttp", "etcd")
     for endpoint in said.etcd:
-        address(endpoint)
+        parse_address(endpoint)
     policy = Policy(lag=said.lag, tomb_ms=1000 * said.tomb_s, dirty=said.dirty, bytes_s=said.bytes_s)
     section = Section(said.path, said.etcd, said.prefix, policy, said.most_keys, said.clean_s, said.topics)
     for topic in section.topics:
--- a/sabledyke/config.py
+++ b/sabledyke/config.py
@@ -11,7 +11,7 @@
 
 from sabledyke.errors import ConfigError as ConfigError
 from sabledyke.policy import interface as api
-from sabledyke.protocol.discovery import ListError, Listing, address, read
+from sabledyke.protocol.discovery import EndpointListing, ListError, parse_address, read_listing
 from sabledyke.settings import SettingsError, build, flatten
 
 PREFIX = "GW_"
@@ -28,7 +28,7 @@
     seed: int
     sockets: int
     memory: int  # bytes
-    known: Listing | None
+    known: EndpointListing | None
     settings: api.Settings
     console: tuple[str, int] | None = None  # where operators call, if anywhere
     file: Mapping[str, object] = field(default_factory=dict)  # name and addresses, as the file has them ...
@@ -90,12 +90,12 @@
         raise ConfigError(f"limits.memory_mb must be a number from 1 up, not {memory!r}")
     return Config(
         name=words["name"],
-        listen=address(words["listen"]),
-        discovery=address(words["discovery"]),
+        listen=parse_address(words["listen"]),
+        discovery=parse_address(words["discovery"]),
         seed=seed,
         sockets=sockets,
         memory=int(memory * 1024 * 1024),
-        known=None if known is None else read(known, settings, cached=True),
+        known=None if known is None else read_listing(known, settings, cached=True),
         settings=settings,
         console=console,
         file={name: data.get(name) for name in words},
@@ -109,4 +109,4 @@
         return None
     if not isinstance(said, str) or not said:
         raise ConfigError(f"console must be an address as host:port, not {said!r}")
-    return address(said)
+    return parse_address(said)
--- a/sabledyke/lease/section.py
+++ b/sabledyke/lease/section.py
@@ -13,7 +13,7 @@
 
 from sabledyke.errors import OperatorError
 from sabledyke.lease.types import Times
-from sabledyke.protocol.discovery import address
+from sabledyke.protocol.discovery import parse_address
 from sabledyke.store.section import Target
 from sabledyke.toml_tables import NAME_RULE, Table, convert, name_like, section_from, wants
 
@@ -106,7 +106,7 @@
     if said.etcd:
         wants("lease", "aiohttp", "etcd")
     for endpoint in said.etcd:
-        address(endpoint)
+        parse_address(endpoint)
     times = Times(ttl=said.ttl_ms, renew=said.renew_ms, margin=said.margin_ms, drift=said.drift)
     duties = tuple(_duty(row, f"lease.duty[{i}]", record) for i, row in enumerate(said.duty))
     section = Section(said.path, said.etcd, said.prefix, times, duties, said.clock.offset_ms, said.clock.rate)
@@ -129,7 +129,7 @@
     call = ("", 0, "")
     if row.kind == "call":
         host, slash, rest = row.url.removeprefix("http://").partition("/")
-        call = (*address(host), slash + rest)
+        call = (*parse_address(host), slash + rest)
     elif record is None:
         raise OperatorError(f"{where}: {row.kind} works on a record, and [store] names none")
     return Duty(row.name, row.kind, row.every_s * 1000, row.folder, row.keep, call)
--- a/sabledyke/net/console.py
+++ b/sabledyke/net/console.py
@@ -14,8 +14,8 @@
 from sabledyke import log
 from sabledyke.net import streams
 from sabledyke.net.frontend import accepted
-from sabledyke.protocol.console import MAX_CALL, Call, answer, route
-from sabledyke.protocol.http import HttpError, Message, Parser
+from sabledyke.protocol.console import MAX_CALL_BYTES, ConsoleCall, encode_answer, route
+from sabledyke.protocol.http import HttpError, HttpMessage, HttpParser
 
 MOST = 32  # connections of the console at a time; at the bound the oldest makes room
 PATIENCE = 2.0  # seconds for a call to come in whole and its answer to be taken
@@ -24,7 +24,7 @@
 class Console:
     """All connections to the console."""
 
-    def __init__(self, calls: Callable[[Call], tuple[int, bytes]]) -> None:
+    def __init__(self, calls: Callable[[ConsoleCall], tuple[int, bytes]]) -> None:
         self._calls = calls
         self._open: OrderedDict[asyncio.Task[None], streams.IOStream] = OrderedDict()  # the oldest first
         self.told = 0  # log lines said about the bound: one, until it is no longer reached
@@ -64,9 +64,9 @@
             call = route(message)
         except HttpError as fault:
             log.say("console", f"a call was turned down: {fault}")
-            return answer(fault.status)
+            return encode_answer(fault.status)
         status, body = self._calls(call)
-        return answer(status, body, head=message.method == "HEAD")
+        return encode_answer(status, body, head=message.method == "HEAD")
 
     def close(self) -> None:
         """End all connections."""
@@ -75,15 +75,15 @@
             task.cancel()
 
 
-async def _read(stream: streams.IOStream) -> Message:
+async def _read(stream: streams.IOStream) -> HttpMessage:
     """One whole call; an HttpError for what is wrong with it, a StreamClosedError where the caller leaves."""
-    parser, held = Parser(), 0
+    parser, held = HttpParser(), 0
     while True:
-        data = await stream.read_bytes(MAX_CALL, partial=True)
+        data = await stream.read_bytes(MAX_CALL_BYTES, partial=True)
         held += len(data)
-        if held > MAX_CALL:
+        if held > MAX_CALL_BYTES:
             raise HttpError("a call larger than any call")
         parser.feed(data)
-        message = parser.next()
+        message = parser.next_message()
         if message is not None:
             return message
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -10,10 +10,10 @@
 from sabledyke.invariants import check
 from sabledyke.net import streams
 from sabledyke.policy import interface as api
-from sabledyke.protocol.discovery import ListError, Listing, parse, target
-from sabledyke.protocol.http import HttpError, Message, Parser, encode_request
-from sabledyke.protocol.versions import Verdict, Versions
-from sabledyke.protocol.watch_timeout import ASKED, PUSHED, Silence, Terms
+from sabledyke.protocol.discovery import EndpointListing, ListError, list_target, parse_listing
+from sabledyke.protocol.http import HttpError, HttpMessage, HttpParser, encode_request
+from sabledyke.protocol.versions import VersionStatus, VersionTracker
+from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout, WatchTiming
 
 # How a call may end that brings no list; all else is a fault of this program's.
 EXPECTED = (streams.StreamClosedError, HttpError, ListError, OSError, TimeoutError)
@@ -28,15 +28,15 @@
         address: tuple[str, int],
         settings: api.Settings,
         since: int | None,
-        report: Callable[[Listing | None], None],
+        report: Callable[[EndpointListing | None], None],
         seed: int = 0,
     ) -> None:
         self._address, self._settings, self._report = address, settings, report
-        self._versions = Versions(since)
+        self._versions = VersionTracker(since)
         self._task: asyncio.Task[None] | None = None
         self._single: set[asyncio.Task[None]] = set()
         self._wanted = False
-        self._silence = Silence(seed)
+        self._silence = WatchTimeout(seed)
         self._resume: asyncio.TimerHandle | None = None
 
     @property
@@ -45,8 +45,8 @@
         return not self._settings.asks_list
 
     @property
-    def _terms(self) -> Terms:
-        return PUSHED if self.pushed else ASKED
+    def _terms(self) -> WatchTiming:
+        return LOCAL_AGENT if self.pushed else POLLED_DISCOVERY
 
     def start(self) -> None:
         """Begin to watch where lists are pushed; elsewhere the module asks when it wants."""
@@ -69,7 +69,7 @@
         self._settings = settings
         if address != self._address:
             self._address = address
-            self._versions.renew()
+            self._versions.reset()
             self._stop_asking()  # what a call to the old address still brings is not told
             self.watch(True)
         elif self._wanted:
@@ -121,11 +121,11 @@
                     answer = await self._call(stream, self._versions.since)
                 except TimeoutError:  # broken, though nothing says so: what it may miss is asked for anew
                     streams.abort(stream)
-                    pause = self._silence.fell_silent(self._terms)
+                    pause = self._silence.on_timeout(self._terms)
                     log.say("discovery", f"a call fell silent: the next in {pause:.2f} s")
                     await asyncio.sleep(pause)
                     continue
-                self._silence.answered()
+                self._silence.on_response()
                 new = self._told(answer)
                 if not answer.keep_alive:
                     streams.abort(stream)
@@ -147,7 +147,7 @@
         self._failed(fault)
         if self.pushed and self._wanted and self._resume is None:
             # Guards against missing what the agent holds: it counts as told whether asked for or not.
-            pause = self._silence.broke(self._terms)
+            pause = self._silence.on_failure(self._terms)
             self._resume = asyncio.get_running_loop().call_later(pause, self._take_up)
 
     def _take_up(self) -> None:
@@ -155,35 +155,37 @@
         if self._wanted:
             self.watch(True)
 
-    async def _call(self, stream: streams.IOStream, since: int | None) -> Message:
+    async def _call(self, stream: streams.IOStream, since: int | None) -> HttpMessage:
         host = f"{self._address[0]}:{self._address[1]}"
-        parser = Parser(responses=True)
+        parser = HttpParser(responses=True)
         terms = self._terms
-        async with asyncio.timeout(terms.wait + terms.spare):
-            call = target(since, int(terms.wait * 1000))
+        async with asyncio.timeout(terms.wait_s + terms.response_margin_s):
+            call = list_target(since, int(terms.wait_s * 1000))
             await stream.write(encode_request("GET", call, [("Host", host)], b""))
-            while (answer := parser.next()) is None:
+            while (answer := parser.next_message()) is None:
                 parser.feed(await stream.read_bytes(streams.READ, partial=True))
         if answer.status != 200:
             raise HttpError(f"status {answer.status}")
         return answer
 
-    def _told(self, answer: Message) -> bool:
+    def _told(self, answer: HttpMessage) -> bool:
         """Pass on what is new, and say whether anything was; a ListError for what is set aside."""
-        listing = parse(answer.body, self._settings)
-        if listing.fault:
-            self._versions.doubt()
-            if self._versions.newer(listing.news):
+        listing = parse_listing(answer.body, self._settings)
+        if listing.error:
+            self._versions.request_full_list()
+            if self._versions.is_newer(listing.update):
                 self._report(listing)
-            raise ListError(listing.fault)
-        verdict = self._versions.judge(listing.news)
-        if verdict is Verdict.OLDER:
-            raise ListError(f"version {listing.news.version} is older than {self._versions.held}, set aside")
-        if verdict is Verdict.TAKEN:
+            raise ListError(listing.error)
+        verdict = self._versions.evaluate(listing.update)
+        if verdict is VersionStatus.STALE:
+            raise ListError(
+                f"version {listing.update.version} is older than {self._versions.current}, set aside"
+            )
+        if verdict is VersionStatus.ACCEPTED:
             self._report(listing)
-        elif listing.news.entries:
-            log.say("discovery", f"version {listing.news.version} came again, nothing of it is new")
-        return verdict is Verdict.TAKEN
+        elif listing.update.entries:
+            log.say("discovery", f"version {listing.update.version} came again, nothing of it is new")
+        return verdict is VersionStatus.ACCEPTED
 
     def _failed(self, fault: Exception) -> None:
         reason = getattr(fault, "real_error", None) or fault  # what closed the stream says more
--- a/sabledyke/net/http_frontend.py
+++ b/sabledyke/net/http_frontend.py
@@ -10,8 +10,9 @@
 from sabledyke.core import Answer
 from sabledyke.net import clock, streams
 from sabledyke.net.frontend import ASKING, Client, Front, Submit
-from sabledyke.protocol.gateway import HEALTH, Ids, Reader, to_client
-from sabledyke.protocol.http import MAX_INPUT, HttpError, Message, Parser, encode_response
+from sabledyke.protocol.gateway import HEALTH_PATH, MessageReader, encode_client_response
+from sabledyke.protocol.http import MAX_INPUT_BYTES, HttpError, HttpMessage, HttpParser, encode_response
+from sabledyke.protocol.request_ids import RequestIds
 
 LINGER = 0.25  # seconds from the end of sending to the close, for the client to take in its last answer
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -24,14 +25,14 @@
         self,
         front: Front,
         stream: streams.Stream,
-        reader: Reader,
-        ids: Ids,
+        reader: MessageReader,
+        ids: RequestIds,
         submit: Submit,
         depart: Callable[[int], None],
     ) -> None:
         super().__init__(stream)
         self._front, self._reader, self._ids, self._submit, self._depart = front, reader, ids, submit, depart
-        self._parser = Parser()
+        self._parser = HttpParser()
         self._rid: int | None = None  # the request in work
         self._writing = False
         self._continued = False  # the request whose body comes was told to send it
@@ -87,12 +88,12 @@
 
     def _go_on_with_body(self) -> None:
         """A request's body is coming: its patience begins anew, and who waits to send it is told to."""
-        if self._rid is not None or not self._parser.in_body:
+        if self._rid is not None or not self._parser.receiving_body:
             return
         # Guards against cutting off a body that comes slowly but comes: each piece of it
         # renews its patience; one that stops is given up as before.
         self.since = asyncio.get_running_loop().time()
-        if self._parser.expects and not self._continued:
+        if self._parser.expects_continue and not self._continued:
             self._continued = True
             sent = asyncio.ensure_future(self.stream.write(CONTINUE))
             sent.add_done_callback(lambda f: f.cancelled() or f.exception())  # an end is no fault
@@ -105,25 +106,25 @@
         """
         if self._overrun or not self.owed:
             return b"" if self._overrun else data
-        fits = data[: max(0, MAX_INPUT - self._parser.held)]
+        fits = data[: max(0, MAX_INPUT_BYTES - self._parser.buffered_bytes)]
         self._overrun = len(fits) < len(data)
         return fits
 
     def _next(self) -> None:
         if self.owed or self._ended:
             return
-        message = self._parser.next()
+        message = self._parser.next_message()
         if message is None:
             if self._overrun:
                 raise HttpError("more sent than may wait behind a request")
             return
         self._continued = False
         self._front.touch(self)
-        if message.target.partition("?")[0] == HEALTH:
+        if message.target.partition("?")[0] == HEALTH_PATH:
             last = self._last(message)
             self._write(encode_response(503 if self._front.quiesced else 200, close=last), last)
             return
-        work = self._reader.work(message)
+        work = self._reader.read_request(message)
         if not streams.permits(self.stream, work.volume):
             raise HttpError("a client without a right to this volume", 403)
         self._ids.claim(clock.now(), work)
@@ -133,7 +134,7 @@
             self._rid = None
             last = self._last(message)
             if not self.stream.closed():
-                self._write(to_client(answer, close=last), last)
+                self._write(encode_client_response(answer, close=last), last)
 
         self.fresh = False
         self._rid = self._submit(work, done)
@@ -141,7 +142,7 @@
     def _present(self) -> bool:
         return not streams.departed(self.stream)
 
-    def _last(self, message: Message) -> bool:
+    def _last(self, message: HttpMessage) -> bool:
         """Whether this answer ends its connection.
 
         Guards against turning back what a client has already sent in a drain or at the end: requests that
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -8,17 +8,17 @@
 from sabledyke.net import streams
 from sabledyke.net.connection_pool import Address, BadPeer, Connect, plain
 from sabledyke.policy import interface as api
-from sabledyke.protocol.gateway import Reader, to_box
-from sabledyke.protocol.http import MAX_BODY, HttpError, Message, Parser
+from sabledyke.protocol.gateway import MessageReader, encode_node_request
+from sabledyke.protocol.http import MAX_BODY_BYTES, HttpError, HttpMessage, HttpParser
 
 
 class HttpLink(streams.StreamLink):
     """See ``pool.Link``."""
 
-    def __init__(self, host: str, stream: streams.Stream, reader: Reader, room: streams.Room) -> None:
+    def __init__(self, host: str, stream: streams.Stream, reader: MessageReader, room: streams.Room) -> None:
         super().__init__(stream)
         self._host, self._reader, self._room = host, reader, room
-        self._parser = Parser(responses=True)
+        self._parser = HttpParser(responses=True)
         self._written: asyncio.Future[None] | None = None
         self.reusable = True
 
@@ -31,15 +31,17 @@
         """See ``pool.Link``."""
         self.reusable = False
         self._written = None
-        self._written = asyncio.ensure_future(self.stream.write(to_box(work, self._host, timeout)))
+        self._written = asyncio.ensure_future(
+            self.stream.write(encode_node_request(work, self._host, timeout))
+        )
         try:
             answer = await self._answer()
         except HttpError as fault:
             raise BadPeer(str(fault)) from None
         self.reusable = answer.keep_alive and self.may_have_run and self._parser.idle
-        return self._reader.ended(answer)
+        return self._reader.read_node_response(answer)
 
-    async def _answer(self) -> Message:
+    async def _answer(self) -> HttpMessage:
         held = 0
         try:
             while True:
@@ -48,17 +50,17 @@
                 except streams.StreamClosedError as end:
                     # Guards against taking a cut answer for a whole one: only an orderly end closes a body
                     # that states no length; a reset or a fault broke it off, and it may have run.
-                    whole = self._parser.end() if end.real_error is None else None
+                    whole = self._parser.on_end_of_stream() if end.real_error is None else None
                     if whole is None:
                         raise
                     return whole
                 self._parser.feed(data)
-                answer = self._parser.next()
+                answer = self._parser.next_message()
                 if answer is not None:
                     return answer
-                self._room.used += self._parser.held - held
-                held = self._parser.held
-                if self._room.full and held > MAX_BODY:  # what is small always fits
+                self._room.used += self._parser.buffered_bytes - held
+                held = self._parser.buffered_bytes
+                if self._room.full and held > MAX_BODY_BYTES:  # what is small always fits
                     raise HttpError("no room for so large an answer")
         finally:
             self._room.used -= held
@@ -68,7 +70,7 @@
     """Opens such connections."""
 
     def __init__(
-        self, settings: api.Settings, reader: Reader, room: streams.Room, connect: Connect = plain
+        self, settings: api.Settings, reader: MessageReader, room: streams.Room, connect: Connect = plain
     ) -> None:
         self.settings, self._reader, self._room, self._connect = settings, reader, room, connect
 
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -10,7 +10,7 @@
 
 from sabledyke.errors import OperatorError
 from sabledyke.policy import interface as api
-from sabledyke.protocol.discovery import address
+from sabledyke.protocol.discovery import parse_address
 from sabledyke.protocol.nvme import BLOCK_BYTES, MAX_DATA_BYTES
 from sabledyke.protocol.nvme.blocks import NvmeVolume
 from sabledyke.store import section
@@ -125,7 +125,7 @@
     lease = _lease(said.lease, store.record if store is not None else None)
     board, rollout, sites = _fleet(said, lease)
     operator = Operator(
-        listen=address(nvme.listen) if nvme.listen else None,
+        listen=parse_address(nvme.listen) if nvme.listen else None,
         connections=nvme.connections,
         nqn=nvme.nqn,
         host_nqn=nvme.host_nqn,
--- a/sabledyke/protocol/__init__.py
+++ b/sabledyke/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Wires as state machines that are fed bytes, and what their messages mean; no socket here."""
+"""Protocols as state machines that are fed bytes, and the meaning of their messages; no socket here."""
--- a/sabledyke/protocol/console.py
+++ b/sabledyke/protocol/console.py
@@ -1,49 +1,65 @@
-"""What an operator's call to the console asks for, and how it is answered; fed whole messages, no I/O.
+"""Operators' requests to the console and their responses; fed complete messages, without I/O.
 
-A call is one HTTP/1.1 request on a connection of its own; every answer closes that connection.
+Each request is one HTTP/1.1 request on a connection of its own, which the response closes.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-from sabledyke.protocol.http import HttpError, Message, encode_response
+from sabledyke.protocol.http import HttpError, HttpMessage, encode_response
 
-MAX_CALL = 8 * 1024  # bytes a call may have, head and body: none of the calls has anything to say
+MAX_CALL_BYTES = 8 * 1024
+"""Limit of a request's head and body: none of the calls needs a body."""
 
 
-class Call(Enum):
-    """What an operator may ask."""
+class ConsoleCall(Enum):
+    """What an operator may request."""
 
-    HEALTH = "health"  # does this process take clients
-    STATS = "stats"  # the figures
-    QUIESCE = "quiesce"  # send clients away
-    RESUME = "resume"  # take them again
+    HEALTH = "health"
+    """Report whether this process accepts clients."""
+    STATS = "stats"
+    """Report the metrics."""
+    QUIESCE = "quiesce"
+    """Stop accepting clients."""
+    RESUME = "resume"
+    """Accept clients again."""
 
 
 ROUTES = {
-    "/admin/health": ("GET", Call.HEALTH),
-    "/admin/stats": ("GET", Call.STATS),
-    "/admin/quiesce": ("POST", Call.QUIESCE),
-    "/admin/resume": ("POST", Call.RESUME),
+    "/admin/health": ("GET", ConsoleCall.HEALTH),
+    "/admin/stats": ("GET", ConsoleCall.STATS),
+    "/admin/quiesce": ("POST", ConsoleCall.QUIESCE),
+    "/admin/resume": ("POST", ConsoleCall.RESUME),
 }
 
 
-def route(message: Message) -> Call:
-    """The call a request makes; an HttpError with 404 for an unknown path, 405 for another method."""
+def route(message: HttpMessage) -> ConsoleCall:
+    """Return the call that a request makes.
+
+    Raises:
+        HttpError: With status 404 for an unknown path, and 405 for another method than the call's.
+    """
     path = message.target.partition("?")[0]
     if path not in ROUTES:
         raise HttpError(f"no such call: {path[:40]}", 404)
     method, call = ROUTES[path]
-    if message.method != method and not (method == "GET" and message.method == "HEAD"):
+    is_head_of_get = method == "GET" and message.method == "HEAD"
+    if message.method != method and not is_head_of_get:
         raise HttpError(f"{path} takes {method}, not {message.method[:10]}", 405)
     return call
 
 
-def answer(status: int, body: bytes = b"", *, head: bool = False) -> bytes:
-    """The whole answer to a call, which ends its connection; a HEAD gets the length without the body."""
+def encode_answer(status: int, body: bytes = b"", *, head: bool = False) -> bytes:
+    """Return the response to a call, which ends its connection.
+
+    Args:
+        status: Its status.
+        body: Its body, as text.
+        head: Whether the request was a HEAD: the response has the body's length without the body.
+    """
     headers = [("Content-Type", "text/plain; charset=utf-8"), ("Cache-Control", "no-store")]
     if status == 405:
         headers.append(("Allow", "GET, POST"))
-    whole = encode_response(status, headers, body, close=True)
-    return whole[: len(whole) - len(body)] if head else whole
+    response = encode_response(status, headers, body, close=True)
+    return response[: len(response) - len(body)] if head else response
--- a/sabledyke/protocol/discovery.py
+++ b/sabledyke/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's lists: the calls to make, and what their answers say."""
+"""Discovery's endpoint lists: the requests for them, and the parsing of their responses."""
 
 from __future__ import annotations
 
@@ -10,81 +10,132 @@
 
 from sabledyke.errors import ListError as ListError
 from sabledyke.policy import interface as api
+from sabledyke.protocol import platform_names as names
 
-PATH = "/catalog/members"
-_GARBLED = (KeyError, TypeError, ValueError, OverflowError, AttributeError)
-_STATES = {"ready": api.NodeState.READY, "draining": api.NodeState.DRAINING, "gone": api.NodeState.GONE}
+LIST_PATH = "/catalog/members"
+
+_MAX_PORT = 65535
+_INVALID = (KeyError, TypeError, ValueError, OverflowError, AttributeError)
+_STATES = {
+    names.STATE_READY: api.NodeState.READY,
+    names.STATE_DRAINING: api.NodeState.DRAINING,
+    names.STATE_REMOVED: api.NodeState.GONE,
+}
+
+Address = tuple[str, int]
+"""Host and port."""
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
-    """A list and where its nodes are to be dialled."""
+class EndpointListing:
+    """An endpoint list, and the addresses of its nodes.
+
+    Attributes:
+        update: The list, or what changed of it.
+        addresses: The addresses of its nodes, except of those that were removed.
+        error: What is wrong with entries that were left out; empty where none were.
+    """
 
-    news: api.NodeList
-    dials: dict[api.NodeId, tuple[str, int]]
-    fault: str = ""  # what is wrong with entries that were left out
+    update: api.NodeList
+    addresses: dict[api.NodeId, Address]
+    error: str = ""
 
 
-def target(since: int | None, wait_ms: int) -> str:
-    """The call for what is newer than a version, or for the whole list."""
-    return PATH if since is None else f"{PATH}?since={since}&timeout_ms={wait_ms}"
+def list_target(since_version: int | None, wait_ms: int) -> str:
+    """Return the target of a request for the list.
+
+    Args:
+        since_version: The version that is held: what changed since is requested; None for the full list.
+        wait_ms: How long discovery may wait for a change.
+    """
+    if since_version is None:
+        return LIST_PATH
+    return f"{LIST_PATH}?since={since_version}&timeout_ms={wait_ms}"
 
 
-def address(text: str) -> tuple[str, int]:
-    """A ``host:port``."""
+def parse_address(text: str) -> Address:
+    """Return the address that ``host:port`` states.
+
+    Raises:
+        ListError: The text is no address.
+    """
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
+    if not colon or not host or not port.isdecimal() or not 0 < int(port) <= _MAX_PORT:
         raise ListError(f"no address: {text!r}")
     return host.strip("[]"), int(port)
 
 
-def read(data: object, settings: api.Settings, *, cached: bool = False) -> Listing:
-    """A list from JSON that is parsed already.
+def parse_listing(text: bytes, settings: api.Settings) -> EndpointListing:
+    """Return the list in the body of a response.
 
-    One that is cached is read whole or not at all. Of one that was told, entries that cannot be read are left
-    out and it counts as a change: guards against a garbled entry hiding the drain of another box, and against
-    the box that it names being taken for gone.
+    Raises:
+        ListError: The body is no list.
     """
     try:
-        if not isinstance(data, dict):
-            raise ListError("the list is no object")
-        kind = api.ListKind.FULL if data["whole"] else api.ListKind.DELTA
-        entries, dials, fault = [], {}, ""
-        for host in data["hosts"]:
-            try:
-                entry = _entry(host, settings)
-                if entry.state is not api.NodeState.GONE:
-                    dials[entry.node] = address(host["dial"])
-                entries.append(entry)
-            except (*_GARBLED, ListError) as why:
-                if cached:
-                    raise
-                fault, kind = f"an entry of the list lacks or garbles {why}", api.ListKind.DELTA
-        news = api.NodeList(api.ListKind.CACHED if cached else kind, int(data["seq"]), tuple(entries))
-        return Listing(news, dials, fault)
-    except _GARBLED as why:
-        raise ListError(f"the list lacks or garbles {why}") from None
-
-
-def parse(text: bytes, settings: api.Settings) -> Listing:
-    """A list from the body of an answer."""
-    try:
-        return read(orjson.loads(text), settings)
-    except orjson.JSONDecodeError as fault:
-        raise ListError(f"the list is no JSON: {fault}") from None
+        document = orjson.loads(text)
+    except orjson.JSONDecodeError as error:
+        raise ListError(f"the list is no JSON: {error}") from None
+    return read_listing(document, settings)
+
+
+def read_listing(document: object, settings: api.Settings, *, cached: bool = False) -> EndpointListing:
+    """Return the list in a JSON document that is decoded already.
 
+    A cached list is read completely or not at all. Of a list from discovery, invalid entries are left out and
+    it counts as a change: guards against an invalid entry hiding the drain of another node, and against the
+    node that it names being taken for removed.
 
-def _entry(host: dict[str, Any], settings: api.Settings) -> api.NodeEntry:
-    zone, kind = host.get("site"), host.get("class")
-    started = float(host["born_ms"])
-    if not (isfinite(started) and started >= 0):  # what differs from itself would start anew
-        raise ValueError(f"born_ms: {started}")
+    Args:
+        document: The decoded document.
+        settings: The settings that name zones and kinds.
+        cached: Whether the list is a cached one.
+
+    Raises:
+        ListError: The document is no list.
+    """
+    try:
+        if not isinstance(document, dict):
+            raise ListError("the list is no object")
+        return _read_document(document, settings, cached)
+    except _INVALID as error:
+        raise ListError(f"the list lacks or garbles {error}") from None
+
+
+def _read_document(document: dict[str, Any], settings: api.Settings, cached: bool) -> EndpointListing:
+    kind = api.ListKind.FULL if document[names.LIST_IS_FULL] else api.ListKind.DELTA
+    entries: list[api.NodeEntry] = []
+    addresses: dict[api.NodeId, Address] = {}
+    invalid_entry = ""
+    for fields in document[names.LIST_NODES]:
+        try:
+            entry = _read_entry(fields, settings)
+            if entry.state is not api.NodeState.GONE:
+                addresses[entry.node] = parse_address(fields[names.NODE_ADDRESS])
+            entries.append(entry)
+        except (*_INVALID, ListError) as error:
+            if cached:
+                raise
+            invalid_entry = f"an entry of the list lacks or garbles {error}"
+            kind = api.ListKind.DELTA
+    if cached:
+        kind = api.ListKind.CACHED
+    update = api.NodeList(kind, int(document[names.LIST_VERSION]), tuple(entries))
+    return EndpointListing(update, addresses, invalid_entry)
+
+
+def _read_entry(fields: dict[str, Any], settings: api.Settings) -> api.NodeEntry:
+    zone = fields.get(names.NODE_ZONE)
+    kind = fields.get(names.NODE_KIND)
+    started_ms = float(fields[names.NODE_STARTED_MS])
+    # A value that is not equal to itself would look like a restart with each list.
+    if not (isfinite(started_ms) and started_ms >= 0):
+        raise ValueError(f"{names.NODE_STARTED_MS}: {started_ms}")
     return api.NodeEntry(
-        node=host["host"].encode(),
-        shard=int(host["block"]),
+        node=fields[names.NODE_ID].encode(),
+        shard=int(fields[names.NODE_SHARD]),
         zone=settings.zones.index(zone) if zone in settings.zones else -1,
         kind=settings.kinds.index(kind) if kind in settings.kinds else -1,
-        started=started,
-        weight=float(host["share"]),
-        state=_STATES[host["health"]],
+        started=started_ms,
+        weight=float(fields[names.NODE_WEIGHT]),
+        state=_STATES[fields[names.NODE_STATE]],
     )
--- /dev/null
+++ b/sabledyke/protocol/http/__init__.py
@@ -0,0 +1,25 @@
+"""HTTP/1.1 as state machines that are fed bytes: requests on one side, responses on the other."""
+
+from sabledyke.protocol.http.encoding import REASON_PHRASES, encode_request, encode_response
+from sabledyke.protocol.http.message import (
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_INPUT_BYTES,
+    MAX_RESPONSE_BODY_BYTES,
+    HttpError,
+    HttpMessage,
+)
+from sabledyke.protocol.http.parser import HttpParser
+
+__all__ = [
+    "MAX_BODY_BYTES",
+    "MAX_HEAD_BYTES",
+    "MAX_INPUT_BYTES",
+    "MAX_RESPONSE_BODY_BYTES",
+    "REASON_PHRASES",
+    "HttpError",
+    "HttpMessage",
+    "HttpParser",
+    "encode_request",
+    "encode_response",
+]
--- /dev/null
+++ b/sabledyke/protocol/http/message.py
@@ -0,0 +1,51 @@
+"""HTTP messages, their limits, and the error that an invalid one is."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from sabledyke.errors import Fault
+
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
+"""Limit of a request's body."""
+MAX_RESPONSE_BODY_BYTES = 1024 * 1024
+"""Limit of a response's body; storage nodes were seen to send 350 KB."""
+MAX_INPUT_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES
+"""What may be buffered of requests: a head, and a body in small chunks."""
+
+
+class HttpError(Fault):
+    """The bytes are not a message of this protocol, or the message is too large or not acceptable.
+
+    Attributes:
+        status: The status with which a client is answered.
+    """
+
+    code = "http"
+    remedy = "tell whoever runs that peer"
+
+    def __init__(self, text: str, status: int = 400) -> None:
+        super().__init__(text)
+        self.status = status
+
+
+@dataclass(slots=True)
+class HttpMessage:
+    """A complete request or response.
+
+    Attributes:
+        method: Method of a request.
+        target: Target of a request.
+        status: Status of a response; 0 of a request.
+        headers: Values by name in lower case; repeated headers are joined by commas.
+        body: The body, without its transfer coding.
+        keep_alive: Whether the connection continues after this message.
+    """
+
+    method: str = ""
+    target: str = ""
+    status: int = 0
+    headers: dict[str, str] = field(default_factory=dict)
+    body: bytes = b""
+    keep_alive: bool = True
--- a/sabledyke/protocol/nvme/blocks.py
+++ b/sabledyke/protocol/nvme/blocks.py
@@ -180,8 +180,8 @@
     if len(work.body) + _LENGTH_PREFIX_BYTES > capacity_bytes:
         raise NoPlaceError(f"{len(work.body)} bytes do not fit a piece of {capacity_bytes}")
     data = (len(work.body) + 1).to_bytes(_LENGTH_PREFIX_BYTES, "big") + work.body
-    whole_blocks = -(-len(data) // BLOCK_BYTES)
-    padded = data.ljust(whole_blocks * BLOCK_BYTES, b"\0")
+    block_count = -(-len(data) // BLOCK_BYTES)
+    padded = data.ljust(block_count * BLOCK_BYTES, b"\0")
     return _write_submission(volume.namespace_id, start_block, padded, work.token)
 
 
--- a/sabledyke/protocol/nvme/identify.py
+++ b/sabledyke/protocol/nvme/identify.py
@@ -97,8 +97,8 @@
 def _active_namespaces_page(subsystem: Subsystem, after_namespace_id: int) -> bytes:
     page = bytearray(_PAGE_BYTES)
     active = [number for number in sorted(subsystem.namespaces) if number > after_namespace_id]
-    listed = active[:_MAX_LISTED_NAMESPACES]
-    struct.pack_into(f"<{len(listed)}I", page, 0, *listed)
+    reported = active[:_MAX_LISTED_NAMESPACES]
+    struct.pack_into(f"<{len(reported)}I", page, 0, *reported)
     return bytes(page)
 
 
--- a/sabledyke/protocol/versions.py
+++ b/sabledyke/protocol/versions.py
@@ -1,7 +1,7 @@
-"""Is an answer of discovery newer than what is held? Told versions, in order; knows no socket and no clock.
+"""Decision whether a response of discovery is newer than the list in force, by versions alone.
 
-Source: PROTOCOL, 'Discovery': a watch names the version that it holds, and is answered with what changed
-since or with the whole list. What is cut, repeated, out of order or older must not undo a drain.
+Source: PROTOCOL, 'Discovery': a watch names the version that it has, and is answered with what changed since
+or with the full list. What is cut off, repeated, out of order or older must not undo a drain.
 """
 
 from __future__ import annotations
@@ -11,51 +11,70 @@
 from sabledyke.policy import interface as api
 
 
-class Verdict(Enum):
-    """What becomes of an answer."""
+class VersionStatus(Enum):
+    """What becomes of a response."""
 
-    TAKEN = "taken"
-    REPEATED = "repeated"  # nothing that is not held already
-    OLDER = "older"  # set aside; the next call asks for the whole list
+    ACCEPTED = "accepted"
+    UNCHANGED = "unchanged"
+    """It has nothing that is not in force already."""
+    STALE = "stale"
+    """It is ignored, and the next request is for the full list."""
 
 
-class Versions:
-    """The version that is held, and what the next call asks for."""
+class VersionTracker:
+    """Tracks the version that is in force, and what the next request asks for.
 
-    def __init__(self, held: int | None = None) -> None:
-        self.held = held
-        self.since = held  # what the next call names; None asks for the whole list
-        self._doubted = False  # an older whole list came, and was set aside once
+    Attributes:
+        current: The version that is in force; None where there is none.
+        since: The version that the next request names; None to request the full list.
+    """
 
-    def renew(self) -> None:
-        """Another service, which may number otherwise: begin with its whole list, whatever its version."""
-        self.held = self.since = None
-        self._doubted = False
+    def __init__(self, current: int | None = None) -> None:
+        self.current = current
+        self.since = current
+        self._ignored_older_list = False  # an older full list came, and was ignored once
 
-    def doubt(self) -> None:
-        """An answer could be read in part alone: the next call asks for the whole list."""
+    def reset(self) -> None:
+        """Start with the full list, whatever its version: another service may number its lists otherwise."""
+        self.current = None
         self.since = None
+        self._ignored_older_list = False
 
-    def newer(self, news: api.NodeList) -> bool:
-        """It says what is not held yet."""
-        return self.held is None or news.version > self.held
+    def request_full_list(self) -> None:
+        """Request the full list next, as a response could be read only in part."""
+        self.since = None
+
+    def is_newer(self, update: api.NodeList) -> bool:
+        """Return whether an update is newer than the version in force."""
+        return self.current is None or update.version > self.current
 
-    def judge(self, news: api.NodeList) -> Verdict:
-        """Take the answer or set it aside.
+    def evaluate(self, update: api.NodeList) -> VersionStatus:
+        """Accept an update or ignore it.
 
-        An older whole list is taken when a second call for the whole list brings one too: the service was set
-        up anew and counts from the start. Guards against going by a list that is never told again.
+        An older full list is accepted when a second request for the full list brings one too: the service was
+        set up anew and counts from the start. Guards against keeping a list that is never updated again.
         """
-        whole, newer = news.kind is api.ListKind.FULL, self.newer(news)
-        if not newer and (not whole or news.version == self.held and self.since is not None):
-            if news.version == self.held or not news.entries:
-                self.since = self.held
-                return Verdict.REPEATED
+        if self.is_newer(update):
+            return self._accept(update)
+        is_current = update.version == self.current
+        requested_full_list = self.since is None
+        if update.kind is not api.ListKind.FULL or (is_current and not requested_full_list):
+            return self._ignore(update, is_current)
+        if not is_current and not self._ignored_older_list:
+            self._ignored_older_list = True
             self.since = None
-            return Verdict.OLDER
-        if not newer and news.version != self.held and not self._doubted:
-            self._doubted, self.since = True, None
-            return Verdict.OLDER
-        self._doubted = False
-        self.held = self.since = news.version
-        return Verdict.TAKEN
+            return VersionStatus.STALE
+        return self._accept(update)
+
+    def _accept(self, update: api.NodeList) -> VersionStatus:
+        self._ignored_older_list = False
+        self.current = update.version
+        self.since = update.version
+        return VersionStatus.ACCEPTED
+
+    def _ignore(self, update: api.NodeList, is_current: bool) -> VersionStatus:
+        if is_current or not update.entries:
+            self.since = self.current
+            return VersionStatus.UNCHANGED
+        self.since = None
+        return VersionStatus.STALE
--- a/sabledyke/protocol/watch_timeout.py
+++ b/sabledyke/protocol/watch_timeout.py
@@ -1,10 +1,12 @@
-"""When a call for the list has fallen silent, and when the next follows: one clock, lists asked or pushed.
+"""When a watch on the endpoint list has timed out, and when the next request follows.
 
-Told when calls begin and end, and a seed; knows no socket and no clock of its own. Times are seconds.
+One schedule for lists that are polled from discovery and lists that an agent pushes. It is notified of how
+requests end and given a seed; it has neither a socket nor a clock.
 
-Source: STANDING, 'One clock for silence': a call without its whole answer is broken and has to be made anew;
-what it missed counts as told 6 s after it fell silent, or 2 s after its wait is over, whichever is later.
-PROTOCOL, 'Discovery': a watch goes on where the next call comes within 0.2 s of the last answer.
+Source: STANDING, 'One clock for silence': a request without its complete response is broken and has to be
+made again; what it missed counts as known 6 s after it timed out, or 2 s after its wait is over, whichever is
+later. PROTOCOL, 'Discovery': a watch continues where the next request comes within 0.2 s of the last
+response.
 """
 
 from __future__ import annotations
@@ -12,46 +14,88 @@
 import random
 from dataclasses import dataclass
 
+_MAX_JITTER_FACTOR = 2
+
+
+@dataclass(frozen=True, slots=True)
+class Backoff:
+    """A pause that doubles from its minimum up to its maximum.
+
+    Attributes:
+        min_s: The first pause.
+        max_s: The longest pause.
+    """
+
+    min_s: float
+    max_s: float
+
+    def next_s(self, last_s: float) -> float:
+        """Return the pause after one of ``last_s``; 0 for no pause before."""
+        return min(max(self.min_s, 2 * last_s), self.max_s)
+
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """How one kind of list is asked for."""
+class WatchTiming:
+    """How one kind of list is requested.
 
-    wait: float  # for which a call lets discovery wait for news
-    spare: float  # and for which its whole answer may come later than that
-    jitter: float  # over which calls after a silence are spread, as all hosts' may fall silent at once
-    again: tuple[float, float]  # after a refusal or a break: the first pause, doubled up to the last
+    Attributes:
+        wait_s: For how long discovery may wait for a change before it responds.
+        response_margin_s: How much later than that its complete response may come.
+        jitter_s: The range over which requests after a timeout are spread, as those of all hosts may time out
+            at once.
+        backoff: The pauses after rejected or broken requests.
+    """
 
+    wait_s: float
+    response_margin_s: float
+    jitter_s: float
+    backoff: Backoff
 
-# One discovery for all hosts: told 2 s after the wait, so 1 + 1 of them; refusals the module waits out.
-ASKED = Terms(2.0, 1.0, 1.0, (0.05, 0.4))
-# An agent on this machine: asking costs nothing, and what it has counts at once, also right after an outage
-# in which it was silent; a drain leaves 2 s.
-PUSHED = Terms(0.5, 0.25, 0.05, (0.05, 0.4))
 
+_BACKOFF = Backoff(min_s=0.05, max_s=0.4)
 
-class Silence:
-    """One line of calls; at most one of them is out."""
+POLLED_DISCOVERY = WatchTiming(wait_s=2.0, response_margin_s=1.0, jitter_s=1.0, backoff=_BACKOFF)
+"""One discovery for all hosts.
+
+What it missed counts as known 2 s after the wait, which leaves 1 s for the response and 1 s for the jitter.
+The policy waits out rejected requests.
+"""
+LOCAL_AGENT = WatchTiming(wait_s=0.5, response_margin_s=0.25, jitter_s=0.05, backoff=_BACKOFF)
+"""An agent on this machine.
+
+Requests to it cost nothing, and what it has counts as known at once, also right after an outage in which it
+did not respond; a drain leaves 2 s.
+"""
+
+
+class WatchTimeout:
+    """Schedule of one sequence of requests, of which at most one is outstanding.
+
+    Attributes:
+        consecutive_timeouts: Number of requests in a row without their complete response.
+    """
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
-        self._pause = 0.0
-        self.silent = 0  # calls in a row without their whole answer
+        self._pause_s = 0.0
+        self.consecutive_timeouts = 0
 
-    def answered(self) -> None:
-        """A call got its whole answer."""
-        self.silent, self._pause = 0, 0.0
+    def on_response(self) -> None:
+        """Note that a request got its complete response."""
+        self.consecutive_timeouts = 0
+        self._pause_s = 0.0
 
-    def fell_silent(self, terms: Terms) -> float:
-        """A call did not get its whole answer in time: seconds until the next one.
+    def on_timeout(self, timing: WatchTiming) -> float:
+        """Return the seconds until the next request, after one that timed out.
 
-        The spread doubles once, from the second silence in a row on: guards against 200 hosts asking a
-        discovery that hangs in step, and against it not being asked in time.
+        The range of the jitter doubles once, from the second timeout in a row on: guards against 200 hosts
+        sending requests in step to a discovery that hangs, and against requesting too late.
         """
-        self.silent += 1
-        return self._random.random() * terms.jitter * min(self.silent, 2)
-
-    def broke(self, terms: Terms) -> float:
-        """A call was refused or cut off: seconds until the next one, where lists are pushed."""
-        self._pause = min(max(terms.again[0], 2 * self._pause), terms.again[1])
-        return self._pause
+        self.consecutive_timeouts += 1
+        jitter_factor = min(self.consecutive_timeouts, _MAX_JITTER_FACTOR)
+        return self._random.random() * timing.jitter_s * jitter_factor
+
+    def on_failure(self, timing: WatchTiming) -> float:
+        """Return the seconds until the next request, after one that was rejected or cut off."""
+        self._pause_s = timing.backoff.next_s(self._pause_s)
+        return self._pause_s
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -100,7 +100,7 @@
 
     def listing(self) -> Any:
         """The list of boxes."""
-        return discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
+        return discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
 
     async def live(self) -> Server:
         """A start."""
--- a/tests/test_attempt_recheck.py
+++ b/tests/test_attempt_recheck.py
@@ -44,16 +44,18 @@
 
 def drains(rig: Rig, line: Line) -> None:
     rig.server.core.settings = replace(rig.server.core.settings, drain_grace=0.0)
-    rig.server._listed(discovery.read(DRAINS | {"hosts": [HOST | {"health": "draining"}]}, DEPLOYMENT))
+    rig.server._listed(
+        discovery.read_listing(DRAINS | {"hosts": [HOST | {"health": "draining"}]}, DEPLOYMENT)
+    )
 
 
 def is_gone(rig: Rig, line: Line) -> None:
     rig.server.core.settings = replace(rig.server.core.settings, drain_grace=0.0)
-    rig.server._listed(discovery.read(GONE, DEPLOYMENT))
+    rig.server._listed(discovery.read_listing(GONE, DEPLOYMENT))
 
 
 def starts_anew(rig: Rig, line: Line) -> None:
-    rig.server._listed(discovery.read(change(HOST, 2, born_ms=5.0), DEPLOYMENT))
+    rig.server._listed(discovery.read_listing(change(HOST, 2, born_ms=5.0), DEPLOYMENT))
 
 
 def has_no_time(rig: Rig, line: Line) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,7 @@
 from sabledyke.core import Ended
 from sabledyke.net import frontend, listener, streams
 from sabledyke.policy import interface as api
-from sabledyke.protocol.http import MAX_INPUT
+from sabledyke.protocol.http import MAX_INPUT_BYTES
 from sabledyke.shutdown.graceful_shutdown import Departure, Phase
 from tests.crossings import Line, Step, request, until
 from tests.test_net import Rig, play
@@ -116,7 +116,7 @@
         if crowded:
             rig.server.fronts[0].roomy = 0
         whole = b"".join(request(f"{n}-" + "x" * 1900) for n in range(many))
-        fits = MAX_INPUT // len(request("00-" + "x" * 1900))
+        fits = MAX_INPUT_BYTES // len(request("00-" + "x" * 1900))
         loop, answers = asyncio.get_running_loop(), b""
         sent = asyncio.create_task(loop.sock_sendall(line.socket, whole))
         await line.asked.wait()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -21,7 +21,7 @@
 from sabledyke.net.nvme_frontend import NvmeClient
 from sabledyke.policy import interface as api
 from sabledyke.protocol import discovery
-from sabledyke.protocol.watch_timeout import ASKED, PUSHED, Silence
+from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout
 from tests.helpers import BRISK, HELD, READ, SETTINGS, WRITE
 from tests.standins import NQN, Discovery, HttpBox, NvmeBox, NvmeHost, ask, http
 
@@ -71,7 +71,7 @@
         rows = VOLUME.format(1, "gold", 0) + VOLUME.format(2, "gold", 1) + VOLUME.format(3, "held", 0)
         text = NVME + rows + VOLUME.format(4, "held", 1) + f'[store]\npath = "{self._store}"\n'
         extras = replace(operator_config.read(text, DEPLOYMENT), listen=("127.0.0.1", 0))
-        known = discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
+        known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         self.config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT, self._console)
         self.server = Server(self.config, extras, BRISK, self.reread)
@@ -316,7 +316,7 @@
         rig.server._dialers[b"spare"] = nvme.dialer.dial
         rig.discovery.add("spare", spare.port, 2)
         rig.discovery.hosts = rig.discovery.hosts[1:]  # none that speaks HTTP
-        rig.server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server._listed(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         for box in (rig.nvme, spare):
             box.mercy, box.deadly = 1000, deadly
         info = INFO.replace("shard=0", "shard=-1") + "Idempotency-Key: k\nContent-Length: 3000\n"
@@ -597,9 +597,9 @@
         association = nvme.dialer._associations[b"block"]
         assert set(server.core.nodes) == set(server.pool._addresses) == {b"plain", b"block"}
         rig.discovery.hosts.pop()
-        server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        server._listed(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         delta = {"seq": 2, "whole": False, "hosts": [rig.discovery.hosts[0] | {"health": "gone"}]}
-        server._listed(discovery.read(delta, DEPLOYMENT))
+        server._listed(discovery.read_listing(delta, DEPLOYMENT))
         assert not server.core.nodes and not server.pool._addresses and not server.pool._count
         assert association.left and not nvme.dialer._associations
         host.close()
@@ -626,16 +626,19 @@
 
 def test_a_silent_call_is_made_anew_before_what_it_missed_counts_as_told() -> None:
     for seed in range(200):
-        line, at = Silence(seed), 0.0
-        for terms, told in ((ASKED, max(6.0, ASKED.wait + 2)), (PUSHED, 2.0)):  # at once, 2 s to drain
-            assert terms.wait + terms.spare + line.fell_silent(terms) <= told
-            line.answered()
-        pauses = [line.fell_silent(ASKED) for _ in range(50)]
-        assert max(pauses) <= 2 * ASKED.jitter
+        line, at = WatchTimeout(seed), 0.0
+        for terms, told in (
+            (POLLED_DISCOVERY, max(6.0, POLLED_DISCOVERY.wait_s + 2)),
+            (LOCAL_AGENT, 2.0),
+        ):  # at once, 2 s to drain
+            assert terms.wait_s + terms.response_margin_s + line.on_timeout(terms) <= told
+            line.on_response()
+        pauses = [line.on_timeout(POLLED_DISCOVERY) for _ in range(50)]
+        assert max(pauses) <= 2 * POLLED_DISCOVERY.jitter_s
         for _ in range(9):
-            at = line.broke(PUSHED)
-        assert at == PUSHED.again[1]
-    spread = [Silence(seed).fell_silent(ASKED) for seed in range(200)]
+            at = line.on_failure(LOCAL_AGENT)
+        assert at == LOCAL_AGENT.backoff.max_s
+    spread = [WatchTimeout(seed).on_timeout(POLLED_DISCOVERY) for seed in range(200)]
     assert all(30 < sum(k / 4 <= p < (k + 1) / 4 for p in spread) < 71 for k in range(4))  # not in step
 
 
@@ -694,10 +697,12 @@
     states: list[str | None],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(endpoint_watch, "PUSHED", replace(PUSHED, wait=0.05, spare=0.05))
+    monkeypatch.setattr(
+        endpoint_watch, "LOCAL_AGENT", replace(LOCAL_AGENT, wait_s=0.05, response_margin_s=0.05)
+    )
 
     async def run() -> None:
-        agent, seen = Discovery(), list[discovery.Listing | None]()
+        agent, seen = Discovery(), list[discovery.EndpointListing | None]()
         await agent.open()
         agent.hosts, agent.script, agent.indent = [HOST], list(script), 2
         settings = replace(DEPLOYMENT, asks_list=not pushed)
@@ -709,7 +714,7 @@
         await asyncio.sleep(0.1)
         look.stop()
         agent.die()
-        told = [e for s in seen for e in ([None] if s is None else s.news.entries)]
+        told = [e for s in seen for e in ([None] if s is None else s.update.entries)]
         assert [None if e is None else e.state.name for e in told] == states
         assert pushed or not agent.calls
 
--- a/tests/test_outside.py
+++ b/tests/test_outside.py
@@ -102,7 +102,7 @@
     got = config.load(setup(tmp_path))
     assert got.settings == replace(wire.read_settings(CONF), most_open=1024 / 3)  # what clients may hold
     assert (got.listen, got.discovery) == (("127.0.0.1", 9090), ("127.0.0.1", 8500))  # the environment wins
-    assert got.seed == 0x8C1F and got.known is not None and got.known.news.version == 41
+    assert got.seed == 0x8C1F and got.known is not None and got.known.update.version == 41
 
 
 def test_the_console_is_where_the_environment_or_the_file_says(tmp_path: Path) -> None:
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -15,14 +15,15 @@
 from sabledyke.core import Answer, Verdict
 from sabledyke.protocol import discovery, gateway, nvme
 from sabledyke.protocol.http import (
-    MAX_BODY,
+    MAX_BODY_BYTES,
     HttpError,
-    Message,
-    Parser,
+    HttpMessage,
+    HttpParser,
     encode_request,
     encode_response,
 )
 from sabledyke.protocol.nvme.blocks import Translator
+from sabledyke.protocol.request_ids import RequestIds
 from tests.helpers import FIXED, SETTINGS, SIZES, pieces, spoilt
 
 REQUESTS = encode_request("PUT", "/api/1/2?x", [("Req-Id", "a"), ("X", "")], b"body") + encode_request(
@@ -61,11 +62,11 @@
 HOST = nvme.HostIdentity(bytes(16), "nqn.host")
 
 
-def http(parser: Parser, parts: list[bytes]) -> list[Message]:
+def http(parser: HttpParser, parts: list[bytes]) -> list[HttpMessage]:
     out = []
     for part in parts:
         parser.feed(part)
-        while (message := parser.next()) is not None:
+        while (message := parser.next_message()) is not None:
             out.append(message)
     return out
 
@@ -95,10 +96,10 @@
 @FIXED
 @given(SIZES)
 def test_http_messages_are_the_same_in_any_cuts(sizes: list[int]) -> None:
-    one, two = http(Parser(), pieces(REQUESTS, sizes))
+    one, two = http(HttpParser(), pieces(REQUESTS, sizes))
     assert (one.method, one.target, one.body) == ("PUT", "/api/1/2?x", b"body") and one.headers["x"] == ""
     assert (two.method, two.headers["req-id"], two.body) == ("GET", "b", b"")
-    one, two = http(Parser(responses=True), pieces(RESPONSES, sizes))
+    one, two = http(HttpParser(responses=True), pieces(RESPONSES, sizes))
     assert (one.status, one.body, two.status, two.body) == (200, b"abc0123456789", 503, b"no")
 
 
@@ -106,35 +107,35 @@
 @given(st.one_of(spoilt(REQUESTS), spoilt(RESPONSES)), SIZES, st.booleans())
 def test_spoilt_http_is_an_http_error_or_a_message(data: bytes, sizes: list[int], responses: bool) -> None:
     with contextlib.suppress(HttpError):
-        for message in http(Parser(responses=responses), pieces(data, sizes)):
-            assert len(message.body) <= MAX_BODY
+        for message in http(HttpParser(responses=responses), pieces(data, sizes)):
+            assert len(message.body) <= MAX_BODY_BYTES
 
 
 @FIXED
 @given(st.dictionaries(st.sampled_from([*HEADERS, "x"]), st.text(max_size=12)), st.text(max_size=30))
 def test_spoilt_headers_are_an_http_error_or_work(changes: dict[str, str], target: str) -> None:
-    reader = gateway.Reader(SETTINGS)
-    good = reader.work(Message("GET", "/api/00000003b4d60021/7f", headers=HEADERS))
+    reader = gateway.MessageReader(SETTINGS)
+    good = reader.read_request(HttpMessage("GET", "/api/00000003b4d60021/7f", headers=HEADERS))
     assert (good.volume, good.key, good.units, good.shard, good.hosts) == (0x3B4D60021, 0x7F, 2, 5, 2)
     assert good.remaining == 500 and not good.write
     with contextlib.suppress(HttpError):
-        assert reader.work(Message("PUT", target, headers={**HEADERS, **changes})).remaining > 0
+        assert reader.read_request(HttpMessage("PUT", target, headers={**HEADERS, **changes})).remaining > 0
     strange = {"srv-load": target, "volume-load": target, "other-hosts": target}
-    assert reader.ended(Message(status=200, headers=strange)).may_have_run
+    assert reader.read_node_response(HttpMessage(status=200, headers=strange)).may_have_run
 
 
 @pytest.mark.parametrize("text", ["TEXT concurrent=7, mean_ms=66.5", "TEXT inflight=7, latency_ms=66.5"])
 def test_a_load_report_is_read_under_the_settings_names_and_the_simulators(text: str) -> None:
     """Guards against reports that are never read: boxes were seen to use either."""
-    reader = gateway.Reader(replace(SETTINGS, report_fields=("concurrent", "mean_ms")))
-    assert reader.ended(Message(status=200, headers={"srv-load": text})).load == (7.0, 66.5)
+    reader = gateway.MessageReader(replace(SETTINGS, report_fields=("concurrent", "mean_ms")))
+    assert reader.read_node_response(HttpMessage(status=200, headers={"srv-load": text})).load == (7.0, 66.5)
 
 
 @pytest.mark.parametrize("others, units", [("12", 12), (None, 0), *((t, 0) for t in ("-4", "1e300", "nan"))])
 def test_figures_no_box_can_mean_are_set_aside(others: str | None, units: int) -> None:
-    reader = gateway.Reader(replace(SETTINGS, report_fields=("latency_ms",)))
+    reader = gateway.MessageReader(replace(SETTINGS, report_fields=("latency_ms",)))
     strange = {} if others is None else {"other-hosts": others, "srv-load": f"TEXT latency_ms={others}"}
-    got = reader.ended(Message(status=200, headers=strange))
+    got = reader.read_node_response(HttpMessage(status=200, headers=strange))
     assert got.others_units == units and got.load == ((12.0,) if units else ())
 
 
@@ -171,10 +172,10 @@
 @given(st.one_of(spoilt(LIST), JSON.map(orjson.dumps)))
 def test_spoilt_lists_are_a_list_error_or_a_list(data: bytes) -> None:
     settings = replace(SETTINGS, kinds=("m",))
-    good = discovery.parse(LIST, settings)
-    assert good.dials == {b"s1": ("127.0.0.1", 80)} and good.news.entries[0].zone == 1
+    good = discovery.parse_listing(LIST, settings)
+    assert good.addresses == {b"s1": ("127.0.0.1", 80)} and good.update.entries[0].zone == 1
     with contextlib.suppress(discovery.ListError):
-        assert discovery.parse(data, settings).news.version is not None
+        assert discovery.parse_listing(data, settings).update.version is not None
 
 
 @FIXED
@@ -192,13 +193,13 @@
 """
     translator = Translator(SETTINGS, NQN, operator_config.read(text, SETTINGS).volumes)
     headers = {**HEADERS, "idempotency-key": "k" * keyed}
-    reader = gateway.Reader(SETTINGS)
-    work = reader.work(Message("PUT", f"/api/9/{piece}", headers=headers, body=body))
+    reader = gateway.MessageReader(SETTINGS)
+    work = reader.read_request(HttpMessage("PUT", f"/api/9/{piece}", headers=headers, body=body))
     command, data = translator.to_node_command(work)
     assert (
         command.start_block == piece * 8 and bool(command.idempotency_key) is keyed and len(data) % 512 == 0
     )
-    read = reader.work(Message("GET", f"/api/9/{piece}", headers=headers))
+    read = reader.read_request(HttpMessage("GET", f"/api/9/{piece}", headers=headers))
     stored = data.ljust(translator.to_node_command(read)[0].sgl_length, b"\0")
     assert translator.from_node_completion(read, nvme.Completion(1, 0), stored).body == body
     done, _ = translator.to_completion(command, Answer(Verdict.REFUSED, retry_after=250))
@@ -231,7 +232,7 @@
 )  # one without a length ends with its connection
 def test_an_answer_whose_end_cannot_be_told_is_an_error(head: bytes) -> None:
     with pytest.raises(HttpError):
-        http(Parser(responses=True), [head])
+        http(HttpParser(responses=True), [head])
 
 
 def test_what_follows_a_completion_does_not_spoil_it() -> None:
@@ -249,14 +250,14 @@
 
 
 def test_a_client_is_held_to_the_figures_of_the_settings() -> None:
-    reader, ids = gateway.Reader(SETTINGS), gateway.Ids(2)
+    reader, ids = gateway.MessageReader(SETTINGS), RequestIds(2)
     info = {"io-info": "units=999999,hosts=999999,shard=1", "req-deadline": "999999999"}
-    work = reader.work(Message("PUT", "/api/1/2", headers=HEADERS | info))
+    work = reader.read_request(HttpMessage("PUT", "/api/1/2", headers=HEADERS | info))
     assert (work.units, work.hosts) == (SETTINGS.most_units, SETTINGS.hosts)
     assert work.remaining == SETTINGS.classes[0].deadline
     for method, body, status in (("HEAD", b"", 405), ("GET", b"x", 400)):
         with pytest.raises(HttpError) as fault:
-            reader.work(Message(method, "/api/1/2", headers=HEADERS, body=body))
+            reader.read_request(HttpMessage(method, "/api/1/2", headers=HEADERS, body=body))
         assert fault.value.status == status
     ids.claim(0, work)
     with pytest.raises(HttpError, match="not over"):
@@ -264,4 +265,4 @@
     ids.claim(work.remaining, work)
     for ident in "abc":
         ids.claim(work.remaining, replace(work, ident=ident))
-    assert len(ids._until) == 2
+    assert len(ids._expires_ms) == 2
--- a/tests/test_store_link.py
+++ b/tests/test_store_link.py
@@ -44,7 +44,7 @@
         else:
             target = Target(host="elsewhere", database="d", user="sabledyke", password="secret")
         store = Section(boxes=(Box(b"db", target, 3),))
-        known = discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
+        known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
         self.server = Server(config, operator_config.Operator(store=store), BRISK)
@@ -238,7 +238,7 @@
     async def story(made: LinkRig) -> None:
         assert (await made.put("k"))[0] == 200
         made.discovery.hosts.pop()
-        made.server._listed(discovery.read(made.discovery.listing(), DEPLOYMENT))
+        made.server._listed(discovery.read_listing(made.discovery.listing(), DEPLOYMENT))
         while made.postgres._writers:
             await asyncio.sleep(0.005)
 
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -58,7 +58,7 @@
         tls = Section(paths, look=0, handshake=400, **self._changes)  # type: ignore[arg-type]
         extras = operator_config.read(self._more, DEPLOYMENT) if self._more else operator_config.Operator()
         listen = ("127.0.0.1", 0) if extras.listen else None
-        known = discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
+        known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
         self.server = Server(config, replace(extras, tls=tls, listen=listen), BRISK)
@@ -266,7 +266,7 @@
         born = int(time.time() * 1000)
         await box.renew(server_context(*ROOT.issue("plain")), reset=True)
         rig.discovery.hosts[0]["born_ms"] = born
-        rig.server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server._listed(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         until = time.monotonic() + 5
         while await rig.ask() != 200:
             assert time.monotonic() < until
@@ -447,7 +447,7 @@
         assert await rig.ask() == 200  # its handshake was nobody's wait
         assert rig.part.connector.full + rig.part.connector.resumed == handshakes == 2
         rig.discovery.hosts.pop()
-        rig.server._listed(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server._listed(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         await asyncio.sleep(0.15)
         assert not rig.server.pool._count and not rig.part._used  # none to a box that is gone
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -20,14 +20,16 @@
 
 
 def listen_to(
-    story: Callable[[endpoint_watch.Watch, Discovery, list[discovery.Listing | None]], Awaitable[None]],
+    story: Callable[
+        [endpoint_watch.Watch, Discovery, list[discovery.EndpointListing | None]], Awaitable[None]
+    ],
     script: list[Any],
     **changes: Any,
 ) -> None:
     """Play a story with a watch on a scripted discovery."""
 
     async def run() -> None:
-        found, seen = Discovery(), list[discovery.Listing | None]()
+        found, seen = Discovery(), list[discovery.EndpointListing | None]()
         await found.open()
         found.hosts, found.script = [HOST], list(script)
         settings = replace(DEPLOYMENT, **changes)
@@ -45,11 +47,11 @@
     asks: bool, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def story(
-        look: endpoint_watch.Watch, found: Discovery, seen: list[discovery.Listing | None]
+        look: endpoint_watch.Watch, found: Discovery, seen: list[discovery.EndpointListing | None]
     ) -> None:
         faults, tell = [RuntimeError("a fault of ours")], look._report
 
-        def report(listing: discovery.Listing | None) -> None:
+        def report(listing: discovery.EndpointListing | None) -> None:
             if listing is not None and faults:
                 raise faults.pop()
             tell(listing)
@@ -73,7 +75,7 @@
     """A change counts as told 4 s after SIGHUP, whether or not the module has asked for a list yet."""
 
     async def story(
-        look: endpoint_watch.Watch, found: Discovery, seen: list[discovery.Listing | None]
+        look: endpoint_watch.Watch, found: Discovery, seen: list[discovery.EndpointListing | None]
     ) -> None:
         new = Discovery()
         await new.open()
@@ -88,7 +90,7 @@
         await until(lambda: seen)
         for _ in range(50):
             await asyncio.sleep(0.001)
-        told = [listing.news.entries[0].state.name for listing in seen if listing is not None]
+        told = [listing.update.entries[0].state.name for listing in seen if listing is not None]
         assert told == ["DRAINING"] and len(seen) == 1
         new.die()
 
