--- a/sabledyke/protocol/nvme/blocks.py
+++ b/sabledyke/protocol/nvme/blocks.py
@@ -154,15 +154,15 @@
     def from_node_completion(self, work: Work, completion: Completion, data: bytes) -> Ended:
         """Return a storage node's completion as the outcome of an attempt."""
         if completion.status == Status.NOT_READY and not completion.do_not_retry:
-            return Ended(Outcome.REJECTED, False)
+            return Ended(Outcome.REJECTED, may_have_run=False)
         if completion.status != Status.OK:
-            return Ended(Outcome.ERROR, True)
+            return Ended(Outcome.ERROR, may_have_run=True)
         if work.write or not work.target:
-            return Ended(Outcome.OK, True, data)
+            return Ended(Outcome.OK, may_have_run=True, body=data)
         body = _object_body(data)
         if body is None:
-            return Ended(Outcome.ERROR, True)
-        return Ended(Outcome.OK, True, body)
+            return Ended(Outcome.ERROR, may_have_run=True)
+        return Ended(Outcome.OK, may_have_run=True, body=body)
 
 
 def _object_command(work: Work, volume: NvmeVolume) -> Submission:
--- a/sabledyke/protocol/request_ids.py
+++ b/sabledyke/protocol/request_ids.py
@@ -24,6 +24,11 @@
         # By hash, so that a long id takes no more memory; in the order of claims.
         self._expires_ms: dict[int, float] = {}
 
+    @property
+    def tracked_count(self) -> int:
+        """Number of ids that are remembered, expired ones included."""
+        return len(self._expires_ms)
+
     def claim(self, now_ms: float, work: Work) -> None:
         """Mark a request's id as in use until the request's deadline.
 
--- /dev/null
+++ b/tests/protocol/test_http_parser.py
@@ -0,0 +1,65 @@
+"""The HTTP parser under random cuts of valid bytes, and under spoilt bytes."""
+
+from __future__ import annotations
+
+import contextlib
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from sabledyke.protocol.http import (
+    MAX_BODY_BYTES,
+    HttpError,
+    HttpParser,
+    encode_request,
+    encode_response,
+)
+from tests.helpers import FIXED, SIZES, pieces, spoilt
+from tests.protocol.support import parse_http
+
+REQUESTS = encode_request("PUT", "/api/1/2?x", [("Req-Id", "a"), ("X", "")], b"body") + encode_request(
+    "GET", "/api/1/3", [("Req-Id", "b")], b""
+)
+CHUNKED_RESPONSE = (
+    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+    b"3;x=y\r\nabc\r\n"
+    b"0A\r\n0123456789\r\n"
+    b"0\r\nT: v\r\n\r\n"
+)
+RESPONSES = (
+    b"HTTP/1.1 100 Continue\r\n\r\n" + CHUNKED_RESPONSE + encode_response(503, [("Srv-Declined", "1")], b"no")
+)
+
+
+@FIXED
+@given(SIZES)
+def test_http_messages_are_the_same_in_any_cuts(sizes: list[int]) -> None:
+    put, get = parse_http(HttpParser(), pieces(REQUESTS, sizes))
+    assert (put.method, put.target, put.body) == ("PUT", "/api/1/2?x", b"body")
+    assert put.headers["x"] == ""
+    assert (get.method, get.headers["req-id"], get.body) == ("GET", "b", b"")
+    chunked, rejection = parse_http(HttpParser(responses=True), pieces(RESPONSES, sizes))
+    assert (chunked.status, chunked.body) == (200, b"abc0123456789")
+    assert (rejection.status, rejection.body) == (503, b"no")
+
+
+@FIXED
+@given(st.one_of(spoilt(REQUESTS), spoilt(RESPONSES)), SIZES, st.booleans())
+def test_spoilt_http_is_an_http_error_or_a_message(data: bytes, sizes: list[int], responses: bool) -> None:
+    with contextlib.suppress(HttpError):
+        for message in parse_http(HttpParser(responses=responses), pieces(data, sizes)):
+            assert len(message.body) <= MAX_BODY_BYTES
+
+
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"HTTP/1.1 100 Continue\r\n\r\n" * 1500,
+        b"HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+    ],
+    ids=["interim", "old and chunked"],
+)  # one without a length ends with its connection
+def test_a_response_whose_end_cannot_be_determined_is_an_error(head: bytes) -> None:
+    with pytest.raises(HttpError):
+        parse_http(HttpParser(responses=True), [head])
