--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -28,12 +28,12 @@
 from benchmarks import store  # noqa: E402
 from sabledyke.policy import interface as api  # noqa: E402
 from sabledyke.tls import contexts  # noqa: E402
-from sabledyke.tls.connector import Connector  # noqa: E402
-from sabledyke.tls.handshake_admission import Admission, Terms  # noqa: E402
-from sabledyke.tls.key_material import Files  # noqa: E402
+from sabledyke.tls.connector import TlsConnector  # noqa: E402
+from sabledyke.tls.handshake_admission import HandshakeAdmission, HandshakeBudget  # noqa: E402
+from sabledyke.tls.key_material import KeyFiles  # noqa: E402
 from sabledyke.tls.keyring import Keyring  # noqa: E402
-from sabledyke.tls.section import Paths, Section  # noqa: E402
-from sabledyke.tls.tls_machine import Layer  # noqa: E402
+from sabledyke.tls.section import KeyPaths, TlsSection  # noqa: E402
+from sabledyke.tls.tls_machine import TlsMachine  # noqa: E402
 from tests.standins import http  # noqa: E402
 from tests.standins.keys import Authority  # noqa: E402
 from tests.standins.tls import TlsBox, server_context  # noqa: E402
@@ -41,19 +41,19 @@
 AUTHORITY = Authority()
 SERVER = server_context(*AUTHORITY.issue("box"))
 ENTRY = api.NodeEntry(b"box", 0, 0, 0, 0.0, 1.0, api.NodeState.READY)
-FREE = Terms(siblings=1, part=1.0, cores=1000.0)
+FREE = HandshakeBudget(scheduler_count=1, handshake_share=1.0, cores=1000.0)
 
 
 def keys() -> Keyring:
     """A keyring with the authority's root."""
     made = Keyring(0)
-    made.offer(time.time() * 1000, Files(roots=AUTHORITY.root))
+    made.offer(time.time() * 1000, KeyFiles(roots=AUTHORITY.root))
     return made
 
 
 def handshakes(count: int, *, resume: bool, layered: bool) -> float:
     """CPU microseconds of the client's side of a handshake and one answer, on memory buffers."""
-    context, spent = contexts.towards_boxes(keys().generation), 0.0
+    context, spent = contexts.client_context(keys().generation), 0.0
     session: ssl.SSLSession | None = None
     for _ in range(count):
         there, back = ssl.MemoryBIO(), ssl.MemoryBIO()
@@ -111,37 +111,37 @@
     """The program's layer."""
 
     def __init__(self, context: ssl.SSLContext, session: ssl.SSLSession | None) -> None:
-        self._layer = Layer(context, name="box", session=session)
+        self._layer = TlsMachine(context, name="box", session=session)
 
     def start(self) -> bytes:
         """The first bytes."""
-        return self._layer.out
+        return self._layer.output
 
     def take(self, data: bytes) -> bytes:
         """Go on with these bytes."""
         self._layer.feed(data)
-        return self._layer.out
+        return self._layer.output
 
     def session(self) -> ssl.SSLSession | None:
         """The newest ticket."""
-        return self._layer.session
+        return self._layer.ticket
 
 
 async def resumption(count: int) -> float:
     """The share of reconnections through the program that resume."""
     box = TlsBox(SERVER)
     await box.open()
-    connector = Connector(Section(Paths(), name="box"), FREE, 1)
-    connector.adopt(keys().generation)
+    connector = TlsConnector(TlsSection(KeyPaths(), name_template="box"), FREE, 1)
+    connector.use_generation(keys().generation)
     for n in range(count + 1):
         stream = await connector.connect(ENTRY, ("127.0.0.1", box.port), 1000, 1000)
         await stream.write(b"GET / HTTP/1.1\r\n\r\n")
         await stream.read_bytes(100)
         stream.close()
         if n == 0:
-            connector.full = connector.resumed = 0
+            connector.full_handshakes = connector.resumed_handshakes = 0
     box.die()
-    return connector.resumed / count
+    return connector.resumed_handshakes / count
 
 
 class SlowBox(TlsBox):
@@ -183,31 +183,40 @@
 
 def returning(*, admitted: bool) -> tuple[float, float, float]:
     """Handshakes in the busiest second, most load of 100 ms over what the box can do, s until all are in."""
-    terms = Terms(siblings=20, cold_share=0.21, warm_up=17_000, part=0.1, cores=2, full=0.5)
+    terms = HandshakeBudget(
+        scheduler_count=20,
+        initial_capacity_share=0.21,
+        warm_up_ms=17_000,
+        handshake_share=0.1,
+        cores=2,
+        full_handshake_ms=0.5,
+    )
     if not admitted:
-        terms = replace(terms, part=1e6)
-    schedulers = [Admission(terms, seed) for seed in range(20)]
+        terms = replace(terms, handshake_share=1e6)
+    schedulers = [HandshakeAdmission(terms, seed) for seed in range(20)]
     begun: list[float] = []
     waiting = [[(n, 0.0) for n in range(40)] for _ in schedulers]
     for ms in range(30_000):
         for one, wanting in zip(schedulers, waiting, strict=True):
-            go, late = one.due(ms, b"box")
+            go, late = one.pop_due(ms, b"box")
             begun += [ms] * len(go)
             for _ in go:
-                one.ended(ms, b"box", good=True)
+                one.on_handshake_completed(ms, b"box", good=True)
             wanting += [(n, ms + 250.0) for n in late]  # the module tries again
             for item in [w for w in wanting if w[1] <= ms]:
-                answer = one.ask(ms, b"box", 0.0, item[0], ms + 1000, False)
+                answer = one.request(ms, b"box", 0.0, item[0], ms + 1000, False)
                 wanting.remove(item)
                 if answer:
                     begun.append(ms)
-                    one.ended(ms, b"box", good=True)
+                    one.on_handshake_completed(ms, b"box", good=True)
                 elif answer is None:
                     wanting.append((item[0], ms + 250.0))
     second = max(sum(t <= b < t + 1000 for b in begun) for t in set(begun))
-    real = Terms(siblings=1, part=1.0, cores=2)
+    real = HandshakeBudget(scheduler_count=1, handshake_share=1.0, cores=2)
     load = max(
-        sum(t <= b < t + 100 for b in begun) * real.full / (Admission(real, 0).rate(t, 0.0) * 100)
+        sum(t <= b < t + 100 for b in begun)
+        * real.full_handshake_ms
+        / (HandshakeAdmission(real, 0).handshake_rate(t, 0.0) * 100)
         for t in set(begun)
     )
     return second, load, max(begun) / 1000
--- a/sabledyke/cli/tls.py
+++ b/sabledyke/cli/tls.py
@@ -20,13 +20,13 @@
     now = time.time() * 1000
     try:
         found = section.load(said["FILE"])
-        checked = key_material.check(found.paths.read(), now)
+        checked = key_material.check_key_files(found.paths.read_files(), now)
     except (ConfigError, key_material.MaterialError) as fault:
         print(f"sabledyke: {fault}", file=sys.stderr)
         return 2
     names = ", ".join(checked.names) or "no name"
     print(f"our certificate is for {names}" if checked.files.chain else "no certificate of ours")
-    for end, what in sorted(checked.ends):
-        print(f"{what}: ends in {(end - now) / keyring.DAY:.1f} days")
-    print(f"boxes are known as {found.name}")
-    return 1 if checked.first_end[0] - now <= max(keyring.WARN_DAYS) * keyring.DAY else 0
+    for end, what in sorted(checked.expirations):
+        print(f"{what}: ends in {(end - now) / keyring.DAY_MS:.1f} days")
+    print(f"boxes are known as {found.name_template}")
+    return 1 if checked.first_expiration[0] - now <= max(keyring.WARNING_DAYS) * keyring.DAY_MS else 0
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -23,7 +23,7 @@
     from sabledyke.placement.volume_placement import Map
     from sabledyke.quota_sharing.section import Section as FleetSection
     from sabledyke.rollout.section import Section as RolloutSection
-    from sabledyke.tls.section import Section as TlsSection
+    from sabledyke.tls.section import TlsSection as TlsSection
 
 NQN = 223  # bytes of a name
 LARGEST = MAX_DATA_BYTES // BLOCK_BYTES  # blocks of one command
--- a/sabledyke/tls/connector.py
+++ b/sabledyke/tls/connector.py
@@ -14,36 +14,38 @@
 from sabledyke.net import clock, streams
 from sabledyke.policy import interface as api
 from sabledyke.tls import contexts
-from sabledyke.tls.handshake_admission import Admission, Terms
+from sabledyke.tls.handshake_admission import HandshakeAdmission, HandshakeBudget
 from sabledyke.tls.keyring import Generation
-from sabledyke.tls.section import Section
-from sabledyke.tls.session_tickets import Tickets
-from sabledyke.tls.stream import TlsStream, shake
-from sabledyke.tls.tls_machine import Layer, TlsError
+from sabledyke.tls.section import TlsSection
+from sabledyke.tls.session_tickets import TicketCache
+from sabledyke.tls.stream import TlsStream, complete_handshake
+from sabledyke.tls.tls_machine import TlsError, TlsMachine
 
-MOST_TOLD = 4096  # boxes whose last fault is remembered, so as not to be told again
+MAX_REPORTED_NODES = 4096  # boxes whose last fault is remembered, so as not to be told again
 
 
-class Connector:
+class TlsConnector:
     """For all links to boxes, whatever they speak."""
 
-    def __init__(self, section: Section, terms: Terms, seed: int, zones: tuple[str, ...] = ()) -> None:
+    def __init__(
+        self, section: TlsSection, terms: HandshakeBudget, seed: int, zones: tuple[str, ...] = ()
+    ) -> None:
         self._section, self._zones = section, zones
-        self.admission = Admission(terms, seed)
-        self.tickets: Tickets[ssl.SSLSession] = Tickets()
+        self.admission = HandshakeAdmission(terms, seed)
+        self.tickets: TicketCache[ssl.SSLSession] = TicketCache()
         self._generation = 0
         self._context: ssl.SSLContext | None = None
         self._attempts = itertools.count()
         self._waiting: dict[int, asyncio.Future[bool]] = {}
         self._timers: dict[api.NodeId, asyncio.TimerHandle] = {}
         self._faults: dict[api.NodeId, str] = {}
-        self.full = self.resumed = self.failed = self.refused = 0
+        self.full_handshakes = self.resumed_handshakes = self.failed_handshakes = self.rejected_handshakes = 0
 
-    def adopt(self, generation: Generation) -> None:
+    def use_generation(self, generation: Generation) -> None:
         """These keys from now on: open connections live on, tickets of a former generation do not."""
-        self._context = contexts.towards_boxes(generation, allow_12=self._section.allow_12)
+        self._context = contexts.client_context(generation, allow_12=self._section.allow_tls_1_2)
         self._generation = generation.number
-        self.tickets.withdraw(generation.number)
+        self.tickets.drop_older_generations(generation.number)
 
     async def connect(
         self, entry: api.NodeEntry, address: tuple[str, int], connect_ms: float, patience: float
@@ -53,12 +55,12 @@
         ``patience``: milliseconds that the attempt has for it.
         """
         node, now = entry.node, clock.now()
-        deadline = now + min(patience, self._section.handshake)
-        ticket = self.tickets.take(now, node, entry.started, self._generation)
+        deadline = now + min(patience, self._section.handshake_timeout_ms)
+        ticket = self.tickets.pop_newest(now, node, entry.started, self._generation)
         if not await self._admitted(now, entry, deadline, resumes=ticket is not None):
-            self.refused += 1
+            self.rejected_handshakes += 1
             if ticket is not None:  # it was not used: the next attempt may
-                self.tickets.put(now, node, entry.started, self._generation, ticket)
+                self.tickets.add(now, node, entry.started, self._generation, ticket)
             raise streams.StreamClosedError
         good = False
         inner: streams.IOStream | None = None
@@ -76,10 +78,10 @@
             raise streams.StreamClosedError from None
         finally:
             if not good:
-                self.failed += 1
+                self.failed_handshakes += 1
                 if inner is not None:
                     streams.abort(inner)
-            self.admission.ended(clock.now(), node, good=good)
+            self.admission.on_handshake_completed(clock.now(), node, good=good)
             self._look(node)
 
     async def _shaken(
@@ -88,22 +90,22 @@
         assert self._context is not None
         node, generation = entry.node, self._generation
         site = self._zones[entry.zone] if 0 <= entry.zone < len(self._zones) else ""
-        name = self._section.name_of(api.name_of(node), site)
-        layer = Layer(self._context, name=name, session=ticket)
-        await shake(inner, layer, max(1.0, deadline - clock.now()))
-        self.resumed += layer.resumed
-        self.full += not layer.resumed
+        name = self._section.certificate_name(api.name_of(node), site)
+        layer = TlsMachine(self._context, name=name, session=ticket)
+        await complete_handshake(inner, layer, max(1.0, deadline - clock.now()))
+        self.resumed_handshakes += layer.resumed
+        self.full_handshakes += not layer.resumed
         self._faults.pop(node, None)
 
         def told(session: ssl.SSLSession) -> None:
             if generation == self._generation:
-                self.tickets.put(clock.now(), node, entry.started, generation, session)
+                self.tickets.add(clock.now(), node, entry.started, generation, session)
 
         return TlsStream(inner, layer, told)
 
     async def _admitted(self, now: float, entry: api.NodeEntry, deadline: float, *, resumes: bool) -> bool:
         attempt, node = next(self._attempts), entry.node
-        go = self.admission.ask(now, node, entry.started, attempt, deadline, resumes)
+        go = self.admission.request(now, node, entry.started, attempt, deadline, resumes)
         if go is not False:
             return bool(go)
         waiter = self._waiting[attempt] = asyncio.get_running_loop().create_future()
@@ -113,12 +115,12 @@
         except asyncio.CancelledError:
             # Guards against an attempt that is called off in the turn in which it may go.
             if waiter.done() and not waiter.cancelled() and waiter.result():
-                self.admission.ended(clock.now(), node, good=True)
+                self.admission.on_handshake_completed(clock.now(), node, good=True)
             raise
         finally:
             del self._waiting[attempt]
             if waiter.cancelled():
-                self.admission.withdrawn(node, attempt)
+                self.admission.withdraw(node, attempt)
 
     def _look(self, node: api.NodeId) -> None:
         """Let go who may, tell who is out of time, and look again when that may change."""
@@ -126,15 +128,15 @@
         if timer is not None:
             timer.cancel()
         now = clock.now()
-        go, late = self.admission.due(now, node)
+        go, late = self.admission.pop_due(now, node)
         for attempts, answer in ((go, True), (late, False)):
             for attempt in attempts:
                 waiter = self._waiting.get(attempt)
                 if waiter is not None and not waiter.done():
                     waiter.set_result(answer)
                 elif answer:  # called off in this very turn: its place is given back
-                    self.admission.ended(now, node, good=True)
-        at = self.admission.next(now, node)
+                    self.admission.on_handshake_completed(now, node, good=True)
+        at = self.admission.next_due_ms(now, node)
         if at < float("inf"):
             loop = asyncio.get_running_loop()
             self._timers[node] = loop.call_later(max(1.0, at - now) / 1000, self._look, node)
@@ -159,6 +161,6 @@
     def _tell(self, node: api.NodeId, text: str) -> None:
         if self._faults.get(node) != text:
             self._faults[node] = text
-            if len(self._faults) > MOST_TOLD:
+            if len(self._faults) > MAX_REPORTED_NODES:
                 del self._faults[next(iter(self._faults))]
             log.say("tls", f"{api.name_of(node)}: {text}")
--- a/sabledyke/tls/contexts.py
+++ b/sabledyke/tls/contexts.py
@@ -29,8 +29,8 @@
     context.minimum_version = ssl.TLSVersion.TLSv1_2 if allow_12 else ssl.TLSVersion.TLSv1_3
     context.load_verify_locations(cadata=generation.roots.decode())
     files = generation.material.files
-    if files.revoked:
-        with _in_memory(files.revoked) as path:
+    if files.revocation_lists:
+        with _in_memory(files.revocation_lists) as path:
             context.load_verify_locations(cafile=path)
         context.verify_flags |= ssl.VerifyFlags.VERIFY_CRL_CHECK_LEAF
     if files.chain:
@@ -39,14 +39,14 @@
     return context
 
 
-def towards_boxes(generation: Generation, *, allow_12: bool = False) -> ssl.SSLContext:
+def client_context(generation: Generation, *, allow_12: bool = False) -> ssl.SSLContext:
     """For our side as a client: chain and name of the box are always verified."""
     context = _context(ssl.PROTOCOL_TLS_CLIENT, generation, allow_12=allow_12)
     context.check_hostname, context.verify_mode = True, ssl.CERT_REQUIRED
     return context
 
 
-def towards_clients(generation: Generation, *, allow_12: bool = False, ask: bool = False) -> ssl.SSLContext:
+def server_context(generation: Generation, *, allow_12: bool = False, ask: bool = False) -> ssl.SSLContext:
     """For our side as a server; ``ask`` wants a certificate that a trusted root has signed."""
     context = _context(ssl.PROTOCOL_TLS_SERVER, generation, allow_12=allow_12)
     context.verify_mode = ssl.CERT_REQUIRED if ask else ssl.CERT_NONE
--- a/sabledyke/tls/handshake_admission.py
+++ b/sabledyke/tls/handshake_admission.py
@@ -23,23 +23,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class HandshakeBudget:
     """What a box bears. The costs are ``benchmarks/tls.py``'s for P-256, in ms of a box's core."""
 
-    siblings: int  # schedulers that may come at once
-    cold_share: float = 0.21  # of its capacity that a box has at its start
-    warm_up: float = 17000.0  # ms until it has all of it
-    part: float = 0.1  # of the capacity that handshakes may take
+    scheduler_count: int  # schedulers that may come at once
+    initial_capacity_share: float = 0.21  # of its capacity that a box has at its start
+    warm_up_ms: float = 17000.0  # ms until it has all of it
+    handshake_share: float = 0.1  # of the capacity that handshakes may take
     cores: float = 2.0
-    full: float = 0.5  # ms of a core that a full handshake takes of the box
-    resumed: float = 0.47
-    burst: float = 1000.0  # ms for which a bucket fills
-    first_wait: float = 100.0  # after a failed handshake, doubled up to ...
-    longest_wait: float = 5000.0
+    full_handshake_ms: float = 0.5  # ms of a core that a full handshake takes of the box
+    resumed_handshake_ms: float = 0.47
+    burst_ms: float = 1000.0  # ms for which a bucket fills
+    min_backoff_ms: float = 100.0  # after a failed handshake, doubled up to ...
+    max_backoff_ms: float = 5000.0
 
 
 @dataclass(slots=True)
-class _Box:
+class _NodeAccount:
     """One box as this scheduler has met it."""
 
     born: float
@@ -51,27 +51,27 @@
     waiting: list[tuple[float, int, bool]] = field(default_factory=list)  # deadline, attempt, resumes
 
 
-class Admission:
+class HandshakeAdmission:
     """The accounts of all boxes."""
 
-    def __init__(self, terms: Terms, seed: int) -> None:
-        self.terms, self._random = terms, random.Random(seed)
-        self._boxes: dict[bytes, _Box] = {}
+    def __init__(self, terms: HandshakeBudget, seed: int) -> None:
+        self.budget, self._random = terms, random.Random(seed)
+        self._boxes: dict[bytes, _NodeAccount] = {}
         # Schedulers that found a box back at one moment would all begin with a full bucket at that moment.
         self._phase = 0.5 + self._random.random() / 2
 
-    def rate(self, now: float, born: float) -> float:
+    def handshake_rate(self, now: float, born: float) -> float:
         """Milliseconds of handshake work a millisecond that this scheduler may ask of a box of that age."""
-        terms = self.terms
-        age = max(0.0, now - born) / terms.warm_up
-        warmth = min(1.0, terms.cold_share + (1 - terms.cold_share) * age)
-        return warmth * terms.cores * terms.part / terms.siblings
+        terms = self.budget
+        age = max(0.0, now - born) / terms.warm_up_ms
+        warmth = min(1.0, terms.initial_capacity_share + (1 - terms.initial_capacity_share) * age)
+        return warmth * terms.cores * terms.handshake_share / terms.scheduler_count
 
-    def cost(self, resumes: bool) -> float:
+    def handshake_cost_ms(self, resumes: bool) -> float:
         """What a handshake takes of the box."""
-        return self.terms.resumed if resumes else self.terms.full
+        return self.budget.resumed_handshake_ms if resumes else self.budget.full_handshake_ms
 
-    def ask(
+    def request(
         self, now: float, node: bytes, born: float, attempt: int, deadline: float, resumes: bool
     ) -> bool | None:
         """True: begin now. False: it waits, and ``due`` will name it. None: there is no room in time."""
@@ -79,9 +79,9 @@
         if self._free(now, box, resumes) and not box.waiting:
             self._begin(box, resumes)
             return True
-        ahead = sum(self.cost(r) for d, _, r in box.waiting if d <= deadline)
-        rate = self.rate(now, box.born)
-        needed = max(0.0, ahead + self.cost(resumes) - box.level) / rate if rate > 0 else inf
+        ahead = sum(self.handshake_cost_ms(r) for d, _, r in box.waiting if d <= deadline)
+        rate = self.handshake_rate(now, box.born)
+        needed = max(0.0, ahead + self.handshake_cost_ms(resumes) - box.level) / rate if rate > 0 else inf
         if box.failures:  # tried singly: only as many wait as trials may succeed in time
             needed = max(needed, box.trial - now) if not box.trying else inf
         if now + needed > deadline:
@@ -89,7 +89,7 @@
         heapq.heappush(box.waiting, (deadline, attempt, resumes))
         return False
 
-    def due(self, now: float, node: bytes) -> tuple[list[int], list[int]]:
+    def pop_due(self, now: float, node: bytes) -> tuple[list[int], list[int]]:
         """Of those that wait for a box: who may begin now, by earliest deadline, and who is out of time."""
         box = self._boxes.get(node)
         go: list[int] = []
@@ -106,7 +106,7 @@
             heapq.heappop(box.waiting)
         return go, late
 
-    def next(self, now: float, node: bytes) -> float:
+    def next_due_ms(self, now: float, node: bytes) -> float:
         """When ``due`` may have something new, inf for never."""
         box = self._boxes.get(node)
         if box is None or not box.waiting:
@@ -115,18 +115,18 @@
         if box.failures and box.trying:
             return deadline
         self._fill(now, box)
-        rate = self.rate(now, box.born)
-        room = now + max(0.0, self.cost(resumes) - box.level) / rate if rate > 0 else inf
+        rate = self.handshake_rate(now, box.born)
+        room = now + max(0.0, self.handshake_cost_ms(resumes) - box.level) / rate if rate > 0 else inf
         return min(deadline, max(room, box.trial if box.failures else room))
 
-    def withdrawn(self, node: bytes, attempt: int) -> None:
+    def withdraw(self, node: bytes, attempt: int) -> None:
         """An attempt that waits was called off."""
         box = self._boxes.get(node)
         if box is not None:
             box.waiting = [w for w in box.waiting if w[1] != attempt]
             heapq.heapify(box.waiting)
 
-    def ended(self, now: float, node: bytes, *, good: bool) -> None:
+    def on_handshake_completed(self, now: float, node: bytes, *, good: bool) -> None:
         """A handshake that had begun is over.
 
         A box whose handshakes fail is tried singly, backing off: a crowd would fail alike, and cost it as
@@ -140,7 +140,7 @@
             box.failures, box.trial = 0, -inf
             return
         box.failures = min(box.failures + 1, 30)
-        wait = min(self.terms.first_wait * 2 ** (box.failures - 1), self.terms.longest_wait)
+        wait = min(self.budget.min_backoff_ms * 2 ** (box.failures - 1), self.budget.max_backoff_ms)
         box.trial = now + wait * (0.5 + self._random.random() / 2)
 
     def forget(self, node: bytes) -> list[int]:
@@ -148,39 +148,41 @@
         box = self._boxes.pop(node, None)
         return [attempt for _, attempt, _ in box.waiting] if box is not None else []
 
-    def tidy(self, now: float) -> None:
+    def evict_idle(self, now: float) -> None:
         """Forget boxes of which nothing is left to know: at rest, with a full bucket and no failure."""
         for node, box in list(self._boxes.items()):
             self._fill(now, box)
-            full = box.level >= self.rate(now, box.born) * self.terms.burst
+            full = box.level >= self.handshake_rate(now, box.born) * self.budget.burst_ms
             rests = not (box.waiting or box.trying or box.failures)
-            if full and rests and now - box.born > self.terms.warm_up:
+            if full and rests and now - box.born > self.budget.warm_up_ms:
                 del self._boxes[node]
 
     @property
-    def size(self) -> int:
+    def entry_count(self) -> int:
         """Entries in all tables."""
         return len(self._boxes) + sum(len(b.waiting) for b in self._boxes.values())
 
-    def _box(self, now: float, node: bytes, born: float) -> _Box:
+    def _box(self, now: float, node: bytes, born: float) -> _NodeAccount:
         box = self._boxes.get(node)
         if box is None or box.born != born:
-            level = self.rate(now, born) * self.terms.burst * self._phase
+            level = self.handshake_rate(now, born) * self.budget.burst_ms * self._phase
             waiting = box.waiting if box is not None else []
-            box = self._boxes[node] = _Box(born, level, now, waiting=waiting)
+            box = self._boxes[node] = _NodeAccount(born, level, now, waiting=waiting)
         return box
 
-    def _fill(self, now: float, box: _Box) -> None:
-        rate = self.rate(now, box.born)
-        box.level = min(box.level + rate * (now - box.at), max(rate * self.terms.burst, self.terms.full))
+    def _fill(self, now: float, box: _NodeAccount) -> None:
+        rate = self.handshake_rate(now, box.born)
+        box.level = min(
+            box.level + rate * (now - box.at), max(rate * self.budget.burst_ms, self.budget.full_handshake_ms)
+        )
         box.at = now
 
-    def _free(self, now: float, box: _Box, resumes: bool) -> bool:
+    def _free(self, now: float, box: _NodeAccount, resumes: bool) -> bool:
         self._fill(now, box)
         if box.failures and (box.trying or now < box.trial):
             return False
-        return box.level >= self.cost(resumes)
+        return box.level >= self.handshake_cost_ms(resumes)
 
-    def _begin(self, box: _Box, resumes: bool) -> None:
-        box.level -= self.cost(resumes)
+    def _begin(self, box: _NodeAccount, resumes: bool) -> None:
+        box.level -= self.handshake_cost_ms(resumes)
         box.trying += 1
--- a/sabledyke/tls/key_material.py
+++ b/sabledyke/tls/key_material.py
@@ -16,7 +16,7 @@
 
 from sabledyke.errors import Fault
 
-MOST = 1024 * 1024  # bytes of one file
+MAX_FILE_BYTES = 1024 * 1024  # bytes of one file
 
 
 class MaterialError(Fault):
@@ -26,38 +26,38 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Files:
+class KeyFiles:
     """What the files hold: PEM; a certificate without a key, or the other way, is an error."""
 
     chain: bytes = b""
     key: bytes = b""
     roots: bytes = b""
-    revoked: bytes = b""  # revocation lists, none or several
-    mode: int = 0o600  # of the key's file
+    revocation_lists: bytes = b""  # revocation lists, none or several
+    key_mode: int = 0o600  # of the key's file
 
 
 @dataclass(slots=True, frozen=True)
-class Material:
+class KeyMaterial:
     """Files that passed; ``ends`` is the first moment, in Unix ms, at which something of ours is over, and
     of what."""
 
-    files: Files
-    ends: tuple[tuple[float, str], ...]
+    files: KeyFiles
+    expirations: tuple[tuple[float, str], ...]
     names: tuple[str, ...]
 
     @property
-    def first_end(self) -> tuple[float, str]:
+    def first_expiration(self) -> tuple[float, str]:
         """The earliest of ``ends``."""
-        return min(self.ends)
+        return min(self.expirations)
 
 
-def check(files: Files, now: float) -> Material:
+def check_key_files(files: KeyFiles, now: float) -> KeyMaterial:
     """All of it, at a time in Unix milliseconds; a MaterialError names the first thing that does not hold."""
     when = datetime.fromtimestamp(now / 1000, UTC)
     if bool(files.chain) != bool(files.key):
         raise MaterialError("a certificate needs its key, and a key its certificate")
-    if files.key and files.mode & 0o077:
-        told = f"its mode is {files.mode & 0o777:o}"
+    if files.key and files.key_mode & 0o077:
+        told = f"its mode is {files.key_mode & 0o777:o}"
         raise MaterialError(f"the key's file must be read by its owner alone (chmod 600), {told}")
     roots = _certificates(files.roots, "the roots") if files.roots else []
     chain = _certificates(files.chain, "the chain") if files.chain else []
@@ -77,14 +77,14 @@
         for lower, upper in zip(chain, chain[1:], strict=False):
             _signed(lower, [upper], f"the chain breaks after {_name(lower)}")
         _signed(chain[-1], roots, f"no trusted root has signed {_name(chain[-1])}")
-    if files.revoked:
-        _lists(files.revoked, when)
-    return Material(files, tuple(ends), _names(chain[0]) if chain else ())
+    if files.revocation_lists:
+        _lists(files.revocation_lists, when)
+    return KeyMaterial(files, tuple(ends), _names(chain[0]) if chain else ())
 
 
 def _certificates(data: bytes, what: str) -> list[x509.Certificate]:
-    if len(data) > MOST:
-        raise MaterialError(f"{what}: more than {MOST} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise MaterialError(f"{what}: more than {MAX_FILE_BYTES} bytes")
     try:
         return x509.load_pem_x509_certificates(data)
     except (ValueError, UnsupportedAlgorithm):
--- a/sabledyke/tls/keyring.py
+++ b/sabledyke/tls/keyring.py
@@ -9,10 +9,10 @@
 
 from dataclasses import dataclass
 
-from sabledyke.tls.key_material import Files, Material, MaterialError, check
+from sabledyke.tls.key_material import KeyFiles, KeyMaterial, MaterialError, check_key_files
 
-WARN_DAYS = (1, 7, 30)  # before an end; each is said once for each generation
-DAY = 86_400_000.0
+WARNING_DAYS = (1, 7, 30)  # before an end; each is said once for each generation
+DAY_MS = 86_400_000.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -21,16 +21,16 @@
     overlap."""
 
     number: int
-    material: Material
+    material: KeyMaterial
     roots: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class News:
+class KeyringUpdate:
     """What a look at the files led to."""
 
     changed: bool = False
-    lines: tuple[str, ...] = ()
+    messages: tuple[str, ...] = ()
 
 
 class Keyring:
@@ -40,7 +40,7 @@
         self._overlap = overlap  # ms for which a former generation's roots stay trusted
         self._now: Generation | None = None
         self._former: tuple[bytes, float] | None = None  # roots, and until when
-        self._refused: Files | None = None
+        self._refused: KeyFiles | None = None
         self._warned: int | None = None
 
     @property
@@ -49,19 +49,19 @@
         assert self._now is not None
         return self._now
 
-    def offer(self, now: float, files: Files) -> News:
+    def offer(self, now: float, files: KeyFiles) -> KeyringUpdate:
         """Look at files: taken whole, or not at all. The first must hold, else a MaterialError."""
         if self._now is not None and files == self._now.material.files:
             return self._pass(now)
         if files == self._refused:  # said already
             return self._pass(now)
         try:
-            material = check(files, now)
+            material = check_key_files(files, now)
         except MaterialError as fault:
             if self._now is None:
                 raise
             self._refused = files
-            return News(lines=(f"new keys are not used: {fault}; the old ones stay in force",))
+            return KeyringUpdate(messages=(f"new keys are not used: {fault}; the old ones stay in force",))
         self._refused = None
         number = 1
         if self._now is not None:
@@ -70,19 +70,19 @@
         self._now = Generation(number, material, self._roots(now, material))
         self._warned = None
         lines = (f"keys of generation {number} are in force",) if number > 1 else ()
-        return News(changed=True, lines=lines + self.warnings(now))
+        return KeyringUpdate(changed=True, messages=lines + self.warnings(now))
 
-    def _pass(self, now: float) -> News:
+    def _pass(self, now: float) -> KeyringUpdate:
         """Time passes: the former roots' overlap may end, and warnings may come due."""
         assert self._now is not None
         roots = self._roots(now, self._now.material)
         if roots != self._now.roots:
             self._now = Generation(self._now.number, self._now.material, roots)
             line = "roots of the former generation are no longer trusted"
-            return News(changed=True, lines=(line, *self.warnings(now)))
-        return News(lines=self.warnings(now))
+            return KeyringUpdate(changed=True, messages=(line, *self.warnings(now)))
+        return KeyringUpdate(messages=self.warnings(now))
 
-    def _roots(self, now: float, material: Material) -> bytes:
+    def _roots(self, now: float, material: KeyMaterial) -> bytes:
         if self._former is not None and now >= self._former[1]:
             self._former = None
         former = self._former[0] if self._former is not None else b""
@@ -93,9 +93,9 @@
         """What ends within 30, 7 and 1 days: once for each."""
         if self._now is None:
             return ()
-        end, what = self._now.material.first_end
-        days = (end - now) / DAY
-        due = next((d for d in WARN_DAYS if days <= d), None)
+        end, what = self._now.material.first_expiration
+        days = (end - now) / DAY_MS
+        due = next((d for d in WARNING_DAYS if days <= d), None)
         if due is None or self._warned is not None and self._warned <= due:
             return ()
         self._warned = due
--- a/sabledyke/tls/section.py
+++ b/sabledyke/tls/section.py
@@ -11,23 +11,25 @@
 from msgspec import Meta
 
 from sabledyke.errors import OperatorError
-from sabledyke.tls.key_material import MOST, Files
+from sabledyke.tls.key_material import MAX_FILE_BYTES, KeyFiles
 from sabledyke.toml_tables import Milliseconds, Table, convert, section_from
 
 
 @dataclass(slots=True, frozen=True)
-class Paths:
+class KeyPaths:
     """Where the files are; empty for none."""
 
     chain: str = ""
     key: str = ""
     roots: str = ""
-    revoked: str = ""
+    revocation_lists: str = ""
 
-    def read(self) -> Files:
+    def read_files(self) -> KeyFiles:
         """What they hold now; an OperatorError in plain words where one cannot be read."""
         key, mode = _read(self.key)
-        return Files(_read(self.chain)[0], key, _read(self.roots)[0], _read(self.revoked)[0], mode)
+        return KeyFiles(
+            _read(self.chain)[0], key, _read(self.roots)[0], _read(self.revocation_lists)[0], mode
+        )
 
 
 def _read(path: str) -> tuple[bytes, int]:
@@ -35,32 +37,34 @@
         return b"", 0o600
     try:
         with open(path, "rb") as file:  # mode and bytes of one file: it cannot be swapped between
-            return file.read(MOST + 1), os.fstat(file.fileno()).st_mode & 0o777
+            return file.read(MAX_FILE_BYTES + 1), os.fstat(file.fileno()).st_mode & 0o777
     except OSError as fault:
         raise OperatorError(f"{path}: {fault.strerror}") from None
 
 
 @dataclass(slots=True, frozen=True)
-class Section:
+class TlsSection:
     """What ``[tls]`` says."""
 
-    paths: Paths
-    name: str = "{host}"  # the name that a box's certificate must bear
-    boxes: tuple[bytes, ...] = ()  # which boxes; empty for all
-    allow_12: bool = False
-    look: float = 10.0  # seconds between looks at the files, 0 for SIGHUP alone
-    overlap: float = 3600.0  # seconds for which a former generation's roots stay trusted
-    handshake: float = 1000.0  # ms for a handshake
-    part: float = 0.1  # of a box that handshakes may take
+    paths: KeyPaths
+    name_template: str = "{host}"  # the name that a box's certificate must bear
+    nodes: tuple[bytes, ...] = ()  # which boxes; empty for all
+    allow_tls_1_2: bool = False
+    poll_interval_s: float = 10.0  # seconds between looks at the files, 0 for SIGHUP alone
+    overlap_s: float = 3600.0  # seconds for which a former generation's roots stay trusted
+    handshake_timeout_ms: float = 1000.0  # ms for a handshake
+    handshake_share: float = 0.1  # of a box that handshakes may take
     cores: float = 2.0
-    warm: bool = True  # keep a connection ahead of need to boxes that were used lately
+    keep_warm: bool = True  # keep a connection ahead of need to boxes that were used lately
     fronts: tuple[str, ...] = ()  # which fronts are reached by TLS alone
-    clients: bool = False  # they must show a certificate that a trusted root has signed
-    rights: dict[str, frozenset[int]] = field(default_factory=dict)  # by a name of the client's certificate
+    require_client_certificates: bool = False  # they must show a certificate that a trusted root has signed
+    client_rights: dict[str, frozenset[int]] = field(
+        default_factory=dict
+    )  # by a name of the client's certificate
 
-    def name_of(self, host: str, site: str) -> str:
+    def certificate_name(self, host: str, site: str) -> str:
         """The name that this box's certificate must bear."""
-        return self.name.format(host=host, site=site)
+        return self.name_template.format(host=host, site=site)
 
 
 class ClientRow(Table, frozen=True, kw_only=True):
@@ -125,26 +129,26 @@
             raise ValueError("chain is missing: fronts cannot show a certificate without it")
 
 
-def read(data: dict[str, Any]) -> Section:
+def read(data: dict[str, Any]) -> TlsSection:
     """The section, checked but for the files' contents."""
     said = convert(data, TlsTable, "tls")
-    return Section(
+    return TlsSection(
         fronts=said.front.fronts,
-        clients=said.front.client_certificates,
-        rights={row.name: row.rights() for row in said.front.client},
-        paths=Paths(said.chain, said.key, said.roots, said.revoked),
-        name=said.name,
-        boxes=tuple(b.encode() for b in said.boxes),
-        warm=said.warm,
-        allow_12=said.allow_tls_1_2,
-        look=float(said.look_s),
-        overlap=float(said.overlap_s),
-        handshake=said.handshake_ms,
-        part=said.handshake_percent / 100,
+        require_client_certificates=said.front.client_certificates,
+        client_rights={row.name: row.rights() for row in said.front.client},
+        paths=KeyPaths(said.chain, said.key, said.roots, said.revoked),
+        name_template=said.name,
+        nodes=tuple(b.encode() for b in said.boxes),
+        keep_warm=said.warm,
+        allow_tls_1_2=said.allow_tls_1_2,
+        poll_interval_s=float(said.look_s),
+        overlap_s=float(said.overlap_s),
+        handshake_timeout_ms=said.handshake_ms,
+        handshake_share=said.handshake_percent / 100,
         cores=float(said.box_cores),
     )
 
 
-def load(path: str) -> Section:
+def load(path: str) -> TlsSection:
     """The section alone, from an operator's file: what ``sabledyke tls check`` needs."""
     return section_from(path, "tls", lambda data: read(data["tls"]) if "tls" in data else None)
--- a/sabledyke/tls/session_tickets.py
+++ b/sabledyke/tls/session_tickets.py
@@ -16,48 +16,52 @@
 
 S = TypeVar("S")
 
-EACH, MOST = 8, 4096
-AGE = 2 * 3600 * 1000.0  # ms: servers keep their ticket keys for hours, and the keyring changes anyhow
+MAX_TICKETS_PER_NODE, MAX_TICKETS = 8, 4096
+MAX_AGE_MS = 2 * 3600 * 1000.0  # ms: servers keep their ticket keys for hours, and the keyring changes anyhow
 
 
 @dataclass(slots=True)
-class _Of(Generic[S]):
+class _NodeTickets(Generic[S]):
     """The tickets of one start of a box."""
 
     born: float
     tickets: deque[tuple[float, int, S]]  # when it came, generation of the keyring, ticket; the newest last
 
 
-class Tickets(Generic[S]):
+class TicketCache(Generic[S]):
     """All tickets that are kept."""
 
-    def __init__(self, each: int = EACH, most: int = MOST, age: float = AGE) -> None:
+    def __init__(
+        self, each: int = MAX_TICKETS_PER_NODE, most: int = MAX_TICKETS, age: float = MAX_AGE_MS
+    ) -> None:
         self._each, self._most, self._age = each, most, age
-        self._boxes: OrderedDict[bytes, _Of[S]] = OrderedDict()  # the one that got a ticket last is last
-        self.size = 0
+        self._nodes: OrderedDict[bytes, _NodeTickets[S]] = (
+            OrderedDict()
+        )  # the one that got a ticket last is last
+        self.ticket_count = 0
 
-    def put(self, now: float, node: bytes, born: float, generation: int, ticket: S) -> None:
+    def add(self, now: float, node: bytes, born: float, generation: int, ticket: S) -> None:
         """Keep a ticket of a box that started at ``born``."""
-        known = self._boxes.get(node)
+        known = self._nodes.get(node)
         if known is None or known.born != born:
             self.forget(node)
-            known = self._boxes[node] = _Of(born, deque())
-        self._boxes.move_to_end(node)
+            known = self._nodes[node] = _NodeTickets(born, deque())
+        self._nodes.move_to_end(node)
         known.tickets.append((now, generation, ticket))
-        self.size += 1
+        self.ticket_count += 1
         if len(known.tickets) > self._each:
             known.tickets.popleft()
-            self.size -= 1
-        while self.size > self._most:
-            first = next(iter(self._boxes))
-            self._boxes[first].tickets.popleft()
-            self.size -= 1
-            if not self._boxes[first].tickets:
-                del self._boxes[first]
-
-    def take(self, now: float, node: bytes, born: float, generation: int) -> S | None:
+            self.ticket_count -= 1
+        while self.ticket_count > self._most:
+            first = next(iter(self._nodes))
+            self._nodes[first].tickets.popleft()
+            self.ticket_count -= 1
+            if not self._nodes[first].tickets:
+                del self._nodes[first]
+
+    def pop_newest(self, now: float, node: bytes, born: float, generation: int) -> S | None:
         """The newest that can be used, taken away; older and withdrawn ones go with it."""
-        known = self._boxes.get(node)
+        known = self._nodes.get(node)
         if known is None:
             return None
         if known.born != born:  # it restarted: its ticket keys are another's, most likely
@@ -66,24 +70,24 @@
         found = None
         while known.tickets and found is None:
             at, of, ticket = known.tickets.pop()
-            self.size -= 1
+            self.ticket_count -= 1
             if of == generation and now - at < self._age:
                 found = ticket
         if not known.tickets:
-            del self._boxes[node]
+            del self._nodes[node]
         return found
 
     def forget(self, node: bytes) -> None:
         """The box is gone, or has started anew."""
-        known = self._boxes.pop(node, None)
+        known = self._nodes.pop(node, None)
         if known is not None:
-            self.size -= len(known.tickets)
+            self.ticket_count -= len(known.tickets)
 
-    def withdraw(self, generation: int) -> None:
+    def drop_older_generations(self, generation: int) -> None:
         """The keyring has a new generation: no ticket of an earlier one is used again."""
-        for node, known in list(self._boxes.items()):
+        for node, known in list(self._nodes.items()):
             kept = deque(t for t in known.tickets if t[1] >= generation)
-            self.size -= len(known.tickets) - len(kept)
+            self.ticket_count -= len(known.tickets) - len(kept)
             known.tickets = kept
             if not kept:
-                del self._boxes[node]
+                del self._nodes[node]
--- a/sabledyke/tls/stream.py
+++ b/sabledyke/tls/stream.py
@@ -13,7 +13,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from sabledyke.tls.tls_machine import Layer, State, TlsError
+from sabledyke.tls.tls_machine import TlsError, TlsMachine, TlsState
 
 READ = 64 * 1024
 
@@ -22,9 +22,9 @@
     """A stream whose handshake is done; see ``streams`` for what is asked of it."""
 
     def __init__(
-        self, inner: IOStream, layer: Layer, told: Callable[[ssl.SSLSession], None] = lambda _: None
+        self, inner: IOStream, layer: TlsMachine, told: Callable[[ssl.SSLSession], None] = lambda _: None
     ) -> None:
-        self._inner, self.layer, self._told = inner, layer, told
+        self._inner, self.machine, self._told = inner, layer, told
         self._has_told = False  # its ticket: once, since to take it from OpenSSL costs 0.3 ms
         self.rights: frozenset[int] | None = None  # volumes that its peer may touch, None for all
 
@@ -41,27 +41,27 @@
         """End it; the closing alert goes out where the kernel takes it at once."""
         if not self._inner.closed():
             self._news()
-            if self.layer.state is not State.BROKEN and not self._inner.writing():
-                self.layer.close()
+            if self.machine.state is not TlsState.BROKEN and not self._inner.writing():
+                self.machine.close()
                 self._flush()
             self._inner.close()
 
     def write(self, data: bytes) -> asyncio.Future[None]:
         """Send plaintext; done once its ciphertext has left."""
         try:
-            self.layer.send(data)
+            self.machine.send(data)
         except (TlsError, ssl.SSLError) as fault:
             self._inner.close()
             failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             failed.set_exception(StreamClosedError(fault))
             return failed
-        return asyncio.ensure_future(self._inner.write(self.layer.out))
+        return asyncio.ensure_future(self._inner.write(self.machine.output))
 
     async def read_bytes(self, num_bytes: int, partial: bool = True) -> bytes:
         """Plaintext as it comes; a StreamClosedError at the end, whole or not."""
-        layer = self.layer
-        while not layer.plain:
-            if layer.state is State.CLOSED:
+        layer = self.machine
+        while not layer.plaintext:
+            if layer.state is TlsState.CLOSED:
                 self._inner.close()
                 raise StreamClosedError
             try:
@@ -70,39 +70,39 @@
                 self._inner.close()
                 raise StreamClosedError(fault) from None
             except StreamClosedError:
-                if layer.state is State.OPEN:  # cut off: what came is not a whole answer's end
-                    layer.state = State.BROKEN
+                if layer.state is TlsState.OPEN:  # cut off: what came is not a whole answer's end
+                    layer.state = TlsState.BROKEN
                 raise
             self._flush()
-        out = bytes(layer.plain[:num_bytes])
-        del layer.plain[: len(out)]
+        out = bytes(layer.plaintext[:num_bytes])
+        del layer.plaintext[: len(out)]
         self._news()
         return out
 
     @property
     def rested(self) -> bool:
         """Nothing was said that was not read: no plaintext, and no closing alert, wait here."""
-        return self.layer.state is State.OPEN and not self.layer.plain
+        return self.machine.state is TlsState.OPEN and not self.machine.plaintext
 
     def _flush(self) -> None:
         """What the layer itself has to say: alerts, key updates."""
-        out = self.layer.out
+        out = self.machine.output
         if out and not self._inner.closed():
             asyncio.ensure_future(self._inner.write(out)).add_done_callback(
                 lambda f: f.cancelled() or f.exception()
             )
 
     def _news(self) -> None:
-        if not self._has_told and (session := self.layer.session) is not None:
+        if not self._has_told and (session := self.machine.ticket) is not None:
             self._has_told = True
             self._told(session)
 
 
-async def shake(inner: IOStream, layer: Layer, timeout_ms: float) -> None:
+async def complete_handshake(inner: IOStream, layer: TlsMachine, timeout_ms: float) -> None:
     """Bring a handshake to its end; a TlsError, StreamClosedError or TimeoutError where it has none."""
     async with asyncio.timeout(timeout_ms / 1000):
-        while layer.state is State.HANDSHAKE:
-            if out := layer.out:
+        while layer.state is TlsState.HANDSHAKE:
+            if out := layer.output:
                 await inner.write(out)
             try:
                 data = await inner.read_bytes(READ, partial=True)
@@ -111,10 +111,10 @@
             try:
                 layer.feed(data)
             except TlsError:
-                if alert := layer.out:  # say why, where the kernel takes it at once
+                if alert := layer.output:  # say why, where the kernel takes it at once
                     asyncio.ensure_future(inner.write(alert)).add_done_callback(
                         lambda f: f.cancelled() or f.exception()
                     )
                 raise
-        if out := layer.out:
+        if out := layer.output:
             await inner.write(out)
--- a/sabledyke/tls/tls_machine.py
+++ b/sabledyke/tls/tls_machine.py
@@ -14,11 +14,13 @@
 
 from sabledyke.errors import Fault
 
-MOST_HANDSHAKE = 64 * 1024  # bytes that a peer may send before its handshake is done: chains are a few KB
+MAX_HANDSHAKE_BYTES = (
+    64 * 1024
+)  # bytes that a peer may send before its handshake is done: chains are a few KB
 READ = 64 * 1024  # plaintext bytes taken at a time
 
 
-class State(Enum):
+class TlsState(Enum):
     """How far it has come."""
 
     HANDSHAKE = "handshake"
@@ -33,7 +35,7 @@
     code, remedy = "tls", "compare both sides' keys and names; tls check reads ours"
 
 
-class Layer:
+class TlsMachine:
     """One connection. Feed it ciphertext, take what ``out`` holds after every call; one that raised is of no
     use."""
 
@@ -47,14 +49,14 @@
     ) -> None:
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
         self._tls = context.wrap_bio(self._in, self._out, server, name, session)
-        self.state = State.HANDSHAKE
+        self.state = TlsState.HANDSHAKE
         self._taken = 0  # bytes fed before the handshake was done
-        self.plain = bytearray()  # what the peer said and nobody took yet
+        self.plaintext = bytearray()  # what the peer said and nobody took yet
         if not server:
             self._shake()
 
     @property
-    def out(self) -> bytes:
+    def output(self) -> bytes:
         """Ciphertext to write, taken away."""
         return self._out.read()
 
@@ -64,7 +66,7 @@
         return bool(self._tls.session_reused)
 
     @property
-    def session(self) -> ssl.SSLSession | None:
+    def ticket(self) -> ssl.SSLSession | None:
         """The newest ticket: after the handshake with TLS 1.2, after the first answer with 1.3."""
         session = self._tls.session
         return session if session is not None and session.has_ticket else None
@@ -74,30 +76,30 @@
         """What was agreed on, as ``TLSv1.3``."""
         return self._tls.version() or ""
 
-    def peer(self) -> dict[str, object]:
+    def peer_certificate(self) -> dict[str, object]:
         """The peer's certificate as ``ssl`` reads it; empty without one."""
         return dict(self._tls.getpeercert() or {})
 
     def feed(self, data: bytes) -> None:
         """Take ciphertext; a TlsError where it is not understood or not trusted."""
-        if self.state is State.HANDSHAKE:
+        if self.state is TlsState.HANDSHAKE:
             self._taken += len(data)
-            if self._taken > MOST_HANDSHAKE:
+            if self._taken > MAX_HANDSHAKE_BYTES:
                 self._break("a handshake that does not end")
         self._in.write(data)
-        if self.state is State.HANDSHAKE:
+        if self.state is TlsState.HANDSHAKE:
             self._shake()
-        if self.state is State.OPEN:
+        if self.state is TlsState.OPEN:
             self._read()
 
-    def end(self) -> None:
+    def on_end_of_stream(self) -> None:
         """The connection ended; a TlsError unless the peer had said so before."""
-        if self.state is not State.CLOSED:
+        if self.state is not TlsState.CLOSED:
             self._break("cut off without a closing alert")
 
     def send(self, data: bytes) -> None:
         """Plaintext to go out; only after the handshake."""
-        if self.state is not State.OPEN:
+        if self.state is not TlsState.OPEN:
             raise TlsError(f"nothing can be sent: {self.state.value}")
         view = memoryview(data)
         while view:
@@ -105,10 +107,10 @@
 
     def close(self) -> None:
         """Say that nothing more comes; what it puts into ``out`` may be written."""
-        if self.state in (State.OPEN, State.CLOSED):
+        if self.state in (TlsState.OPEN, TlsState.CLOSED):
             with contextlib.suppress(ssl.SSLError):  # the peer's own alert is not waited for
                 self._tls.unwrap()
-        self.state = State.CLOSED if self.state is not State.BROKEN else self.state
+        self.state = TlsState.CLOSED if self.state is not TlsState.BROKEN else self.state
 
     def _shake(self) -> None:
         try:
@@ -116,26 +118,26 @@
         except ssl.SSLWantReadError:
             return
         except ssl.SSLError as fault:
-            self._break(in_words(fault))
-        self.state = State.OPEN
+            self._break(describe_error(fault))
+        self.state = TlsState.OPEN
 
     def _read(self) -> None:
         try:
             while True:
                 part = self._tls.read(READ)
                 if not part:
-                    self.state = State.CLOSED
+                    self.state = TlsState.CLOSED
                     return
-                self.plain += part
+                self.plaintext += part
         except ssl.SSLWantReadError:
             return
         except ssl.SSLZeroReturnError:
-            self.state = State.CLOSED
+            self.state = TlsState.CLOSED
         except ssl.SSLError as fault:
-            self._break(in_words(fault))
+            self._break(describe_error(fault))
 
     def _break(self, text: str) -> None:
-        self.state = State.BROKEN
+        self.state = TlsState.BROKEN
         raise TlsError(text)
 
 
@@ -152,7 +154,7 @@
 }
 
 
-def in_words(fault: ssl.SSLError) -> str:
+def describe_error(fault: ssl.SSLError) -> str:
     """What OpenSSL reports, for the on-call staff."""
     reason = fault.reason or ""
     text = _WORDS.get(reason, "not understood")
@@ -160,7 +162,7 @@
     return f"{text}: {detail}" if detail else text
 
 
-def names_of(certificate: dict[str, object]) -> set[str]:
+def certificate_names(certificate: dict[str, object]) -> set[str]:
     """The alternative and common names that a certificate, as ``Layer.peer`` gives it, was signed for."""
     names = {str(value) for _, value in _pairs(certificate.get("subjectAltName"))}
     subject = certificate.get("subject")
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -16,8 +16,8 @@
 from sabledyke.config import Config
 from sabledyke.protocol import discovery
 from sabledyke.protocol.nvme import Status
-from sabledyke.tls.extension import TlsPart
-from sabledyke.tls.section import Paths, Section
+from sabledyke.tls.extension import TlsExtension
+from sabledyke.tls.section import KeyPaths, TlsSection
 from tests.helpers import BRISK
 from tests.standins import Discovery, NvmeBox, NvmeHost, Service, http, read_http
 from tests.standins.keys import Authority
@@ -52,10 +52,10 @@
         self.discovery.add("plain", self.box.port, 0)
         if not (self.path / "roots").exists():
             self.keys(*OURS, ROOT.root)
-        paths = Paths(*(str(self.path / n) for n in ("chain", "key", "roots", "revoked")))
+        paths = KeyPaths(*(str(self.path / n) for n in ("chain", "key", "roots", "revoked")))
         if not (self.path / "revoked").read_bytes():
-            paths = replace(paths, revoked="")
-        tls = Section(paths, look=0, handshake=400, **self._changes)  # type: ignore[arg-type]
+            paths = replace(paths, revocation_lists="")
+        tls = TlsSection(paths, poll_interval_s=0, handshake_timeout_ms=400, **self._changes)  # type: ignore[arg-type]
         extras = operator_config.read(self._more, DEPLOYMENT) if self._more else operator_config.Operator()
         listen = ("127.0.0.1", 0) if extras.listen else None
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
@@ -75,9 +75,9 @@
         assert not self.server.pool._count  # no descriptor is lost
 
     @property
-    def part(self) -> TlsPart:
+    def part(self) -> TlsExtension:
         part = self.server.parts[0]
-        assert isinstance(part, TlsPart)
+        assert isinstance(part, TlsExtension)
         return part
 
     async def ask(self, write: str = "", context: ssl.SSLContext | None = None, volume: int = 1) -> int:
@@ -129,7 +129,11 @@
             rig.server.pool.close_idle(b"plain")
             assert await rig.ask() == 200
         connector = rig.part.connector
-        assert (connector.full, connector.resumed, connector.failed) == (1, 20, 0) and box.resumed == 20
+        assert (connector.full_handshakes, connector.resumed_handshakes, connector.failed_handshakes) == (
+            1,
+            20,
+            0,
+        ) and box.resumed == 20
 
     play(tmp_path, box, story)
 
@@ -166,7 +170,7 @@
 
     async def story(rig: TlsRig) -> None:
         assert {await rig.ask(), await rig.ask("k")} <= {503}  # nothing of either has run
-        assert rig.part.connector.failed >= 1
+        assert rig.part.connector.failed_handshakes >= 1
         if isinstance(box, TlsBox):
             assert not box.seen
 
@@ -253,7 +257,7 @@
         stop.set()
         await asyncio.gather(*clients)
         assert set(answers) == {200} and len(answers) > 50
-        assert rig.part.keyring.generation.number == 2 and rig.part.connector.failed == 0
+        assert rig.part.keyring.generation.number == 2 and rig.part.connector.failed_handshakes == 0
 
     play(tmp_path, box, story)
 
@@ -262,7 +266,7 @@
     box = TlsBox(GOOD)
 
     async def story(rig: TlsRig) -> None:
-        assert await rig.ask() == 200 and rig.part.connector.tickets.size
+        assert await rig.ask() == 200 and rig.part.connector.tickets.ticket_count
         born = int(time.time() * 1000)
         await box.renew(server_context(*ROOT.issue("plain")), reset=True)
         rig.discovery.hosts[0]["born_ms"] = born
@@ -270,7 +274,7 @@
         until = time.monotonic() + 5
         while await rig.ask() != 200:
             assert time.monotonic() < until
-        assert rig.part.connector.full == 2
+        assert rig.part.connector.full_handshakes == 2
 
     play(tmp_path, box, story)
 
@@ -294,9 +298,9 @@
                 born = time.time() * 1000
                 entry = replace(rig.server.core.nodes[b"plain"], started=born)
                 rig.server.core.nodes[b"plain"] = entry
-                terms = rig.part.connector.admission.terms
-                rig.part.connector.admission.terms = replace(
-                    terms, siblings=settings.hosts, cold_share=0.2, warm_up=10_000
+                terms = rig.part.connector.admission.budget
+                rig.part.connector.admission.budget = replace(
+                    terms, scheduler_count=settings.hosts, initial_capacity_share=0.2, warm_up_ms=10_000
                 )
                 rigs.append(rig)
             await asyncio.gather(*(rig.ask() for rig in rigs for _ in range(10)))
@@ -349,7 +353,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sabledyke.net.frontend.GATE", 8)
-    monkeypatch.setattr("sabledyke.tls.extension.CLIENT_MS", 300.0)
+    monkeypatch.setattr("sabledyke.tls.extension.CLIENT_HANDSHAKE_TIMEOUT_MS", 300.0)
     box = TlsBox(GOOD)
 
     async def story(rig: TlsRig) -> None:
@@ -427,7 +431,10 @@
         await host.open()
         assert await host.write(1, 8, b"\x07" * 1024, key=5) == 0
         assert await host.read(1, 8, 2) == (0, b"\x07" * 1024)
-        assert box.writes == [(1, 8, 5)] and rig.part.connector.full + rig.part.connector.resumed >= 2
+        assert (
+            box.writes == [(1, 8, 5)]
+            and rig.part.connector.full_handshakes + rig.part.connector.resumed_handshakes >= 2
+        )
         host.close()
 
     more = NVME.replace('"block"', '"plain"') + VOLUME.format(1, "gold", 0)
@@ -435,7 +442,7 @@
 
 
 def test_a_connection_is_kept_ahead_of_need(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("sabledyke.tls.extension.WARM_S", 0.05)
+    monkeypatch.setattr("sabledyke.tls.extension.WARM_CHECK_INTERVAL_S", 0.05)
     box = TlsBox(GOOD)
 
     async def story(rig: TlsRig) -> None:
@@ -443,9 +450,9 @@
         rig.server.pool.close_idle(b"plain")
         while not rig.server.pool._idle.get(b"plain"):
             await asyncio.sleep(0.01)
-        handshakes = rig.part.connector.full + rig.part.connector.resumed
+        handshakes = rig.part.connector.full_handshakes + rig.part.connector.resumed_handshakes
         assert await rig.ask() == 200  # its handshake was nobody's wait
-        assert rig.part.connector.full + rig.part.connector.resumed == handshakes == 2
+        assert rig.part.connector.full_handshakes + rig.part.connector.resumed_handshakes == handshakes == 2
         rig.discovery.hosts.pop()
         rig.server._listed(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         await asyncio.sleep(0.15)
