--- a/sabledyke/tls/connector.py
+++ b/sabledyke/tls/connector.py
@@ -43,7 +43,7 @@
 
     def use_generation(self, generation: Generation) -> None:
         """These keys from now on: open connections live on, tickets of a former generation do not."""
-        self._context = contexts.client_context(generation, allow_12=self._section.allow_tls_1_2)
+        self._context = contexts.client_context(generation, allow_tls_1_2=self._section.allow_tls_1_2)
         self._generation = generation.number
         self.tickets.drop_older_generations(generation.number)
 
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -103,7 +103,9 @@
         if self._section.fronts:
             section = self._section
             self._for_clients = contexts.server_context(
-                generation, allow_12=section.allow_tls_1_2, ask=section.require_client_certificates
+                generation,
+                allow_tls_1_2=section.allow_tls_1_2,
+                require_client_certificates=section.require_client_certificates,
             )
 
     async def open(self) -> None:
--- a/sabledyke/tls/handshake_admission.py
+++ b/sabledyke/tls/handshake_admission.py
@@ -1,17 +1,13 @@
-"""Which attempt may begin a handshake with a box, and when: so that no crowd of handshakes pushes a cold box
-over.
+"""Admission of TLS handshakes, so that no crowd of them overloads a storage node that has just started.
 
-Told: attempts that want a connection, with their deadlines; handshakes that began and ended; when a box
-started. Decides: who goes now, who waits, and who is told at once that there is no room in time. Schedulers
-cannot talk, so each keeps to its own even share, by ``siblings``, of what a box bears by its age. Clock and
-seed are passed in; times are milliseconds.
+Decides which attempt may begin a handshake with a storage node, and when. Schedulers cannot communicate, so each
+keeps to an even share of what a node can do at its age. Clock and seed are passed in; all times are milliseconds.
 
-The account of a box is a bucket of handshake work, in milliseconds of the box's CPU: it fills at this
-scheduler's share of the part of the box that may go to handshakes, and holds what ``BURST`` of that rate
-come to. A full handshake costs more than a resumed one.
+Each node has a token bucket of handshake work, in milliseconds of the node's CPU. It fills at this scheduler's
+share of the part of the node that may go to handshakes, and holds what ``burst_ms`` at that rate come to.
 
-Bounds: ``_boxes`` lose an entry with ``forget`` or, where full and at rest, with ``tidy``; those that wait
-are attempts that are out, each with its deadline.
+Bounds: a node's entry goes with ``forget``, or with ``evict_idle``; those that wait are outstanding attempts,
+each with its deadline.
 """
 
 from __future__ import annotations
@@ -20,169 +16,244 @@
 import random
 from dataclasses import dataclass, field
 from math import inf
+from typing import NamedTuple
+
+_MAX_FAILURES = 30  # counted, so that the backoff's exponent stays small
+_MIN_JITTER = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class HandshakeBudget:
-    """What a box bears. The costs are ``benchmarks/tls.py``'s for P-256, in ms of a box's core."""
+    """What a storage node can do. The costs are those that ``benchmarks/tls.py`` measured for P-256.
+
+    Attributes:
+        scheduler_count: Schedulers that may connect at the same time.
+        initial_capacity_share: Share of its capacity that a node has when it starts.
+        warm_up_ms: Time until it has all of its capacity.
+        handshake_share: Share of its capacity that handshakes may take.
+        cores: Its CPU cores.
+        full_handshake_ms: CPU time that a full handshake takes of the node.
+        resumed_handshake_ms: CPU time that a resumed handshake takes of the node.
+        burst_ms: Time for which a bucket fills.
+        min_backoff_ms: Backoff after a failed handshake, doubled up to ...
+        max_backoff_ms: ... this.
+    """
 
-    scheduler_count: int  # schedulers that may come at once
-    initial_capacity_share: float = 0.21  # of its capacity that a box has at its start
-    warm_up_ms: float = 17000.0  # ms until it has all of it
-    handshake_share: float = 0.1  # of the capacity that handshakes may take
+    scheduler_count: int
+    initial_capacity_share: float = 0.21
+    warm_up_ms: float = 17000.0
+    handshake_share: float = 0.1
     cores: float = 2.0
-    full_handshake_ms: float = 0.5  # ms of a core that a full handshake takes of the box
+    full_handshake_ms: float = 0.5
     resumed_handshake_ms: float = 0.47
-    burst_ms: float = 1000.0  # ms for which a bucket fills
-    min_backoff_ms: float = 100.0  # after a failed handshake, doubled up to ...
+    burst_ms: float = 1000.0
+    min_backoff_ms: float = 100.0
     max_backoff_ms: float = 5000.0
 
 
+class DueAttempts(NamedTuple):
+    """Attempts that need not wait any longer, by earliest deadline."""
+
+    admitted: list[int]
+    expired: list[int]
+
+
+class _WaitingAttempt(NamedTuple):
+    deadline_ms: float
+    attempt: int
+    resumes: bool
+
+
 @dataclass(slots=True)
 class _NodeAccount:
-    """One box as this scheduler has met it."""
+    """One storage node as this scheduler has met it."""
 
-    born: float
-    level: float  # ms of the box's CPU that may be spent now
-    at: float
+    started_ms: float
+    available_ms: float  # CPU time that may be spent now
+    updated_ms: float
     failures: int = 0
-    trial: float = -inf  # no handshake before that, and then one at a time
-    trying: int = 0
-    waiting: list[tuple[float, int, bool]] = field(default_factory=list)  # deadline, attempt, resumes
+    retry_at_ms: float = -inf  # after failures: no handshake before this, and then one at a time
+    in_flight: int = 0
+    waiting: list[_WaitingAttempt] = field(default_factory=list)  # a heap
 
 
 class HandshakeAdmission:
-    """The accounts of all boxes."""
+    """Admits handshakes to all storage nodes.
+
+    Attributes:
+        budget: What a storage node can do; the caller replaces it.
+    """
+
+    def __init__(self, budget: HandshakeBudget, seed: int) -> None:
+        self.budget = budget
+        self._random = random.Random(seed)
+        self._accounts: dict[bytes, _NodeAccount] = {}
+        # Schedulers that find a node back at the same moment would all begin with a full bucket at that moment.
+        self._initial_fill = self._jitter()
 
-    def __init__(self, terms: HandshakeBudget, seed: int) -> None:
-        self.budget, self._random = terms, random.Random(seed)
-        self._boxes: dict[bytes, _NodeAccount] = {}
-        # Schedulers that found a box back at one moment would all begin with a full bucket at that moment.
-        self._phase = 0.5 + self._random.random() / 2
+    @property
+    def entry_count(self) -> int:
+        """Number of entries in all tables."""
+        waiting = sum(len(account.waiting) for account in self._accounts.values())
+        return len(self._accounts) + waiting
 
-    def handshake_rate(self, now: float, born: float) -> float:
-        """Milliseconds of handshake work a millisecond that this scheduler may ask of a box of that age."""
-        terms = self.budget
-        age = max(0.0, now - born) / terms.warm_up_ms
-        warmth = min(1.0, terms.initial_capacity_share + (1 - terms.initial_capacity_share) * age)
-        return warmth * terms.cores * terms.handshake_share / terms.scheduler_count
+    def handshake_rate(self, now_ms: float, started_ms: float) -> float:
+        """Return the handshake work per time that this scheduler may cause at a node that started then."""
+        budget = self.budget
+        warm_up_fraction = max(0.0, now_ms - started_ms) / budget.warm_up_ms
+        initial_share = budget.initial_capacity_share
+        capacity_share = min(1.0, initial_share + (1 - initial_share) * warm_up_fraction)
+        return capacity_share * budget.cores * budget.handshake_share / budget.scheduler_count
 
     def handshake_cost_ms(self, resumes: bool) -> float:
-        """What a handshake takes of the box."""
+        """Return the CPU time that a handshake takes of the node."""
         return self.budget.resumed_handshake_ms if resumes else self.budget.full_handshake_ms
 
     def request(
-        self, now: float, node: bytes, born: float, attempt: int, deadline: float, resumes: bool
+        self, now_ms: float, node: bytes, started_ms: float, attempt: int, deadline_ms: float, resumes: bool
     ) -> bool | None:
-        """True: begin now. False: it waits, and ``due`` will name it. None: there is no room in time."""
-        box = self._box(now, node, born)
-        if self._free(now, box, resumes) and not box.waiting:
-            self._begin(box, resumes)
+        """Request a handshake.
+
+        Args:
+            now_ms: The time.
+            node: The storage node.
+            started_ms: When it started.
+            attempt: Identifies the attempt.
+            deadline_ms: When the attempt is given up.
+            resumes: Whether the handshake resumes a session.
+
+        Returns:
+            True to begin at once; False to wait until ``pop_due`` names the attempt; None where there is no
+            capacity in time.
+        """
+        account = self._account(now_ms, node, started_ms)
+        if self._may_begin(now_ms, account, resumes) and not account.waiting:
+            self._begin(account, resumes)
             return True
-        ahead = sum(self.handshake_cost_ms(r) for d, _, r in box.waiting if d <= deadline)
-        rate = self.handshake_rate(now, box.born)
-        needed = max(0.0, ahead + self.handshake_cost_ms(resumes) - box.level) / rate if rate > 0 else inf
-        if box.failures:  # tried singly: only as many wait as trials may succeed in time
-            needed = max(needed, box.trial - now) if not box.trying else inf
-        if now + needed > deadline:
+        if now_ms + self._expected_wait_ms(now_ms, account, deadline_ms, resumes) > deadline_ms:
             return None
-        heapq.heappush(box.waiting, (deadline, attempt, resumes))
+        heapq.heappush(account.waiting, _WaitingAttempt(deadline_ms, attempt, resumes))
         return False
 
-    def pop_due(self, now: float, node: bytes) -> tuple[list[int], list[int]]:
-        """Of those that wait for a box: who may begin now, by earliest deadline, and who is out of time."""
-        box = self._boxes.get(node)
-        go: list[int] = []
-        late: list[int] = []
-        while box is not None and box.waiting:
-            deadline, attempt, resumes = box.waiting[0]
-            if deadline <= now:
-                late.append(attempt)
-            elif self._free(now, box, resumes):
-                self._begin(box, resumes)
-                go.append(attempt)
+    def pop_due(self, now_ms: float, node: bytes) -> DueAttempts:
+        """Remove and return the waiting attempts that may begin now or are out of time."""
+        account = self._accounts.get(node)
+        due = DueAttempts([], [])
+        while account is not None and account.waiting:
+            first = account.waiting[0]
+            if first.deadline_ms <= now_ms:
+                due.expired.append(first.attempt)
+            elif self._may_begin(now_ms, account, first.resumes):
+                self._begin(account, first.resumes)
+                due.admitted.append(first.attempt)
             else:
                 break
-            heapq.heappop(box.waiting)
-        return go, late
+            heapq.heappop(account.waiting)
+        return due
 
-    def next_due_ms(self, now: float, node: bytes) -> float:
-        """When ``due`` may have something new, inf for never."""
-        box = self._boxes.get(node)
-        if box is None or not box.waiting:
+    def next_due_ms(self, now_ms: float, node: bytes) -> float:
+        """Return when ``pop_due`` may have something new; inf for never."""
+        account = self._accounts.get(node)
+        if account is None or not account.waiting:
             return inf
-        deadline, _, resumes = box.waiting[0]
-        if box.failures and box.trying:
-            return deadline
-        self._fill(now, box)
-        rate = self.handshake_rate(now, box.born)
-        room = now + max(0.0, self.handshake_cost_ms(resumes) - box.level) / rate if rate > 0 else inf
-        return min(deadline, max(room, box.trial if box.failures else room))
+        first = account.waiting[0]
+        if account.failures and account.in_flight:
+            return first.deadline_ms
+        self._refill(now_ms, account)
+        missing_ms = self.handshake_cost_ms(first.resumes) - account.available_ms
+        admitted_ms = now_ms + self._refill_time_ms(now_ms, account, missing_ms)
+        if account.failures:
+            admitted_ms = max(admitted_ms, account.retry_at_ms)
+        return min(first.deadline_ms, admitted_ms)
 
     def withdraw(self, node: bytes, attempt: int) -> None:
-        """An attempt that waits was called off."""
-        box = self._boxes.get(node)
-        if box is not None:
-            box.waiting = [w for w in box.waiting if w[1] != attempt]
-            heapq.heapify(box.waiting)
+        """Remove a waiting attempt that was cancelled."""
+        account = self._accounts.get(node)
+        if account is not None:
+            account.waiting = [waiting for waiting in account.waiting if waiting.attempt != attempt]
+            heapq.heapify(account.waiting)
 
-    def on_handshake_completed(self, now: float, node: bytes, *, good: bool) -> None:
-        """A handshake that had begun is over.
+    def on_handshake_completed(self, now_ms: float, node: bytes, *, good: bool) -> None:
+        """Note that a handshake that had begun is over.
 
-        A box whose handshakes fail is tried singly, backing off: a crowd would fail alike, and cost it as
-        much.
+        A node whose handshakes fail is tried one at a time, with backoff: a crowd of handshakes would fail
+        alike, and cost the node as much.
         """
-        box = self._boxes.get(node)
-        if box is None:
+        account = self._accounts.get(node)
+        if account is None:
             return
-        box.trying = max(0, box.trying - 1)
+        account.in_flight = max(0, account.in_flight - 1)
         if good:
-            box.failures, box.trial = 0, -inf
+            account.failures = 0
+            account.retry_at_ms = -inf
             return
-        box.failures = min(box.failures + 1, 30)
-        wait = min(self.budget.min_backoff_ms * 2 ** (box.failures - 1), self.budget.max_backoff_ms)
-        box.trial = now + wait * (0.5 + self._random.random() / 2)
+        account.failures = min(account.failures + 1, _MAX_FAILURES)
+        backoff_ms = self.budget.min_backoff_ms * 2 ** (account.failures - 1)
+        account.retry_at_ms = now_ms + min(backoff_ms, self.budget.max_backoff_ms) * self._jitter()
 
     def forget(self, node: bytes) -> list[int]:
-        """The box is gone from the list; who waited for it."""
-        box = self._boxes.pop(node, None)
-        return [attempt for _, attempt, _ in box.waiting] if box is not None else []
-
-    def evict_idle(self, now: float) -> None:
-        """Forget boxes of which nothing is left to know: at rest, with a full bucket and no failure."""
-        for node, box in list(self._boxes.items()):
-            self._fill(now, box)
-            full = box.level >= self.handshake_rate(now, box.born) * self.budget.burst_ms
-            rests = not (box.waiting or box.trying or box.failures)
-            if full and rests and now - box.born > self.budget.warm_up_ms:
-                del self._boxes[node]
+        """Forget a node that was removed from the endpoint list, and return the attempts that waited for it."""
+        account = self._accounts.pop(node, None)
+        return [] if account is None else [waiting.attempt for waiting in account.waiting]
 
-    @property
-    def entry_count(self) -> int:
-        """Entries in all tables."""
-        return len(self._boxes) + sum(len(b.waiting) for b in self._boxes.values())
-
-    def _box(self, now: float, node: bytes, born: float) -> _NodeAccount:
-        box = self._boxes.get(node)
-        if box is None or box.born != born:
-            level = self.handshake_rate(now, born) * self.budget.burst_ms * self._phase
-            waiting = box.waiting if box is not None else []
-            box = self._boxes[node] = _NodeAccount(born, level, now, waiting=waiting)
-        return box
-
-    def _fill(self, now: float, box: _NodeAccount) -> None:
-        rate = self.handshake_rate(now, box.born)
-        box.level = min(
-            box.level + rate * (now - box.at), max(rate * self.budget.burst_ms, self.budget.full_handshake_ms)
+    def evict_idle(self, now_ms: float) -> None:
+        """Forget warmed-up nodes of which nothing is left to know: idle, with a full bucket and no failure."""
+        for node, account in list(self._accounts.items()):
+            self._refill(now_ms, account)
+            full = account.available_ms >= self._burst_work_ms(now_ms, account.started_ms)
+            idle = not (account.waiting or account.in_flight or account.failures)
+            if full and idle and now_ms - account.started_ms > self.budget.warm_up_ms:
+                del self._accounts[node]
+
+    def _account(self, now_ms: float, node: bytes, started_ms: float) -> _NodeAccount:
+        """Return a node's account; a restarted node begins a new one, and attempts keep waiting."""
+        account = self._accounts.get(node)
+        if account is not None and account.started_ms == started_ms:
+            return account
+        available_ms = self._burst_work_ms(now_ms, started_ms) * self._initial_fill
+        waiting = account.waiting if account is not None else []
+        account = _NodeAccount(started_ms, available_ms, now_ms, waiting=waiting)
+        self._accounts[node] = account
+        return account
+
+    def _expected_wait_ms(
+        self, now_ms: float, account: _NodeAccount, deadline_ms: float, resumes: bool
+    ) -> float:
+        ahead_ms = sum(
+            self.handshake_cost_ms(waiting.resumes)
+            for waiting in account.waiting
+            if waiting.deadline_ms <= deadline_ms
         )
-        box.at = now
+        missing_ms = ahead_ms + self.handshake_cost_ms(resumes) - account.available_ms
+        wait_ms = self._refill_time_ms(now_ms, account, missing_ms)
+        if not account.failures:
+            return wait_ms
+        # Tried one at a time: only as many may wait as can succeed in time.
+        return inf if account.in_flight else max(wait_ms, account.retry_at_ms - now_ms)
+
+    def _refill_time_ms(self, now_ms: float, account: _NodeAccount, missing_ms: float) -> float:
+        """Return how long the bucket takes to gain so much work."""
+        rate = self.handshake_rate(now_ms, account.started_ms)
+        return max(0.0, missing_ms) / rate if rate > 0 else inf
+
+    def _burst_work_ms(self, now_ms: float, started_ms: float) -> float:
+        return self.handshake_rate(now_ms, started_ms) * self.budget.burst_ms
 
-    def _free(self, now: float, box: _NodeAccount, resumes: bool) -> bool:
-        self._fill(now, box)
-        if box.failures and (box.trying or now < box.trial):
+    def _refill(self, now_ms: float, account: _NodeAccount) -> None:
+        rate = self.handshake_rate(now_ms, account.started_ms)
+        bucket_ms = max(rate * self.budget.burst_ms, self.budget.full_handshake_ms)
+        account.available_ms = min(account.available_ms + rate * (now_ms - account.updated_ms), bucket_ms)
+        account.updated_ms = now_ms
+
+    def _may_begin(self, now_ms: float, account: _NodeAccount, resumes: bool) -> bool:
+        self._refill(now_ms, account)
+        if account.failures and (account.in_flight or now_ms < account.retry_at_ms):
             return False
-        return box.level >= self.handshake_cost_ms(resumes)
+        return account.available_ms >= self.handshake_cost_ms(resumes)
+
+    def _begin(self, account: _NodeAccount, resumes: bool) -> None:
+        account.available_ms -= self.handshake_cost_ms(resumes)
+        account.in_flight += 1
 
-    def _begin(self, box: _NodeAccount, resumes: bool) -> None:
-        box.level -= self.handshake_cost_ms(resumes)
-        box.trying += 1
+    def _jitter(self) -> float:
+        return _MIN_JITTER + self._random.random() / 2
--- a/sabledyke/tls/key_material.py
+++ b/sabledyke/tls/key_material.py
@@ -1,7 +1,7 @@
-"""Keys, chains and trusted roots as files hold them, checked whole before any of it is used.
+"""Keys, chains and trusted roots as files hold them, checked completely before any of it is used.
 
-Told: the bytes of the files, the mode of the key's file, and the time. Decides: whether they fit together
-and hold now. On ``cryptography``; no file is opened here. What a fault says names no secret.
+Decides whether the files fit together and are valid at a given time. The bytes of the files, the mode of the
+key's file and the time are passed in; no file is opened here. Error texts contain no secret.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from datetime import UTC, datetime
+from typing import NamedTuple
 
 from cryptography import x509
 from cryptography.exceptions import InvalidSignature, UnsupportedAlgorithm
@@ -16,70 +17,123 @@
 
 from sabledyke.errors import Fault
 
-MAX_FILE_BYTES = 1024 * 1024  # bytes of one file
+MAX_FILE_BYTES = 1024 * 1024
+
+_GROUP_AND_OTHERS = 0o077
+_LIST_END = b"-----END X509 CRL-----"
 
 
 class MaterialError(Fault):
     """The files cannot be used; the text is the one line that says why."""
 
-    code, remedy = "tls-material", "replace the file that the line names, then tls check"
+    code = "tls-material"
+    remedy = "replace the file that the line names, then tls check"
 
 
 @dataclass(slots=True, frozen=True)
 class KeyFiles:
-    """What the files hold: PEM; a certificate without a key, or the other way, is an error."""
+    """What the files hold, in PEM; a certificate without a key, or the other way, is an error.
+
+    Attributes:
+        chain: Our certificate and its intermediates.
+        key: Its key.
+        roots: The trusted roots.
+        revocation_lists: Revocation lists, none or several.
+        key_mode: Permissions of the key's file.
+    """
 
     chain: bytes = b""
     key: bytes = b""
     roots: bytes = b""
-    revocation_lists: bytes = b""  # revocation lists, none or several
-    key_mode: int = 0o600  # of the key's file
+    revocation_lists: bytes = b""
+    key_mode: int = 0o600
+
+
+class Expiration(NamedTuple):
+    """When something of ours expires, in Unix milliseconds, and what it is."""
+
+    time_ms: float
+    subject: str
 
 
 @dataclass(slots=True, frozen=True)
 class KeyMaterial:
-    """Files that passed; ``ends`` is the first moment, in Unix ms, at which something of ours is over, and
-    of what."""
+    """Files that were checked.
+
+    Attributes:
+        files: The files.
+        expirations: When our certificates and the roots expire.
+        names: The names of our certificate.
+    """
 
     files: KeyFiles
-    expirations: tuple[tuple[float, str], ...]
+    expirations: tuple[Expiration, ...]
     names: tuple[str, ...]
 
     @property
-    def first_expiration(self) -> tuple[float, str]:
-        """The earliest of ``ends``."""
+    def first_expiration(self) -> Expiration:
+        """The earliest expiration."""
         return min(self.expirations)
 
 
-def check_key_files(files: KeyFiles, now: float) -> KeyMaterial:
-    """All of it, at a time in Unix milliseconds; a MaterialError names the first thing that does not hold."""
-    when = datetime.fromtimestamp(now / 1000, UTC)
-    if bool(files.chain) != bool(files.key):
-        raise MaterialError("a certificate needs its key, and a key its certificate")
-    if files.key and files.key_mode & 0o077:
-        told = f"its mode is {files.key_mode & 0o777:o}"
-        raise MaterialError(f"the key's file must be read by its owner alone (chmod 600), {told}")
+def check_key_files(files: KeyFiles, now_ms: float) -> KeyMaterial:
+    """Check files completely.
+
+    Args:
+        files: The files.
+        now_ms: The time at which they have to be valid, in Unix milliseconds.
+
+    Raises:
+        MaterialError: The first thing that is wrong with them.
+    """
+    now = datetime.fromtimestamp(now_ms / 1000, UTC)
+    _check_key_file(files)
     roots = _certificates(files.roots, "the roots") if files.roots else []
     chain = _certificates(files.chain, "the chain") if files.chain else []
-    if not roots:
-        raise MaterialError("there are no trusted roots")
-    held = [r for r in roots if r.not_valid_after_utc > when]
-    if not held:
-        raise MaterialError("every trusted root has expired")
-    ends = [(_ms(r.not_valid_after_utc), f"root {_name(r)}") for r in held]
+    valid_roots = _valid_roots(roots, now)
+    expirations = [
+        Expiration(_unix_ms(root.not_valid_after_utc), f"root {_name(root)}") for root in valid_roots
+    ]
     for certificate in chain:
-        if not certificate.not_valid_before_utc <= when < certificate.not_valid_after_utc:
-            word = "has expired" if when >= certificate.not_valid_after_utc else "does not hold yet"
-            raise MaterialError(f"certificate {_name(certificate)} {word}")
-        ends.append((_ms(certificate.not_valid_after_utc), f"certificate {_name(certificate)}"))
+        _check_validity(certificate, now)
+        subject = f"certificate {_name(certificate)}"
+        expirations.append(Expiration(_unix_ms(certificate.not_valid_after_utc), subject))
     if chain:
-        _pair(chain[0], files.key)
-        for lower, upper in zip(chain, chain[1:], strict=False):
-            _signed(lower, [upper], f"the chain breaks after {_name(lower)}")
-        _signed(chain[-1], roots, f"no trusted root has signed {_name(chain[-1])}")
+        _check_chain(chain, files.key, roots)
     if files.revocation_lists:
-        _lists(files.revocation_lists, when)
-    return KeyMaterial(files, tuple(ends), _names(chain[0]) if chain else ())
+        _check_revocation_lists(files.revocation_lists, now)
+    return KeyMaterial(files, tuple(expirations), _alternative_names(chain[0]) if chain else ())
+
+
+def _check_key_file(files: KeyFiles) -> None:
+    if bool(files.chain) != bool(files.key):
+        raise MaterialError("a certificate needs its key, and a key its certificate")
+    if files.key and files.key_mode & _GROUP_AND_OTHERS:
+        mode = f"its mode is {files.key_mode & 0o777:o}"
+        raise MaterialError(f"the key's file must be read by its owner alone (chmod 600), {mode}")
+
+
+def _valid_roots(roots: list[x509.Certificate], now: datetime) -> list[x509.Certificate]:
+    if not roots:
+        raise MaterialError("there are no trusted roots")
+    valid = [root for root in roots if root.not_valid_after_utc > now]
+    if not valid:
+        raise MaterialError("every trusted root has expired")
+    return valid
+
+
+def _check_validity(certificate: x509.Certificate, now: datetime) -> None:
+    if now >= certificate.not_valid_after_utc:
+        raise MaterialError(f"certificate {_name(certificate)} has expired")
+    if now < certificate.not_valid_before_utc:
+        raise MaterialError(f"certificate {_name(certificate)} does not hold yet")
+
+
+def _check_chain(chain: list[x509.Certificate], key: bytes, roots: list[x509.Certificate]) -> None:
+    _check_key_belongs_to(chain[0], key)
+    for certificate, issuer in zip(chain, chain[1:], strict=False):
+        _check_signed(certificate, [issuer], f"the chain breaks after {_name(certificate)}")
+    _check_signed(chain[-1], roots, f"no trusted root has signed {_name(chain[-1])}")
 
 
 def _certificates(data: bytes, what: str) -> list[x509.Certificate]:
@@ -91,52 +145,54 @@
         raise MaterialError(f"{what}: no certificate in PEM can be read") from None
 
 
-def _pair(certificate: x509.Certificate, key: bytes) -> None:
+def _check_key_belongs_to(certificate: x509.Certificate, key: bytes) -> None:
     try:
         private = load_pem_private_key(key, None)
-    except (ValueError, TypeError, UnsupportedAlgorithm):  # without what it says, which may quote the key
+    except (ValueError, TypeError, UnsupportedAlgorithm):  # whose text may quote the key
         raise MaterialError("the key cannot be read: PEM without a password is wanted") from None
-    form = Encoding.DER, PublicFormat.SubjectPublicKeyInfo
-    if private.public_key().public_bytes(*form) != certificate.public_key().public_bytes(*form):
+    encoding = Encoding.DER
+    key_format = PublicFormat.SubjectPublicKeyInfo
+    expected = certificate.public_key().public_bytes(encoding, key_format)
+    if private.public_key().public_bytes(encoding, key_format) != expected:
         raise MaterialError(f"the key does not belong to certificate {_name(certificate)}")
 
 
-def _signed(lower: x509.Certificate, uppers: Iterable[x509.Certificate], otherwise: str) -> None:
-    for upper in uppers:
-        if lower == upper:
+def _check_signed(certificate: x509.Certificate, issuers: Iterable[x509.Certificate], error: str) -> None:
+    for issuer in issuers:
+        if certificate == issuer:
             return
         try:
-            lower.verify_directly_issued_by(upper)
+            certificate.verify_directly_issued_by(issuer)
             return
         except (ValueError, TypeError, InvalidSignature):
             continue
-    raise MaterialError(otherwise)
+    raise MaterialError(error)
 
 
-def _lists(data: bytes, when: datetime) -> None:
-    parts = [p + b"-----END X509 CRL-----\n" for p in data.split(b"-----END X509 CRL-----")[:-1]]
-    if not parts:
+def _check_revocation_lists(data: bytes, now: datetime) -> None:
+    lists = [text + _LIST_END + b"\n" for text in data.split(_LIST_END)[:-1]]
+    if not lists:
         raise MaterialError("the revocation lists: none in PEM can be read")
-    for part in parts:
+    for text in lists:
         try:
-            crl = x509.load_pem_x509_crl(part)
+            crl = x509.load_pem_x509_crl(text)
         except ValueError:
             raise MaterialError("the revocation lists: one cannot be read") from None
-        if crl.next_update_utc is not None and crl.next_update_utc <= when:
+        if crl.next_update_utc is not None and crl.next_update_utc <= now:
             raise MaterialError(f"the revocation list of {crl.issuer.rfc4514_string()} is out of date")
 
 
-def _names(certificate: x509.Certificate) -> tuple[str, ...]:
+def _alternative_names(certificate: x509.Certificate) -> tuple[str, ...]:
     try:
         names = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     except x509.ExtensionNotFound:
         return ()
-    return tuple(str(n.value) for n in names)
+    return tuple(str(name.value) for name in names)
 
 
 def _name(certificate: x509.Certificate) -> str:
     return certificate.subject.rfc4514_string() or f"{certificate.serial_number:x}"
 
 
-def _ms(when: datetime) -> float:
-    return when.timestamp() * 1000
+def _unix_ms(time: datetime) -> float:
+    return time.timestamp() * 1000
--- a/sabledyke/tls/keyring.py
+++ b/sabledyke/tls/keyring.py
@@ -1,8 +1,8 @@
-"""Generations of key, chain and trusted roots, and which is in force.
+"""Generations of key, chain and trusted roots, and which of them is in force.
 
-Told: files as they are looked at, and the time in Unix milliseconds. Decides: whether they are a new
-generation, which roots are trusted meanwhile, and which warnings are due. A bad generation is told of once
-and changes nothing. Never opens a file or a socket.
+Decides whether files are a new generation, which roots are trusted during a rotation, and which warnings are due.
+A generation that cannot be used is reported once and changes nothing. Files and the time, in Unix milliseconds,
+are passed in; no file or socket is opened here.
 """
 
 from __future__ import annotations
@@ -11,14 +11,20 @@
 
 from sabledyke.tls.key_material import KeyFiles, KeyMaterial, MaterialError, check_key_files
 
-WARNING_DAYS = (1, 7, 30)  # before an end; each is said once for each generation
+WARNING_DAYS = (1, 7, 30)
+"""Days before an expiration at which a warning is due, once for each generation."""
 DAY_MS = 86_400_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class Generation:
-    """What is in force: its number counts up from 1; ``roots`` holds those of the former one while they
-    overlap."""
+    """What is in force.
+
+    Attributes:
+        number: Counts up from 1.
+        material: The checked files.
+        roots: The trusted roots, with those of the former generation while they overlap.
+    """
 
     number: int
     material: KeyMaterial
@@ -27,76 +33,104 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyringUpdate:
-    """What a look at the files led to."""
+    """What offering files led to.
+
+    Attributes:
+        changed: Whether another generation, or other roots, are in force.
+        messages: What is to be logged.
+    """
 
     changed: bool = False
     messages: tuple[str, ...] = ()
 
 
+@dataclass(slots=True, frozen=True)
+class _FormerRoots:
+    """Roots of the former generation, and until when they are trusted."""
+
+    roots: bytes
+    trusted_until_ms: float
+
+
 class Keyring:
-    """The one in force, the one before it, and the last that was refused."""
+    """The generation in force, the roots of the one before it, and the files that were rejected last."""
+
+    def __init__(self, overlap_ms: float) -> None:
+        """Create a keyring.
 
-    def __init__(self, overlap: float) -> None:
-        self._overlap = overlap  # ms for which a former generation's roots stay trusted
-        self._now: Generation | None = None
-        self._former: tuple[bytes, float] | None = None  # roots, and until when
-        self._refused: KeyFiles | None = None
-        self._warned: int | None = None
+        Args:
+            overlap_ms: For how long a former generation's roots stay trusted.
+        """
+        self._overlap_ms = overlap_ms
+        self._current: Generation | None = None
+        self._former: _FormerRoots | None = None
+        self._rejected: KeyFiles | None = None
+        self._warned_days: int | None = None
 
     @property
     def generation(self) -> Generation:
-        """What is in force; there is one once ``offer`` has taken one."""
-        assert self._now is not None
-        return self._now
-
-    def offer(self, now: float, files: KeyFiles) -> KeyringUpdate:
-        """Look at files: taken whole, or not at all. The first must hold, else a MaterialError."""
-        if self._now is not None and files == self._now.material.files:
-            return self._pass(now)
-        if files == self._refused:  # said already
-            return self._pass(now)
+        """The generation in force; there is one once ``offer`` has accepted one."""
+        assert self._current is not None
+        return self._current
+
+    def offer(self, now_ms: float, files: KeyFiles) -> KeyringUpdate:
+        """Accept files as a new generation completely, or not at all.
+
+        Raises:
+            MaterialError: The first files of all cannot be used.
+        """
+        current = self._current
+        if current is not None and files in (current.material.files, self._rejected):
+            return self._on_time_passed(now_ms, current)
         try:
-            material = check_key_files(files, now)
-        except MaterialError as fault:
-            if self._now is None:
+            material = check_key_files(files, now_ms)
+        except MaterialError as error:
+            if current is None:
                 raise
-            self._refused = files
-            return KeyringUpdate(messages=(f"new keys are not used: {fault}; the old ones stay in force",))
-        self._refused = None
-        number = 1
-        if self._now is not None:
-            number = self._now.number + 1
-            self._former = self._now.material.files.roots, now + self._overlap
-        self._now = Generation(number, material, self._roots(now, material))
-        self._warned = None
-        lines = (f"keys of generation {number} are in force",) if number > 1 else ()
-        return KeyringUpdate(changed=True, messages=lines + self.warnings(now))
-
-    def _pass(self, now: float) -> KeyringUpdate:
-        """Time passes: the former roots' overlap may end, and warnings may come due."""
-        assert self._now is not None
-        roots = self._roots(now, self._now.material)
-        if roots != self._now.roots:
-            self._now = Generation(self._now.number, self._now.material, roots)
-            line = "roots of the former generation are no longer trusted"
-            return KeyringUpdate(changed=True, messages=(line, *self.warnings(now)))
-        return KeyringUpdate(messages=self.warnings(now))
-
-    def _roots(self, now: float, material: KeyMaterial) -> bytes:
-        if self._former is not None and now >= self._former[1]:
-            self._former = None
-        former = self._former[0] if self._former is not None else b""
-        roots = material.files.roots
-        return roots if former in (b"", roots) else roots + b"\n" + former
+            self._rejected = files
+            return KeyringUpdate(messages=(f"new keys are not used: {error}; the old ones stay in force",))
+        return self._accept(now_ms, material)
 
-    def warnings(self, now: float) -> tuple[str, ...]:
-        """What ends within 30, 7 and 1 days: once for each."""
-        if self._now is None:
+    def warnings(self, now_ms: float) -> tuple[str, ...]:
+        """Return the warning of an expiration within 30, 7 or 1 days, once for each."""
+        if self._current is None:
+            return ()
+        first = self._current.material.first_expiration
+        days = (first.time_ms - now_ms) / DAY_MS
+        due_days = next((limit for limit in WARNING_DAYS if days <= limit), None)
+        if due_days is None:
             return ()
-        end, what = self._now.material.first_expiration
-        days = (end - now) / DAY_MS
-        due = next((d for d in WARNING_DAYS if days <= d), None)
-        if due is None or self._warned is not None and self._warned <= due:
+        if self._warned_days is not None and self._warned_days <= due_days:
             return ()
-        self._warned = due
-        return (f"{what} ends in {max(0.0, days):.1f} days",)
+        self._warned_days = due_days
+        return (f"{first.subject} ends in {max(0.0, days):.1f} days",)
+
+    def _accept(self, now_ms: float, material: KeyMaterial) -> KeyringUpdate:
+        self._rejected = None
+        number = 1
+        if self._current is not None:
+            number = self._current.number + 1
+            former_roots = self._current.material.files.roots
+            self._former = _FormerRoots(former_roots, now_ms + self._overlap_ms)
+        self._current = Generation(number, material, self._trusted_roots(now_ms, material))
+        self._warned_days = None
+        messages = (f"keys of generation {number} are in force",) if number > 1 else ()
+        return KeyringUpdate(changed=True, messages=messages + self.warnings(now_ms))
+
+    def _on_time_passed(self, now_ms: float, current: Generation) -> KeyringUpdate:
+        """End the former roots' overlap, and return the warnings that are due."""
+        roots = self._trusted_roots(now_ms, current.material)
+        if roots == current.roots:
+            return KeyringUpdate(messages=self.warnings(now_ms))
+        self._current = Generation(current.number, current.material, roots)
+        message = "roots of the former generation are no longer trusted"
+        return KeyringUpdate(changed=True, messages=(message, *self.warnings(now_ms)))
+
+    def _trusted_roots(self, now_ms: float, material: KeyMaterial) -> bytes:
+        if self._former is not None and now_ms >= self._former.trusted_until_ms:
+            self._former = None
+        former_roots = self._former.roots if self._former is not None else b""
+        roots = material.files.roots
+        if former_roots in (b"", roots):
+            return roots
+        return roots + b"\n" + former_roots
--- a/sabledyke/tls/tls_machine.py
+++ b/sabledyke/tls/tls_machine.py
@@ -1,9 +1,8 @@
-"""TLS as a state machine that is fed bytes, on OpenSSL through memory buffers; either side.
+"""TLS as a state machine that is fed bytes, on OpenSSL through memory buffers; for either side.
 
-Told: ciphertext as it comes, plaintext to send. Gives: plaintext, and ciphertext to write. Never knows a
-socket. What it guards against: an answer that ends without TLS's own closing alert passing for a whole one,
-a peer that sends without end before the handshake is done, and plaintext where TLS was asked for (nothing is
-ever passed through).
+It never knows a socket. It guards against a response that ends without TLS's own closing alert being taken for a
+complete one, against a peer that sends without end before the handshake is complete, and against plaintext where
+TLS was requested: nothing is ever passed through.
 """
 
 from __future__ import annotations
@@ -11,33 +10,55 @@
 import contextlib
 import ssl
 from enum import Enum
+from typing import NoReturn
 
 from sabledyke.errors import Fault
 
-MAX_HANDSHAKE_BYTES = (
-    64 * 1024
-)  # bytes that a peer may send before its handshake is done: chains are a few KB
-READ = 64 * 1024  # plaintext bytes taken at a time
+MAX_HANDSHAKE_BYTES = 64 * 1024
+"""What a peer may send before its handshake is complete; chains are a few KB."""
+
+_READ_BYTES = 64 * 1024
+
+_DESCRIPTIONS = {
+    "CERTIFICATE_VERIFY_FAILED": "its certificate is not accepted",
+    "WRONG_VERSION_NUMBER": "it speaks no TLS",
+    "UNSUPPORTED_PROTOCOL": "it speaks an old version of TLS",
+    "TLSV1_ALERT_PROTOCOL_VERSION": "it does not speak this version of TLS",
+    "TLSV13_ALERT_CERTIFICATE_REQUIRED": "it wants a certificate of ours",
+    "SSLV3_ALERT_BAD_CERTIFICATE": "it does not accept our certificate",
+    "SSLV3_ALERT_CERTIFICATE_EXPIRED": "it finds our certificate expired",
+    "TLSV1_ALERT_UNKNOWN_CA": "it does not know who signed our certificate",
+    "SSLV3_ALERT_HANDSHAKE_FAILURE": "it agrees to no way of encryption",
+}
 
 
 class TlsState(Enum):
-    """How far it has come."""
+    """State of a connection."""
 
     HANDSHAKE = "handshake"
     OPEN = "open"
-    CLOSED = "closed"  # by the peer's closing alert: all that it sent is whole
+    CLOSED = "closed"
+    """Closed by the peer's closing alert: all that it sent is complete."""
     BROKEN = "broken"
 
 
 class TlsError(Fault):
-    """The bytes are no TLS, or the peer cannot be trusted; the text is in plain words."""
+    """The bytes are no TLS, or the peer cannot be trusted; the text says which in plain words."""
 
-    code, remedy = "tls", "compare both sides' keys and names; tls check reads ours"
+    code = "tls"
+    remedy = "compare both sides' keys and names; tls check reads ours"
 
 
 class TlsMachine:
-    """One connection. Feed it ciphertext, take what ``out`` holds after every call; one that raised is of no
-    use."""
+    """One connection.
+
+    Feed it ciphertext, and write what ``output`` holds after every call. A machine that raised cannot be used
+    any further.
+
+    Attributes:
+        state: The connection's state.
+        plaintext: What the peer sent and nobody has taken yet; the caller takes it.
+    """
 
     def __init__(
         self,
@@ -47,129 +68,140 @@
         name: str | None = None,
         session: ssl.SSLSession | None = None,
     ) -> None:
-        self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
-        self._tls = context.wrap_bio(self._in, self._out, server, name, session)
+        """Start a connection.
+
+        Args:
+            context: OpenSSL's context.
+            server: Whether this is the server's side.
+            name: The name that the peer's certificate must have.
+            session: The ticket to resume from.
+        """
+        self._input = ssl.MemoryBIO()
+        self._output = ssl.MemoryBIO()
+        self._tls = context.wrap_bio(self._input, self._output, server, name, session)
         self.state = TlsState.HANDSHAKE
-        self._taken = 0  # bytes fed before the handshake was done
-        self.plaintext = bytearray()  # what the peer said and nobody took yet
+        self.plaintext = bytearray()
+        self._handshake_bytes = 0
         if not server:
-            self._shake()
+            self._continue_handshake()
 
     @property
     def output(self) -> bytes:
-        """Ciphertext to write, taken away."""
-        return self._out.read()
+        """Ciphertext to write; reading it takes it away."""
+        return self._output.read()
 
     @property
     def resumed(self) -> bool:
-        """The handshake went on from a ticket."""
+        """Whether the handshake resumed a session."""
         return bool(self._tls.session_reused)
 
     @property
     def ticket(self) -> ssl.SSLSession | None:
-        """The newest ticket: after the handshake with TLS 1.2, after the first answer with 1.3."""
+        """The newest ticket: after the handshake with TLS 1.2, after the first response with TLS 1.3."""
         session = self._tls.session
         return session if session is not None and session.has_ticket else None
 
     @property
     def version(self) -> str:
-        """What was agreed on, as ``TLSv1.3``."""
+        """The version that was agreed on, as ``TLSv1.3``."""
         return self._tls.version() or ""
 
     def peer_certificate(self) -> dict[str, object]:
-        """The peer's certificate as ``ssl`` reads it; empty without one."""
+        """Return the peer's certificate as ``ssl`` reads it; empty without one."""
         return dict(self._tls.getpeercert() or {})
 
     def feed(self, data: bytes) -> None:
-        """Take ciphertext; a TlsError where it is not understood or not trusted."""
+        """Process received ciphertext.
+
+        Raises:
+            TlsError: It is not understood, or the peer is not trusted.
+        """
         if self.state is TlsState.HANDSHAKE:
-            self._taken += len(data)
-            if self._taken > MAX_HANDSHAKE_BYTES:
-                self._break("a handshake that does not end")
-        self._in.write(data)
+            self._handshake_bytes += len(data)
+            if self._handshake_bytes > MAX_HANDSHAKE_BYTES:
+                self._fail("a handshake that does not end")
+        self._input.write(data)
         if self.state is TlsState.HANDSHAKE:
-            self._shake()
+            self._continue_handshake()
         if self.state is TlsState.OPEN:
-            self._read()
+            self._decrypt()
 
     def on_end_of_stream(self) -> None:
-        """The connection ended; a TlsError unless the peer had said so before."""
+        """Note that the connection has ended.
+
+        Raises:
+            TlsError: The peer had not sent its closing alert.
+        """
         if self.state is not TlsState.CLOSED:
-            self._break("cut off without a closing alert")
+            self._fail("cut off without a closing alert")
 
     def send(self, data: bytes) -> None:
-        """Plaintext to go out; only after the handshake."""
+        """Encrypt plaintext.
+
+        Raises:
+            TlsError: The handshake is not complete, or the connection is closed.
+        """
         if self.state is not TlsState.OPEN:
             raise TlsError(f"nothing can be sent: {self.state.value}")
-        view = memoryview(data)
-        while view:
-            view = view[self._tls.write(view) :]
+        remaining = memoryview(data)
+        while remaining:
+            written_bytes = self._tls.write(remaining)
+            remaining = remaining[written_bytes:]
 
     def close(self) -> None:
-        """Say that nothing more comes; what it puts into ``out`` may be written."""
+        """Put the closing alert into ``output``."""
         if self.state in (TlsState.OPEN, TlsState.CLOSED):
             with contextlib.suppress(ssl.SSLError):  # the peer's own alert is not waited for
                 self._tls.unwrap()
-        self.state = TlsState.CLOSED if self.state is not TlsState.BROKEN else self.state
+        if self.state is not TlsState.BROKEN:
+            self.state = TlsState.CLOSED
 
-    def _shake(self) -> None:
+    def _continue_handshake(self) -> None:
         try:
             self._tls.do_handshake()
         except ssl.SSLWantReadError:
             return
-        except ssl.SSLError as fault:
-            self._break(describe_error(fault))
+        except ssl.SSLError as error:
+            self._fail(describe_error(error))
         self.state = TlsState.OPEN
 
-    def _read(self) -> None:
+    def _decrypt(self) -> None:
         try:
-            while True:
-                part = self._tls.read(READ)
-                if not part:
-                    self.state = TlsState.CLOSED
-                    return
-                self.plaintext += part
+            while chunk := self._tls.read(_READ_BYTES):
+                self.plaintext += chunk
+            self.state = TlsState.CLOSED
         except ssl.SSLWantReadError:
             return
         except ssl.SSLZeroReturnError:
             self.state = TlsState.CLOSED
-        except ssl.SSLError as fault:
-            self._break(describe_error(fault))
+        except ssl.SSLError as error:
+            self._fail(describe_error(error))
 
-    def _break(self, text: str) -> None:
+    def _fail(self, text: str) -> NoReturn:
         self.state = TlsState.BROKEN
         raise TlsError(text)
 
 
-_WORDS = {
-    "CERTIFICATE_VERIFY_FAILED": "its certificate is not accepted",
-    "WRONG_VERSION_NUMBER": "it speaks no TLS",
-    "UNSUPPORTED_PROTOCOL": "it speaks an old version of TLS",
-    "TLSV1_ALERT_PROTOCOL_VERSION": "it does not speak this version of TLS",
-    "TLSV13_ALERT_CERTIFICATE_REQUIRED": "it wants a certificate of ours",
-    "SSLV3_ALERT_BAD_CERTIFICATE": "it does not accept our certificate",
-    "SSLV3_ALERT_CERTIFICATE_EXPIRED": "it finds our certificate expired",
-    "TLSV1_ALERT_UNKNOWN_CA": "it does not know who signed our certificate",
-    "SSLV3_ALERT_HANDSHAKE_FAILURE": "it agrees to no way of encryption",
-}
-
-
-def describe_error(fault: ssl.SSLError) -> str:
-    """What OpenSSL reports, for the on-call staff."""
-    reason = fault.reason or ""
-    text = _WORDS.get(reason, "not understood")
-    detail = getattr(fault, "verify_message", "") or reason.replace("_", " ").lower()
+def describe_error(error: ssl.SSLError) -> str:
+    """Return what OpenSSL reports in plain words, for the on-call staff."""
+    reason = error.reason or ""
+    text = _DESCRIPTIONS.get(reason, "not understood")
+    detail = getattr(error, "verify_message", "") or reason.replace("_", " ").lower()
     return f"{text}: {detail}" if detail else text
 
 
 def certificate_names(certificate: dict[str, object]) -> set[str]:
-    """The alternative and common names that a certificate, as ``Layer.peer`` gives it, was signed for."""
+    """Return the alternative and common names that a certificate was signed for.
+
+    Args:
+        certificate: As ``TlsMachine.peer_certificate`` returns it.
+    """
     names = {str(value) for _, value in _pairs(certificate.get("subjectAltName"))}
     subject = certificate.get("subject")
-    for part in subject if isinstance(subject, tuple) else ():
-        names |= {str(value) for key, value in _pairs(part) if key == "commonName"}
+    for relative_name in subject if isinstance(subject, tuple) else ():
+        names |= {str(value) for key, value in _pairs(relative_name) if key == "commonName"}
     return names
 
 
 def _pairs(value: object) -> list[tuple[object, object]]:
-    return [(p[0], p[1]) for p in value] if isinstance(value, tuple) else []
+    return [(pair[0], pair[1]) for pair in value] if isinstance(value, tuple) else []
--- a/tests/test_tls_pure.py
+++ b/tests/test_tls_pure.py
@@ -175,7 +175,7 @@
 
 
 def test_tickets_are_newest_first_single_use_and_bounded() -> None:
-    tickets: TicketCache[str] = TicketCache(each=2, most=5, age=1000)
+    tickets: TicketCache[str] = TicketCache(max_per_node=2, max_total=5, max_age_ms=1000)
     for n in range(3):
         tickets.add(n, b"a", 1.0, 1, f"a{n}")
     assert [tickets.pop_newest(5, b"a", 1.0, 1) for _ in range(3)] == ["a2", "a1", None]
@@ -189,7 +189,7 @@
     assert tickets.ticket_count == 1 and tickets.pop_newest(1, b"b", 1.0, 2) == "kept"
     for n in range(100):
         tickets.add(n, b"%d" % n, 1.0, 2, "x")
-    assert tickets.ticket_count == len(tickets._nodes) == 5
+    assert tickets.ticket_count == tickets.node_count == 5
     tickets.forget(b"99")
     assert tickets.ticket_count == 4
 
