--- a/sabledyke/tls/__init__.py
+++ b/sabledyke/tls/__init__.py
@@ -1,5 +1,5 @@
-"""TLS towards boxes: a layer fed bytes, keys that change in service, tickets, and admission of handshakes.
+"""TLS towards storage nodes and on the fronts, with keys that change in service and admission of handshakes.
 
-Decisions (``keyring``, ``tickets``, ``admission``) know no socket, file or clock; ``layer`` is a state
-machine fed bytes; ``stream`` is the one driver, and ``part`` is where all of it is set up.
+The decisions (``keyring``, ``session_tickets``, ``handshake_admission``) know no socket, file or clock, and
+``tls_machine`` is fed bytes. ``connector`` and ``stream`` drive them, and ``extension`` sets all of it up.
 """
--- a/sabledyke/tls/connector.py
+++ b/sabledyke/tls/connector.py
@@ -1,7 +1,7 @@
-"""Opens verified connections to boxes: the driver of admission, tickets and the handshake.
+"""Opening of verified connections to storage nodes, through admission, tickets and the handshake.
 
-What fails here is NO_CONNECTION to the core, since nothing of a request can have left. It is told once a box
-and cause, in plain words, until a handshake with that box succeeds again.
+What fails here is NO_CONNECTION to the core, since nothing of a request can have left. It is logged once for
+each node and cause, until a handshake with that node succeeds again.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 import asyncio
 import itertools
 import ssl
+from math import inf
 
 from sabledyke import log
 from sabledyke.net import clock, streams
@@ -21,60 +22,86 @@
 from sabledyke.tls.stream import TlsStream, complete_handshake
 from sabledyke.tls.tls_machine import TlsError, TlsMachine
 
-MAX_REPORTED_NODES = 4096  # boxes whose last fault is remembered, so as not to be told again
+MAX_REPORTED_NODES = 4096
+"""Nodes whose last error is remembered, so that it is not logged again."""
+
+_MIN_TIMEOUT_MS = 1.0
 
 
 class TlsConnector:
-    """For all links to boxes, whatever they speak."""
+    """Opens the connections of all links to storage nodes, whatever protocol they speak.
+
+    Attributes:
+        admission: Admission of handshakes.
+        tickets: Tickets to resume sessions from.
+        full_handshakes: Number of full handshakes that succeeded.
+        resumed_handshakes: Number of resumed handshakes that succeeded.
+        failed_handshakes: Number of handshakes that failed.
+        rejected_handshakes: Number of attempts that were not admitted in time.
+    """
 
     def __init__(
-        self, section: TlsSection, terms: HandshakeBudget, seed: int, zones: tuple[str, ...] = ()
+        self, section: TlsSection, budget: HandshakeBudget, seed: int, zones: tuple[str, ...] = ()
     ) -> None:
-        self._section, self._zones = section, zones
-        self.admission = HandshakeAdmission(terms, seed)
+        self._section = section
+        self._zones = zones
+        self.admission = HandshakeAdmission(budget, seed)
         self.tickets: TicketCache[ssl.SSLSession] = TicketCache()
         self._generation = 0
         self._context: ssl.SSLContext | None = None
-        self._attempts = itertools.count()
+        self._attempt_numbers = itertools.count()
         self._waiting: dict[int, asyncio.Future[bool]] = {}
         self._timers: dict[api.NodeId, asyncio.TimerHandle] = {}
-        self._faults: dict[api.NodeId, str] = {}
-        self.full_handshakes = self.resumed_handshakes = self.failed_handshakes = self.rejected_handshakes = 0
+        self._reported_errors: dict[api.NodeId, str] = {}
+        self.full_handshakes = 0
+        self.resumed_handshakes = 0
+        self.failed_handshakes = 0
+        self.rejected_handshakes = 0
 
     def use_generation(self, generation: Generation) -> None:
-        """These keys from now on: open connections live on, tickets of a former generation do not."""
+        """Use these keys from now on; open connections stay, and former generations' tickets are dropped."""
         self._context = contexts.client_context(generation, allow_tls_1_2=self._section.allow_tls_1_2)
         self._generation = generation.number
         self.tickets.drop_older_generations(generation.number)
 
     async def connect(
-        self, entry: api.NodeEntry, address: tuple[str, int], connect_ms: float, patience: float
+        self, entry: api.NodeEntry, address: tuple[str, int], connect_timeout_ms: float, remaining_ms: float
     ) -> TlsStream:
-        """A verified stream; a StreamClosedError where there is none, or no room for its handshake in time.
+        """Open a verified connection.
 
-        ``patience``: milliseconds that the attempt has for it.
+        Args:
+            entry: The storage node.
+            address: Its address.
+            connect_timeout_ms: Timeout of the connection underneath.
+            remaining_ms: How long the attempt still has.
+
+        Raises:
+            StreamClosedError: The connection failed, or its handshake was not admitted in time.
         """
-        node, now = entry.node, clock.now()
-        deadline = now + min(patience, self._section.handshake_timeout_ms)
-        ticket = self.tickets.pop_newest(now, node, entry.started, self._generation)
-        if not await self._admitted(now, entry, deadline, resumes=ticket is not None):
+        node = entry.node
+        now_ms = clock.now()
+        deadline_ms = now_ms + min(remaining_ms, self._section.handshake_timeout_ms)
+        ticket = self.tickets.pop_newest(now_ms, node, entry.started, self._generation)
+        if not await self._wait_for_admission(now_ms, entry, deadline_ms, resumes=ticket is not None):
             self.rejected_handshakes += 1
-            if ticket is not None:  # it was not used: the next attempt may
-                self.tickets.add(now, node, entry.started, self._generation, ticket)
+            if ticket is not None:  # it was not used
+                self.tickets.add(now_ms, node, entry.started, self._generation, ticket)
             raise streams.StreamClosedError
         good = False
         inner: streams.IOStream | None = None
         try:
-            inner = await streams.connect(address, min(connect_ms, max(1.0, deadline - clock.now())))
-            stream = await self._shaken(inner, entry, ticket, deadline)
+            inner = await streams.connect(address, min(connect_timeout_ms, _remaining_ms(deadline_ms)))
+            stream = await self._handshake(inner, entry, ticket, deadline_ms)
             good = True
             return stream
-        except TlsError as fault:
-            self._tell(node, str(fault))
-            raise streams.StreamClosedError(fault) from None
-        except (TimeoutError, ssl.SSLError) as fault:
-            late = isinstance(fault, TimeoutError)
-            self._tell(node, "the handshake does not end in time" if late else str(fault))
+        except TlsError as error:
+            self._report(node, str(error))
+            raise streams.StreamClosedError(error) from None
+        except TimeoutError:
+            self._report(node, "the handshake does not end in time")
+            raise streams.StreamClosedError from None
+        except ssl.SSLError as error:
+            self._report(node, str(error))
             raise streams.StreamClosedError from None
         finally:
             if not good:
@@ -82,38 +109,60 @@
                 if inner is not None:
                     streams.abort(inner)
             self.admission.on_handshake_completed(clock.now(), node, good=good)
-            self._look(node)
+            self._notify_due_attempts(node)
 
-    async def _shaken(
-        self, inner: streams.IOStream, entry: api.NodeEntry, ticket: ssl.SSLSession | None, deadline: float
+    def forget(self, node: api.NodeId) -> None:
+        """Forget a storage node that was removed from the endpoint list."""
+        for attempt in self.admission.forget(node):
+            self._notify(attempt, admitted=False)
+        self._cancel_timer(node)
+        self.tickets.forget(node)
+        self._reported_errors.pop(node, None)
+
+    def close(self) -> None:
+        """Cancel all timers at the end of the program."""
+        for timer in self._timers.values():
+            timer.cancel()
+
+    async def _handshake(
+        self, inner: streams.IOStream, entry: api.NodeEntry, ticket: ssl.SSLSession | None, deadline_ms: float
     ) -> TlsStream:
         assert self._context is not None
-        node, generation = entry.node, self._generation
-        site = self._zones[entry.zone] if 0 <= entry.zone < len(self._zones) else ""
-        name = self._section.certificate_name(api.name_of(node), site)
-        layer = TlsMachine(self._context, name=name, session=ticket)
-        await complete_handshake(inner, layer, max(1.0, deadline - clock.now()))
-        self.resumed_handshakes += layer.resumed
-        self.full_handshakes += not layer.resumed
-        self._faults.pop(node, None)
-
-        def told(session: ssl.SSLSession) -> None:
+        generation = self._generation
+        machine = TlsMachine(self._context, name=self._certificate_name(entry), session=ticket)
+        await complete_handshake(inner, machine, _remaining_ms(deadline_ms))
+        if machine.resumed:
+            self.resumed_handshakes += 1
+        else:
+            self.full_handshakes += 1
+        self._reported_errors.pop(entry.node, None)
+
+        def on_ticket(session: ssl.SSLSession) -> None:
             if generation == self._generation:
-                self.tickets.add(clock.now(), node, entry.started, generation, session)
-
-        return TlsStream(inner, layer, told)
-
-    async def _admitted(self, now: float, entry: api.NodeEntry, deadline: float, *, resumes: bool) -> bool:
-        attempt, node = next(self._attempts), entry.node
-        go = self.admission.request(now, node, entry.started, attempt, deadline, resumes)
-        if go is not False:
-            return bool(go)
-        waiter = self._waiting[attempt] = asyncio.get_running_loop().create_future()
-        self._look(node)
+                self.tickets.add(clock.now(), entry.node, entry.started, generation, session)
+
+        return TlsStream(inner, machine, on_ticket)
+
+    def _certificate_name(self, entry: api.NodeEntry) -> str:
+        zone = self._zones[entry.zone] if 0 <= entry.zone < len(self._zones) else ""
+        return self._section.certificate_name(api.name_of(entry.node), zone)
+
+    async def _wait_for_admission(
+        self, now_ms: float, entry: api.NodeEntry, deadline_ms: float, *, resumes: bool
+    ) -> bool:
+        """Return whether the handshake was admitted in time."""
+        attempt = next(self._attempt_numbers)
+        node = entry.node
+        admitted = self.admission.request(now_ms, node, entry.started, attempt, deadline_ms, resumes)
+        if admitted is not False:
+            return bool(admitted)
+        waiter: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self._waiting[attempt] = waiter
+        self._notify_due_attempts(node)
         try:
             return bool(await waiter)
         except asyncio.CancelledError:
-            # Guards against an attempt that is called off in the turn in which it may go.
+            # Guards against an attempt that is cancelled in the same loop iteration in which it is admitted.
             if waiter.done() and not waiter.cancelled() and waiter.result():
                 self.admission.on_handshake_completed(clock.now(), node, good=True)
             raise
@@ -122,45 +171,44 @@
             if waiter.cancelled():
                 self.admission.withdraw(node, attempt)
 
-    def _look(self, node: api.NodeId) -> None:
-        """Let go who may, tell who is out of time, and look again when that may change."""
-        timer = self._timers.pop(node, None)
-        if timer is not None:
-            timer.cancel()
-        now = clock.now()
-        go, late = self.admission.pop_due(now, node)
-        for attempts, answer in ((go, True), (late, False)):
-            for attempt in attempts:
-                waiter = self._waiting.get(attempt)
-                if waiter is not None and not waiter.done():
-                    waiter.set_result(answer)
-                elif answer:  # called off in this very turn: its place is given back
-                    self.admission.on_handshake_completed(now, node, good=True)
-        at = self.admission.next_due_ms(now, node)
-        if at < float("inf"):
+    def _notify_due_attempts(self, node: api.NodeId) -> None:
+        """Notify the attempts that were admitted or are out of time, and again when that may change."""
+        self._cancel_timer(node)
+        now_ms = clock.now()
+        due = self.admission.pop_due(now_ms, node)
+        for attempt in due.admitted:
+            if not self._notify(attempt, admitted=True):  # cancelled in this very loop iteration
+                self.admission.on_handshake_completed(now_ms, node, good=True)
+        for attempt in due.expired:
+            self._notify(attempt, admitted=False)
+        next_due_ms = self.admission.next_due_ms(now_ms, node)
+        if next_due_ms < inf:
+            delay_s = max(_MIN_TIMEOUT_MS, next_due_ms - now_ms) / 1000
             loop = asyncio.get_running_loop()
-            self._timers[node] = loop.call_later(max(1.0, at - now) / 1000, self._look, node)
+            self._timers[node] = loop.call_later(delay_s, self._notify_due_attempts, node)
 
-    def forget(self, node: api.NodeId) -> None:
-        """The box is gone from the list."""
-        for attempt in self.admission.forget(node):
-            waiter = self._waiting.get(attempt)
-            if waiter is not None and not waiter.done():
-                waiter.set_result(False)
+    def _notify(self, attempt: int, *, admitted: bool) -> bool:
+        """Notify an attempt, and return whether it was still waiting."""
+        waiter = self._waiting.get(attempt)
+        if waiter is None or waiter.done():
+            return False
+        waiter.set_result(admitted)
+        return True
+
+    def _cancel_timer(self, node: api.NodeId) -> None:
         timer = self._timers.pop(node, None)
         if timer is not None:
             timer.cancel()
-        self.tickets.forget(node)
-        self._faults.pop(node, None)
 
-    def close(self) -> None:
-        """The program ends."""
-        for timer in self._timers.values():
-            timer.cancel()
+    def _report(self, node: api.NodeId, text: str) -> None:
+        """Log an error, unless it was the node's last one."""
+        if self._reported_errors.get(node) == text:
+            return
+        self._reported_errors[node] = text
+        if len(self._reported_errors) > MAX_REPORTED_NODES:
+            del self._reported_errors[next(iter(self._reported_errors))]
+        log.say("tls", f"{api.name_of(node)}: {text}")
+
 
-    def _tell(self, node: api.NodeId, text: str) -> None:
-        if self._faults.get(node) != text:
-            self._faults[node] = text
-            if len(self._faults) > MAX_REPORTED_NODES:
-                del self._faults[next(iter(self._faults))]
-            log.say("tls", f"{api.name_of(node)}: {text}")
+def _remaining_ms(deadline_ms: float) -> float:
+    return max(_MIN_TIMEOUT_MS, deadline_ms - clock.now())
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -1,10 +1,10 @@
-"""Where TLS towards boxes is set up."""
+"""Set-up of TLS, towards storage nodes and on the fronts, as an extension of the application."""
 
 from __future__ import annotations
 
 import asyncio
 import ssl
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
 from sabledyke import log
@@ -29,151 +29,161 @@
     from sabledyke.net.frontend import Guard
     from sabledyke.operator_config import Operator
 
-CLIENT_HANDSHAKE_TIMEOUT_MS = 2000.0  # for a client's handshake
-WARM_CHECK_INTERVAL_S, WARM_PERIOD_MS = (
-    2.0,
-    60_000.0,
-)  # between looks at what is to be kept warm, and for how long after a use
-EVICTION_INTERVAL_S = 30.0  # seconds between looks at what admission can forget
+CLIENT_HANDSHAKE_TIMEOUT_MS = 2000.0
+WARM_CHECK_INTERVAL_S = 2.0
+"""How often connections that are to be kept warm are checked."""
+WARM_PERIOD_MS = 60_000.0
+"""For how long after its last use a storage node is kept warm."""
+EVICTION_INTERVAL_S = 30.0
+"""How often idle entries of admission are evicted."""
 
 
 class TlsExtension(Part):
-    """See ``parts.Part``."""
+    """See ``Part``."""
 
     def __init__(self, host: Host, section: TlsSection) -> None:
-        self._host, self._section = host, section
+        self._host = host
+        self._section = section
         host.slack = section.handshake_timeout_ms
         self.keyring = Keyring(section.overlap_s * 1000)
         self.connector = TlsConnector(
-            section, self._terms(host.config), host.config.seed, host.config.settings.zones
+            section, self._budget(host.config), host.config.seed, host.config.settings.zones
         )
-        self._for_clients: ssl.SSLContext | None = None
-        self._used: dict[api.NodeId, float] = {}  # when a connection to a box was last asked for
+        self._client_facing: ssl.SSLContext | None = None
+        self._last_used_ms: dict[api.NodeId, float] = {}  # when a connection was last requested
         self._timers: list[asyncio.TimerHandle] = []
 
     def connect(self, plain: Connect) -> Connect:
-        """See ``parts.Part``: never plaintext where TLS is asked for."""
+        """See ``Part``: never plaintext where TLS is requested."""
 
         async def connect(
-            node: api.NodeId, address: tuple[str, int], connect_ms: float, patience: float
+            node: api.NodeId, address: tuple[str, int], connect_timeout_ms: float, remaining_ms: float
         ) -> Stream:
             if self._section.nodes and node not in self._section.nodes:
-                return await plain(node, address, connect_ms, patience)
-            self._used[node] = clock.now()
-            return await self.connector.connect(self._host.entry(node), address, connect_ms, patience)
+                return await plain(node, address, connect_timeout_ms, remaining_ms)
+            self._last_used_ms[node] = clock.now()
+            entry = self._host.entry(node)
+            return await self.connector.connect(entry, address, connect_timeout_ms, remaining_ms)
 
         return connect
 
-    def _keep_warm(self) -> None:
-        """A connection ahead of need to each box that was used lately: its handshake is nobody's wait.
+    def guard(self, front: str) -> Guard | None:
+        """See ``Part``."""
+        return self._accept_client if front in self._section.fronts else None
 
-        It goes through admission like any other, and the idle time closes it like any other.
-        """
-        now = clock.now()
-        for node, at in list(self._used.items()):
-            if now - at > WARM_PERIOD_MS:
-                del self._used[node]
-            else:
-                self._host.warm(node)
+    async def open(self) -> None:
+        """See ``Part``."""
+        try:
+            update = self.keyring.offer(clock.now(), self._section.paths.read_files())
+        except (MaterialError, OperatorError) as error:
+            raise ConfigError(f"tls: {error}") from None
+        self._use_generation(self.keyring.generation)
+        _log_messages(update.messages)
+        if self._section.poll_interval_s:
+            self._repeat(self._section.poll_interval_s, self._poll_files)
+        if self._section.keep_warm:
+            self._repeat(WARM_CHECK_INTERVAL_S, self._keep_warm)
+        self._repeat(EVICTION_INTERVAL_S, self._evict_idle)
 
-    def guard(self, front: str) -> Guard | None:
-        """See ``parts.Part``."""
-        return self._terminate if front in self._section.fronts else None
+    def adopt(self, config: Config) -> None:
+        """See ``Part``: a reload checks the files too."""
+        self.connector.admission.budget = self._budget(config)
+        self._poll_files()
+
+    def listed(self, gone: Iterable[api.NodeId]) -> None:
+        """See ``Part``."""
+        for node in gone:
+            self.connector.forget(node)
+            self._last_used_ms.pop(node, None)
+
+    async def close(self) -> None:
+        """See ``Part``."""
+        for timer in self._timers:
+            timer.cancel()
+        self.connector.close()
 
-    async def _terminate(self, inner: streams.IOStream) -> Stream | None:
-        """A client's handshake, bounded in time; who shows no certificate that is wanted is not let in."""
-        assert self._for_clients is not None
-        layer = TlsMachine(self._for_clients, server=True)
+    async def _accept_client(self, inner: streams.IOStream) -> Stream | None:
+        """Complete a client's handshake in bounded time; None where it failed."""
+        assert self._client_facing is not None
+        machine = TlsMachine(self._client_facing, server=True)
         try:
-            await complete_handshake(inner, layer, CLIENT_HANDSHAKE_TIMEOUT_MS)
-        except (TlsError, TimeoutError, streams.StreamClosedError, ssl.SSLError) as fault:
-            log.say("tls", f"a client's handshake failed: {str(fault) or 'it does not end in time'}")
+            await complete_handshake(inner, machine, CLIENT_HANDSHAKE_TIMEOUT_MS)
+        except (TlsError, TimeoutError, streams.StreamClosedError, ssl.SSLError) as error:
+            log.say("tls", f"a client's handshake failed: {str(error) or 'it does not end in time'}")
             return None
-        made = TlsStream(inner, layer)
+        stream = TlsStream(inner, machine)
         if self._section.client_rights:
-            # A certificate with several names has the rights of all of them, one with none has no right.
-            names = certificate_names(layer.peer_certificate())
-            made.rights = frozenset[int]().union(
-                *(self._section.client_rights.get(n, frozenset()) for n in names)
-            )
-        return made
+            stream.rights = self._rights(certificate_names(machine.peer_certificate()))
+        return stream
 
-    def _adopt(self, generation: Generation) -> None:
+    def _rights(self, names: set[str]) -> frozenset[int]:
+        """Return the volumes of all names of a certificate together; none for one without a name."""
+        volumes: set[int] = set()
+        for name in names:
+            volumes |= self._section.client_rights.get(name, frozenset())
+        return frozenset(volumes)
+
+    def _use_generation(self, generation: Generation) -> None:
         self.connector.use_generation(generation)
         if self._section.fronts:
-            section = self._section
-            self._for_clients = contexts.server_context(
+            self._client_facing = contexts.server_context(
                 generation,
-                allow_tls_1_2=section.allow_tls_1_2,
-                require_client_certificates=section.require_client_certificates,
+                allow_tls_1_2=self._section.allow_tls_1_2,
+                require_client_certificates=self._section.require_client_certificates,
             )
 
-    async def open(self) -> None:
-        """See ``parts.Part``."""
+    def _poll_files(self) -> None:
         try:
-            news = self.keyring.offer(clock.now(), self._section.paths.read_files())
-        except (MaterialError, OperatorError) as fault:
-            raise ConfigError(f"tls: {fault}") from None
-        self._adopt(self.keyring.generation)
-        for line in news.messages:
-            log.say("tls", line)
-        if self._section.poll_interval_s:
-            self._again(self._section.poll_interval_s, self._look)
-        if self._section.keep_warm:
-            self._again(WARM_CHECK_INTERVAL_S, self._keep_warm)
-        self._again(EVICTION_INTERVAL_S, lambda: self.connector.admission.evict_idle(clock.now()))
+            update = self.keyring.offer(clock.now(), self._section.paths.read_files())
+        except OperatorError as error:  # half a rotation: a file is missing for a moment
+            log.say("tls", f"new keys are not used: {error}; the old ones stay in force")
+            return
+        if update.changed:
+            self._use_generation(self.keyring.generation)
+        _log_messages(update.messages)
 
-    def _again(self, seconds: float, what: object) -> None:
-        """``what`` every so many seconds, until the end."""
-        assert callable(what)
-        place = len(self._timers)
+    def _keep_warm(self) -> None:
+        """Keep a connection ahead of need to each node that was used lately, so that no request waits for it.
 
-        def run() -> None:
-            what()
-            self._timers[place] = asyncio.get_running_loop().call_later(seconds, run)
+        It goes through admission like any other, and the idle timeout closes it like any other.
+        """
+        now_ms = clock.now()
+        for node, last_used_ms in list(self._last_used_ms.items()):
+            if now_ms - last_used_ms > WARM_PERIOD_MS:
+                del self._last_used_ms[node]
+            else:
+                self._host.warm(node)
 
-        self._timers.append(asyncio.get_running_loop().call_later(seconds, run))
+    def _evict_idle(self) -> None:
+        self.connector.admission.evict_idle(clock.now())
 
-    def _look(self) -> None:
-        try:
-            news = self.keyring.offer(clock.now(), self._section.paths.read_files())
-        except OperatorError as fault:  # half a rotation: a file is missing for a moment
-            log.say("tls", f"new keys are not used: {fault}; the old ones stay in force")
-            return
-        if news.changed:
-            self._adopt(self.keyring.generation)
-        for line in news.messages:
-            log.say("tls", line)
+    def _repeat(self, interval_s: float, action: Callable[[], None]) -> None:
+        """Run an action at this interval until the end."""
+        index = len(self._timers)
 
-    def adopt(self, config: Config) -> None:
-        """See ``parts.Part``: SIGHUP looks at the files too."""
-        self.connector.admission.budget = self._terms(config)
-        self._look()
+        def run() -> None:
+            action()
+            self._timers[index] = asyncio.get_running_loop().call_later(interval_s, run)
+
+        self._timers.append(asyncio.get_running_loop().call_later(interval_s, run))
 
-    def _terms(self, config: Config) -> HandshakeBudget:
-        """What a box bears, and how many schedulers come to it, by the settings in force."""
-        s, section = config.settings, self._section
+    def _budget(self, config: Config) -> HandshakeBudget:
+        """Return what a storage node can do under the settings in force."""
+        settings = config.settings
         return HandshakeBudget(
-            scheduler_count=s.hosts,
-            initial_capacity_share=s.cold_share,
-            warm_up_ms=s.warm_up,
-            handshake_share=section.handshake_share,
-            cores=section.cores,
+            scheduler_count=settings.hosts,
+            initial_capacity_share=settings.cold_share,
+            warm_up_ms=settings.warm_up,
+            handshake_share=self._section.handshake_share,
+            cores=self._section.cores,
         )
 
-    def listed(self, gone: Iterable[api.NodeId]) -> None:
-        """See ``parts.Part``."""
-        for node in gone:
-            self.connector.forget(node)
-            self._used.pop(node, None)
-
-    async def close(self) -> None:
-        """See ``parts.Part``."""
-        for timer in self._timers:
-            timer.cancel()
-        self.connector.close()
-
 
 def set_up(host: Host, section: Operator) -> Part | None:
-    """The part, where the operator's file asks for it."""
+    """Return the extension, where the operator's file requests it."""
     return TlsExtension(host, section.tls) if section.tls is not None else None
+
+
+def _log_messages(messages: Iterable[str]) -> None:
+    for message in messages:
+        log.say("tls", message)
--- a/sabledyke/tls/handshake_admission.py
+++ b/sabledyke/tls/handshake_admission.py
@@ -1,10 +1,11 @@
 """Admission of TLS handshakes, so that no crowd of them overloads a storage node that has just started.
 
-Decides which attempt may begin a handshake with a storage node, and when. Schedulers cannot communicate, so each
-keeps to an even share of what a node can do at its age. Clock and seed are passed in; all times are milliseconds.
+Decides which attempt may begin a handshake with a storage node, and when. Schedulers cannot communicate, so
+each keeps to an even share of what a node can do at its age. Clock and seed are passed in; all times are
+milliseconds.
 
-Each node has a token bucket of handshake work, in milliseconds of the node's CPU. It fills at this scheduler's
-share of the part of the node that may go to handshakes, and holds what ``burst_ms`` at that rate come to.
+Each node has a token bucket of handshake work, in milliseconds of the node's CPU. It fills at this
+scheduler's share of the capacity that may go to handshakes, and holds what ``burst_ms`` at that rate come to.
 
 Bounds: a node's entry goes with ``forget``, or with ``evict_idle``; those that wait are outstanding attempts,
 each with its deadline.
@@ -88,7 +89,7 @@
         self.budget = budget
         self._random = random.Random(seed)
         self._accounts: dict[bytes, _NodeAccount] = {}
-        # Schedulers that find a node back at the same moment would all begin with a full bucket at that moment.
+        # Schedulers that find a node back at the same moment would all begin with a full bucket then.
         self._initial_fill = self._jitter()
 
     @property
@@ -192,12 +193,12 @@
         account.retry_at_ms = now_ms + min(backoff_ms, self.budget.max_backoff_ms) * self._jitter()
 
     def forget(self, node: bytes) -> list[int]:
-        """Forget a node that was removed from the endpoint list, and return the attempts that waited for it."""
+        """Forget a node that was removed from the endpoint list, and return its waiting attempts."""
         account = self._accounts.pop(node, None)
         return [] if account is None else [waiting.attempt for waiting in account.waiting]
 
     def evict_idle(self, now_ms: float) -> None:
-        """Forget warmed-up nodes of which nothing is left to know: idle, with a full bucket and no failure."""
+        """Forget warmed-up nodes of which nothing is left to know: idle, full bucket, no failure."""
         for node, account in list(self._accounts.items()):
             self._refill(now_ms, account)
             full = account.available_ms >= self._burst_work_ms(now_ms, account.started_ms)
--- a/sabledyke/tls/keyring.py
+++ b/sabledyke/tls/keyring.py
@@ -1,8 +1,8 @@
 """Generations of key, chain and trusted roots, and which of them is in force.
 
-Decides whether files are a new generation, which roots are trusted during a rotation, and which warnings are due.
-A generation that cannot be used is reported once and changes nothing. Files and the time, in Unix milliseconds,
-are passed in; no file or socket is opened here.
+Decides whether files are a new generation, which roots are trusted during a rotation, and which warnings are
+due. A generation that cannot be used is reported once and changes nothing. Files and the time, in Unix
+milliseconds, are passed in; no file or socket is opened here.
 """
 
 from __future__ import annotations
--- a/sabledyke/tls/section.py
+++ b/sabledyke/tls/section.py
@@ -1,12 +1,11 @@
-"""The operator's section ``[tls]``: which boxes are reached by TLS, with which keys, and how they are
-named."""
+"""The operator's section ``[tls]``: which storage nodes are reached by TLS, with which keys and names."""
 
 from __future__ import annotations
 
 import os
 import string
 from dataclasses import dataclass, field
-from typing import Annotated, Any, Literal
+from typing import Annotated, Any, Literal, NamedTuple
 
 from msgspec import Meta
 
@@ -17,7 +16,14 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyPaths:
-    """Where the files are; empty for none."""
+    """Where the files are; empty where there is none.
+
+    Attributes:
+        chain: Our certificate and its intermediates.
+        key: Its key.
+        roots: The trusted roots.
+        revocation_lists: Revocation lists.
+    """
 
     chain: str = ""
     key: str = ""
@@ -25,57 +31,86 @@
     revocation_lists: str = ""
 
     def read_files(self) -> KeyFiles:
-        """What they hold now; an OperatorError in plain words where one cannot be read."""
-        key, mode = _read(self.key)
-        return KeyFiles(
-            _read(self.chain)[0], key, _read(self.roots)[0], _read(self.revocation_lists)[0], mode
-        )
+        """Return what the files hold now.
+
+        Raises:
+            OperatorError: One of them cannot be read.
+        """
+        key = _read(self.key)
+        chain = _read(self.chain)
+        roots = _read(self.roots)
+        revocation_lists = _read(self.revocation_lists)
+        return KeyFiles(chain.data, key.data, roots.data, revocation_lists.data, key.mode)
+
 
+class _FileContent(NamedTuple):
+    data: bytes = b""
+    mode: int = 0o600
 
-def _read(path: str) -> tuple[bytes, int]:
+
+def _read(path: str) -> _FileContent:
     if not path:
-        return b"", 0o600
+        return _FileContent()
     try:
         with open(path, "rb") as file:  # mode and bytes of one file: it cannot be swapped between
-            return file.read(MAX_FILE_BYTES + 1), os.fstat(file.fileno()).st_mode & 0o777
-    except OSError as fault:
-        raise OperatorError(f"{path}: {fault.strerror}") from None
+            data = file.read(MAX_FILE_BYTES + 1)
+            return _FileContent(data, os.fstat(file.fileno()).st_mode & 0o777)
+    except OSError as error:
+        raise OperatorError(f"{path}: {error.strerror}") from None
 
 
 @dataclass(slots=True, frozen=True)
 class TlsSection:
-    """What ``[tls]`` says."""
+    """What ``[tls]`` says.
+
+    Attributes:
+        paths: The files.
+        name_template: The name that a storage node's certificate must have.
+        nodes: Storage nodes that are reached by TLS; empty for all.
+        allow_tls_1_2: Whether TLS 1.2 is accepted beside TLS 1.3.
+        poll_interval_s: How often the files are checked; 0 for on SIGHUP only.
+        overlap_s: For how long a former generation's roots stay trusted.
+        handshake_timeout_ms: Timeout of a handshake.
+        handshake_share: Share of a storage node's capacity that handshakes may take.
+        cores: CPU cores of a storage node.
+        keep_warm: Whether a connection is opened ahead of need to nodes that were used lately.
+        fronts: Fronts that are reached by TLS only.
+        require_client_certificates: Whether clients need a certificate that a trusted root has signed.
+        client_rights: The volumes that a client may access, by the names of its certificate.
+    """
 
     paths: KeyPaths
-    name_template: str = "{host}"  # the name that a box's certificate must bear
-    nodes: tuple[bytes, ...] = ()  # which boxes; empty for all
+    name_template: str = "{host}"
+    nodes: tuple[bytes, ...] = ()
     allow_tls_1_2: bool = False
-    poll_interval_s: float = 10.0  # seconds between looks at the files, 0 for SIGHUP alone
-    overlap_s: float = 3600.0  # seconds for which a former generation's roots stay trusted
-    handshake_timeout_ms: float = 1000.0  # ms for a handshake
-    handshake_share: float = 0.1  # of a box that handshakes may take
+    poll_interval_s: float = 10.0
+    overlap_s: float = 3600.0
+    handshake_timeout_ms: float = 1000.0
+    handshake_share: float = 0.1
     cores: float = 2.0
-    keep_warm: bool = True  # keep a connection ahead of need to boxes that were used lately
-    fronts: tuple[str, ...] = ()  # which fronts are reached by TLS alone
-    require_client_certificates: bool = False  # they must show a certificate that a trusted root has signed
-    client_rights: dict[str, frozenset[int]] = field(
-        default_factory=dict
-    )  # by a name of the client's certificate
+    keep_warm: bool = True
+    fronts: tuple[str, ...] = ()
+    require_client_certificates: bool = False
+    client_rights: dict[str, frozenset[int]] = field(default_factory=dict)
 
     def certificate_name(self, host: str, site: str) -> str:
-        """The name that this box's certificate must bear."""
+        """Return the name that this storage node's certificate must have."""
         return self.name_template.format(host=host, site=site)
 
 
 class ClientRow(Table, frozen=True, kw_only=True):
-    """Which volumes whoever shows this name may reach."""
+    """The volumes that a client whose certificate has this name may access."""
 
     name: str
     volumes: tuple[str, ...]
 
     def rights(self) -> frozenset[int]:
-        """Their numbers; a ValueError where one is no hex digits."""
-        return frozenset(int(v, 16) for v in self.volumes)
+        """Return their numbers.
+
+        Raises:
+            ValueError: One of them is not in hex digits.
+        """
+        return frozenset(int(volume, 16) for volume in self.volumes)
 
     def __post_init__(self) -> None:
         try:
@@ -85,7 +120,7 @@
 
 
 class FrontTable(Table, frozen=True, kw_only=True):
-    """Fronts that are reached by TLS."""
+    """Fronts that are reached by TLS, and their clients."""
 
     fronts: tuple[Literal["HTTP", "NVMe"], ...] = ()
     client_certificates: bool = False
@@ -97,7 +132,7 @@
 
 
 class TlsTable(Table, frozen=True, kw_only=True):
-    """As the file has it."""
+    """The section as the file has it: its fields are the file's keys."""
 
     roots: str
     chain: str = ""
@@ -116,8 +151,8 @@
 
     def __post_init__(self) -> None:
         try:
-            parts = string.Formatter().parse(self.name)
-            fields = [f for _, f, spec, _ in parts if f is not None and not spec]
+            pieces = string.Formatter().parse(self.name)
+            fields = [name for _, name, spec, _ in pieces if name is not None and not spec]
             self.name.format(host="h", site="s")
         except (ValueError, KeyError, IndexError):
             fields = ["?"]
@@ -130,25 +165,29 @@
 
 
 def read(data: dict[str, Any]) -> TlsSection:
-    """The section, checked but for the files' contents."""
-    said = convert(data, TlsTable, "tls")
+    """Return the section; the contents of the files are not checked.
+
+    Raises:
+        OperatorError: A key is missing or invalid.
+    """
+    table = convert(data, TlsTable, "tls")
     return TlsSection(
-        fronts=said.front.fronts,
-        require_client_certificates=said.front.client_certificates,
-        client_rights={row.name: row.rights() for row in said.front.client},
-        paths=KeyPaths(said.chain, said.key, said.roots, said.revoked),
-        name_template=said.name,
-        nodes=tuple(b.encode() for b in said.boxes),
-        keep_warm=said.warm,
-        allow_tls_1_2=said.allow_tls_1_2,
-        poll_interval_s=float(said.look_s),
-        overlap_s=float(said.overlap_s),
-        handshake_timeout_ms=said.handshake_ms,
-        handshake_share=said.handshake_percent / 100,
-        cores=float(said.box_cores),
+        fronts=table.front.fronts,
+        require_client_certificates=table.front.client_certificates,
+        client_rights={row.name: row.rights() for row in table.front.client},
+        paths=KeyPaths(table.chain, table.key, table.roots, table.revoked),
+        name_template=table.name,
+        nodes=tuple(node.encode() for node in table.boxes),
+        keep_warm=table.warm,
+        allow_tls_1_2=table.allow_tls_1_2,
+        poll_interval_s=float(table.look_s),
+        overlap_s=float(table.overlap_s),
+        handshake_timeout_ms=table.handshake_ms,
+        handshake_share=table.handshake_percent / 100,
+        cores=float(table.box_cores),
     )
 
 
 def load(path: str) -> TlsSection:
-    """The section alone, from an operator's file: what ``sabledyke tls check`` needs."""
+    """Return the section alone from an operator's file, as ``sabledyke tls check`` needs it."""
     return section_from(path, "tls", lambda data: read(data["tls"]) if "tls" in data else None)
--- a/sabledyke/tls/session_tickets.py
+++ b/sabledyke/tls/session_tickets.py
@@ -3,9 +3,9 @@
 Tickets are used newest first and each once: a ticket used twice lets an observer link connections (RFC 8446,
 C.4). All times are milliseconds, and are passed in.
 
-Bounds: ``MAX_TICKETS_PER_NODE``, ``MAX_TICKETS`` in all (the node whose last ticket came longest ago loses one),
-``MAX_AGE_MS``; a node that restarted or was removed, and a generation of keys that was replaced, lose all
-theirs.
+Bounds: ``MAX_TICKETS_PER_NODE``, ``MAX_TICKETS`` in all (the node whose last ticket came longest ago loses
+one), ``MAX_AGE_MS``; a node that restarted or was removed, and a generation of keys that was replaced, lose
+all theirs.
 """
 
 from __future__ import annotations
--- a/sabledyke/tls/stream.py
+++ b/sabledyke/tls/stream.py
@@ -1,7 +1,7 @@
-"""The driver of the TLS layer: what links and clients need of a stream, over one of Tornado's.
+"""TLS over one of Tornado's streams, as links and clients need a stream.
 
-A write is done once all ciphertext that holds it, and all before it, has been taken by the kernel: so the
-line 'its last byte was certainly not written' stays where it is for plain streams.
+A write is done once the kernel has accepted all ciphertext that holds it, and all before it: so the boundary
+'its last byte was certainly not written' is where it is for plain streams.
 """
 
 from __future__ import annotations
@@ -15,106 +15,145 @@
 
 from sabledyke.tls.tls_machine import TlsError, TlsMachine, TlsState
 
-READ = 64 * 1024
+_READ_BYTES = 64 * 1024
+
+
+def _ignore_ticket(_: ssl.SSLSession) -> None:
+    return
 
 
 class TlsStream:
-    """A stream whose handshake is done; see ``streams`` for what is asked of it."""
+    """A stream whose handshake is complete; see ``streams`` for what is expected of it.
+
+    Attributes:
+        machine: The connection's TLS.
+        rights: The volumes that its peer may access; None for all.
+    """
 
     def __init__(
-        self, inner: IOStream, layer: TlsMachine, told: Callable[[ssl.SSLSession], None] = lambda _: None
+        self,
+        inner: IOStream,
+        machine: TlsMachine,
+        on_ticket: Callable[[ssl.SSLSession], None] = _ignore_ticket,
     ) -> None:
-        self._inner, self.machine, self._told = inner, layer, told
-        self._has_told = False  # its ticket: once, since to take it from OpenSSL costs 0.3 ms
-        self.rights: frozenset[int] | None = None  # volumes that its peer may touch, None for all
+        """Wrap a stream.
+
+        Args:
+            inner: The stream underneath.
+            machine: Its TLS, after the handshake.
+            on_ticket: Called with the connection's ticket, once: to get it from OpenSSL costs 0.3 ms.
+        """
+        self._inner = inner
+        self.machine = machine
+        self._on_ticket = on_ticket
+        self._ticket_delivered = False
+        self.rights: frozenset[int] | None = None
 
     @property
     def socket(self) -> socket.socket | None:
-        """The socket underneath, None once closed."""
+        """The socket underneath; None once closed."""
         return self._inner.socket
 
+    @property
+    def rested(self) -> bool:
+        """Whether nothing was received that was not read, neither plaintext nor a closing alert."""
+        return self.machine.state is TlsState.OPEN and not self.machine.plaintext
+
     def closed(self) -> bool:
-        """It cannot be used any more."""
+        """Return whether it cannot be used any more."""
         return bool(self._inner.closed())
 
     def close(self) -> None:
-        """End it; the closing alert goes out where the kernel takes it at once."""
-        if not self._inner.closed():
-            self._news()
-            if self.machine.state is not TlsState.BROKEN and not self._inner.writing():
-                self.machine.close()
-                self._flush()
-            self._inner.close()
+        """Close it; the closing alert is sent where the kernel accepts it at once."""
+        if self._inner.closed():
+            return
+        self._deliver_ticket()
+        if self.machine.state is not TlsState.BROKEN and not self._inner.writing():
+            self.machine.close()
+            self._flush()
+        self._inner.close()
 
     def write(self, data: bytes) -> asyncio.Future[None]:
-        """Send plaintext; done once its ciphertext has left."""
+        """Send plaintext; the future is done once its ciphertext has left."""
         try:
             self.machine.send(data)
-        except (TlsError, ssl.SSLError) as fault:
+        except (TlsError, ssl.SSLError) as error:
             self._inner.close()
             failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            failed.set_exception(StreamClosedError(fault))
+            failed.set_exception(StreamClosedError(error))
             return failed
         return asyncio.ensure_future(self._inner.write(self.machine.output))
 
     async def read_bytes(self, num_bytes: int, partial: bool = True) -> bytes:
-        """Plaintext as it comes; a StreamClosedError at the end, whole or not."""
-        layer = self.machine
-        while not layer.plaintext:
-            if layer.state is TlsState.CLOSED:
+        """Return plaintext as it comes, at most ``num_bytes``.
+
+        Raises:
+            StreamClosedError: The stream has ended, with or without a closing alert.
+        """
+        while not self.machine.plaintext:
+            if self.machine.state is TlsState.CLOSED:
                 self._inner.close()
                 raise StreamClosedError
-            try:
-                layer.feed(await self._inner.read_bytes(READ, partial=True))
-            except TlsError as fault:
-                self._inner.close()
-                raise StreamClosedError(fault) from None
-            except StreamClosedError:
-                if layer.state is TlsState.OPEN:  # cut off: what came is not a whole answer's end
-                    layer.state = TlsState.BROKEN
-                raise
-            self._flush()
-        out = bytes(layer.plaintext[:num_bytes])
-        del layer.plaintext[: len(out)]
-        self._news()
-        return out
+            await self._receive()
+        data = bytes(self.machine.plaintext[:num_bytes])
+        del self.machine.plaintext[: len(data)]
+        self._deliver_ticket()
+        return data
 
-    @property
-    def rested(self) -> bool:
-        """Nothing was said that was not read: no plaintext, and no closing alert, wait here."""
-        return self.machine.state is TlsState.OPEN and not self.machine.plaintext
+    async def _receive(self) -> None:
+        try:
+            self.machine.feed(await self._inner.read_bytes(_READ_BYTES, partial=True))
+        except TlsError as error:
+            self._inner.close()
+            raise StreamClosedError(error) from None
+        except StreamClosedError:
+            if self.machine.state is TlsState.OPEN:  # cut off: what was received is not a complete response
+                self.machine.state = TlsState.BROKEN
+            raise
+        self._flush()
 
     def _flush(self) -> None:
-        """What the layer itself has to say: alerts, key updates."""
-        out = self.machine.output
-        if out and not self._inner.closed():
-            asyncio.ensure_future(self._inner.write(out)).add_done_callback(
-                lambda f: f.cancelled() or f.exception()
-            )
-
-    def _news(self) -> None:
-        if not self._has_told and (session := self.machine.ticket) is not None:
-            self._has_told = True
-            self._told(session)
-
-
-async def complete_handshake(inner: IOStream, layer: TlsMachine, timeout_ms: float) -> None:
-    """Bring a handshake to its end; a TlsError, StreamClosedError or TimeoutError where it has none."""
+        """Send what TLS itself has to send: alerts and key updates."""
+        output = self.machine.output
+        if output and not self._inner.closed():
+            _write_in_background(self._inner, output)
+
+    def _deliver_ticket(self) -> None:
+        if self._ticket_delivered:
+            return
+        ticket = self.machine.ticket
+        if ticket is not None:
+            self._ticket_delivered = True
+            self._on_ticket(ticket)
+
+
+async def complete_handshake(inner: IOStream, machine: TlsMachine, timeout_ms: float) -> None:
+    """Complete a handshake.
+
+    Raises:
+        TlsError: The handshake failed.
+        StreamClosedError: The stream was closed.
+        TimeoutError: The handshake was not completed in time.
+    """
     async with asyncio.timeout(timeout_ms / 1000):
-        while layer.state is TlsState.HANDSHAKE:
-            if out := layer.output:
-                await inner.write(out)
+        while machine.state is TlsState.HANDSHAKE:
+            if output := machine.output:
+                await inner.write(output)
             try:
-                data = await inner.read_bytes(READ, partial=True)
+                data = await inner.read_bytes(_READ_BYTES, partial=True)
             except StreamClosedError:
                 raise TlsError("it ended the connection in the handshake") from None
             try:
-                layer.feed(data)
+                machine.feed(data)
             except TlsError:
-                if alert := layer.output:  # say why, where the kernel takes it at once
-                    asyncio.ensure_future(inner.write(alert)).add_done_callback(
-                        lambda f: f.cancelled() or f.exception()
-                    )
+                if alert := machine.output:
+                    _write_in_background(inner, alert)
                 raise
-        if out := layer.output:
-            await inner.write(out)
+        if output := machine.output:
+            await inner.write(output)
+
+
+def _write_in_background(inner: IOStream, data: bytes) -> None:
+    """Write what the kernel accepts; the stream's end shows elsewhere."""
+    written = asyncio.ensure_future(inner.write(data))
+    written.add_done_callback(lambda future: future.cancelled() or future.exception())
--- a/sabledyke/tls/tls_machine.py
+++ b/sabledyke/tls/tls_machine.py
@@ -1,8 +1,8 @@
 """TLS as a state machine that is fed bytes, on OpenSSL through memory buffers; for either side.
 
-It never knows a socket. It guards against a response that ends without TLS's own closing alert being taken for a
-complete one, against a peer that sends without end before the handshake is complete, and against plaintext where
-TLS was requested: nothing is ever passed through.
+It never knows a socket. It guards against a response that ends without TLS's own closing alert being taken
+for a complete one, against a peer that sends without end before the handshake is complete, and against
+plaintext where TLS was requested: nothing is ever passed through.
 """
 
 from __future__ import annotations
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -117,7 +117,7 @@
     async def story(rig: TlsRig) -> None:
         assert await rig.ask() == 200
 
-    play(tmp_path, box, story, name="{host}.{site}.example")
+    play(tmp_path, box, story, name_template="{host}.{site}.example")
 
 
 def test_requests_pass_verified_and_connections_resume(tmp_path: Path) -> None:
@@ -186,7 +186,7 @@
     async def story(rig: TlsRig) -> None:
         assert await rig.ask() == 200
 
-    play(tmp_path, box, story, allow_12=True)
+    play(tmp_path, box, story, allow_tls_1_2=True)
 
 
 @pytest.mark.parametrize("how", ["reset", "stall"])
@@ -291,7 +291,7 @@
             for n in range(20):
                 folder = tmp_path / str(n)
                 folder.mkdir()
-                rig = TlsRig(folder, box, {"part": 0.05})
+                rig = TlsRig(folder, box, {"handshake_share": 0.05})
                 rig.keys(*OURS, ROOT.root)
                 await rig.__aenter__()
                 rig.server.watch.watch = lambda on: None  # type: ignore[method-assign] # its start is set by hand
@@ -344,8 +344,8 @@
         box,
         story,
         fronts=("HTTP",),
-        clients=True,
-        rights={"till-1": frozenset([1])},
+        require_client_certificates=True,
+        client_rights={"till-1": frozenset([1])},
     )
 
 
@@ -408,10 +408,10 @@
         box,
         story,
         more,
-        boxes=(b"plain",),
+        nodes=(b"plain",),
         fronts=("NVMe",),
-        clients=True,
-        rights={"till-1": frozenset([1])},
+        require_client_certificates=True,
+        client_rights={"till-1": frozenset([1])},
     )
 
 
@@ -456,7 +456,7 @@
         rig.discovery.hosts.pop()
         rig.server._listed(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         await asyncio.sleep(0.15)
-        assert not rig.server.pool._count and not rig.part._used  # none to a box that is gone
+        assert not rig.server.pool._count and not rig.part._last_used_ms  # none to a box that is gone
 
     play(tmp_path, box, story)
 
