--- /dev/null
+++ b/tests/tls/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of TLS: its decisions and state machine, without a socket."""
