--- a/tests/tls/test_key_material.py
+++ b/tests/tls/test_key_material.py
@@ -30,14 +30,14 @@
         (KeyFiles(roots=ROOT.root, revocation_lists=ROOT.revoke(days=-0.5)), "out of date"),
     ],
 )
-def test_keys_that_do_not_fit_are_refused_in_one_line(files: KeyFiles, says: str) -> None:
+def test_keys_that_do_not_fit_are_rejected_in_one_line(files: KeyFiles, says: str) -> None:
     with pytest.raises(MaterialError, match=says) as raised:
         check_key_files(files, NOW)
     assert "\n" not in str(raised.value) and "PRIVATE" not in str(raised.value)
 
 
 @contextmanager
-def operators(tmp_path: Path, chain: bytes, key: bytes, mode: int = 0o600) -> Iterator[str]:
+def operator_file(tmp_path: Path, chain: bytes, key: bytes, mode: int = 0o600) -> Iterator[str]:
     for name, data in (("chain", chain), ("key", key), ("roots", ROOT.root)):
         (tmp_path / name).write_bytes(data)
         (tmp_path / name).chmod(mode)
@@ -47,12 +47,14 @@
     yield str(file)
 
 
-def test_the_command_tells_what_keys_are_good_for(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    with operators(tmp_path, CHAIN, KEY) as file:
+def test_the_command_reports_what_keys_are_good_for(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    with operator_file(tmp_path, CHAIN, KEY) as file:
         assert main(["tls", "check", file]) == 0
         assert "for box-0" in capsys.readouterr().out
-    with operators(tmp_path, *ROOT.issue("x", days=5)) as file:
+    with operator_file(tmp_path, *ROOT.issue("x", days=5)) as file:
         assert main(["tls", "check", file]) == 1
-    with operators(tmp_path, CHAIN, KEY, 0o640) as file:
+    with operator_file(tmp_path, CHAIN, KEY, 0o640) as file:
         assert main(["tls", "check", file]) == 2 and "its owner alone" in capsys.readouterr().err
     assert main(["tls", "check", str(tmp_path / "none")]) == 2
