--- a/sabledyke/tls/connector.py
+++ b/sabledyke/tls/connector.py
@@ -9,6 +9,8 @@
 import asyncio
 import itertools
 import ssl
+from collections.abc import Iterator
+from contextlib import contextmanager
 from math import inf
 
 from sabledyke import log
@@ -90,19 +92,11 @@
         good = False
         inner: streams.IOStream | None = None
         try:
-            inner = await streams.connect(address, min(connect_timeout_ms, _remaining_ms(deadline_ms)))
-            stream = await self._handshake(inner, entry, ticket, deadline_ms)
+            with self._errors_reported(node):
+                inner = await streams.connect(address, min(connect_timeout_ms, _remaining_ms(deadline_ms)))
+                stream = await self._handshake(inner, entry, ticket, deadline_ms)
             good = True
             return stream
-        except TlsError as error:
-            self._report(node, str(error))
-            raise streams.StreamClosedError(error) from None
-        except TimeoutError:
-            self._report(node, "the handshake does not end in time")
-            raise streams.StreamClosedError from None
-        except ssl.SSLError as error:
-            self._report(node, str(error))
-            raise streams.StreamClosedError from None
         finally:
             if not good:
                 self.failed_handshakes += 1
@@ -200,6 +194,21 @@
         if timer is not None:
             timer.cancel()
 
+    @contextmanager
+    def _errors_reported(self, node: api.NodeId) -> Iterator[None]:
+        """Report what goes wrong, and raise it as StreamClosedError."""
+        try:
+            yield
+        except TlsError as error:
+            self._report(node, str(error))
+            raise streams.StreamClosedError(error) from None
+        except TimeoutError:
+            self._report(node, "the handshake does not end in time")
+            raise streams.StreamClosedError from None
+        except ssl.SSLError as error:
+            self._report(node, str(error))
+            raise streams.StreamClosedError from None
+
     def _report(self, node: api.NodeId, text: str) -> None:
         """Log an error, unless it was the node's last one."""
         if self._reported_errors.get(node) == text:
--- a/tests/standins/tls.py
+++ b/tests/standins/tls.py
@@ -1,4 +1,4 @@
-"""Boxes that speak TLS, and ones that break it: stand-ins on loopback, on the standard library's TLS."""
+"""Stand-ins for storage nodes that speak TLS or break it, on loopback and the standard library's TLS."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def server_context(
     chain: bytes, key: bytes, roots: bytes = b"", version: ssl.TLSVersion = ssl.TLSVersion.TLSv1_3
 ) -> ssl.SSLContext:
-    """A server's context; with roots it wants a certificate of its clients."""
+    """Return a server's context; with roots it requires a certificate of its clients."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = min(version, ssl.TLSVersion.TLSv1_2)
     context.maximum_version = version
@@ -29,12 +29,13 @@
 
 
 class TlsBox(HttpBox):
-    """An HTTP box behind TLS; it counts handshakes, and takes a new context in service."""
+    """An HTTP storage node behind TLS; it counts handshakes, and accepts a new context in service."""
 
     def __init__(self, context: ssl.SSLContext) -> None:
         super().__init__()
         self.context = context
-        self.handshakes = self.resumed = 0
+        self.handshakes = 0
+        self.resumed = 0
 
     async def open(self, port: int = 0) -> None:
         self._server = await asyncio.start_server(self._client, "127.0.0.1", port, ssl=self.context)
@@ -56,7 +57,7 @@
 
 
 class Saying(Service):
-    """Takes what comes, says some bytes, and then ends, stands still, or resets."""
+    """Reads what comes, sends some bytes, and then closes, stalls, or resets."""
 
     def __init__(self, data: bytes, then: str) -> None:
         super().__init__()
@@ -75,7 +76,7 @@
 
 
 class Between(Service):
-    """Passes bytes on to a box, and cuts after so many of the box's bytes, or stands still there."""
+    """Forwards bytes to a storage node, and cuts off after so many of its bytes, or stalls there."""
 
     def __init__(self, port: int, after: int, how: str) -> None:
         super().__init__()
