--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -12,10 +12,10 @@
 from typing import TYPE_CHECKING
 
 from sabledyke import invariants, log
-from sabledyke.application.extensions import Done, Host, Part, Submit
+from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
 from sabledyke.config import Config, ConfigError
-from sabledyke.core import Core, Ended, Transport, Work
-from sabledyke.metrics import avoided
+from sabledyke.core import AttemptResult, ClientRequest, Core, Transport
+from sabledyke.metrics import unresponsive_count
 from sabledyke.net import clock, streams
 from sabledyke.net.connection_pool import Address, Connect, Dial, Link, Pool, Report, plain
 from sabledyke.net.console import Console
@@ -24,7 +24,8 @@
 from sabledyke.net.http_frontend import HttpClient
 from sabledyke.net.http_link import HttpDialer
 from sabledyke.net.listener import Listener
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeId
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.console import ConsoleCall
 from sabledyke.protocol.discovery import EndpointListing
 from sabledyke.protocol.gateway import MessageReader
@@ -33,11 +34,11 @@
 from sabledyke.shutdown.graceful_shutdown import Departure, Phase, Times
 
 if TYPE_CHECKING:  # loaded only where it is named: a plain start must be quick
-    from sabledyke.operator_config import Operator
+    from sabledyke.operator_config import OperatorConfig
 
 # Optional parts, the nearest to the core first: where each is set up, and whether the file asks for it. Each
 # is loaded only then.
-PARTS: tuple[tuple[str, str, Callable[[Operator], object]], ...] = (
+PARTS: tuple[tuple[str, str, Callable[[OperatorConfig], object]], ...] = (
     ("sabledyke.tls.extension", "set_up", lambda o: o.tls),
     ("sabledyke.store.extension", "set_up", lambda o: o.store),
     ("sabledyke.store.extension", "set_up_boxes", lambda o: o.store),
@@ -68,10 +69,10 @@
     def __init__(
         self,
         config: Config,
-        operator: Operator | None = None,
+        operator: OperatorConfig | None = None,
         times: Times = Times(),  # noqa: B008
         reread: Callable[[Config], Config] = lambda config: config,
-        reread_operator: Callable[[api.Settings], Operator | None] | None = None,
+        reread_operator: Callable[[Settings], OperatorConfig | None] | None = None,
     ) -> None:
         self.config, self.operator, self._times, self._reread = config, operator, times, reread
         self._reread_operator = reread_operator
@@ -89,20 +90,20 @@
         self._room = streams.Room(0)
         self._http = HttpDialer(settings, self._reader, self._room, self._reach)
         self.parts = self._set_up_parts(operator)
-        self._dialers: dict[api.NodeId, Dial] = {}
+        self._dialers: dict[NodeId, Dial] = {}
         report: Report = self._ended
         self._submit: Submit = self._take
         for part in self.parts:
-            report = part.reports(report)
+            report = part.wrap_report(report)
             self._dialers.update(part.dialers())
         self._connect: Connect = plain
         for part in reversed(self.parts):
-            self._connect = part.connect(self._connect)
+            self._connect = part.wrap_connect(self._connect)
             self._submit = functools.partial(_through, part, self._submit)
         self.pool = Pool(settings, report, 0, self._dial, self._may_go)
         transport: Transport = self.pool
         for part in reversed(self.parts):
-            transport = part.transport(transport)
+            transport = part.wrap_transport(transport)
         self.core = Core(settings, config.seed, transport, self.watch, self._wake)
         ids = RequestIds()
         http = Front(
@@ -111,10 +112,10 @@
             lambda front, stream: HttpClient(front, stream, self._reader, ids, self._submit, self._depart),
             self._room,
         )
-        more = [front for part in self.parts for front in part.fronts()]
+        more = [front for part in self.parts for front in part.frontends()]
         self.fronts = [http, *(front for front, _ in more)]
         for front in self.fronts:
-            guards = [g for part in self.parts if (g := part.guard(front.name)) is not None]
+            guards = [g for part in self.parts if (g := part.connection_guard(front.name)) is not None]
             front.guard = guards[0] if guards else None
         self._listens = [config.listen, *(listen for _, listen in more)]
         self._share_out(config)
@@ -122,10 +123,10 @@
         self.console = Console(self._call) if config.console else None
         self._console_listener: Listener | None = None
 
-    def _set_up_parts(self, operator: Operator | None) -> list[Part]:
+    def _set_up_parts(self, operator: OperatorConfig | None) -> list[Extension]:
         if operator is None:
             return []
-        host = Host(
+        host = ServerContext(
             self.config,
             self._room,
             lambda node: self.core.nodes[node],
@@ -137,9 +138,9 @@
             self._stop.is_set,
             self.reload,
             lambda: self.leave(planned=True),
-            lambda: self.core.figures.told,
-            lambda node: self.core.busy(node),
-            lambda entries: self._learn(api.NodeList(api.ListKind.DELTA, 0, tuple(entries)), {}),
+            lambda: self.core.metrics.answer_totals,
+            lambda node: self.core.has_attempts_at(node),
+            lambda entries: self._learn(EndpointList(ListKind.DELTA, 0, tuple(entries)), {}),
         )
         made = [
             getattr(importlib.import_module(module), name)(host, operator)
@@ -153,9 +154,9 @@
         boxes = (config.sockets - SPARE) // BOXES
         self._room.size = int(config.memory * ANSWERS)
         for front in self.fronts:  # past its deadline a client has given up
-            front.reading = max(c.deadline for c in config.settings.classes) / 1000 + READING
+            front.reading = max(c.deadline_ms for c in config.settings.classes) / 1000 + READING
         others = sum(front.most for front in self.fronts[1:])
-        self.fronts[0].roomy = ROOMY * config.settings.most_open
+        self.fronts[0].roomy = ROOMY * config.settings.max_open_requests
         self.pool.most, self.fronts[0].most = boxes, config.sockets - SPARE - boxes - others
 
     async def run(self) -> None:
@@ -166,7 +167,7 @@
         await self.open()
         if not self._stop.is_set():  # else it was told to end before it took anything
             self._begin()
-            if any(part.in_turn for part in self.parts):
+            if any(part.waits_for_budget for part in self.parts):
                 await self._hear()
             self._open_doors()
             gc.collect()
@@ -186,7 +187,7 @@
 
     def _begin(self) -> None:
         """Tell the core what is known of the boxes, and have the list asked for."""
-        self._listed(self.config.known or EndpointListing(api.NodeList(api.ListKind.CACHED, 0, ()), {}))
+        self._listed(self.config.known or EndpointListing(EndpointList(ListKind.CACHED, 0, ()), {}))
         self.watch.start()
         self._turn()
 
@@ -206,11 +207,11 @@
     def _open_doors(self) -> None:
         for front, listen in zip(self.fronts, self._listens, strict=True):
             self.listeners.append(Listener(listen, front.accept))
-            log.say("start", f"{self.config.name} serves at {listen[0]}:{self.listeners[-1].port}")
+            log.emit("start", f"{self.config.name} serves at {listen[0]}:{self.listeners[-1].port}")
         if self.console is not None and self.config.console is not None:
             self._console_listener = Listener(self.config.console, self.console.accept)
             where = f"{self.config.console[0]}:{self._console_listener.port}"
-            log.say("start", f"{self.config.name} takes operators' calls at {where}")
+            log.emit("start", f"{self.config.name} takes operators' calls at {where}")
 
     @property
     def console_port(self) -> int | None:
@@ -225,7 +226,7 @@
     def quiesce(self) -> None:
         """Send clients away: health says no, idle connections end now and busy ones with their answer."""
         if not self.fronts[0].quiesced:
-            log.say("drain", f"{self.config.name} sends clients away, {self.core.unanswered} in work")
+            log.emit("drain", f"{self.config.name} sends clients away, {self.core.unanswered} in work")
         for front in self.fronts:
             front.quiesced = True
             front.close_idle(self._loop.time())
@@ -233,16 +234,16 @@
     def resume(self) -> None:
         """Take clients again."""
         if self.fronts[0].quiesced:
-            log.say("drain", f"{self.config.name} takes clients again")
+            log.emit("drain", f"{self.config.name} takes clients again")
         for front in self.fronts:
             front.quiesced = False
 
     def figures(self) -> list[str]:
         """The figures in their line form."""
         core = self.core
-        classes = [c.name for c in core.settings.classes if c.name not in core.settings.retired]
-        avoiding = avoided(core.scheduler.nodes.values())
-        return core.figures.lines(classes, core.unanswered, core.nodes.values(), avoiding)
+        classes = [c.name for c in core.settings.classes if c.name not in core.settings.retired_classes]
+        avoiding = unresponsive_count(core.scheduler.nodes.values())
+        return core.metrics.format_lines(classes, core.unanswered, core.nodes.values(), avoiding)
 
     def _call(self, call: ConsoleCall) -> tuple[int, bytes]:
         """An operator's call: its status and body."""
@@ -265,44 +266,44 @@
             told = self._reread_operator(new.settings) if self._reread_operator else None
             if told is not None:
                 for part in self.parts:
-                    part.check(told)
+                    part.check_operator_config(told)
             if new.listen != self.config.listen and self.listeners:
                 listener = Listener(new.listen, self.fronts[0].accept)
                 self.listeners[0].close()
                 self.listeners[0] = listener
         except (ConfigError, SettingsError, OSError) as fault:
-            self.core.figures.reloaded(False)
-            log.say("reload", f"the new configuration is not used: {fault}")
+            self.core.metrics.count_reload(False)
+            log.emit("reload", f"the new configuration is not used: {fault}")
             return str(fault)
-        self.core.figures.reloaded(True)
+        self.core.metrics.count_reload(True)
         self.config = new
-        self.core.adopt(new.settings)
+        self.core.apply_settings(new.settings)
         self._reader.apply_settings(new.settings)
         self._http.settings = self.pool.settings = new.settings
         for part in self.parts:
-            part.adopt(new)
+            part.apply_config(new)
             if told is not None:
-                part.retold(told)
+                part.apply_operator_config(told)
         self._share_out(new)
         self.watch.adopt(new.discovery, new.settings)
         where = f"discovery at {new.discovery[0]}:{new.discovery[1]}"
-        log.say("reload", f"the new configuration is in force; {where}, {new.sockets} descriptors")
+        log.emit("reload", f"the new configuration is in force; {where}, {new.sockets} descriptors")
         return ""
 
     def leave(self, *, planned: bool = False) -> None:
         """Begin to end, by SIGTERM or by a plan of the fleet; told once more, make haste."""
         self._planned |= planned and not self._stop.is_set()
         if not self._stop.is_set():
-            log.say("stop", f"{self.config.name} was told to end; {self.core.unanswered} requests in work")
+            log.emit("stop", f"{self.config.name} was told to end; {self.core.unanswered} requests in work")
             self._stop.set()
         elif self._departure is not None:
-            log.say("stop", f"{self.config.name} was told again to end, and makes haste")
+            log.emit("stop", f"{self.config.name} was told again to end, and makes haste")
             self._departure.hasten(self._loop.time())
             self._end_by(self._departure)
 
     async def finish(self) -> None:
         """Serve on for as long as the kill leaves time, answer all that was taken, and close."""
-        longest = max(c.deadline for c in self.config.settings.classes) / 1000
+        longest = max(c.deadline_ms for c in self.config.settings.classes) / 1000
         plan = Departure(self._loop.time(), longest, self.config.seed, self._times, planned=self._planned)
         self._departure, last = plan, Phase.OPEN
         for front in self.fronts:
@@ -321,7 +322,7 @@
                 break
             if phase is not last:
                 held, owed = sum(len(front.clients) for front in self.fronts), self.core.unanswered
-                log.say("stop", f"{PHASES[phase]}; {held} connections, {owed} requests in work")
+                log.emit("stop", f"{PHASES[phase]}; {held} connections, {owed} requests in work")
                 last = phase
             if phase >= Phase.LAST or phase is Phase.PARTING and self._planned:
                 for front in self.fronts:
@@ -341,8 +342,8 @@
             await part.close()
         if self._timer is not None:
             self._timer.cancel()
-        broken = ", ".join(f"{name}: {n}" for name, n in invariants.broken.items()) or "none"
-        log.say("stop", f"{self.config.name} has answered all it took; invariants broken: {broken}")
+        broken = ", ".join(f"{name}: {n}" for name, n in invariants.violations.items()) or "none"
+        log.emit("stop", f"{self.config.name} has answered all it took; invariants broken: {broken}")
 
     async def _settle(self) -> None:
         """Read nothing more, and answer what was read last.
@@ -362,47 +363,47 @@
     def _end_by(self, plan: Departure) -> None:
         """Have all that is taken answered by the departure's ``until``, on the core's clock."""
         ahead = clock.now() - self._loop.time() * 1000
-        self.core.end_by(plan.until * 1000 + ahead, plan.back * 1000 + ahead)
+        self.core.shut_down_by(plan.until * 1000 + ahead, plan.back * 1000 + ahead)
         self._wake()
 
     async def _reach(
-        self, node: api.NodeId, address: Address, connect_ms: float, patience: float
+        self, node: NodeId, address: Address, connect_ms: float, patience: float
     ) -> streams.Stream:
         return await self._connect(node, address, connect_ms, patience)
 
-    async def _dial(self, node: api.NodeId, address: Address, patience: float) -> Link:
+    async def _dial(self, node: NodeId, address: Address, patience: float) -> Link:
         return await self._dialers.get(node, self._http.dial)(node, address, patience)
 
-    def _take(self, work: Work, done: Done) -> int:
+    def _take(self, work: ClientRequest, done: Done) -> int:
         """The last step of every front's way to the core."""
         return self.core.submit(clock.now(), work, done)
 
     def _depart(self, rid: int) -> None:
         for part in self.parts:
-            part.departed(rid)
-        self.core.depart(rid)
+            part.on_client_disconnected(rid)
+        self.core.on_client_disconnected(rid)
 
     def _listed(self, listing: EndpointListing | None) -> None:
         self._heard.set()
         if listing is None:
-            self.core.listed(api.NodeList(api.ListKind.FAILED, 0, ()))
+            self.core.on_endpoint_list(EndpointList(ListKind.FAILED, 0, ()))
         else:
             news = listing.update
             for part in self.parts:
-                news = part.listing(news)
+                news = part.adjust_endpoint_list(news)
             self._learn(news, listing.addresses)
 
-    def _learn(self, news: api.NodeList, dials: dict[api.NodeId, Address]) -> None:
-        gone = self.core.listed(news)
+    def _learn(self, news: EndpointList, dials: dict[NodeId, Address]) -> None:
+        gone = self.core.on_endpoint_list(news)
         self.pool.learn(dials, gone)
         for part in self.parts:
-            part.listed(gone)
+            part.on_nodes_removed(gone)
 
-    def _ended(self, rid: int, number: int, ended: Ended) -> None:
-        self.core.ended(clock.now(), rid, number, ended)
+    def _ended(self, rid: int, number: int, ended: AttemptResult) -> None:
+        self.core.on_attempt_completed(clock.now(), rid, number, ended)
 
     def _may_go(self, rid: int, number: int) -> bool:
-        return self.core.may_go(clock.now(), rid, number)
+        return self.core.may_write(clock.now(), rid, number)
 
     def _wake(self) -> None:
         """Events wait: all that comes in this turn of the loop goes to the module as one batch."""
@@ -413,20 +414,24 @@
     def _turn(self) -> None:
         self._scheduled = False
         now = clock.now()
-        self.core.turn(now)
+        self.core.run_batch(now)
         if self._timer is not None:
             self._timer.cancel()
-        due = self.core.due()
+        due = self.core.next_batch_due()
         self._timer = None if due is None else self._loop.call_later(max(0.0, due - now) / 1000, self._turn)
 
 
-def _through(part: Part, onward: Submit, work: Work, done: Done) -> int:
+def _through(part: Extension, onward: Submit, work: ClientRequest, done: Done) -> int:
     return part.submit(work, done, onward)
 
 
-def _check_like(old: api.Settings, new: api.Settings) -> None:
+def _check_like(old: Settings, new: Settings) -> None:
     """What open requests and the module's knowledge are counted by must keep its names and places."""
-    for what in ("plans", "zones", "kinds"):
-        names = [[getattr(x, "name", x) for x in getattr(s, what)] for s in (old, new)]
-        if names[0] != names[1]:
+    names = {
+        "plans": ([plan.name for plan in old.plans], [plan.name for plan in new.plans]),
+        "zones": (old.zones, new.zones),
+        "kinds": (old.node_kinds, new.node_kinds),
+    }
+    for what, (before, after) in names.items():
+        if before != after:
             raise ConfigError(f"the names of its {what} differ, which takes a restart")
--- a/sabledyke/net/frontend.py
+++ b/sabledyke/net/frontend.py
@@ -10,11 +10,11 @@
 from math import inf
 
 from sabledyke import log
-from sabledyke.core import Answer, Work
+from sabledyke.core import Answer, ClientRequest
 from sabledyke.net import streams
 from sabledyke.shutdown.graceful_shutdown import Departure, Phase
 
-Submit = Callable[[Work, Callable[[Answer], None]], int]
+Submit = Callable[[ClientRequest, Callable[[Answer], None]], int]
 Guard = Callable[[streams.IOStream], Awaitable[streams.Stream | None]]  # see ``parts.Guard``
 SWEEP = 0.25  # seconds between looks at who keeps a connection without asking
 ASKING = 2.25  # seconds for the first request after connecting, and for each that has begun
@@ -141,7 +141,7 @@
         Guards against a crowd of handshakes that never end, or that cost clients their places.
         """
         if self.closing or len(self._at_the_gate) >= GATE:
-            log.say("front", f"{len(self._at_the_gate)} {self.name} handshakes: a new one is closed")
+            log.emit("front", f"{len(self._at_the_gate)} {self.name} handshakes: a new one is closed")
             sock.close()
             return
         stream = accepted(sock)
@@ -175,7 +175,7 @@
             return True
         spare = self._spare()
         which = "an idle one" if spare else "a new one"
-        log.say("front", f"{len(self.clients)} {self.name} clients: {which} is closed")
+        log.emit("front", f"{len(self.clients)} {self.name} clients: {which} is closed")
         if spare is not None:
             spare.close()
         return spare is not None
--- a/sabledyke/net/http_frontend.py
+++ b/sabledyke/net/http_frontend.py
@@ -128,7 +128,7 @@
         if not streams.permits(self.stream, work.volume):
             raise HttpError("a client without a right to this volume", 403)
         self._ids.claim(clock.now(), work)
-        work.present = self._present
+        work.client_connected = self._present
 
         def done(answer: Answer) -> None:
             self._rid = None
@@ -204,7 +204,7 @@
 
     def _bad(self, fault: HttpError) -> None:
         """Bad bytes harm nobody but who sent them."""
-        log.say("front", f"a client sent a bad request: {fault}")
+        log.emit("front", f"a client sent a bad request: {fault}")
         if self._rid is None and not self._writing and not self.stream.closed():
             self._write(encode_response(fault.status, close=True), True)
         else:
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -4,10 +4,11 @@
 
 import asyncio
 
-from sabledyke.core import Ended, Work
+from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import streams
 from sabledyke.net.connection_pool import Address, BadPeer, Connect, plain
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.gateway import MessageReader, encode_node_request
 from sabledyke.protocol.http import MAX_BODY_BYTES, HttpError, HttpMessage, HttpParser
 
@@ -27,7 +28,7 @@
         """Whether its last byte has left: a write that is done tells so, one that failed never did."""
         return self._written is not None and self._written.done() and self._written.exception() is None
 
-    async def exchange(self, work: Work, timeout: float) -> Ended:
+    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
         """See ``pool.Link``."""
         self.reusable = False
         self._written = None
@@ -70,11 +71,11 @@
     """Opens such connections."""
 
     def __init__(
-        self, settings: api.Settings, reader: MessageReader, room: streams.Room, connect: Connect = plain
+        self, settings: Settings, reader: MessageReader, room: streams.Room, connect: Connect = plain
     ) -> None:
         self.settings, self._reader, self._room, self._connect = settings, reader, room, connect
 
-    async def dial(self, node: api.NodeId, address: Address, patience: float) -> HttpLink:
+    async def dial(self, node: NodeId, address: Address, patience: float) -> HttpLink:
         """See ``pool.Dial``."""
-        stream = await self._connect(node, address, self.settings.connect_timeout, patience)
+        stream = await self._connect(node, address, self.settings.connect_timeout_ms, patience)
         return HttpLink(f"{address[0]}:{address[1]}", stream, self._reader, self._room)
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -7,7 +7,7 @@
 from math import inf
 
 from sabledyke import log
-from sabledyke.core import Answer, Verdict
+from sabledyke.core import Answer, AnswerStatus
 from sabledyke.net import streams
 from sabledyke.net.frontend import ASKING, Client, Front, Submit
 from sabledyke.protocol.nvme import Command, Completion, NvmeError, Status, Target
@@ -79,7 +79,7 @@
         except streams.StreamClosedError:
             self.close()
         except NvmeError as fault:
-            log.say("front", f"an NVMe host broke the protocol: {fault}")
+            log.emit("front", f"an NVMe host broke the protocol: {fault}")
             if not self.stream.closed():
                 await self._say_last()
             self.close()
@@ -91,13 +91,13 @@
                 asyncio.get_running_loop().create_task(self._flush_late())
 
         if self._front.over:  # guards against a host that never pauses holding up the end
-            self.target.complete(*self._translator.to_completion(command, Answer(Verdict.REFUSED)))
+            self.target.complete(*self._translator.to_completion(command, Answer(AnswerStatus.REJECTED)))
             return
         work = self._translator.to_work(command, payload)
         if not streams.permits(self.stream, work.volume):
             self.target.complete(Completion(command.command_id, Status.ACCESS_DENIED, do_not_retry=True), b"")
             return
-        work.present = lambda: not streams.departed(self.stream)
+        work.client_connected = lambda: not streams.departed(self.stream)
         self._rids[command.command_id] = self._submit(work, done)
 
     def _watch(self) -> None:
@@ -109,7 +109,7 @@
             self._expiry = asyncio.get_running_loop().call_later(after, self._silent)
 
     def _silent(self) -> None:
-        log.say("front", "an NVMe host kept silent past its keep-alive time")
+        log.emit("front", "an NVMe host kept silent past its keep-alive time")
         self.close()
 
     async def _flush(self) -> None:
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -7,11 +7,12 @@
 from collections.abc import Awaitable, Callable
 
 from sabledyke import log
-from sabledyke.core import Ended, Work
+from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import streams
 from sabledyke.net.connection_pool import Address, BadPeer, Connect, plain
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.nodes import NodeId
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.nvme import (
     DYNAMIC_CONTROLLER_ID,
     MAX_IO_QUEUES,
@@ -74,7 +75,7 @@
         super().__init__(channel.stream, channel.inbox)
         self._channel, self._translator = channel, translator
         self.reusable = True
-        self._work: Work | None = None
+        self._work: ClientRequest | None = None
 
     @property
     def may_have_run(self) -> bool:
@@ -89,15 +90,15 @@
             return self._channel.machine.write_data_sent
         return written.done() and written.exception() is None
 
-    async def exchange(self, work: Work, timeout: float) -> Ended:
+    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
         """See ``pool.Link``; the time-out is the pool's, NVMe states none."""
         self.reusable, self._work, self._channel.written = False, work, None
         try:
             command, payload = self._translator.to_node_command(work)
         except NoPlaceError as fault:
-            log.say("box", str(fault))
+            log.emit("box", str(fault))
             self.reusable = True
-            return Ended(Outcome.ERROR, False)
+            return AttemptResult(Outcome.ERROR, False)
         done, data = await self._channel.run(command, payload)
         self.reusable = not self._channel.machine.has_surplus_input
         return self._translator.from_node_completion(work, done, data)
@@ -192,9 +193,9 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         translator: Translator,
-        boxes: dict[api.NodeId, str],
+        boxes: dict[NodeId, str],
         host_nqn: str,
         connect: Connect = plain,
         slack: float = 0.0,
@@ -202,9 +203,9 @@
         self._connect, self._slack = connect, slack  # ms that the way may take beyond a connection
         self.settings, self._translator, self._boxes = settings, translator, boxes
         self._host = HostIdentity(uuid.uuid4().bytes, host_nqn)
-        self._associations: dict[api.NodeId, _Association] = {}
+        self._associations: dict[NodeId, _Association] = {}
 
-    async def dial(self, node: api.NodeId, address: Address, patience: float) -> NvmeLink:
+    async def dial(self, node: NodeId, address: Address, patience: float) -> NvmeLink:
         """See ``pool.Dial``."""
         known = self._associations.get(node)
         if known is None or known.address != address:
@@ -214,14 +215,14 @@
                 address,
                 self._boxes[node],
                 self._host,
-                lambda where, ms: self._connect(node, where, self.settings.connect_timeout, ms),
+                lambda where, ms: self._connect(node, where, self.settings.connect_timeout_ms, ms),
             )
-        within = min(patience, self.settings.connect_timeout + self._slack)
+        within = min(patience, self.settings.connect_timeout_ms + self._slack)
         async with asyncio.timeout(within / 1000):
             channel = await known.queue(within)
         return NvmeLink(channel, self._translator)
 
-    def forget(self, node: api.NodeId) -> None:
+    def forget(self, node: NodeId) -> None:
         """The box is gone from the list: leave it once what is out there has ended.
 
         Guards against keeping an association, and its descriptor, with every box there ever was.
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -9,7 +9,8 @@
 from msgspec import Meta
 
 from sabledyke.errors import OperatorError
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.discovery import parse_address
 from sabledyke.protocol.nvme import BLOCK_BYTES, MAX_DATA_BYTES
 from sabledyke.protocol.nvme.blocks import NvmeVolume
@@ -23,14 +24,14 @@
     from sabledyke.placement.volume_placement import Map
     from sabledyke.quota_sharing.section import Section as FleetSection
     from sabledyke.rollout.section import Section as RolloutSection
-    from sabledyke.tls.section import TlsSection as TlsSection
+    from sabledyke.tls.section import TlsSection
 
 NQN = 223  # bytes of a name
 LARGEST = MAX_DATA_BYTES // BLOCK_BYTES  # blocks of one command
 
 
 @dataclass(slots=True, frozen=True)
-class Operator:
+class OperatorConfig:
     """What the file says; without one, everything here is off."""
 
     listen: tuple[str, int] | None = None
@@ -38,7 +39,7 @@
     nqn: str = ""
     host_nqn: str = ""
     volumes: tuple[NvmeVolume, ...] = ()
-    boxes: tuple[tuple[api.NodeId, str], ...] = ()  # nodes that speak NVMe, and their subsystems
+    boxes: tuple[tuple[NodeId, str], ...] = ()  # nodes that speak NVMe, and their subsystems
     store: Section | None = None
     tls: TlsSection | None = None
     lease: LeaseSection | None = None
@@ -113,18 +114,18 @@
     fleet: dict[str, Any] = {}
 
 
-def load(path: str, settings: api.Settings) -> Operator:
+def load(path: str, settings: Settings) -> OperatorConfig:
     """The file at a path, under the deployment's settings."""
     return from_file(path, lambda text: read(text, settings))
 
 
-def read(text: str, settings: api.Settings) -> Operator:
+def read(text: str, settings: Settings) -> OperatorConfig:
     """The text of such a file."""
     said = convert(parsed(text), File, "file")
     nvme, store = said.nvme, section.read(said.store, os.environ)
     lease = _lease(said.lease, store.record if store is not None else None)
     board, rollout, sites = _fleet(said, lease)
-    operator = Operator(
+    operator = OperatorConfig(
         listen=parse_address(nvme.listen) if nvme.listen else None,
         connections=nvme.connections,
         nqn=nvme.nqn,
@@ -192,7 +193,7 @@
     return tls.read(data)
 
 
-def _volume(row: VolumeRow, number: int, settings: api.Settings) -> NvmeVolume:
+def _volume(row: VolumeRow, number: int, settings: Settings) -> NvmeVolume:
     def place(key: str, names: list[str]) -> int:
         if (name := str(getattr(row, key))) not in names:
             where = f"file.nvme.volume[{number}].{key}"
@@ -212,10 +213,10 @@
         stripe_blocks=row.stripe_blocks,
         host_count=float(row.hosts),
         unit_bytes=row.unit_bytes,
-        read_deadline_ms=row.read_deadline_ms or settings.classes[read_class].deadline,
-        write_deadline_ms=row.write_deadline_ms or settings.classes[write_class].deadline,
+        read_deadline_ms=row.read_deadline_ms or settings.classes[read_class].deadline_ms,
+        write_deadline_ms=row.write_deadline_ms or settings.classes[write_class].deadline_ms,
         object_blocks=row.object_blocks,
     )
 
 
-__all__ = ["Operator", "OperatorError", "load", "read"]
+__all__ = ["OperatorConfig", "OperatorError", "load", "read"]
--- a/sabledyke/protocol/discovery.py
+++ b/sabledyke/protocol/discovery.py
@@ -9,7 +9,8 @@
 import orjson
 
 from sabledyke.errors import ListError as ListError
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeId, NodeState
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol import platform_names as names
 
 LIST_PATH = "/catalog/members"
@@ -17,9 +18,9 @@
 _MAX_PORT = 65535
 _INVALID = (KeyError, TypeError, ValueError, OverflowError, AttributeError)
 _STATES = {
-    names.STATE_READY: api.NodeState.READY,
-    names.STATE_DRAINING: api.NodeState.DRAINING,
-    names.STATE_REMOVED: api.NodeState.GONE,
+    names.STATE_READY: NodeState.READY,
+    names.STATE_DRAINING: NodeState.DRAINING,
+    names.STATE_REMOVED: NodeState.GONE,
 }
 
 Address = tuple[str, int]
@@ -36,8 +37,8 @@
         error: What is wrong with entries that were left out; empty where none were.
     """
 
-    update: api.NodeList
-    addresses: dict[api.NodeId, Address]
+    update: EndpointList
+    addresses: dict[NodeId, Address]
     error: str = ""
 
 
@@ -65,7 +66,7 @@
     return host.strip("[]"), int(port)
 
 
-def parse_listing(text: bytes, settings: api.Settings) -> EndpointListing:
+def parse_listing(text: bytes, settings: Settings) -> EndpointListing:
     """Return the list in the body of a response.
 
     Raises:
@@ -78,7 +79,7 @@
     return read_listing(document, settings)
 
 
-def read_listing(document: object, settings: api.Settings, *, cached: bool = False) -> EndpointListing:
+def read_listing(document: object, settings: Settings, *, cached: bool = False) -> EndpointListing:
     """Return the list in a JSON document that is decoded already.
 
     A cached list is read completely or not at all. Of a list from discovery, invalid entries are left out and
@@ -101,41 +102,41 @@
         raise ListError(f"the list lacks or garbles {error}") from None
 
 
-def _read_document(document: dict[str, Any], settings: api.Settings, cached: bool) -> EndpointListing:
-    kind = api.ListKind.FULL if document[names.LIST_IS_FULL] else api.ListKind.DELTA
-    entries: list[api.NodeEntry] = []
-    addresses: dict[api.NodeId, Address] = {}
+def _read_document(document: dict[str, Any], settings: Settings, cached: bool) -> EndpointListing:
+    kind = ListKind.FULL if document[names.LIST_IS_FULL] else ListKind.DELTA
+    entries: list[NodeEntry] = []
+    addresses: dict[NodeId, Address] = {}
     invalid_entry = ""
     for fields in document[names.LIST_NODES]:
         try:
             entry = _read_entry(fields, settings)
-            if entry.state is not api.NodeState.GONE:
-                addresses[entry.node] = parse_address(fields[names.NODE_ADDRESS])
+            if entry.state is not NodeState.GONE:
+                addresses[entry.node_id] = parse_address(fields[names.NODE_ADDRESS])
             entries.append(entry)
         except (*_INVALID, ListError) as error:
             if cached:
                 raise
             invalid_entry = f"an entry of the list lacks or garbles {error}"
-            kind = api.ListKind.DELTA
+            kind = ListKind.DELTA
     if cached:
-        kind = api.ListKind.CACHED
-    update = api.NodeList(kind, int(document[names.LIST_VERSION]), tuple(entries))
+        kind = ListKind.CACHED
+    update = EndpointList(kind, int(document[names.LIST_VERSION]), tuple(entries))
     return EndpointListing(update, addresses, invalid_entry)
 
 
-def _read_entry(fields: dict[str, Any], settings: api.Settings) -> api.NodeEntry:
+def _read_entry(fields: dict[str, Any], settings: Settings) -> NodeEntry:
     zone = fields.get(names.NODE_ZONE)
     kind = fields.get(names.NODE_KIND)
     started_ms = float(fields[names.NODE_STARTED_MS])
     # A value that is not equal to itself would look like a restart with each list.
     if not (isfinite(started_ms) and started_ms >= 0):
         raise ValueError(f"{names.NODE_STARTED_MS}: {started_ms}")
-    return api.NodeEntry(
-        node=fields[names.NODE_ID].encode(),
+    return NodeEntry(
+        node_id=fields[names.NODE_ID].encode(),
         shard=int(fields[names.NODE_SHARD]),
         zone=settings.zones.index(zone) if zone in settings.zones else -1,
-        kind=settings.kinds.index(kind) if kind in settings.kinds else -1,
-        started=started_ms,
+        kind=settings.node_kinds.index(kind) if kind in settings.node_kinds else -1,
+        started_ms=started_ms,
         weight=float(fields[names.NODE_WEIGHT]),
         state=_STATES[fields[names.NODE_STATE]],
     )
--- a/sabledyke/protocol/gateway.py
+++ b/sabledyke/protocol/gateway.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from sabledyke.core import Answer, Ended, Verdict, Work
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.core import Answer, AnswerStatus, AttemptResult, ClientRequest
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol import platform_names as names
 from sabledyke.protocol.client_request import DataLocation, RequestCost, check_method
 from sabledyke.protocol.http import HttpError, HttpMessage, encode_request, encode_response
@@ -16,10 +16,10 @@
 class MessageReader:
     """Reads messages under the settings in force."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.apply_settings(settings)
 
-    def apply_settings(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Read messages under these settings from now on."""
         self._settings = settings
         self._load_reports = LoadReportParser(settings.report_fields)
@@ -27,10 +27,10 @@
         self._class_indexes = {
             request_class.name: index
             for index, request_class in enumerate(settings.classes)
-            if request_class.name not in settings.retired
+            if request_class.name not in settings.retired_classes
         }
 
-    def read_request(self, message: HttpMessage) -> Work:
+    def read_request(self, message: HttpMessage) -> ClientRequest:
         """Return a client's request.
 
         What a client states beyond the settings' bounds counts for no more than they allow: guards against
@@ -48,40 +48,40 @@
             raise HttpError("no known Req-Kind, Tier or Req-Id")
         location = DataLocation.parse(message.target)
         cost = RequestCost.parse(headers)
-        return Work(
-            class_=class_index,
-            plan=plan_index,
+        return ClientRequest(
+            class_index=class_index,
+            plan_index=plan_index,
             volume=location.volume,
-            key=location.key,
-            units=min(cost.units, self._settings.most_units),
+            data_key=location.key,
+            units=min(cost.units, self._settings.max_units),
             shard=cost.shard,
-            hosts=min(cost.host_count, self._settings.hosts),
-            remaining=min(cost.deadline_ms, self._settings.classes[class_index].deadline),
+            scheduler_count=min(cost.host_count, self._settings.scheduler_count),
+            remaining_ms=min(cost.deadline_ms, self._settings.classes[class_index].deadline_ms),
             repeated=headers.get(names.IS_RETRY) == "1",
             write=message.method != "GET",
-            ident=request_id,
-            token=headers.get(names.IDEMPOTENCY_KEY, ""),
+            client_request_id=request_id,
+            idempotency_key=headers.get(names.IDEMPOTENCY_KEY, ""),
             method=message.method,
             target=message.target,
             body=message.body,
         )
 
-    def read_node_response(self, message: HttpMessage) -> Ended:
+    def read_node_response(self, message: HttpMessage) -> AttemptResult:
         """Return what a storage node's response says of the attempt."""
         outcome = read_outcome(message)
         used_percent = read_usage(message, names.VOLUME_USED_PERCENT)
         others_units = read_usage(message, names.OTHER_HOSTS_UNITS)
-        return Ended(
+        return AttemptResult(
             outcome,
             may_have_run=outcome is not Outcome.REJECTED,
             body=message.body,
             used_percent=0 if used_percent is None else used_percent + 1,
-            others_units=others_units or 0,
-            load=self._load_reports.parse(message),
+            other_schedulers_units=others_units or 0,
+            load_report=self._load_reports.parse(message),
         )
 
 
-def encode_node_request(work: Work, address: str, timeout_ms: float) -> bytes:
+def encode_node_request(work: ClientRequest, address: str, timeout_ms: float) -> bytes:
     """Return a request to a storage node.
 
     Args:
@@ -91,13 +91,13 @@
     """
     headers = [
         ("Host", address),
-        (names.SENT_REQUEST_ID, work.ident),
+        (names.SENT_REQUEST_ID, work.client_request_id),
         (names.SENT_DEADLINE_S, f"{timeout_ms / 1000:.3f}"),
     ]
-    if work.token:
-        headers.append((names.SENT_IDEMPOTENCY_KEY, work.token))
+    if work.idempotency_key:
+        headers.append((names.SENT_IDEMPOTENCY_KEY, work.idempotency_key))
     method = work.method or ("PUT" if work.write else "GET")
-    target = work.target or f"/api/{work.volume:016x}/{work.key:016x}"
+    target = work.target or f"/api/{work.volume:016x}/{work.data_key:016x}"
     return encode_request(method, target, headers, work.body)
 
 
@@ -108,11 +108,11 @@
         answer: The answer.
         close: Whether the response ends its connection.
     """
-    if answer.verdict is Verdict.SERVED:
+    if answer.status is AnswerStatus.SERVED:
         return encode_response(200, body=answer.body, close=close)
-    if answer.verdict is Verdict.FAILED:
+    if answer.status is AnswerStatus.FAILED:
         return encode_response(500, close=close)
     headers = []
-    if answer.retry_after > 0:
-        headers.append(("Retry-After", f"{answer.retry_after / 1000:.3f}"))
+    if answer.retry_after_ms > 0:
+        headers.append(("Retry-After", f"{answer.retry_after_ms / 1000:.3f}"))
     return encode_response(503, headers, close=close)
--- a/sabledyke/protocol/http/message.py
+++ b/sabledyke/protocol/http/message.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
@@ -15,7 +15,7 @@
 """What may be buffered of requests: a head, and a body in small chunks."""
 
 
-class HttpError(Fault):
+class HttpError(SabledykeError):
     """The bytes are not a message of this protocol, or the message is too large or not acceptable.
 
     Attributes:
--- a/sabledyke/protocol/node_response.py
+++ b/sabledyke/protocol/node_response.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sabledyke import log
-from sabledyke.policy.interface import Outcome
+from sabledyke.policy.events import Outcome
 from sabledyke.protocol import platform_names as names
 from sabledyke.protocol.client_request import parse_pairs
 from sabledyke.protocol.http import HttpMessage
@@ -40,7 +40,7 @@
         value = -1.0
     if 0 <= value <= MAX_REPORTED_VALUE:
         return int(value)
-    log.say("box", f"a usage metric is set aside: {header} {text[:20]!r}")
+    log.emit("box", f"a usage metric is set aside: {header} {text[:20]!r}")
     return None
 
 
@@ -62,7 +62,7 @@
         values = self._values(text)
         if all(0 <= value <= MAX_REPORTED_VALUE for value in values):
             return values
-        log.say("box", f"a load report is set aside: {text[:60]!r}")
+        log.emit("box", f"a load report is set aside: {text[:60]!r}")
         return ()
 
     def _values(self, text: str) -> tuple[float, ...]:
--- a/sabledyke/protocol/nvme/blocks.py
+++ b/sabledyke/protocol/nvme/blocks.py
@@ -12,10 +12,10 @@
 import secrets
 from dataclasses import dataclass
 
-from sabledyke.core import Answer, Ended, Verdict, Work
-from sabledyke.errors import Fault
-from sabledyke.policy import interface as api
-from sabledyke.policy.interface import Outcome
+from sabledyke.core import Answer, AnswerStatus, AttemptResult, ClientRequest
+from sabledyke.errors import SabledykeError
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.settings import Settings
 from sabledyke.protocol.nvme.commands import (
     Command,
     Completion,
@@ -35,7 +35,7 @@
 _KEY_DIGITS = re.compile("[0-9a-f]{16}")
 
 
-class NoPlaceError(Fault):
+class NoPlaceError(SabledykeError):
     """The request has no place on a storage node that speaks NVMe; the text says why."""
 
     code = "nvme-volume"
@@ -90,7 +90,7 @@
         subsystem: What hosts connect to.
     """
 
-    def __init__(self, settings: api.Settings, nqn: str, volumes: tuple[NvmeVolume, ...]) -> None:
+    def __init__(self, settings: Settings, nqn: str, volumes: tuple[NvmeVolume, ...]) -> None:
         self.settings = settings
         self.subsystem = Subsystem(
             nqn,
@@ -99,43 +99,43 @@
         self._by_namespace_id = {volume.namespace_id: volume for volume in volumes}
         self._by_volume_id = {volume.volume_id: volume for volume in volumes}
 
-    def to_work(self, command: Command, data: bytes) -> Work:
+    def to_work(self, command: Command, data: bytes) -> ClientRequest:
         """Return a host's read or write, which was checked against its namespace, as a request."""
         volume = self._by_namespace_id[command.namespace_id]
         write = command.opcode == IoOpcode.WRITE
         size_bytes = command.block_count * BLOCK_BYTES
         units = -(-size_bytes // volume.unit_bytes)
-        return Work(
-            class_=volume.write_class if write else volume.read_class,
-            plan=volume.plan_index,
+        return ClientRequest(
+            class_index=volume.write_class if write else volume.read_class,
+            plan_index=volume.plan_index,
             volume=volume.volume_id,
-            key=command.start_block,
-            units=max(1.0, min(self.settings.most_units, units)),
+            data_key=command.start_block,
+            units=max(1.0, min(self.settings.max_units, units)),
             shard=volume.shard_of(command.start_block),
-            hosts=volume.host_count,
-            remaining=volume.write_deadline_ms if write else volume.read_deadline_ms,
+            scheduler_count=volume.host_count,
+            remaining_ms=volume.write_deadline_ms if write else volume.read_deadline_ms,
             repeated=False,
             write=write,
-            ident=secrets.token_hex(8),
-            token=_token(command.idempotency_key) if write else "",
+            client_request_id=secrets.token_hex(8),
+            idempotency_key=_token(command.idempotency_key) if write else "",
             body=data,
-            length=0 if write else size_bytes,
+            read_size_bytes=0 if write else size_bytes,
         )
 
     def to_completion(self, command: Command, answer: Answer) -> Response:
         """Return the final answer for a host: a rejected request may be retried, a failed one may not."""
-        if answer.verdict is Verdict.REFUSED:
-            delay_index = retry_delay_index(answer.retry_after or DEFAULT_RETRY_DELAY_MS)
+        if answer.status is AnswerStatus.REJECTED:
+            delay_index = retry_delay_index(answer.retry_after_ms or DEFAULT_RETRY_DELAY_MS)
             rejection = Completion(command.command_id, Status.NOT_READY, retry_delay_index=delay_index)
             return Response(rejection, b"")
         is_read = command.opcode == IoOpcode.READ
         # A storage node may also return less than was requested.
         too_short = is_read and len(answer.body) != command.block_count * BLOCK_BYTES
-        if answer.verdict is Verdict.FAILED or too_short:
+        if answer.status is AnswerStatus.FAILED or too_short:
             return Response(Completion(command.command_id, Status.INTERNAL, do_not_retry=True), b"")
         return Response(Completion(command.command_id, Status.OK), answer.body if is_read else b"")
 
-    def to_node_command(self, work: Work) -> Submission:
+    def to_node_command(self, work: ClientRequest) -> Submission:
         """Return a request as a command to a storage node.
 
         Raises:
@@ -147,33 +147,33 @@
         if work.target:
             return _object_command(work, volume)
         if not work.write:
-            read = transfer_command(IoOpcode.READ, volume.namespace_id, work.key, work.length)
+            read = transfer_command(IoOpcode.READ, volume.namespace_id, work.data_key, work.read_size_bytes)
             return Submission(read, b"")
-        return _write_submission(volume.namespace_id, work.key, work.body, work.token)
+        return _write_submission(volume.namespace_id, work.data_key, work.body, work.idempotency_key)
 
-    def from_node_completion(self, work: Work, completion: Completion, data: bytes) -> Ended:
+    def from_node_completion(self, work: ClientRequest, completion: Completion, data: bytes) -> AttemptResult:
         """Return a storage node's completion as the outcome of an attempt."""
         if completion.status == Status.NOT_READY and not completion.do_not_retry:
-            return Ended(Outcome.REJECTED, may_have_run=False)
+            return AttemptResult(Outcome.REJECTED, may_have_run=False)
         if completion.status != Status.OK:
-            return Ended(Outcome.ERROR, may_have_run=True)
+            return AttemptResult(Outcome.ERROR, may_have_run=True)
         if work.write or not work.target:
-            return Ended(Outcome.OK, may_have_run=True, body=data)
+            return AttemptResult(Outcome.OK, may_have_run=True, body=data)
         body = _object_body(data)
         if body is None:
-            return Ended(Outcome.ERROR, may_have_run=True)
-        return Ended(Outcome.OK, may_have_run=True, body=body)
+            return AttemptResult(Outcome.ERROR, may_have_run=True)
+        return AttemptResult(Outcome.OK, may_have_run=True, body=body)
 
 
-def _object_command(work: Work, volume: NvmeVolume) -> Submission:
+def _object_command(work: ClientRequest, volume: NvmeVolume) -> Submission:
     """Return the command for an HTTP client's piece of data.
 
     Each piece has as many blocks as its volume gives one, and its number says where they start.
     """
-    start_block = work.key * volume.object_blocks
+    start_block = work.data_key * volume.object_blocks
     capacity_bytes = volume.object_blocks * BLOCK_BYTES
     if start_block + volume.object_blocks > volume.block_count:
-        raise NoPlaceError(f"piece {work.key:x} is past the end of its namespace")
+        raise NoPlaceError(f"piece {work.data_key:x} is past the end of its namespace")
     if not work.write:
         read = transfer_command(IoOpcode.READ, volume.namespace_id, start_block, capacity_bytes)
         return Submission(read, b"")
@@ -182,7 +182,7 @@
     data = (len(work.body) + 1).to_bytes(_LENGTH_PREFIX_BYTES, "big") + work.body
     block_count = -(-len(data) // BLOCK_BYTES)
     padded = data.ljust(block_count * BLOCK_BYTES, b"\0")
-    return _write_submission(volume.namespace_id, start_block, padded, work.token)
+    return _write_submission(volume.namespace_id, start_block, padded, work.idempotency_key)
 
 
 def _object_body(data: bytes) -> bytes | None:
--- a/sabledyke/protocol/nvme/pdu.py
+++ b/sabledyke/protocol/nvme/pdu.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 from sabledyke.protocol.nvme.limits import MAX_DATA_BYTES, MAX_IN_CAPSULE_BYTES
 
 FLAG_LAST_PDU = 0x04
@@ -63,7 +63,7 @@
 }
 
 
-class NvmeError(Fault):
+class NvmeError(SabledykeError):
     """The peer violated the protocol, and the connection has to be terminated.
 
     Attributes:
--- a/sabledyke/protocol/versions.py
+++ b/sabledyke/protocol/versions.py
@@ -8,7 +8,7 @@
 
 from enum import Enum
 
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import EndpointList, ListKind
 
 
 class VersionStatus(Enum):
@@ -44,11 +44,11 @@
         """Request the full list next, as a response could be read only in part."""
         self.since = None
 
-    def is_newer(self, update: api.NodeList) -> bool:
+    def is_newer(self, update: EndpointList) -> bool:
         """Return whether an update is newer than the version in force."""
         return self.current is None or update.version > self.current
 
-    def evaluate(self, update: api.NodeList) -> VersionStatus:
+    def evaluate(self, update: EndpointList) -> VersionStatus:
         """Accept an update or ignore it.
 
         An older full list is accepted when a second request for the full list brings one too: the service was
@@ -58,7 +58,7 @@
             return self._accept(update)
         is_current = update.version == self.current
         requested_full_list = self.since is None
-        if update.kind is not api.ListKind.FULL or (is_current and not requested_full_list):
+        if update.kind is not ListKind.FULL or (is_current and not requested_full_list):
             return self._ignore(update, is_current)
         if not is_current and not self._ignored_older_list:
             self._ignored_older_list = True
@@ -66,13 +66,13 @@
             return VersionStatus.STALE
         return self._accept(update)
 
-    def _accept(self, update: api.NodeList) -> VersionStatus:
+    def _accept(self, update: EndpointList) -> VersionStatus:
         self._ignored_older_list = False
         self.current = update.version
         self.since = update.version
         return VersionStatus.ACCEPTED
 
-    def _ignore(self, update: api.NodeList, is_current: bool) -> VersionStatus:
+    def _ignore(self, update: EndpointList, is_current: bool) -> VersionStatus:
         if is_current or not update.entries:
             self.since = self.current
             return VersionStatus.UNCHANGED
--- a/sabledyke/tls/connector.py
+++ b/sabledyke/tls/connector.py
@@ -15,7 +15,7 @@
 
 from sabledyke import log
 from sabledyke.net import clock, streams
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeEntry, NodeId, node_name
 from sabledyke.tls import contexts
 from sabledyke.tls.handshake_admission import HandshakeAdmission, HandshakeBudget
 from sabledyke.tls.keyring import Generation
@@ -53,8 +53,8 @@
         self._context: ssl.SSLContext | None = None
         self._attempt_numbers = itertools.count()
         self._waiting: dict[int, asyncio.Future[bool]] = {}
-        self._timers: dict[api.NodeId, asyncio.TimerHandle] = {}
-        self._reported_errors: dict[api.NodeId, str] = {}
+        self._timers: dict[NodeId, asyncio.TimerHandle] = {}
+        self._reported_errors: dict[NodeId, str] = {}
         self.full_handshakes = 0
         self.resumed_handshakes = 0
         self.failed_handshakes = 0
@@ -67,7 +67,7 @@
         self.tickets.drop_older_generations(generation.number)
 
     async def connect(
-        self, entry: api.NodeEntry, address: tuple[str, int], connect_timeout_ms: float, remaining_ms: float
+        self, entry: NodeEntry, address: tuple[str, int], connect_timeout_ms: float, remaining_ms: float
     ) -> TlsStream:
         """Open a verified connection.
 
@@ -80,14 +80,14 @@
         Raises:
             StreamClosedError: The connection failed, or its handshake was not admitted in time.
         """
-        node = entry.node
+        node = entry.node_id
         now_ms = clock.now()
         deadline_ms = now_ms + min(remaining_ms, self._section.handshake_timeout_ms)
-        ticket = self.tickets.pop_newest(now_ms, node, entry.started, self._generation)
+        ticket = self.tickets.pop_newest(now_ms, node, entry.started_ms, self._generation)
         if not await self._wait_for_admission(now_ms, entry, deadline_ms, resumes=ticket is not None):
             self.rejected_handshakes += 1
             if ticket is not None:  # it was not used
-                self.tickets.add(now_ms, node, entry.started, self._generation, ticket)
+                self.tickets.add(now_ms, node, entry.started_ms, self._generation, ticket)
             raise streams.StreamClosedError
         good = False
         inner: streams.IOStream | None = None
@@ -105,7 +105,7 @@
             self.admission.on_handshake_completed(clock.now(), node, good=good)
             self._notify_due_attempts(node)
 
-    def forget(self, node: api.NodeId) -> None:
+    def forget(self, node: NodeId) -> None:
         """Forget a storage node that was removed from the endpoint list."""
         for attempt in self.admission.forget(node):
             self._notify(attempt, admitted=False)
@@ -119,7 +119,7 @@
             timer.cancel()
 
     async def _handshake(
-        self, inner: streams.IOStream, entry: api.NodeEntry, ticket: ssl.SSLSession | None, deadline_ms: float
+        self, inner: streams.IOStream, entry: NodeEntry, ticket: ssl.SSLSession | None, deadline_ms: float
     ) -> TlsStream:
         assert self._context is not None
         generation = self._generation
@@ -129,25 +129,25 @@
             self.resumed_handshakes += 1
         else:
             self.full_handshakes += 1
-        self._reported_errors.pop(entry.node, None)
+        self._reported_errors.pop(entry.node_id, None)
 
         def on_ticket(session: ssl.SSLSession) -> None:
             if generation == self._generation:
-                self.tickets.add(clock.now(), entry.node, entry.started, generation, session)
+                self.tickets.add(clock.now(), entry.node_id, entry.started_ms, generation, session)
 
         return TlsStream(inner, machine, on_ticket)
 
-    def _certificate_name(self, entry: api.NodeEntry) -> str:
+    def _certificate_name(self, entry: NodeEntry) -> str:
         zone = self._zones[entry.zone] if 0 <= entry.zone < len(self._zones) else ""
-        return self._section.certificate_name(api.name_of(entry.node), zone)
+        return self._section.certificate_name(node_name(entry.node_id), zone)
 
     async def _wait_for_admission(
-        self, now_ms: float, entry: api.NodeEntry, deadline_ms: float, *, resumes: bool
+        self, now_ms: float, entry: NodeEntry, deadline_ms: float, *, resumes: bool
     ) -> bool:
         """Return whether the handshake was admitted in time."""
         attempt = next(self._attempt_numbers)
-        node = entry.node
-        admitted = self.admission.request(now_ms, node, entry.started, attempt, deadline_ms, resumes)
+        node = entry.node_id
+        admitted = self.admission.request(now_ms, node, entry.started_ms, attempt, deadline_ms, resumes)
         if admitted is not False:
             return bool(admitted)
         waiter: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
@@ -165,7 +165,7 @@
             if waiter.cancelled():
                 self.admission.withdraw(node, attempt)
 
-    def _notify_due_attempts(self, node: api.NodeId) -> None:
+    def _notify_due_attempts(self, node: NodeId) -> None:
         """Notify the attempts that were admitted or are out of time, and again when that may change."""
         self._cancel_timer(node)
         now_ms = clock.now()
@@ -189,13 +189,13 @@
         waiter.set_result(admitted)
         return True
 
-    def _cancel_timer(self, node: api.NodeId) -> None:
+    def _cancel_timer(self, node: NodeId) -> None:
         timer = self._timers.pop(node, None)
         if timer is not None:
             timer.cancel()
 
     @contextmanager
-    def _errors_reported(self, node: api.NodeId) -> Iterator[None]:
+    def _errors_reported(self, node: NodeId) -> Iterator[None]:
         """Report what goes wrong, and raise it as StreamClosedError."""
         try:
             yield
@@ -209,14 +209,14 @@
             self._report(node, str(error))
             raise streams.StreamClosedError from None
 
-    def _report(self, node: api.NodeId, text: str) -> None:
+    def _report(self, node: NodeId, text: str) -> None:
         """Log an error, unless it was the node's last one."""
         if self._reported_errors.get(node) == text:
             return
         self._reported_errors[node] = text
         if len(self._reported_errors) > MAX_REPORTED_NODES:
             del self._reported_errors[next(iter(self._reported_errors))]
-        log.say("tls", f"{api.name_of(node)}: {text}")
+        log.emit("tls", f"{node_name(node)}: {text}")
 
 
 def _remaining_ms(deadline_ms: float) -> float:
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -8,13 +8,13 @@
 from typing import TYPE_CHECKING
 
 from sabledyke import log
-from sabledyke.application.extensions import Host, Part
+from sabledyke.application.extensions import Extension, ServerContext
 from sabledyke.config import ConfigError
 from sabledyke.errors import OperatorError
 from sabledyke.net import clock, streams
 from sabledyke.net.connection_pool import Connect
 from sabledyke.net.streams import Stream
-from sabledyke.policy import interface as api
+from sabledyke.policy.nodes import NodeId
 from sabledyke.tls import contexts
 from sabledyke.tls.connector import TlsConnector
 from sabledyke.tls.handshake_admission import HandshakeBudget
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from sabledyke.config import Config
     from sabledyke.net.frontend import Guard
-    from sabledyke.operator_config import Operator
+    from sabledyke.operator_config import OperatorConfig
 
 CLIENT_HANDSHAKE_TIMEOUT_MS = 2000.0
 WARM_CHECK_INTERVAL_S = 2.0
@@ -38,10 +38,10 @@
 """How often idle entries of admission are evicted."""
 
 
-class TlsExtension(Part):
+class TlsExtension(Extension):
     """See ``Part``."""
 
-    def __init__(self, host: Host, section: TlsSection) -> None:
+    def __init__(self, host: ServerContext, section: TlsSection) -> None:
         self._host = host
         self._section = section
         host.slack = section.handshake_timeout_ms
@@ -50,14 +50,14 @@
             section, self._budget(host.config), host.config.seed, host.config.settings.zones
         )
         self._client_facing: ssl.SSLContext | None = None
-        self._last_used_ms: dict[api.NodeId, float] = {}  # when a connection was last requested
+        self._last_used_ms: dict[NodeId, float] = {}  # when a connection was last requested
         self._timers: list[asyncio.TimerHandle] = []
 
-    def connect(self, plain: Connect) -> Connect:
+    def wrap_connect(self, plain: Connect) -> Connect:
         """See ``Part``: never plaintext where TLS is requested."""
 
         async def connect(
-            node: api.NodeId, address: tuple[str, int], connect_timeout_ms: float, remaining_ms: float
+            node: NodeId, address: tuple[str, int], connect_timeout_ms: float, remaining_ms: float
         ) -> Stream:
             if self._section.nodes and node not in self._section.nodes:
                 return await plain(node, address, connect_timeout_ms, remaining_ms)
@@ -67,7 +67,7 @@
 
         return connect
 
-    def guard(self, front: str) -> Guard | None:
+    def connection_guard(self, front: str) -> Guard | None:
         """See ``Part``."""
         return self._accept_client if front in self._section.fronts else None
 
@@ -85,12 +85,12 @@
             self._repeat(WARM_CHECK_INTERVAL_S, self._keep_warm)
         self._repeat(EVICTION_INTERVAL_S, self._evict_idle)
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """See ``Part``: a reload checks the files too."""
         self.connector.admission.budget = self._budget(config)
         self._poll_files()
 
-    def listed(self, gone: Iterable[api.NodeId]) -> None:
+    def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
         """See ``Part``."""
         for node in gone:
             self.connector.forget(node)
@@ -109,7 +109,7 @@
         try:
             await complete_handshake(inner, machine, CLIENT_HANDSHAKE_TIMEOUT_MS)
         except (TlsError, TimeoutError, streams.StreamClosedError, ssl.SSLError) as error:
-            log.say("tls", f"a client's handshake failed: {str(error) or 'it does not end in time'}")
+            log.emit("tls", f"a client's handshake failed: {str(error) or 'it does not end in time'}")
             return None
         stream = TlsStream(inner, machine)
         if self._section.client_rights:
@@ -136,7 +136,7 @@
         try:
             update = self.keyring.offer(clock.now(), self._section.paths.read_files())
         except OperatorError as error:  # half a rotation: a file is missing for a moment
-            log.say("tls", f"new keys are not used: {error}; the old ones stay in force")
+            log.emit("tls", f"new keys are not used: {error}; the old ones stay in force")
             return
         if update.changed:
             self._use_generation(self.keyring.generation)
@@ -171,19 +171,19 @@
         """Return what a storage node can do under the settings in force."""
         settings = config.settings
         return HandshakeBudget(
-            scheduler_count=settings.hosts,
-            initial_capacity_share=settings.cold_share,
-            warm_up_ms=settings.warm_up,
+            scheduler_count=settings.scheduler_count,
+            initial_capacity_share=settings.slow_start_fraction,
+            warm_up_ms=settings.warm_up_ms,
             handshake_share=self._section.handshake_share,
             cores=self._section.cores,
         )
 
 
-def set_up(host: Host, section: Operator) -> Part | None:
+def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
     """Return the extension, where the operator's file requests it."""
     return TlsExtension(host, section.tls) if section.tls is not None else None
 
 
 def _log_messages(messages: Iterable[str]) -> None:
     for message in messages:
-        log.say("tls", message)
+        log.emit("tls", message)
--- a/sabledyke/tls/key_material.py
+++ b/sabledyke/tls/key_material.py
@@ -15,7 +15,7 @@
 from cryptography.exceptions import InvalidSignature, UnsupportedAlgorithm
 from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat, load_pem_private_key
 
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 
 MAX_FILE_BYTES = 1024 * 1024
 
@@ -23,7 +23,7 @@
 _LIST_END = b"-----END X509 CRL-----"
 
 
-class MaterialError(Fault):
+class MaterialError(SabledykeError):
     """The files cannot be used; the text is the one line that says why."""
 
     code = "tls-material"
--- a/sabledyke/tls/tls_machine.py
+++ b/sabledyke/tls/tls_machine.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import NoReturn
 
-from sabledyke.errors import Fault
+from sabledyke.errors import SabledykeError
 
 MAX_HANDSHAKE_BYTES = 64 * 1024
 """What a peer may send before its handshake is complete; chains are a few KB."""
@@ -42,7 +42,7 @@
     BROKEN = "broken"
 
 
-class TlsError(Fault):
+class TlsError(SabledykeError):
     """The bytes are no TLS, or the peer cannot be trusted; the text says which in plain words."""
 
     code = "tls"
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -29,7 +29,7 @@
 @FIXED
 @given(st.one_of(spoilt(LIST), JSON.map(orjson.dumps)))
 def test_spoilt_lists_are_a_list_error_or_a_list(data: bytes) -> None:
-    settings = replace(SETTINGS, kinds=("m",))
+    settings = replace(SETTINGS, node_kinds=("m",))
     valid = discovery.parse_listing(LIST, settings)
     assert valid.addresses == {b"s1": ("127.0.0.1", 80)}
     assert valid.update.entries[0].zone == 1
--- a/tests/protocol/test_nvme_blocks.py
+++ b/tests/protocol/test_nvme_blocks.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from sabledyke import operator_config
-from sabledyke.core import Answer, Verdict
+from sabledyke.core import Answer, AnswerStatus
 from sabledyke.protocol import nvme
 from sabledyke.protocol.gateway import MessageReader
 from sabledyke.protocol.http import HttpMessage
@@ -40,7 +40,9 @@
     read = reader.read_request(HttpMessage("GET", f"/api/9/{piece}", headers=headers))
     stored = data.ljust(translator.to_node_command(read).command.sgl_length, b"\0")
     assert translator.from_node_completion(read, nvme.Completion(1, 0), stored).body == body
-    rejection = translator.to_completion(command, Answer(Verdict.REFUSED, retry_after=250)).completion
+    rejection = translator.to_completion(
+        command, Answer(AnswerStatus.REJECTED, retry_after_ms=250)
+    ).completion
     assert rejection.status == nvme.Status.NOT_READY
     assert not rejection.do_not_retry
     assert nvme.RETRY_DELAYS_MS[rejection.retry_delay_index - 1] == 300
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,24 +15,31 @@
 from sabledyke import invariants, operator_config
 from sabledyke.application.server import Server
 from sabledyke.config import Config
-from sabledyke.core import Ended
+from sabledyke.core import AttemptResult
 from sabledyke.net import endpoint_watch, frontend, http_frontend, listener, nvme_frontend, streams
 from sabledyke.net.nvme_extension import NvmePart
 from sabledyke.net.nvme_frontend import NvmeClient
-from sabledyke.policy import interface as api
+from sabledyke.policy.events import Outcome
+from sabledyke.policy.settings import DeduplicationScope, RepeatSafety
 from sabledyke.protocol import discovery
 from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout
 from tests.helpers import BRISK, HELD, READ, SETTINGS, WRITE
 from tests.standins import NQN, Discovery, HttpBox, NvmeBox, NvmeHost, ask, http
 
-KEYED = replace(WRITE, aim=900, repeat=api.Repeat.DEDUPLICATED, group=api.Group.CELL, repeat_window=1500)
+KEYED = replace(
+    WRITE,
+    latency_objective_ms=900,
+    repeat_safety=RepeatSafety.DEDUPLICATED,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window_ms=1500,
+)
 DEPLOYMENT = replace(
     SETTINGS,
-    classes=(replace(READ, aim=900), KEYED),
+    classes=(replace(READ, latency_objective_ms=900), KEYED),
     plans=(replace(HELD, name="gold"), HELD),
-    asks_list=True,
-    hosts=1,
-    kinds=("m",),
+    polls_endpoint_list=True,
+    scheduler_count=1,
+    node_kinds=("m",),
 )
 NVME = f"""
 [nvme]
@@ -93,7 +100,7 @@
         await self.server.finish()
         for service in (self.http, self.nvme, self.discovery):
             service.die()
-        assert not invariants.broken
+        assert not invariants.violations
 
 
 def play(story: Callable[[Rig], Awaitable[None]], store: str = "", console: bool = False) -> None:
@@ -172,9 +179,9 @@
 def test_a_client_that_leaves_calls_its_attempt_off() -> None:
     async def story(rig: Rig) -> None:
         ended, outcomes = asyncio.Event(), []
-        tell = rig.server.core.ended
+        tell = rig.server.core.on_attempt_completed
 
-        def note(now: float, rid: int, number: int, end: Ended) -> None:
+        def note(now: float, rid: int, number: int, end: AttemptResult) -> None:
             outcomes.append(end.outcome)
             ended.set()
             tell(now, rid, number, end)
@@ -185,11 +192,11 @@
             return None
 
         rig.http.answer = wait
-        rig.server.core.ended = note  # type: ignore[method-assign]
+        rig.server.core.on_attempt_completed = note  # type: ignore[method-assign]
         _, client = await asyncio.open_connection("127.0.0.1", rig.port)
         client.write(GET.format(1, "i", INFO).replace("\n", "\r\n").encode())
         await ended.wait()
-        assert outcomes == [api.Outcome.CANCELLED] and not rig.server.core.unanswered
+        assert outcomes == [Outcome.CANCELLED] and not rig.server.core.unanswered
 
     play(story)
 
@@ -460,7 +467,10 @@
             await asyncio.sleep(0.001)
         assert new.calls[0] == "GET /catalog/members HTTP/1.1" and "since=1" in new.calls[1]
         scheduler = rig.server.core.scheduler
-        assert scheduler.mean == 3 and next(iter(scheduler.volumes.values())).plan.weight == 9
+        assert (
+            scheduler.context.mean_units == 3
+            and next(iter(scheduler.quotas.volumes.values())).plan.weight == 9
+        )
         assert b"plain" in scheduler.nodes and rig.server.pool.most == 32
         go.set()
         assert (await one)[::2] == (200, b"late")
@@ -705,7 +715,7 @@
         agent, seen = Discovery(), list[discovery.EndpointListing | None]()
         await agent.open()
         agent.hosts, agent.script, agent.indent = [HOST], list(script), 2
-        settings = replace(DEPLOYMENT, asks_list=not pushed)
+        settings = replace(DEPLOYMENT, polls_endpoint_list=not pushed)
         look = endpoint_watch.Watch(("127.0.0.1", agent.port), settings, None, seen.append)
         look.start()
         async with asyncio.timeout(10):
--- a/tests/test_store_link.py
+++ b/tests/test_store_link.py
@@ -34,7 +34,7 @@
         self.ids = 0
 
     async def __aenter__(self) -> LinkRig:
-        invariants.broken.clear()
+        invariants.violations.clear()
         log._limiter = log.Limiter()
         await self.postgres.open()
         await self.discovery.open()
@@ -47,7 +47,7 @@
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
-        self.server = Server(config, operator_config.Operator(store=store), BRISK)
+        self.server = Server(config, operator_config.OperatorConfig(store=store), BRISK)
         await self.server.open()
         self.server.start()
         return self
@@ -58,7 +58,7 @@
         await self.server.finish()
         self.discovery.die()
         await self.postgres.end()
-        assert not invariants.broken
+        assert not invariants.violations
 
     async def put(self, key: str, body: bytes = b"x", piece: int = 1) -> tuple[int, bytes]:
         self.ids += 1
