--- a/sabledyke/protocol/gateway.py
+++ b/sabledyke/protocol/gateway.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP messages: requests of clients as ``Work``, responses of storage nodes as ``Ended``."""
+"""The platform's HTTP messages: requests as ``ClientRequest``, responses as ``AttemptResult``."""
 
 from __future__ import annotations
 
--- a/sabledyke/protocol/nvme/blocks.py
+++ b/sabledyke/protocol/nvme/blocks.py
@@ -1,8 +1,8 @@
 """Translation between NVMe commands and scheduled requests, for hosts and for storage nodes.
 
-Hosts' commands become ``Work``, and its answer their completion; ``Work`` becomes commands to storage nodes,
-and their completions the outcome of an attempt. A piece of data of an HTTP client is stored in blocks with a
-prefix that holds its length.
+Hosts' commands become ``ClientRequest``, and its answer their completion; ``ClientRequest`` becomes
+commands to storage nodes, and their completions the outcome of an attempt. A piece of data of an HTTP
+client is stored in blocks with a prefix that holds its length.
 """
 
 from __future__ import annotations
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -39,7 +39,7 @@
 
 
 class TlsExtension(Extension):
-    """See ``Part``."""
+    """See ``Extension``."""
 
     def __init__(self, host: ServerContext, section: TlsSection) -> None:
         self._host = host
@@ -54,7 +54,7 @@
         self._timers: list[asyncio.TimerHandle] = []
 
     def wrap_connect(self, plain: Connect) -> Connect:
-        """See ``Part``: never plaintext where TLS is requested."""
+        """See ``Extension``: never plaintext where TLS is requested."""
 
         async def connect(
             node: NodeId, address: tuple[str, int], connect_timeout_ms: float, remaining_ms: float
@@ -68,11 +68,11 @@
         return connect
 
     def connection_guard(self, front: str) -> Guard | None:
-        """See ``Part``."""
+        """See ``Extension``."""
         return self._accept_client if front in self._section.fronts else None
 
     async def open(self) -> None:
-        """See ``Part``."""
+        """See ``Extension``."""
         try:
             update = self.keyring.offer(clock.now(), self._section.paths.read_files())
         except (MaterialError, OperatorError) as error:
@@ -86,18 +86,18 @@
         self._repeat(EVICTION_INTERVAL_S, self._evict_idle)
 
     def apply_config(self, config: Config) -> None:
-        """See ``Part``: a reload checks the files too."""
+        """See ``Extension``: a reload checks the files too."""
         self.connector.admission.budget = self._budget(config)
         self._poll_files()
 
     def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
-        """See ``Part``."""
+        """See ``Extension``."""
         for node in gone:
             self.connector.forget(node)
             self._last_used_ms.pop(node, None)
 
     async def close(self) -> None:
-        """See ``Part``."""
+        """See ``Extension``."""
         for timer in self._timers:
             timer.cancel()
         self.connector.close()
