--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -66,8 +66,8 @@
     "changes, sends, verdict",
     [
         ({}, True, AnswerStatus.REJECTED),  # may be repeated: coming again is harmless
-        ({"class_": 1, "write": True}, True, AnswerStatus.FAILED),  # it may have run
-        ({"class_": 1, "write": True}, False, AnswerStatus.REJECTED),  # never sent
+        ({"class_index": 1, "write": True}, True, AnswerStatus.FAILED),  # it may have run
+        ({"class_index": 1, "write": True}, False, AnswerStatus.REJECTED),  # never sent
     ],
 )
 def test_at_the_end_everybody_who_is_owed_an_answer_gets_one(
