--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -10,10 +10,10 @@
 from sabledyke.invariants import check
 from sabledyke.net import streams
 from sabledyke.policy.settings import Settings
-from sabledyke.protocol.discovery import ListError, Listing, parse, target
-from sabledyke.protocol.http import HttpError, Message, Parser, encode_request
-from sabledyke.protocol.versions import Verdict, Versions
-from sabledyke.protocol.watch_timeout import ASKED, PUSHED, Silence, Terms
+from sabledyke.protocol.discovery import EndpointListing, ListError, list_target, parse_listing
+from sabledyke.protocol.http import HttpError, HttpMessage, HttpParser, encode_request
+from sabledyke.protocol.versions import VersionStatus, VersionTracker
+from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout, WatchTiming
 
 # How a call may end that brings no list; any other error is a fault of this program.
 EXPECTED_ERRORS = (streams.StreamClosedError, HttpError, ListError, OSError, TimeoutError)
@@ -37,24 +37,26 @@
         address: tuple[str, int],
         settings: Settings,
         since: int | None,
-        report: Callable[[Listing | None], None],
+        report: Callable[[EndpointListing | None], None],
         seed: int = 0,
     ) -> None:
-        self._address = address
-        self._settings = settings
-        self._report = report
-        self._versions = Versions(since)
+        self._address, self._settings, self._report = address, settings, report
+        self._versions = VersionTracker(since)
         self._task: asyncio.Task[None] | None = None
         self._fetches: set[asyncio.Task[None]] = set()
         self._wanted = False
-        self._backoff = Silence(seed)
-        self._resume_timer: asyncio.TimerHandle | None = None
+        self._silence = WatchTimeout(seed)
+        self._resume: asyncio.TimerHandle | None = None
 
     @property
     def pushed(self) -> bool:
         """Whether lists are pushed: an agent on this machine holds them, and they count as delivered."""
         return not self._settings.polls_endpoint_list
 
+    @property
+    def _terms(self) -> WatchTiming:
+        return LOCAL_AGENT if self.pushed else POLLED_DISCOVERY
+
     def start(self) -> None:
         """Begin to watch where lists are pushed; elsewhere the core begins when it wants."""
         if self.pushed:
@@ -76,8 +78,8 @@
         self._settings = settings
         if address != self._address:
             self._address = address
-            self._versions.renew()
-            self._cancel_calls()  # what a call to the old address still brings is not reported
+            self._versions.reset()
+            self._stop_asking()  # what a call to the old address still brings is not told
             self.watch(True)
         elif self._wanted:
             self.watch(True)  # the pause after a failed call may be of the old settings
@@ -132,35 +134,41 @@
         stream: streams.IOStream | None = None
         try:
             while True:
-                if stream is None or not streams.is_silent(stream):
-                    stream = await streams.connect(self._address, self._connect_timeout_ms)
-                await self._call_for_changes(stream)
-        except EXPECTED_ERRORS as error:
-            self._on_watch_failure(error)
-        except Exception as error:  # guards against our own fault ending the watch for good
-            self._on_watch_failure(error)
-            _log_unexpected(error)
+                if stream is None or not streams.quiet(stream):
+                    stream = await streams.connect(self._address, self._settings.connect_timeout_ms * 4)
+                asked = asyncio.get_running_loop().time()
+                try:
+                    answer = await self._call(stream, self._versions.since)
+                except TimeoutError:  # broken, though nothing says so: what it may miss is asked for anew
+                    streams.abort(stream)
+                    pause = self._silence.on_timeout(self._terms)
+                    log.emit("discovery", f"a call fell silent: the next in {pause:.2f} s")
+                    await asyncio.sleep(pause)
+                    continue
+                self._silence.on_response()
+                new = self._told(answer)
+                if not answer.keep_alive:
+                    streams.abort(stream)
+                if not new and asyncio.get_running_loop().time() - asked < SPIN:
+                    # Guards against spinning where the same is told again at once, ever anew.
+                    await asyncio.sleep(SPIN)
+        except EXPECTED as fault:
+            self._broke(fault)
+        except Exception as fault:  # guards against a fault of ours ending the watch for good
+            self._broke(fault)
+            _unexpected(fault)
         finally:
             if stream is not None:
                 streams.abort(stream)
 
-    async def _call_for_changes(self, stream: streams.IOStream) -> None:
-        called_at_s = asyncio.get_running_loop().time()
-        try:
-            answer = await self._call(stream, self._versions.since)
-        except TimeoutError:  # broken, though nothing says so: what it may miss is requested again
-            streams.abort(stream)
-            pause_s = self._backoff.fell_silent(self._timeouts)
-            log.emit("discovery", f"a call timed out: the next in {pause_s:.2f} s")
-            await asyncio.sleep(pause_s)
-            return
-        self._backoff.answered()
-        is_new = self._on_response(answer)
-        if not answer.keep_alive:
-            streams.abort(stream)
-        if not is_new and asyncio.get_running_loop().time() - called_at_s < MIN_CALL_S:
-            # Guards against spinning where the same list comes at once, again and again.
-            await asyncio.sleep(MIN_CALL_S)
+    def _broke(self, fault: Exception) -> None:
+        """The watch ended: where lists are asked for the module takes it up, else it is taken up here."""
+        self._task = None
+        self._failed(fault)
+        if self.pushed and self._wanted and self._resume is None:
+            # Guards against missing what the agent holds: it counts as told whether asked for or not.
+            pause = self._silence.on_failure(self._terms)
+            self._resume = asyncio.get_running_loop().call_later(pause, self._take_up)
 
     def _on_watch_failure(self, error: Exception) -> None:
         """Report the failure; where lists are pushed, resume the watch later, else the core does."""
@@ -176,39 +184,37 @@
         if self._wanted:
             self.watch(True)
 
-    async def _call(self, stream: streams.IOStream, since: int | None) -> Message:
+    async def _call(self, stream: streams.IOStream, since: int | None) -> HttpMessage:
         host = f"{self._address[0]}:{self._address[1]}"
-        parser = Parser(responses=True)
-        terms = self._timeouts
-        async with asyncio.timeout(terms.wait + terms.spare):
-            call = target(since, int(terms.wait * 1000))
+        parser = HttpParser(responses=True)
+        terms = self._terms
+        async with asyncio.timeout(terms.wait_s + terms.response_margin_s):
+            call = list_target(since, int(terms.wait_s * 1000))
             await stream.write(encode_request("GET", call, [("Host", host)], b""))
-            while (answer := parser.next()) is None:
-                parser.feed(await stream.read_bytes(streams.READ_SIZE_BYTES, partial=True))
+            while (answer := parser.next_message()) is None:
+                parser.feed(await stream.read_bytes(streams.READ, partial=True))
         if answer.status != 200:
             raise HttpError(f"status {answer.status}")
         return answer
 
-    def _on_response(self, answer: Message) -> bool:
-        """Report what is new in an answer, and tell whether anything was.
-
-        Raises:
-            ListError: The list cannot be used, or is older than the one known.
-        """
-        listing = parse(answer.body, self._settings)
-        if listing.fault:
-            self._versions.doubt()
-            if self._versions.newer(listing.news):
+    def _told(self, answer: HttpMessage) -> bool:
+        """Pass on what is new, and say whether anything was; a ListError for what is set aside."""
+        listing = parse_listing(answer.body, self._settings)
+        if listing.error:
+            self._versions.request_full_list()
+            if self._versions.is_newer(listing.update):
                 self._report(listing)
-            raise ListError(listing.fault)
-        verdict = self._versions.judge(listing.news)
-        if verdict is Verdict.OLDER:
-            raise ListError(f"version {listing.news.version} is older than {self._versions.held}, set aside")
-        if verdict is Verdict.TAKEN:
+            raise ListError(listing.error)
+        verdict = self._versions.evaluate(listing.update)
+        if verdict is VersionStatus.STALE:
+            raise ListError(
+                f"version {listing.update.version} is older than {self._versions.current}, set aside"
+            )
+        if verdict is VersionStatus.ACCEPTED:
             self._report(listing)
-        elif listing.news.entries:
-            log.emit("discovery", f"version {listing.news.version} came again, nothing of it is new")
-        return verdict is Verdict.TAKEN
+        elif listing.update.entries:
+            log.emit("discovery", f"version {listing.update.version} came again, nothing of it is new")
+        return verdict is VersionStatus.ACCEPTED
 
     def _report_failure(self, error: Exception) -> None:
         reason = getattr(error, "real_error", None) or error  # what closed the stream says more
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -9,22 +9,17 @@
 from sabledyke.net.connection_pool import Address, Connect, PeerProtocolError, connect_plain
 from sabledyke.policy.nodes import NodeId
 from sabledyke.policy.settings import Settings
-from sabledyke.protocol.gateway import Reader, to_box
-from sabledyke.protocol.http import MAX_BODY, HttpError, Message, Parser
+from sabledyke.protocol.gateway import MessageReader, encode_node_request
+from sabledyke.protocol.http import MAX_BODY_BYTES, HttpError, HttpMessage, HttpParser
 
 
 class HttpLink(streams.StreamLink):
     """A connection that carries one request at a time; see ``connection_pool.Link``."""
 
-    def __init__(
-        self, host: str, stream: streams.Stream, reader: Reader, response_memory: streams.ResponseMemory
-    ) -> None:
+    def __init__(self, host: str, stream: streams.Stream, reader: MessageReader, room: streams.Room) -> None:
         super().__init__(stream)
-        self.reusable = True
-        self._host = host
-        self._reader = reader
-        self._response_memory = response_memory
-        self._parser = Parser(responses=True)
+        self._host, self._reader, self._room = host, reader, room
+        self._parser = HttpParser(responses=True)
         self._written: asyncio.Future[None] | None = None
 
     @property
@@ -36,30 +31,36 @@
         """See ``connection_pool.Link``."""
         self.reusable = False
         self._written = None
-        self._written = asyncio.ensure_future(self.stream.write(to_box(work, self._host, timeout)))
+        self._written = asyncio.ensure_future(
+            self.stream.write(encode_node_request(work, self._host, timeout))
+        )
         try:
             answer = await self._read_response()
         except HttpError as error:
             raise PeerProtocolError(str(error)) from None
         self.reusable = answer.keep_alive and self.may_have_run and self._parser.idle
-        return self._reader.ended(answer)
+        return self._reader.read_node_response(answer)
 
-    async def _read_response(self) -> Message:
-        """Return the response, and count what is read of it as memory in use meanwhile."""
-        held_bytes = 0
+    async def _answer(self) -> HttpMessage:
+        held = 0
         try:
             while True:
                 try:
                     data = await self.read_ahead.read()
                 except streams.StreamClosedError as end:
-                    return self._complete_at_end(end)
+                    # Guards against taking a cut answer for a whole one: only an orderly end closes a body
+                    # that states no length; a reset or a fault broke it off, and it may have run.
+                    whole = self._parser.on_end_of_stream() if end.real_error is None else None
+                    if whole is None:
+                        raise
+                    return whole
                 self._parser.feed(data)
-                answer = self._parser.next()
+                answer = self._parser.next_message()
                 if answer is not None:
                     return answer
-                self._response_memory.used_bytes += self._parser.held - held_bytes
-                held_bytes = self._parser.held
-                if self._response_memory.full and held_bytes > MAX_BODY:  # what is small always fits
+                self._room.used += self._parser.buffered_bytes - held
+                held = self._parser.buffered_bytes
+                if self._room.full and held > MAX_BODY_BYTES:  # what is small always fits
                     raise HttpError("no room for so large an answer")
         finally:
             self._response_memory.used_bytes -= held_bytes
@@ -84,11 +85,7 @@
     """
 
     def __init__(
-        self,
-        settings: Settings,
-        reader: Reader,
-        response_memory: streams.ResponseMemory,
-        connect: Connect = connect_plain,
+        self, settings: Settings, reader: MessageReader, room: streams.Room, connect: Connect = plain
     ) -> None:
         self.settings = settings
         self._reader = reader
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -11,7 +11,7 @@
 from sabledyke.net.nvme_frontend import NvmeClientConnection
 from sabledyke.net.nvme_link import NvmeDialer
 from sabledyke.policy.nodes import NodeId
-from sabledyke.protocol.blocks import Translator
+from sabledyke.protocol.nvme.blocks import Translator
 
 if TYPE_CHECKING:
     from sabledyke.config import Config
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -11,9 +11,9 @@
 from sabledyke.errors import OperatorError
 from sabledyke.policy.nodes import NodeId
 from sabledyke.policy.settings import Settings
-from sabledyke.protocol.blocks import MAX_DATA, Volume
-from sabledyke.protocol.discovery import address
-from sabledyke.protocol.nvme import BLOCK
+from sabledyke.protocol.discovery import parse_address
+from sabledyke.protocol.nvme import BLOCK_BYTES, MAX_DATA_BYTES
+from sabledyke.protocol.nvme.blocks import NvmeVolume
 from sabledyke.store import section
 from sabledyke.store.section import StoreSection, Target
 from sabledyke.toml_tables import Milliseconds, Table, convert, from_file, parsed
@@ -24,10 +24,10 @@
     from sabledyke.placement.volume_placement import SiteMap
     from sabledyke.quota_sharing.section import Section as FleetSection
     from sabledyke.rollout.section import Section as RolloutSection
-    from sabledyke.tls.section import Section as TlsSection
+    from sabledyke.tls.section import TlsSection
 
 NQN = 223  # bytes of a name
-LARGEST = MAX_DATA // BLOCK  # blocks of one command
+LARGEST = MAX_DATA_BYTES // BLOCK_BYTES  # blocks of one command
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,7 +38,7 @@
     connections: int = 32
     nqn: str = ""
     host_nqn: str = ""
-    volumes: tuple[Volume, ...] = ()
+    volumes: tuple[NvmeVolume, ...] = ()
     boxes: tuple[tuple[NodeId, str], ...] = ()  # nodes that speak NVMe, and their subsystems
     store: StoreSection | None = None
     tls: TlsSection | None = None
@@ -69,7 +69,7 @@
     stripe: Annotated[tuple[Annotated[int, Meta(ge=0, lt=65536)], ...], Meta(min_length=1)]
     stripe_blocks: Annotated[int, Meta(ge=1, le=65535)] = LARGEST
     hosts: Annotated[int, Meta(ge=1, le=1000)] = 1
-    unit_bytes: Annotated[int, Meta(ge=BLOCK, le=MAX_DATA)] = 8192
+    unit_bytes: Annotated[int, Meta(ge=BLOCK_BYTES, le=MAX_DATA_BYTES)] = 8192
     read_deadline_ms: Milliseconds | None = None
     write_deadline_ms: Milliseconds | None = None
     object_blocks: Annotated[int, Meta(ge=1, le=LARGEST)] = 8
@@ -126,7 +126,7 @@
     lease = _lease(said.lease, store.record if store is not None else None)
     board, rollout, sites = _fleet(said, lease)
     operator = OperatorConfig(
-        listen=address(nvme.listen) if nvme.listen else None,
+        listen=parse_address(nvme.listen) if nvme.listen else None,
         connections=nvme.connections,
         nqn=nvme.nqn,
         host_nqn=nvme.host_nqn,
@@ -193,7 +193,7 @@
     return tls.read(data)
 
 
-def _volume(row: VolumeRow, number: int, settings: Settings) -> Volume:
+def _volume(row: VolumeRow, number: int, settings: Settings) -> NvmeVolume:
     def place(key: str, names: list[str]) -> int:
         if (name := str(getattr(row, key))) not in names:
             where = f"file.nvme.volume[{number}].{key}"
@@ -202,19 +202,19 @@
 
     classes, plans = [c.name for c in settings.classes], [p.name for p in settings.plans]
     read_class, write_class = place("read_class", classes), place("write_class", classes)
-    return Volume(
-        namespace=row.namespace,
-        volume=int(row.volume, 16),
-        plan=place("grade", plans),
+    return NvmeVolume(
+        namespace_id=row.namespace,
+        volume_id=int(row.volume, 16),
+        plan_index=place("grade", plans),
         read_class=read_class,
         write_class=write_class,
-        blocks=row.blocks,
-        stripe=row.stripe,
+        block_count=row.blocks,
+        stripe_shards=row.stripe,
         stripe_blocks=row.stripe_blocks,
-        hosts=float(row.hosts),
+        host_count=float(row.hosts),
         unit_bytes=row.unit_bytes,
-        read_deadline=row.read_deadline_ms or settings.classes[read_class].deadline_ms,
-        write_deadline=row.write_deadline_ms or settings.classes[write_class].deadline_ms,
+        read_deadline_ms=row.read_deadline_ms or settings.classes[read_class].deadline_ms,
+        write_deadline_ms=row.write_deadline_ms or settings.classes[write_class].deadline_ms,
         object_blocks=row.object_blocks,
     )
 
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -11,10 +11,10 @@
 from sabledyke.core import AttemptResult
 from sabledyke.net import streams
 from sabledyke.policy.events import Outcome
-from sabledyke.protocol.http import MAX_INPUT
-from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
-from tests.support.request_steps import Line, Step, request, until
-from tests.support.server_rig import Rig, play
+from sabledyke.protocol.http import MAX_INPUT_BYTES
+from sabledyke.shutdown.graceful_shutdown import Departure, Phase
+from tests.crossings import Line, Step, request, until
+from tests.test_net import Rig, play
 
 Act = Callable[[Rig, Line], None]
 
@@ -120,7 +120,7 @@
         if crowded:
             rig.server.fronts[0].crowded_above = 0
         whole = b"".join(request(f"{n}-" + "x" * 1900) for n in range(many))
-        fits = MAX_INPUT // len(request("00-" + "x" * 1900))
+        fits = MAX_INPUT_BYTES // len(request("00-" + "x" * 1900))
         loop, answers = asyncio.get_running_loop(), b""
         sent = asyncio.create_task(loop.sock_sendall(line.socket, whole))
         await line.asked.wait()
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -104,8 +104,8 @@
         return operator_config.OperatorConfig(store=store)
 
     def listing(self) -> Any:
-        """The endpoint list."""
-        return discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
+        """The list of boxes."""
+        return discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
 
     async def start_incarnation(self) -> Server:
         """A start."""
--- a/tests/test_outside.py
+++ b/tests/test_outside.py
@@ -104,7 +104,7 @@
         wire.read_settings(CONF), max_open_requests=1024 / 3
     )  # what clients may hold
     assert (got.listen, got.discovery) == (("127.0.0.1", 9090), ("127.0.0.1", 8500))  # the environment wins
-    assert got.seed == 0x8C1F and got.known is not None and got.known.news.version == 41
+    assert got.seed == 0x8C1F and got.known is not None and got.known.update.version == 41
 
 
 def test_the_console_is_where_the_environment_or_the_file_says(tmp_path: Path) -> None:
@@ -166,7 +166,11 @@
 def test_the_example_file_is_valid() -> None:
     got = operator_config.read(EXAMPLE, SITE)
     assert got.listen == ("127.0.0.1", 4420) and got.boxes[0][0] == b"s-00000001" and got.store
-    assert got.volumes[0].plan == 1 and got.volumes[0].write_class == 1 and got.volumes[0].stripe == (0, 3)
+    assert (
+        got.volumes[0].plan_index == 1
+        and got.volumes[0].write_class == 1
+        and got.volumes[0].stripe_shards == (0, 3)
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -16,8 +16,8 @@
 from sabledyke.config import Config
 from sabledyke.protocol import discovery
 from sabledyke.protocol.nvme import Status
-from sabledyke.tls.extension import TlsPart
-from sabledyke.tls.section import Paths, Section
+from sabledyke.tls.extension import TlsExtension
+from sabledyke.tls.section import KeyPaths, TlsSection
 from tests.helpers import BRISK
 from tests.standins import Discovery, NvmeBox, NvmeHost, Service, http, read_http
 from tests.standins.keys import Authority
@@ -52,15 +52,15 @@
         self.discovery.add("plain", self.box.port, 0)
         if not (self.path / "roots").exists():
             self.keys(*OURS, ROOT.root)
-        paths = Paths(*(str(self.path / n) for n in ("chain", "key", "roots", "revoked")))
+        paths = KeyPaths(*(str(self.path / n) for n in ("chain", "key", "roots", "revoked")))
         if not (self.path / "revoked").read_bytes():
-            paths = replace(paths, revoked="")
-        tls = Section(paths, look=0, handshake=400, **self._changes)  # type: ignore[arg-type]
+            paths = replace(paths, revocation_lists="")
+        tls = TlsSection(paths, poll_interval_s=0, handshake_timeout_ms=400, **self._changes)  # type: ignore[arg-type]
         extras = (
             operator_config.read(self._more, DEPLOYMENT) if self._more else operator_config.OperatorConfig()
         )
         listen = ("127.0.0.1", 0) if extras.listen else None
-        known = discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
+        known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
         self.server = Server(config, replace(extras, tls=tls, listen=listen), BRISK)
@@ -77,9 +77,9 @@
         assert not self.server.pool._open_count  # no descriptor is lost
 
     @property
-    def part(self) -> TlsPart:
+    def part(self) -> TlsExtension:
         part = self.server.parts[0]
-        assert isinstance(part, TlsPart)
+        assert isinstance(part, TlsExtension)
         return part
 
     async def ask(self, write: str = "", context: ssl.SSLContext | None = None, volume: int = 1) -> int:
@@ -119,7 +119,7 @@
     async def story(rig: TlsRig) -> None:
         assert await rig.ask() == 200
 
-    play(tmp_path, box, story, name="{host}.{site}.example")
+    play(tmp_path, box, story, name_template="{host}.{site}.example")
 
 
 def test_requests_pass_verified_and_connections_resume(tmp_path: Path) -> None:
@@ -131,7 +131,11 @@
             rig.server.pool.close_idle(b"plain")
             assert await rig.ask() == 200
         connector = rig.part.connector
-        assert (connector.full, connector.resumed, connector.failed) == (1, 20, 0) and box.resumed == 20
+        assert (connector.full_handshakes, connector.resumed_handshakes, connector.failed_handshakes) == (
+            1,
+            20,
+            0,
+        ) and box.resumed == 20
 
     play(tmp_path, box, story)
 
@@ -168,7 +172,7 @@
 
     async def story(rig: TlsRig) -> None:
         assert {await rig.ask(), await rig.ask("k")} <= {503}  # nothing of either has run
-        assert rig.part.connector.failed >= 1
+        assert rig.part.connector.failed_handshakes >= 1
         if isinstance(box, TlsBox):
             assert not box.seen
 
@@ -184,7 +188,7 @@
     async def story(rig: TlsRig) -> None:
         assert await rig.ask() == 200
 
-    play(tmp_path, box, story, allow_12=True)
+    play(tmp_path, box, story, allow_tls_1_2=True)
 
 
 @pytest.mark.parametrize("how", ["reset", "stall"])
@@ -255,7 +259,7 @@
         stop.set()
         await asyncio.gather(*clients)
         assert set(answers) == {200} and len(answers) > 50
-        assert rig.part.keyring.generation.number == 2 and rig.part.connector.failed == 0
+        assert rig.part.keyring.generation.number == 2 and rig.part.connector.failed_handshakes == 0
 
     play(tmp_path, box, story)
 
@@ -264,15 +268,15 @@
     box = TlsBox(GOOD)
 
     async def story(rig: TlsRig) -> None:
-        assert await rig.ask() == 200 and rig.part.connector.tickets.size
+        assert await rig.ask() == 200 and rig.part.connector.tickets.ticket_count
         born = int(time.time() * 1000)
         await box.renew(server_context(*ROOT.issue("plain")), reset=True)
         rig.discovery.hosts[0]["born_ms"] = born
-        rig.server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server._listed(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         until = time.monotonic() + 5
         while await rig.ask() != 200:
             assert time.monotonic() < until
-        assert rig.part.connector.full == 2
+        assert rig.part.connector.full_handshakes == 2
 
     play(tmp_path, box, story)
 
@@ -289,16 +293,19 @@
             for n in range(20):
                 folder = tmp_path / str(n)
                 folder.mkdir()
-                rig = TlsRig(folder, box, {"part": 0.05})
+                rig = TlsRig(folder, box, {"handshake_share": 0.05})
                 rig.keys(*OURS, ROOT.root)
                 await rig.__aenter__()
                 rig.server.watch.watch = lambda on: None  # type: ignore[method-assign] # its start is set by hand
                 born = time.time() * 1000
                 entry = replace(rig.server.core.nodes[b"plain"], started_ms=born)
                 rig.server.core.nodes[b"plain"] = entry
-                terms = rig.part.connector.admission.terms
-                rig.part.connector.admission.terms = replace(
-                    terms, siblings=settings.scheduler_count, cold_share=0.2, warm_up=10_000
+                terms = rig.part.connector.admission.budget
+                rig.part.connector.admission.budget = replace(
+                    terms,
+                    scheduler_count=settings.scheduler_count,
+                    initial_capacity_share=0.2,
+                    warm_up_ms=10_000,
                 )
                 rigs.append(rig)
             await asyncio.gather(*(rig.ask() for rig in rigs for _ in range(10)))
@@ -342,16 +349,16 @@
         box,
         story,
         fronts=("HTTP",),
-        clients=True,
-        rights={"till-1": frozenset([1])},
+        require_client_certificates=True,
+        client_rights={"till-1": frozenset([1])},
     )
 
 
 def test_handshakes_that_do_not_end_push_no_client_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("sabledyke.net.frontend.MAX_PENDING_HANDSHAKES", 8)
-    monkeypatch.setattr("sabledyke.tls.extension.CLIENT_MS", 300.0)
+    monkeypatch.setattr("sabledyke.net.frontend.GATE", 8)
+    monkeypatch.setattr("sabledyke.tls.extension.CLIENT_HANDSHAKE_TIMEOUT_MS", 300.0)
     box = TlsBox(GOOD)
 
     async def story(rig: TlsRig) -> None:
@@ -406,10 +413,10 @@
         box,
         story,
         more,
-        boxes=(b"plain",),
+        nodes=(b"plain",),
         fronts=("NVMe",),
-        clients=True,
-        rights={"till-1": frozenset([1])},
+        require_client_certificates=True,
+        client_rights={"till-1": frozenset([1])},
     )
 
 
@@ -429,7 +436,10 @@
         await host.open()
         assert await host.write(1, 8, b"\x07" * 1024, key=5) == 0
         assert await host.read(1, 8, 2) == (0, b"\x07" * 1024)
-        assert box.writes == [(1, 8, 5)] and rig.part.connector.full + rig.part.connector.resumed >= 2
+        assert (
+            box.writes == [(1, 8, 5)]
+            and rig.part.connector.full_handshakes + rig.part.connector.resumed_handshakes >= 2
+        )
         host.close()
 
     more = NVME.replace('"block"', '"plain"') + VOLUME.format(1, "gold", 0)
@@ -437,7 +447,7 @@
 
 
 def test_a_connection_is_kept_ahead_of_need(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("sabledyke.tls.extension.WARM_S", 0.05)
+    monkeypatch.setattr("sabledyke.tls.extension.WARM_CHECK_INTERVAL_S", 0.05)
     box = TlsBox(GOOD)
 
     async def story(rig: TlsRig) -> None:
@@ -445,13 +455,13 @@
         rig.server.pool.close_idle(b"plain")
         while not rig.server.pool._idle.get(b"plain"):
             await asyncio.sleep(0.01)
-        handshakes = rig.part.connector.full + rig.part.connector.resumed
+        handshakes = rig.part.connector.full_handshakes + rig.part.connector.resumed_handshakes
         assert await rig.ask() == 200  # its handshake was nobody's wait
-        assert rig.part.connector.full + rig.part.connector.resumed == handshakes == 2
+        assert rig.part.connector.full_handshakes + rig.part.connector.resumed_handshakes == handshakes == 2
         rig.discovery.hosts.pop()
-        rig.server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server._listed(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         await asyncio.sleep(0.15)
-        assert not rig.server.pool._open_count and not rig.part._used  # none to a box that is gone
+        assert not rig.server.pool._count and not rig.part._last_used_ms  # none to a box that is gone
 
     play(tmp_path, box, story)
 
