--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -33,8 +33,9 @@
 from sabledyke.net.http_frontend import HttpClientConnection
 from sabledyke.net.http_link import HttpDialer
 from sabledyke.policy.nodes import EndpointList, ListKind, NodeId
-from sabledyke.protocol.discovery import Listing
-from sabledyke.protocol.gateway import Ids, Reader
+from sabledyke.protocol.discovery import EndpointListing
+from sabledyke.protocol.gateway import MessageReader
+from sabledyke.protocol.request_ids import RequestIds
 
 if TYPE_CHECKING:  # loaded only where it is named: a plain start must be quick
     from sabledyke.operator_config import OperatorConfig
@@ -103,7 +104,7 @@
         self.list_answered = asyncio.Event()
         self.driver = CoreDriver()
         self.watch = self._make_watch(config)
-        self.reader = Reader(settings)
+        self.reader = MessageReader(settings)
         self.response_memory = streams.ResponseMemory(0)
         self.http_dialer = HttpDialer(settings, self.reader, self.response_memory, self._connect_through_all)
         self.parts = self._make_extensions(operator, control)
@@ -125,16 +126,16 @@
         """Divide descriptors and memory as the configuration in force says."""
         apply_resource_limits(self.config, self.fronts, self.pool, self.response_memory)
 
-    def on_endpoint_list(self, listing: Listing | None) -> None:
+    def on_endpoint_list(self, listing: EndpointListing | None) -> None:
         """Pass an endpoint list to the extensions, the core and the pool; None where a call failed."""
         self.list_answered.set()
         if listing is None:
             self.core.on_endpoint_list(EndpointList(ListKind.FAILED, 0, ()))
             return
-        update = listing.news
+        update = listing.update
         for part in self.parts:
             update = part.adjust_endpoint_list(update)
-        self._apply_list(update, listing.dials)
+        self._apply_list(update, listing.addresses)
 
     def _apply_list(self, update: EndpointList, addresses: dict[NodeId, Address]) -> None:
         removed = self.core.on_endpoint_list(update)
@@ -143,7 +144,7 @@
             part.on_nodes_removed(removed)
 
     def _make_watch(self, config: Config) -> EndpointWatch:
-        version = config.known.news.version if config.known else None
+        version = config.known.update.version if config.known else None
         return EndpointWatch(config.discovery, config.settings, version, self.on_endpoint_list, config.seed)
 
     def _make_extensions(self, operator: OperatorConfig | None, control: ServerControl) -> list[Extension]:
@@ -211,7 +212,7 @@
         self.listen_addresses.append(address)
 
     def _make_http_frontend(self) -> Frontend:
-        ids = Ids()
+        ids = RequestIds()
 
         def make(frontend: Frontend, stream: streams.Stream) -> HttpClientConnection:
             return HttpClientConnection(
--- a/sabledyke/application/lifecycle.py
+++ b/sabledyke/application/lifecycle.py
@@ -12,7 +12,7 @@
 from sabledyke.net.console import Console
 from sabledyke.net.listener import Listener
 from sabledyke.policy.nodes import EndpointList, ListKind
-from sabledyke.protocol.discovery import Listing
+from sabledyke.protocol.discovery import EndpointListing
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownTimes
 
 FIRST_LIST_TIMEOUT_S = 3.0  # for the endpoint list, where listeners wait for it
@@ -134,7 +134,7 @@
 
     def _begin(self) -> None:
         """Pass the cached endpoint list to the core, and begin to watch for changes."""
-        empty = Listing(EndpointList(ListKind.CACHED, 0, ()), {})
+        empty = EndpointListing(EndpointList(ListKind.CACHED, 0, ()), {})
         self._assembly.on_endpoint_list(self._assembly.config.known or empty)
         self._assembly.watch.start()
         self._assembly.driver.run_batch()
--- a/sabledyke/application/reload.py
+++ b/sabledyke/application/reload.py
@@ -86,7 +86,7 @@
         settings = config.settings
         assembly.config = config
         assembly.core.apply_settings(settings)
-        assembly.reader.adopt(settings)
+        assembly.reader.apply_settings(settings)
         assembly.http_dialer.settings = settings
         assembly.pool.settings = settings
         for part in assembly.parts:
--- a/sabledyke/compacted_log/section.py
+++ b/sabledyke/compacted_log/section.py
@@ -93,12 +93,28 @@
         raise OperatorError("board names either path, a SQLite file, or etcd, a list of host:port")
     if table.etcd:
         wants("board", "aiohttp", "etcd")
-    for endpoint in said.etcd:
+    for endpoint in table.etcd:
         parse_address(endpoint)
-    policy = Policy(lag=said.lag, tomb_ms=1000 * said.tomb_s, dirty=said.dirty, bytes_s=said.bytes_s)
-    section = Section(said.path, said.etcd, said.prefix, policy, said.most_keys, said.clean_s, said.topics)
-    for topic in section.topics:
-        if topic in OURS or len(topic) > 64 or not topic.replace("-", "").replace("_", "").isalnum():
+    _check_topics(table.topics)
+    return LogSection(
+        path=table.path,
+        etcd_endpoints=table.etcd,
+        prefix=table.prefix,
+        compaction=CompactionPolicy(
+            min_lag_messages=table.lag,
+            tombstone_retention_ms=1000 * table.tomb_s,
+            min_dirty_ratio=table.dirty,
+            max_bytes_per_s=table.bytes_s,
+        ),
+        max_keys=table.most_keys,
+        compaction_interval_s=table.clean_s,
+        topics=table.topics,
+    )
+
+
+def _check_topics(topics: tuple[str, ...]) -> None:
+    for topic in topics:
+        if topic in RESERVED_TOPICS or not _is_topic_name(topic):
             raise OperatorError(f"board.topics: {topic!r} is the fleet's, or not of letters, digits, - and _")
     if len(set(topics)) < len(topics) or len(topics) > MAX_TOPICS:
         raise OperatorError(f"board.topics names one twice, or more than {MAX_TOPICS}")
--- a/sabledyke/lease/section.py
+++ b/sabledyke/lease/section.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from sabledyke.errors import OperatorError
-from sabledyke.lease.types import Times
+from sabledyke.lease.types import LeaseTimes
 from sabledyke.protocol.discovery import parse_address
 from sabledyke.store.section import Target
 from sabledyke.toml_tables import NAME_RULE, Table, convert, name_like, section_from, wants
@@ -156,17 +156,27 @@
     """
     if not data:
         return None
-    said = convert(data, LeaseTable, "lease")
-    if bool(said.path) == bool(said.etcd):
-        raise OperatorError("lease names either path, a SQLite file, or etcd, a list of host:port")
-    if said.etcd:
-        wants("lease", "aiohttp", "etcd")
-    for endpoint in said.etcd:
-        parse_address(endpoint)
-    times = Times(ttl=said.ttl_ms, renew=said.renew_ms, margin=said.margin_ms, drift=said.drift)
-    duties = tuple(_duty(row, f"lease.duty[{i}]", record) for i, row in enumerate(said.duty))
-    section = Section(said.path, said.etcd, said.prefix, times, duties, said.clock.offset_ms, said.clock.rate)
-    _check(section)
+    table = convert(data, LeaseTable, "lease")
+    _check_authority(table)
+    section = LeaseSection(
+        path=table.path,
+        etcd_endpoints=table.etcd,
+        prefix=table.prefix,
+        times=LeaseTimes(
+            ttl_ms=table.ttl_ms,
+            renew_interval_ms=table.renew_ms,
+            safety_margin_ms=table.margin_ms,
+            max_clock_drift=table.drift,
+        ),
+        leader_tasks=tuple(
+            _leader_task(row, f"lease.duty[{index}]", record) for index, row in enumerate(table.duty)
+        ),
+        clock_offset_ms=table.clock.offset_ms,
+        clock_rate=table.clock.rate,
+    )
+    _check_times(section)
+    if len({task.name for task in section.leader_tasks}) < len(section.leader_tasks):
+        raise OperatorError("two lease.duty rows have the same name")
     return section
 
 
@@ -177,21 +187,8 @@
         OperatorError: The file or the section cannot be used.
     """
 
-def _duty(row: DutyRow, where: str, record: Target | None) -> Duty:
-    call = ("", 0, "")
-    if row.kind == "call":
-        host, slash, rest = row.url.removeprefix("http://").partition("/")
-        call = (*parse_address(host), slash + rest)
-    elif record is None:
-        raise OperatorError(f"{where}: {row.kind} works on a record, and [store] names none")
-    return Duty(row.name, row.kind, row.every_s * 1000, row.folder, row.keep, call)
-
-
-def load(path: str) -> Section:
-    """The section alone, from an operator's file: what the lease commands need, without the deployment."""
-
-    def lease(data: dict[str, Any]) -> Section | None:
-        record = Target(path="any") if "store" in data else None  # what duties work on is not touched
+    def lease_of(data: dict[str, Any]) -> LeaseSection | None:
+        record = Target(path="any") if "store" in data else None  # what leader tasks work on is not opened
         return read(data.get("lease", {}), record)
 
     return section_from(path, "lease", lease_of)
@@ -203,7 +200,7 @@
     if table.etcd:
         wants("lease", "aiohttp", "etcd")
     for endpoint in table.etcd:
-        address(endpoint)
+        parse_address(endpoint)
 
 
 def _check_times(section: LeaseSection) -> None:
@@ -231,5 +228,5 @@
 
 def _endpoint(url: str) -> Endpoint:
     authority, slash, path = url.removeprefix(URL_SCHEME).partition("/")
-    host, port = address(authority)
+    host, port = parse_address(authority)
     return Endpoint(host, port, slash + path)
--- a/sabledyke/net/console.py
+++ b/sabledyke/net/console.py
@@ -13,7 +13,7 @@
 
 from sabledyke import log
 from sabledyke.net import streams
-from sabledyke.net.frontend import accepted
+from sabledyke.net.frontend import stream_of
 from sabledyke.protocol.console import MAX_CALL_BYTES, ConsoleCall, encode_answer, route
 from sabledyke.protocol.http import HttpError, HttpMessage, HttpParser
 
@@ -24,10 +24,18 @@
 class Console:
     """All connections to the console.
 
-    def __init__(self, calls: Callable[[ConsoleCall], tuple[int, bytes]]) -> None:
-        self._calls = calls
-        self._open: OrderedDict[asyncio.Task[None], streams.IOStream] = OrderedDict()  # the oldest first
-        self.told = 0  # log lines said about the bound: one, until it is no longer reached
+    Args:
+        handle_call: Carries out a call, and returns the status and body of its answer.
+
+    Attributes:
+        eviction_count: Connections closed at the bound since it was reached; the first is logged.
+    """
+
+    def __init__(self, handle_call: Callable[[ConsoleCall], tuple[int, bytes]]) -> None:
+        self.eviction_count = 0
+        self._handle_call = handle_call
+        # The oldest first.
+        self._connections: OrderedDict[asyncio.Task[None], streams.IOStream] = OrderedDict()
 
     def accept(self, sock: socket.socket, _address: object = None) -> None:
         """Serve a call; where there are too many connections, the oldest is closed.
@@ -73,23 +81,26 @@
         try:
             message = await _read_call(stream)
             call = route(message)
-        except HttpError as fault:
-            log.emit("console", f"a call was turned down: {fault}")
-            return encode_answer(fault.status)
-        status, body = self._calls(call)
+        except HttpError as error:
+            log.emit("console", f"a call was rejected: {error}")
+            return encode_answer(error.status)
+        status, body = self._handle_call(call)
         return encode_answer(status, body, head=message.method == "HEAD")
 
 
-async def _read_call(stream: streams.IOStream) -> Message:
+async def _read_call(stream: streams.IOStream) -> HttpMessage:
     """Return one complete call.
 
-async def _read(stream: streams.IOStream) -> HttpMessage:
-    """One whole call; an HttpError for what is wrong with it, a StreamClosedError where the caller leaves."""
-    parser, held = HttpParser(), 0
+    Raises:
+        HttpError: The call is larger than any call, or not HTTP.
+        StreamClosedError: The caller has closed.
+    """
+    parser = HttpParser()
+    received_bytes = 0
     while True:
         data = await stream.read_bytes(MAX_CALL_BYTES, partial=True)
-        held += len(data)
-        if held > MAX_CALL_BYTES:
+        received_bytes += len(data)
+        if received_bytes > MAX_CALL_BYTES:
             raise HttpError("a call larger than any call")
         parser.feed(data)
         message = parser.next_message()
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -40,23 +40,21 @@
         report: Callable[[EndpointListing | None], None],
         seed: int = 0,
     ) -> None:
-        self._address, self._settings, self._report = address, settings, report
+        self._address = address
+        self._settings = settings
+        self._report = report
         self._versions = VersionTracker(since)
         self._task: asyncio.Task[None] | None = None
         self._fetches: set[asyncio.Task[None]] = set()
         self._wanted = False
-        self._silence = WatchTimeout(seed)
-        self._resume: asyncio.TimerHandle | None = None
+        self._backoff = WatchTimeout(seed)
+        self._resume_timer: asyncio.TimerHandle | None = None
 
     @property
     def pushed(self) -> bool:
         """Whether lists are pushed: an agent on this machine holds them, and they count as delivered."""
         return not self._settings.polls_endpoint_list
 
-    @property
-    def _terms(self) -> WatchTiming:
-        return LOCAL_AGENT if self.pushed else POLLED_DISCOVERY
-
     def start(self) -> None:
         """Begin to watch where lists are pushed; elsewhere the core begins when it wants."""
         if self.pushed:
@@ -79,7 +77,7 @@
         if address != self._address:
             self._address = address
             self._versions.reset()
-            self._stop_asking()  # what a call to the old address still brings is not told
+            self._cancel_calls()  # what a call to the old address still brings is not reported
             self.watch(True)
         elif self._wanted:
             self.watch(True)  # the pause after a failed call may be of the old settings
@@ -101,8 +99,8 @@
         task.add_done_callback(self._fetches.discard)
 
     @property
-    def _timeouts(self) -> Terms:
-        return PUSHED if self.pushed else ASKED
+    def _timeouts(self) -> WatchTiming:
+        return LOCAL_AGENT if self.pushed else POLLED_DISCOVERY
 
     @property
     def _connect_timeout_ms(self) -> float:
@@ -134,41 +132,35 @@
         stream: streams.IOStream | None = None
         try:
             while True:
-                if stream is None or not streams.quiet(stream):
-                    stream = await streams.connect(self._address, self._settings.connect_timeout_ms * 4)
-                asked = asyncio.get_running_loop().time()
-                try:
-                    answer = await self._call(stream, self._versions.since)
-                except TimeoutError:  # broken, though nothing says so: what it may miss is asked for anew
-                    streams.abort(stream)
-                    pause = self._silence.on_timeout(self._terms)
-                    log.emit("discovery", f"a call fell silent: the next in {pause:.2f} s")
-                    await asyncio.sleep(pause)
-                    continue
-                self._silence.on_response()
-                new = self._told(answer)
-                if not answer.keep_alive:
-                    streams.abort(stream)
-                if not new and asyncio.get_running_loop().time() - asked < SPIN:
-                    # Guards against spinning where the same is told again at once, ever anew.
-                    await asyncio.sleep(SPIN)
-        except EXPECTED as fault:
-            self._broke(fault)
-        except Exception as fault:  # guards against a fault of ours ending the watch for good
-            self._broke(fault)
-            _unexpected(fault)
+                if stream is None or not streams.is_silent(stream):
+                    stream = await streams.connect(self._address, self._connect_timeout_ms)
+                await self._call_for_changes(stream)
+        except EXPECTED_ERRORS as error:
+            self._on_watch_failure(error)
+        except Exception as error:  # guards against our own fault ending the watch for good
+            self._on_watch_failure(error)
+            _log_unexpected(error)
         finally:
             if stream is not None:
                 streams.abort(stream)
 
-    def _broke(self, fault: Exception) -> None:
-        """The watch ended: where lists are asked for the module takes it up, else it is taken up here."""
-        self._task = None
-        self._failed(fault)
-        if self.pushed and self._wanted and self._resume is None:
-            # Guards against missing what the agent holds: it counts as told whether asked for or not.
-            pause = self._silence.on_failure(self._terms)
-            self._resume = asyncio.get_running_loop().call_later(pause, self._take_up)
+    async def _call_for_changes(self, stream: streams.IOStream) -> None:
+        called_at_s = asyncio.get_running_loop().time()
+        try:
+            answer = await self._call(stream, self._versions.since)
+        except TimeoutError:  # broken, though nothing says so: what it may miss is requested again
+            streams.abort(stream)
+            pause_s = self._backoff.on_timeout(self._timeouts)
+            log.emit("discovery", f"a call timed out: the next in {pause_s:.2f} s")
+            await asyncio.sleep(pause_s)
+            return
+        self._backoff.on_response()
+        is_new = self._on_response(answer)
+        if not answer.keep_alive:
+            streams.abort(stream)
+        if not is_new and asyncio.get_running_loop().time() - called_at_s < MIN_CALL_S:
+            # Guards against spinning where the same list comes at once, again and again.
+            await asyncio.sleep(MIN_CALL_S)
 
     def _on_watch_failure(self, error: Exception) -> None:
         """Report the failure; where lists are pushed, resume the watch later, else the core does."""
@@ -176,7 +168,7 @@
         self._report_failure(error)
         if self.pushed and self._wanted and self._resume_timer is None:
             # Guards against missing what the agent holds: it counts as delivered, requested or not.
-            pause_s = self._backoff.broke(self._timeouts)
+            pause_s = self._backoff.on_failure(self._timeouts)
             self._resume_timer = asyncio.get_running_loop().call_later(pause_s, self._resume_watch)
 
     def _resume_watch(self) -> None:
@@ -187,18 +179,22 @@
     async def _call(self, stream: streams.IOStream, since: int | None) -> HttpMessage:
         host = f"{self._address[0]}:{self._address[1]}"
         parser = HttpParser(responses=True)
-        terms = self._terms
+        terms = self._timeouts
         async with asyncio.timeout(terms.wait_s + terms.response_margin_s):
             call = list_target(since, int(terms.wait_s * 1000))
             await stream.write(encode_request("GET", call, [("Host", host)], b""))
             while (answer := parser.next_message()) is None:
-                parser.feed(await stream.read_bytes(streams.READ, partial=True))
+                parser.feed(await stream.read_bytes(streams.READ_SIZE_BYTES, partial=True))
         if answer.status != 200:
             raise HttpError(f"status {answer.status}")
         return answer
 
-    def _told(self, answer: HttpMessage) -> bool:
-        """Pass on what is new, and say whether anything was; a ListError for what is set aside."""
+    def _on_response(self, answer: HttpMessage) -> bool:
+        """Report what is new in an answer, and tell whether anything was.
+
+        Raises:
+            ListError: The list cannot be used, or is older than the one known.
+        """
         listing = parse_listing(answer.body, self._settings)
         if listing.error:
             self._versions.request_full_list()
--- a/sabledyke/net/http_frontend.py
+++ b/sabledyke/net/http_frontend.py
@@ -9,7 +9,8 @@
 from sabledyke import log
 from sabledyke.core import Answer
 from sabledyke.net import clock, streams
-from sabledyke.net.frontend import ASKING, Client, Front, Submit
+from sabledyke.net.client_connection import REQUEST_TIMEOUT_S, ClientConnection, Submit
+from sabledyke.net.frontend import Frontend
 from sabledyke.protocol.gateway import HEALTH_PATH, MessageReader, encode_client_response
 from sabledyke.protocol.http import MAX_INPUT_BYTES, HttpError, HttpMessage, HttpParser, encode_response
 from sabledyke.protocol.request_ids import RequestIds
@@ -40,9 +41,13 @@
         abandon: Callable[[int], None],
     ) -> None:
         super().__init__(stream)
-        self._front, self._reader, self._ids, self._submit, self._depart = front, reader, ids, submit, depart
+        self._frontend = frontend
+        self._reader = reader
+        self._ids = ids
+        self._submit = submit
+        self._abandon = abandon
         self._parser = HttpParser()
-        self._rid: int | None = None  # the request in work
+        self._request_id: int | None = None  # the request in flight
         self._writing = False
         self._continue_sent = False  # for the request whose body comes
         self._reading_stopped = False  # the last answer is out, or the program stops
@@ -114,29 +119,19 @@
         except HttpError as error:
             self._reject_bad_request(error)
 
-    def _go_on_with_body(self) -> None:
-        """A request's body is coming: its patience begins anew, and who waits to send it is told to."""
-        if self._rid is not None or not self._parser.receiving_body:
-            return
-        # Guards against cutting off a body that comes slowly but comes: each piece of it
-        # renews its patience; one that stops is given up as before.
-        self.since = asyncio.get_running_loop().time()
-        if self._parser.expects_continue and not self._continued:
-            self._continued = True
-            sent = asyncio.ensure_future(self.stream.write(CONTINUE))
-            sent.add_done_callback(lambda f: f.cancelled() or f.exception())  # an end is no fault
-
-    def _what_fits(self, data: bytes) -> bytes:
-        """As much as may wait behind a request in work; from the first byte beyond it on, nothing.
+    def _accept_input(self, data: bytes) -> bytes:
+        """Return as much as may wait behind a request in flight; nothing after the first byte beyond it.
 
         Guards against a client whose close is not seen, as it lies behind bytes that nobody reads, and
         against ending, with the connection, requests in flight or waiting: they are answered, then the error.
         """
-        if self._overrun or not self.owed:
-            return b"" if self._overrun else data
-        fits = data[: max(0, MAX_INPUT_BYTES - self._parser.buffered_bytes)]
-        self._overrun = len(fits) < len(data)
-        return fits
+        if self._input_overrun:
+            return b""
+        if not self.busy:
+            return data
+        accepted = data[: max(0, MAX_INPUT_BYTES - self._parser.buffered_bytes)]
+        self._input_overrun = len(accepted) < len(data)
+        return accepted
 
     def _handle_next_request(self) -> None:
         if self.busy or self._last_answer_written:
@@ -146,14 +141,21 @@
             if self._input_overrun:
                 raise HttpError("more sent than may wait behind a request")
             return
-        self._continued = False
-        self._front.touch(self)
+        self._continue_sent = False
+        self._frontend.mark_used(self)
         if message.target.partition("?")[0] == HEALTH_PATH:
-            last = self._last(message)
-            self._write(encode_response(503 if self._front.quiesced else 200, close=last), last)
-            return
+            self._answer_health_check(message)
+        else:
+            self._submit_request(message)
+
+    def _answer_health_check(self, message: HttpMessage) -> None:
+        last = self._ends_connection(message)
+        status = 503 if self._frontend.quiesced else 200
+        self._write(encode_response(status, close=last), last=last)
+
+    def _submit_request(self, message: HttpMessage) -> None:
         work = self._reader.read_request(message)
-        if not streams.permits(self.stream, work.volume):
+        if not streams.may_access_volume(self.stream, work.volume):
             raise HttpError("a client without a right to this volume", 403)
         self._ids.claim(clock.now(), work)
         work.client_connected = self._client_present
@@ -162,7 +164,7 @@
             self._request_id = None
             last = self._ends_connection(message)
             if not self.stream.closed():
-                self._write(encode_client_response(answer, close=last), last)
+                self._write(encode_client_response(answer, close=last), last=last)
 
         self.never_requested = False
         self._request_id = self._submit(work, on_answer)
@@ -170,13 +172,21 @@
     def _on_body_progress(self) -> None:
         """Renew the time-out while a request's body comes, and send 100 Continue where it is awaited.
 
-    def _last(self, message: HttpMessage) -> bool:
-        """Whether this answer ends its connection.
+        Guards against cutting off a body that comes slowly but comes: each piece of it renews the time-out;
+        one that stops times out as before.
+        """
+        if self._request_id is not None or not self._parser.receiving_body:
+            return
+        self.last_activity_s = asyncio.get_running_loop().time()
+        if self._parser.expects_continue and not self._continue_sent:
+            self._continue_sent = True
+            sent = asyncio.ensure_future(self.stream.write(CONTINUE_RESPONSE))
+            sent.add_done_callback(lambda f: f.cancelled() or f.exception())  # an end is no fault
 
     def _client_present(self) -> bool:
         return not streams.peer_closed(self.stream)
 
-    def _ends_connection(self, message: Message) -> bool:
+    def _ends_connection(self, message: HttpMessage) -> bool:
         """Decide whether the answer to ``message`` ends its connection.
 
         Guards against rejecting what a client has already sent in a drain or at the end: requests that came
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -16,9 +16,18 @@
 class HttpLink(streams.StreamLink):
     """A connection that carries one request at a time; see ``connection_pool.Link``."""
 
-    def __init__(self, host: str, stream: streams.Stream, reader: MessageReader, room: streams.Room) -> None:
+    def __init__(
+        self,
+        host: str,
+        stream: streams.Stream,
+        reader: MessageReader,
+        response_memory: streams.ResponseMemory,
+    ) -> None:
         super().__init__(stream)
-        self._host, self._reader, self._room = host, reader, room
+        self.reusable = True
+        self._host = host
+        self._reader = reader
+        self._response_memory = response_memory
         self._parser = HttpParser(responses=True)
         self._written: asyncio.Future[None] | None = None
 
@@ -41,37 +50,33 @@
         self.reusable = answer.keep_alive and self.may_have_run and self._parser.idle
         return self._reader.read_node_response(answer)
 
-    async def _answer(self) -> HttpMessage:
-        held = 0
+    async def _read_response(self) -> HttpMessage:
+        """Return the response, and count what is read of it as memory in use meanwhile."""
+        held_bytes = 0
         try:
             while True:
                 try:
                     data = await self.read_ahead.read()
                 except streams.StreamClosedError as end:
-                    # Guards against taking a cut answer for a whole one: only an orderly end closes a body
-                    # that states no length; a reset or a fault broke it off, and it may have run.
-                    whole = self._parser.on_end_of_stream() if end.real_error is None else None
-                    if whole is None:
-                        raise
-                    return whole
+                    return self._complete_at_end(end)
                 self._parser.feed(data)
                 answer = self._parser.next_message()
                 if answer is not None:
                     return answer
-                self._room.used += self._parser.buffered_bytes - held
-                held = self._parser.buffered_bytes
-                if self._room.full and held > MAX_BODY_BYTES:  # what is small always fits
+                self._response_memory.used_bytes += self._parser.buffered_bytes - held_bytes
+                held_bytes = self._parser.buffered_bytes
+                if self._response_memory.full and held_bytes > MAX_BODY_BYTES:  # what is small always fits
                     raise HttpError("no room for so large an answer")
         finally:
             self._response_memory.used_bytes -= held_bytes
 
-    def _complete_at_end(self, end: streams.StreamClosedError) -> Message:
+    def _complete_at_end(self, end: streams.StreamClosedError) -> HttpMessage:
         """Return the response that the end of the stream completes, else raise ``end``.
 
         Guards against taking a cut response for a complete one: only an orderly end closes a body that states
         no length; a reset or a fault broke it off, and it may have run.
         """
-        message = self._parser.end() if end.real_error is None else None
+        message = self._parser.on_end_of_stream() if end.real_error is None else None
         if message is None:
             raise end
         return message
@@ -85,7 +90,11 @@
     """
 
     def __init__(
-        self, settings: Settings, reader: MessageReader, room: streams.Room, connect: Connect = plain
+        self,
+        settings: Settings,
+        reader: MessageReader,
+        response_memory: streams.ResponseMemory,
+        connect: Connect = connect_plain,
     ) -> None:
         self.settings = settings
         self._reader = reader
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -9,7 +9,8 @@
 from sabledyke import log
 from sabledyke.core import Answer, AnswerStatus
 from sabledyke.net import streams
-from sabledyke.net.frontend import ASKING, Client, Front, Submit
+from sabledyke.net.client_connection import REQUEST_TIMEOUT_S, ClientConnection, Submit
+from sabledyke.net.frontend import Frontend
 from sabledyke.protocol.nvme import Command, Completion, NvmeError, Status, Target
 from sabledyke.protocol.nvme.blocks import Translator
 
@@ -55,15 +56,16 @@
         """See ``ClientConnection``."""
         return bool(self._request_ids or self._flush_count)
 
-    def patience(self, idle: float) -> float:
-        """See ``Client``; a queue that rests is bounded by its keep-alive time."""
-        if self._flushing:
-            return self._front.reading
-        return ASKING if self.fresh or self.target.has_partial_input else inf
+    def timeout_s(self, idle_timeout_s: float) -> float:
+        """See ``ClientConnection``; an idle queue is bounded by its keep-alive time."""
+        if self._flush_count:
+            return self._frontend.write_timeout_s
+        return REQUEST_TIMEOUT_S if self.never_requested or self.target.has_partial_input else inf
 
-    def departed(self) -> None:
-        """See ``Client``; a controller ends with its admin queue, and takes its other queues along."""
-        controller, queue = self.target.controller, self.target.queue_id
+    def on_client_gone(self) -> None:
+        """See ``ClientConnection``; a controller ends with its admin queue, and ends its other queues."""
+        controller = self.target.controller
+        queue = self.target.queue_id
         self.target.close()
         request_ids = list(self._request_ids.values())
         self._request_ids = {}
@@ -80,15 +82,7 @@
         """See ``ClientConnection``."""
         try:
             while True:
-                data = await self.receive()
-                self._front.touch(self)
-                frames = self.target.pdus_received
-                for command, payload in self.target.feed(data):
-                    self._take(command, payload)
-                self._watch()
-                if not self.fresh and self.target.pdus_received != frames:
-                    self.since = asyncio.get_running_loop().time()
-                self.fresh = self.fresh and self.target.controller is None
+                self._process(await self.receive())
                 await self._flush()  # a host that reads nothing is not read from
         except streams.StreamClosedError:
             self.close()
@@ -98,29 +92,40 @@
                 await self._flush_error()
             self.close()
 
-    def _take(self, command: Command, payload: bytes) -> None:
-        def done(answer: Answer) -> None:
-            if self._rids.pop(command.command_id, None) is not None and not self.stream.closed():
+    def _process(self, data: bytes) -> None:
+        self._frontend.mark_used(self)
+        frames = self.target.pdus_received
+        for command, payload in self.target.feed(data):
+            self._accept_command(command, payload)
+        self._restart_keep_alive()
+        if not self.never_requested and self.target.pdus_received != frames:
+            self.last_activity_s = asyncio.get_running_loop().time()
+        self.never_requested = self.never_requested and self.target.controller is None
+
+    def _accept_command(self, command: Command, payload: bytes) -> None:
+        def on_answer(answer: Answer) -> None:
+            if self._request_ids.pop(command.command_id, None) is not None and not self.stream.closed():
                 self.target.complete(*self._translator.to_completion(command, answer))
                 asyncio.get_running_loop().create_task(self._flush_late())
 
-        if self._front.over:  # guards against a host that never pauses holding up the end
+        if self._frontend.rejects_requests:  # guards against a host that never pauses holding up the end
             self.target.complete(*self._translator.to_completion(command, Answer(AnswerStatus.REJECTED)))
             return
         work = self._translator.to_work(command, payload)
-        if not streams.permits(self.stream, work.volume):
+        if not streams.may_access_volume(self.stream, work.volume):
             self.target.complete(Completion(command.command_id, Status.ACCESS_DENIED, do_not_retry=True), b"")
             return
-        work.client_connected = lambda: not streams.departed(self.stream)
-        self._rids[command.command_id] = self._submit(work, done)
+        work.client_connected = lambda: not streams.peer_closed(self.stream)
+        self._request_ids[command.command_id] = self._submit(work, on_answer)
 
-    def _watch(self) -> None:
-        """Close once the host has sent nothing for the time it gave at its connect."""
-        if self._expiry is not None:
-            self._expiry.cancel()
+    def _restart_keep_alive(self) -> None:
+        """Close once the host has sent nothing for the time that it stated when it connected."""
+        if self._keep_alive_timer is not None:
+            self._keep_alive_timer.cancel()
         if self.target.keep_alive_ms:
-            after = self.target.keep_alive_ms / 1000
-            self._expiry = asyncio.get_running_loop().call_later(after, self._silent)
+            timeout_s = self.target.keep_alive_ms / 1000
+            loop = asyncio.get_running_loop()
+            self._keep_alive_timer = loop.call_later(timeout_s, self._on_keep_alive_timeout)
 
     def _on_keep_alive_timeout(self) -> None:
         log.emit("front", "an NVMe host kept silent past its keep-alive time")
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -38,159 +38,8 @@
 READY_POLL_INTERVAL_S = 0.01  # between checks whether a controller is ready
 CONTROLLER_ENABLE = 1 | 6 << 16 | 4 << 20  # CC: enabled, entries of 64 and 16 bytes
 
-
-class _Channel:
-    """One queue's connection."""
-
-    def __init__(self, stream: streams.Stream) -> None:
-        self.stream, self.inbox, self.machine = stream, streams.Inbox(stream), Initiator()
-        self.written: asyncio.Future[None] | None = None
-
-    async def run(
-        self, command: Command, payload: bytes = b"", *, inside: bool = False
-    ) -> tuple[Completion, bytes]:
-        """One command; a StreamClosedError or BadPeer where it breaks."""
-        self.written = None
-        try:
-            self.machine.submit(command, payload, in_capsule=inside)
-            while True:
-                if self.machine.output:
-                    data, self.machine.output = bytes(self.machine.output), bytearray()
-                    written = asyncio.ensure_future(self.stream.write(data))
-                    self.written = self.written or written
-                for done in self.machine.feed(await self.inbox.read()):
-                    return done
-        except NvmeError as fault:
-            streams.abort(self.stream)
-            raise BadPeer(str(fault)) from None
-
-    async def must(self, command: Command, payload: bytes = b"") -> int:
-        """One command of the set-up: its result, or a BadPeer."""
-        done, _ = await self.run(command, payload, inside=bool(payload))
-        if done.status != Status.OK:
-            streams.abort(self.stream)
-            raise BadPeer(f"status {done.status:#x} to command {command.opcode:#x}")
-        return done.result
-
-
-class NvmeLink(streams.StreamLink):
-    """See ``pool.Link``: an I/O queue."""
-
-    def __init__(self, channel: _Channel, translator: Translator) -> None:
-        super().__init__(channel.stream, channel.inbox)
-        self._channel, self._translator = channel, translator
-        self.reusable = True
-        self._work: ClientRequest | None = None
-
-    @property
-    def may_have_run(self) -> bool:
-        """A read's command that was written, or any byte of a write's data.
-
-        Guards against a write that is cut off mid-transfer: a box may have begun to store what it has.
-        """
-        written = self._channel.written
-        if self._work is None or written is None:
-            return False
-        if self._work.write:
-            return self._channel.machine.write_data_sent
-        return written.done() and written.exception() is None
-
-    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
-        """See ``pool.Link``; the time-out is the pool's, NVMe states none."""
-        self.reusable, self._work, self._channel.written = False, work, None
-        try:
-            command, payload = self._translator.to_node_command(work)
-        except NoPlaceError as fault:
-            log.emit("box", str(fault))
-            self.reusable = True
-            return AttemptResult(Outcome.ERROR, False)
-        done, data = await self._channel.run(command, payload)
-        self.reusable = not self._channel.machine.has_surplus_input
-        return self._translator.from_node_completion(work, done, data)
-
-
-Open = Callable[[Address, float], Awaitable[streams.Stream]]  # within so many milliseconds
-
-
-class _Association:
-    """The admin queue of a box, and the numbers of its I/O queues."""
-
-    def __init__(self, address: Address, nqn: str, host: HostIdentity, connect: Open) -> None:
-        self.address, self._nqn, self._host, self._connect = address, nqn, host, connect
-        self._admin: _Channel | None = None
-        self._cntlid = 0
-        self._most = 0
-        self._last = 0
-        self._queues: dict[int, streams.Stream] = {}
-        self._lock = asyncio.Lock()
-        self._keeping: asyncio.Task[None] | None = None
-        self.left = False  # the box is gone from the list
-
-    async def queue(self, timeout: float) -> _Channel:
-        """A new I/O queue."""
-        async with self._lock:
-            if self._admin is None or self._admin.stream.closed():
-                await self._associate(timeout)
-            number = self._number()
-            channel = _Channel(await self._connect(self.address, timeout))
-            self._queues[number] = channel.stream
-        try:
-            await channel.must(*connect_command(self._nqn, number, self._cntlid, self._host, 0))
-        except BaseException:
-            streams.abort(channel.stream)
-            raise
-        return channel
-
-    def _number(self) -> int:
-        """The queue number unused for longest: a box may take a while to see that a queue is gone."""
-        for _ in range(self._most):
-            self._last = self._last % self._most + 1
-            if self._last not in self._queues or self._queues[self._last].closed():
-                return self._last
-        raise BadPeer("no queue to spare")
-
-    async def _associate(self, timeout: float) -> None:
-        admin = _Channel(await self._connect(self.address, timeout))
-        try:
-            self._cntlid = (
-                await admin.must(
-                    *connect_command(self._nqn, 0, DYNAMIC_CONTROLLER_ID, self._host, KEEP_ALIVE)
-                )
-                & 0xFFFF
-            )
-            await admin.must(property_get_command(Property.CAP))
-            await admin.must(property_set_command(Property.CC, ENABLE))
-            while not await admin.must(property_get_command(Property.CSTS)) & 1:
-                await asyncio.sleep(0.01)
-            wanted = (MAX_IO_QUEUES - 1) * 0x10001
-            granted = await admin.must(Command(AdminOpcode.SET_FEATURES, 0, dwords=(7, wanted, 0, 0, 0, 0)))
-        except BaseException:
-            streams.abort(admin.stream)
-            raise
-        self._most = min(granted & 0xFFFF, granted >> 16, MAX_IO_QUEUES - 1) + 1
-        self._queues, self._admin = {}, admin
-        if self._keeping is not None:
-            self._keeping.cancel()
-        self._keeping = asyncio.get_running_loop().create_task(self._keep(admin))
-
-    async def _keep(self, admin: _Channel) -> None:
-        """Keep Alive, until the admin queue breaks; what hangs on it breaks with it."""
-        try:
-            while True:
-                await asyncio.sleep(KEEP_ALIVE / 3000)
-                if self.left and all(stream.closed() for stream in self._queues.values()):
-                    return streams.abort(admin.stream)
-                async with asyncio.timeout(KEEP_ALIVE / 3000):
-                    await admin.must(Command(AdminOpcode.KEEP_ALIVE, 0))
-        except (streams.StreamClosedError, BadPeer, OSError):
-            streams.abort(admin.stream)
-
-    def close(self) -> None:
-        """Leave the box."""
-        if self._keeping is not None:
-            self._keeping.cancel()
-        if self._admin is not None:
-            streams.abort(self._admin.stream)
+# Opens a stream to an address within so many milliseconds.
+OpenStream = Callable[[Address, float], Awaitable[streams.Stream]]
 
 
 class NvmeDialer:
@@ -214,9 +63,12 @@
         connect: Connect = connect_plain,
         slack_ms: float = 0.0,
     ) -> None:
-        self._connect, self._slack = connect, slack  # ms that the way may take beyond a connection
-        self.settings, self._translator, self._boxes = settings, translator, boxes
+        self.settings = settings
+        self._translator = translator
+        self._nqn_by_node = nqn_by_node
         self._host = HostIdentity(uuid.uuid4().bytes, host_nqn)
+        self._connect = connect
+        self._slack_ms = slack_ms
         self._associations: dict[NodeId, _Association] = {}
 
     async def dial(self, node: NodeId, address: Address, timeout_ms: float) -> NvmeLink:
@@ -276,7 +128,7 @@
         if self._work is None or written is None:
             return False
         if self._work.write:
-            return self._channel.initiator.data_out
+            return self._channel.initiator.write_data_sent
         return written.done() and written.exception() is None
 
     async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
@@ -285,14 +137,14 @@
         self._work = work
         self._channel.written = None
         try:
-            command, payload = self._translator.to_box(work)
-        except NotHere as error:
+            command, payload = self._translator.to_node_command(work)
+        except NoPlaceError as error:
             log.emit("box", str(error))
             self.reusable = True
             return AttemptResult(Outcome.ERROR, False)
         completion, data = await self._channel.execute(command, payload)
-        self.reusable = not self._channel.initiator.surplus
-        return self._translator.from_box(work, completion, data)
+        self.reusable = not self._channel.initiator.has_surplus_input
+        return self._translator.from_node_completion(work, completion, data)
 
 
 class _Channel:
@@ -315,7 +167,7 @@
         """
         self.written = None
         try:
-            self.initiator.submit(command, payload, inside=inside)
+            self.initiator.submit(command, payload, in_capsule=inside)
             while True:
                 self._send_output()
                 for completed in self.initiator.feed(await self.read_ahead.read()):
@@ -344,7 +196,7 @@
 class _Association:
     """The admin queue of a storage node, and the numbers of its I/O queues."""
 
-    def __init__(self, address: Address, nqn: str, host: tuple[bytes, str], connect: OpenStream) -> None:
+    def __init__(self, address: Address, nqn: str, host: HostIdentity, connect: OpenStream) -> None:
         self.address = address
         self.node_removed = False  # from the endpoint list
         self._nqn = nqn
@@ -367,7 +219,9 @@
             channel = _Channel(await self._connect(self.address, timeout_ms))
             self._queues[number] = channel.stream
         try:
-            await channel.execute_or_fail(*connect(self._nqn, number, self._controller_id, self._host, 0))
+            await channel.execute_or_fail(
+                *connect_command(self._nqn, number, self._controller_id, self._host, 0)
+            )
         except BaseException:
             streams.abort(channel.stream)
             raise
@@ -403,16 +257,16 @@
 
     async def _set_up_controller(self, admin: _Channel) -> int:
         """Connect and enable a controller, and return how many I/O queues it grants."""
-        command = connect(self._nqn, 0, DYNAMIC, self._host, KEEP_ALIVE_MS)
+        command = connect_command(self._nqn, 0, DYNAMIC_CONTROLLER_ID, self._host, KEEP_ALIVE_MS)
         self._controller_id = await admin.execute_or_fail(*command) & 0xFFFF
-        await admin.execute_or_fail(property_get(Prop.CAP))
-        await admin.execute_or_fail(property_set(Prop.CC, CONTROLLER_ENABLE))
-        while not await admin.execute_or_fail(property_get(Prop.CSTS)) & 1:
+        await admin.execute_or_fail(property_get_command(Property.CAP))
+        await admin.execute_or_fail(property_set_command(Property.CC, CONTROLLER_ENABLE))
+        while not await admin.execute_or_fail(property_get_command(Property.CSTS)) & 1:
             await asyncio.sleep(READY_POLL_INTERVAL_S)
-        wanted = (MAX_QUEUES - 1) * 0x10001
-        set_queues = Command(Admin.SET_FEATURES, 0, cdw10=(7, wanted, 0, 0, 0, 0))
+        wanted = (MAX_IO_QUEUES - 1) * 0x10001
+        set_queues = Command(AdminOpcode.SET_FEATURES, 0, dwords=(7, wanted, 0, 0, 0, 0))
         granted = await admin.execute_or_fail(set_queues)
-        return min(granted & 0xFFFF, granted >> 16, MAX_QUEUES - 1) + 1
+        return min(granted & 0xFFFF, granted >> 16, MAX_IO_QUEUES - 1) + 1
 
     async def _send_keep_alives(self, admin: _Channel) -> None:
         """Send Keep Alive commands until the admin queue breaks, which ends the other queues with it."""
@@ -423,6 +277,6 @@
                     streams.abort(admin.stream)
                     return
                 async with asyncio.timeout(KEEP_ALIVE_INTERVAL_S):
-                    await admin.execute_or_fail(Command(Admin.KEEP_ALIVE, 0))
+                    await admin.execute_or_fail(Command(AdminOpcode.KEEP_ALIVE, 0))
         except (streams.StreamClosedError, PeerProtocolError, OSError):
             streams.abort(admin.stream)
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -110,8 +110,10 @@
         settings: Settings,
         entry: Callable[[NodeId], NodeEntry],
     ) -> None:
-        self.keeper, self.settings = keeper, settings
-        self._opener, self._entry = opener, entry
+        self.intents = intents
+        self.settings = settings
+        self.writer = BatchWriter(intents, opener, self._carry_out)
+        self.drift = DriftDetector()
         self.report: ReportAttempt
         self.inner: Transport
         self._entry = entry
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -48,11 +48,11 @@
         self._session: Session | None = None
 
     def enter_idle(self, heard: Callable[[], None]) -> None:
-        """See ``pool.Link``: a session is looked at when it is taken."""
+        """See ``connection_pool.Link``: a session is checked when it is acquired."""
 
     def leave_idle(self) -> bool:
-        """See ``pool.Link``."""
-        return not self._box.left
+        """See ``connection_pool.Link``."""
+        return not self._pool.closed
 
     def close(self) -> None:
         """See ``connection_pool.Link``."""
--- a/tests/net/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -47,18 +47,18 @@
 
 def drains(rig: Rig, line: Line) -> None:
     rig.server.core.settings = replace(rig.server.core.settings, drain_grace_ms=0.0)
-    rig.server._listed(
+    rig.server.assembly.on_endpoint_list(
         discovery.read_listing(DRAINS | {"hosts": [HOST | {"health": "draining"}]}, DEPLOYMENT)
     )
 
 
 def is_gone(rig: Rig, line: Line) -> None:
     rig.server.core.settings = replace(rig.server.core.settings, drain_grace_ms=0.0)
-    rig.server._listed(discovery.read_listing(GONE, DEPLOYMENT))
+    rig.server.assembly.on_endpoint_list(discovery.read_listing(GONE, DEPLOYMENT))
 
 
 def starts_anew(rig: Rig, line: Line) -> None:
-    rig.server._listed(discovery.read_listing(change(HOST, 2, born_ms=5.0), DEPLOYMENT))
+    rig.server.assembly.on_endpoint_list(discovery.read_listing(change(HOST, 2, born_ms=5.0), DEPLOYMENT))
 
 
 def has_no_time(rig: Rig, line: Line) -> None:
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -75,9 +75,9 @@
         association = nvme.dialer._associations[b"block"]
         assert set(server.core.nodes) == set(server.pool._addresses) == {b"plain", b"block"}
         rig.discovery.hosts.pop()
-        server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        server.assembly.on_endpoint_list(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         delta = {"seq": 2, "whole": False, "hosts": [rig.discovery.hosts[0] | {"health": "gone"}]}
-        server.assembly.on_endpoint_list(discovery.read(delta, DEPLOYMENT))
+        server.assembly.on_endpoint_list(discovery.read_listing(delta, DEPLOYMENT))
         assert not server.core.nodes and not server.pool._addresses and not server.pool._open_count
         assert association.node_removed and not nvme.dialer._associations
         host.close()
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -14,7 +14,7 @@
 from sabledyke.policy.actions import SetTimer
 from sabledyke.policy.nodes import EndpointList, ListKind
 from sabledyke.protocol import discovery
-from sabledyke.protocol.watch_timeout import ASKED, PUSHED, Silence
+from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout
 from tests import helpers
 from tests.standins import Discovery
 from tests.support.endpoint_lists import DRAINS, GONE, HOST, change
@@ -24,7 +24,7 @@
 
 def play_watch(
     scenario: Callable[
-        [endpoint_watch.EndpointWatch, Discovery, list[discovery.Listing | None]], Awaitable[None]
+        [endpoint_watch.EndpointWatch, Discovery, list[discovery.EndpointListing | None]], Awaitable[None]
     ],
     script: list[Any],
     **changes: Any,
@@ -32,7 +32,7 @@
     """Play a scenario with a watch on a scripted discovery."""
 
     async def run() -> None:
-        service, seen = Discovery(), list[discovery.Listing | None]()
+        service, seen = Discovery(), list[discovery.EndpointListing | None]()
         await service.open()
         service.hosts, service.script = [HOST], list(script)
         settings = replace(DEPLOYMENT, **changes)
@@ -50,11 +50,11 @@
     asks: bool, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(
-        watch: endpoint_watch.EndpointWatch, service: Discovery, seen: list[discovery.Listing | None]
+        watch: endpoint_watch.EndpointWatch, service: Discovery, seen: list[discovery.EndpointListing | None]
     ) -> None:
         faults, tell = [RuntimeError("a fault of ours")], watch._report
 
-        def report(listing: discovery.Listing | None) -> None:
+        def report(listing: discovery.EndpointListing | None) -> None:
             if listing is not None and faults:
                 raise faults.pop()
             tell(listing)
@@ -78,7 +78,7 @@
     """A change counts as told 4 s after SIGHUP, whether or not the module has asked for a list yet."""
 
     async def scenario(
-        watch: endpoint_watch.EndpointWatch, service: Discovery, seen: list[discovery.Listing | None]
+        watch: endpoint_watch.EndpointWatch, service: Discovery, seen: list[discovery.EndpointListing | None]
     ) -> None:
         new = Discovery()
         await new.open()
@@ -93,7 +93,7 @@
         await until(lambda: seen)
         for _ in range(50):
             await asyncio.sleep(0.001)
-        told = [listing.news.entries[0].state.name for listing in seen if listing is not None]
+        told = [listing.update.entries[0].state.name for listing in seen if listing is not None]
         assert told == ["DRAINING"] and len(seen) == 1
         new.die()
 
@@ -118,16 +118,19 @@
 
 def test_a_silent_call_is_repeated_before_what_it_missed_counts_as_delivered() -> None:
     for seed in range(200):
-        line, at = Silence(seed), 0.0
-        for terms, told in ((ASKED, max(6.0, ASKED.wait + 2)), (PUSHED, 2.0)):  # at once, 2 s to drain
-            assert terms.wait + terms.spare + line.fell_silent(terms) <= told
-            line.answered()
-        pauses = [line.fell_silent(ASKED) for _ in range(50)]
-        assert max(pauses) <= 2 * ASKED.jitter
+        line, at = WatchTimeout(seed), 0.0
+        for terms, told in (
+            (POLLED_DISCOVERY, max(6.0, POLLED_DISCOVERY.wait_s + 2)),
+            (LOCAL_AGENT, 2.0),
+        ):  # at once, 2 s to drain
+            assert terms.wait_s + terms.response_margin_s + line.on_timeout(terms) <= told
+            line.on_response()
+        pauses = [line.on_timeout(POLLED_DISCOVERY) for _ in range(50)]
+        assert max(pauses) <= 2 * POLLED_DISCOVERY.jitter_s
         for _ in range(9):
-            at = line.broke(PUSHED)
-        assert at == PUSHED.again[1]
-    spread = [Silence(seed).fell_silent(ASKED) for seed in range(200)]
+            at = line.on_failure(LOCAL_AGENT)
+        assert at == LOCAL_AGENT.backoff.max_s
+    spread = [WatchTimeout(seed).on_timeout(POLLED_DISCOVERY) for seed in range(200)]
     assert all(30 < sum(k / 4 <= p < (k + 1) / 4 for p in spread) < 71 for k in range(4))  # not in step
 
 
@@ -168,10 +171,10 @@
     states: list[str | None],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(endpoint_watch, "PUSHED", replace(PUSHED, wait=0.05, spare=0.05))
+    monkeypatch.setattr(endpoint_watch, "LOCAL_AGENT", replace(LOCAL_AGENT, wait_s=0.05, response_margin_s=0.05))
 
     async def run() -> None:
-        agent, seen = Discovery(), list[discovery.Listing | None]()
+        agent, seen = Discovery(), list[discovery.EndpointListing | None]()
         await agent.open()
         agent.hosts, agent.script, agent.indent = [HOST], list(script), 2
         settings = replace(DEPLOYMENT, polls_endpoint_list=not pushed)
@@ -183,7 +186,7 @@
         await asyncio.sleep(0.1)
         watch.stop()
         agent.die()
-        told = [e for s in seen for e in ([None] if s is None else s.news.entries)]
+        told = [e for s in seen for e in ([None] if s is None else s.update.entries)]
         assert [None if e is None else e.state.name for e in told] == states
         assert pushed or not agent.calls
 
--- a/tests/net/test_http_messages.py
+++ b/tests/net/test_http_messages.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from sabledyke.net import http_frontend
-from sabledyke.protocol.http import HttpError, Parser
+from sabledyke.protocol.http import HttpError, HttpParser
 from tests.standins import ask, read_http
 from tests.support.server_rig import GET, INFO, PUT, Rig, play
 
@@ -40,19 +40,19 @@
     body: bytes, cuts: list[int]
 ) -> None:
     whole = b"HTTP/1.1 200 OK\r\nX: y\r\n\r\n" + body
-    parser, at = Parser(responses=True), 0
+    parser, at = HttpParser(responses=True), 0
     for cut in [*cuts, len(whole)]:
         parser.feed(whole[at : at + cut])
         at += cut
-        assert parser.next() is None  # never whole before its end
-    message = parser.end()
+        assert parser.next_message() is None  # never whole before its end
+    message = parser.on_end_of_stream()
     assert message is not None and message.body == body and not message.keep_alive
     for cut_off in (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1234", b"HTTP/1.1 200 OK\r\nX:"):
-        broken = Parser(responses=True)
+        broken = HttpParser(responses=True)
         broken.feed(cut_off)
-        assert broken.next() is None
+        assert broken.next_message() is None
         with pytest.raises(HttpError):
-            broken.end()
+            broken.on_end_of_stream()
 
 
 def test_a_close_completes_an_answer_without_length_and_a_reset_does_not() -> None:
--- a/tests/net/test_nvme.py
+++ b/tests/net/test_nvme.py
@@ -94,7 +94,7 @@
         rig.server.assembly.dialers[b"spare"] = nvme.dialer.dial
         rig.discovery.add("spare", spare.port, 2)
         rig.discovery.hosts = rig.discovery.hosts[1:]  # none that speaks HTTP
-        rig.server.assembly.on_endpoint_list(discovery.read(rig.discovery.listing(), DEPLOYMENT))
+        rig.server.assembly.on_endpoint_list(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         for box in (rig.nvme, spare):
             box.mercy, box.deadly = 1000, deadly
         info = INFO.replace("shard=0", "shard=-1") + "Idempotency-Key: k\nContent-Length: 3000\n"
@@ -143,7 +143,7 @@
     async def scenario(rig: Rig) -> None:
         host = await rig.host()
         target = next(c for c in rig.server.fronts[1].clients if isinstance(c, NvmeClientConnection)).target
-        target.keep_alive = 50
+        target.keep_alive_ms = 50
         assert await host.admin(0x18) == 0
         assert await host.io[0].read() == b""  # its queues go with its controller
         assert not target.subsystem.controllers
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -12,9 +12,9 @@
 from sabledyke.net import streams
 from sabledyke.policy.events import Outcome
 from sabledyke.protocol.http import MAX_INPUT_BYTES
-from sabledyke.shutdown.graceful_shutdown import Departure, Phase
-from tests.crossings import Line, Step, request, until
-from tests.test_net import Rig, play
+from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
+from tests.support.request_steps import Line, Step, request, until
+from tests.support.server_rig import Rig, play
 
 Act = Callable[[Rig, Line], None]
 
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -22,6 +22,7 @@
 from tests.helpers import BRISK
 from tests.standins import Discovery, Service, ask, http, read_http
 from tests.standins.postgres import Postgres
+from tests.standins.postgres_faults import no_fault
 from tests.support.server_rig import DEPLOYMENT, GET, PUT
 
 RECOVERY_TIMEOUT_S = 5  # within which a store that is back is found
@@ -104,7 +105,7 @@
         return operator_config.OperatorConfig(store=store)
 
     def listing(self) -> Any:
-        """The list of boxes."""
+        """The endpoint list."""
         return discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
 
     async def start_incarnation(self) -> Server:
@@ -127,16 +128,14 @@
         """The server stops where it stands: nothing is answered, written or closed in good order."""
         while self.server.listeners:
             self.server.listeners.pop().close()
-        self.server.assembly.driver.run_batch = lambda: None  # type: ignore[method-assign]  # a dead process's guards do not fire
-        recorder = self.recorder
-        recorder._ending = True
-        if recorder._pump is not None:
-            recorder._pump.cancel()
-        for timer in (recorder._gathering, recorder._ticking, self.server.assembly.driver._timer):
-            if timer is not None:
-                timer.cancel()
-        if recorder._session is not None:
-            recorder._session.abort()
+        driver = self.server.assembly.driver
+        driver.run_batch = lambda: None  # type: ignore[method-assign]  # a dead process's guards do not fire
+        writer = self.recording_transport.writer
+        writer.stop()
+        if driver._timer is not None:
+            driver._timer.cancel()
+        if writer.session is not None:
+            writer.session.abort()
         for front in self.server.fronts:
             front.closing = True
             for client in list(front.clients):
--- a/tests/store/sql_node_deployment.py
+++ b/tests/store/sql_node_deployment.py
@@ -17,7 +17,7 @@
 from tests.standins import Discovery, ask
 from tests.standins.postgres import Postgres
 from tests.standins.postgres_faults import no_fault
-from tests.test_net import DEPLOYMENT, GET, PUT
+from tests.support.server_rig import DEPLOYMENT, GET, PUT
 
 INFO = "IO-Info: units=1,shard=0,hosts=1\n"
 
@@ -41,7 +41,7 @@
         else:
             target = Target(host="elsewhere", database="d", user="sabledyke", password="secret")
         store = StoreSection(sql_nodes=(SqlNode(b"db", target, 3),))
-        known = discovery.read(self.discovery.listing(), DEPLOYMENT, cached=True)
+        known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
         self.server = Server(config, operator_config.OperatorConfig(store=store), BRISK)
--- a/tests/store/test_sql_link.py
+++ b/tests/store/test_sql_link.py
@@ -14,7 +14,7 @@
 from tests.standins.postgres_faults import ConnectionCutError, Point, fault_at
 from tests.store.record_deployment import BACKENDS
 from tests.store.sql_node_deployment import SqlNodeDeployment, run_scenario
-from tests.test_net import DEPLOYMENT
+from tests.support.server_rig import DEPLOYMENT
 
 
 def first_commit(fault: Callable[[Point], Awaitable[None]], stage: str) -> Callable[[Point], Awaitable[None]]:
@@ -166,7 +166,9 @@
     async def scenario(deployment: SqlNodeDeployment) -> None:
         assert (await deployment.put("k"))[0] == 200
         deployment.discovery.hosts.pop()
-        deployment.server._listed(discovery.read(deployment.discovery.listing(), DEPLOYMENT))
+        deployment.server.assembly.on_endpoint_list(
+            discovery.read_listing(deployment.discovery.listing(), DEPLOYMENT)
+        )
         while deployment.postgres.connected:
             await asyncio.sleep(0.005)
 
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -272,7 +272,7 @@
         born = int(time.time() * 1000)
         await box.renew(server_context(*ROOT.issue("plain")), reset=True)
         rig.discovery.hosts[0]["born_ms"] = born
-        rig.server._listed(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
+        rig.server.assembly.on_endpoint_list(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         until = time.monotonic() + 5
         while await rig.ask() != 200:
             assert time.monotonic() < until
@@ -357,7 +357,7 @@
 def test_handshakes_that_do_not_end_push_no_client_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("sabledyke.net.frontend.GATE", 8)
+    monkeypatch.setattr("sabledyke.net.frontend.MAX_PENDING_HANDSHAKES", 8)
     monkeypatch.setattr("sabledyke.tls.extension.CLIENT_HANDSHAKE_TIMEOUT_MS", 300.0)
     box = TlsBox(GOOD)
 
@@ -459,9 +459,9 @@
         assert await rig.ask() == 200  # its handshake was nobody's wait
         assert rig.part.connector.full_handshakes + rig.part.connector.resumed_handshakes == handshakes == 2
         rig.discovery.hosts.pop()
-        rig.server._listed(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
+        rig.server.assembly.on_endpoint_list(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         await asyncio.sleep(0.15)
-        assert not rig.server.pool._count and not rig.part._last_used_ms  # none to a box that is gone
+        assert not rig.server.pool._open_count and not rig.part._last_used_ms  # none to a box that is gone
 
     play(tmp_path, box, story)
 
