--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -171,7 +171,9 @@
     states: list[str | None],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(endpoint_watch, "LOCAL_AGENT", replace(LOCAL_AGENT, wait_s=0.05, response_margin_s=0.05))
+    monkeypatch.setattr(
+        endpoint_watch, "LOCAL_AGENT", replace(LOCAL_AGENT, wait_s=0.05, response_margin_s=0.05)
+    )
 
     async def run() -> None:
         agent, seen = Discovery(), list[discovery.EndpointListing | None]()
--- a/tests/test_outside.py
+++ b/tests/test_outside.py
@@ -8,6 +8,7 @@
 import socket
 import subprocess
 import sys
+import tomllib
 import urllib.request
 from dataclasses import replace
 from pathlib import Path
@@ -66,6 +67,14 @@
     assert not [name for name in mine if name.split(".")[1] in off] and "msgspec" not in said.stdout.split()
 
 
+def test_the_distribution_holds_every_package() -> None:
+    listed = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"]
+    present = [
+        ".".join(path.parent.relative_to(ROOT).parts) for path in (ROOT / "sabledyke").rglob("__init__.py")
+    ]
+    assert sorted(listed) == sorted(present)
+
+
 def test_every_error_type_has_a_code_of_its_own_and_a_place_on_the_on_call_page() -> None:
     for module in pkgutil.walk_packages(sabledyke.__path__, "sabledyke."):
         if module.name != "sabledyke.__main__":
