--- a/sabledyke/policy/dispatch.py
+++ b/sabledyke/policy/dispatch.py
@@ -94,6 +94,8 @@
         if not node.ready and not self._directory.accepts_while_draining(node):
             self._requests.unassigned += node.queue
             node.queue = []
+        if not node.queue:
+            return
         by_due_time = sorted(
             (pending for pending in node.queue if not pending.completed), key=lambda pending: pending.due_ms
         )
