--- a/tests/compatibility/test_store.py
+++ b/tests/compatibility/test_store.py
@@ -27,11 +27,20 @@
 ]
 ENTRIES = [
     [
-        1700000000500, 1700000000100, "scontrino", "00000003b4d60021", f"order-{number}", "0000000000000007",
-        3, "s-00000001", 1.5, "ab" * 32, outcome,
+        1700000000500,
+        1700000000100,
+        "scontrino",
+        "00000003b4d60021",
+        f"order-{number}",
+        "0000000000000007",
+        3,
+        "s-00000001",
+        1.5,
+        "ab" * 32,
+        outcome,
     ]
     for number, outcome in enumerate(("served", "refused", "failed", "departed", "unconfirmed"), 1)
-]  # fmt: skip
+]
 DRIFT = [1700000000600, "00000003b4d60021", "0000000000000007", "s-00000001", "ab" * 32, "cd" * 32]
 WRITES = [  # by name: when, shard, zone, state
     ("scontrino/3b4d60021/order-1", [1700000000100.5, 3, 1], "served"),
