--- a/sabledyke/application/extensions.py
+++ b/sabledyke/application/extensions.py
@@ -79,7 +79,7 @@
         """A front hands in work, on its way to the core."""
         return onward(work, done)
 
-    def on_client_disconnected(self, rid: int) -> None:
+    def on_client_disconnected(self, request_id: int) -> None:
         """The client of a request is gone; the core has not been told yet."""
 
     async def open(self) -> None:
--- a/sabledyke/core.py
+++ b/sabledyke/core.py
@@ -110,10 +110,10 @@
 class Transport(Protocol):
     """Carries attempts to boxes; reports each once through ``Core.ended``, never from inside a call."""
 
-    def start(self, rid: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
+    def start(self, request_id: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
         """Start an attempt that may take ``timeout`` milliseconds."""
 
-    def cancel(self, rid: int, number: int) -> None:
+    def cancel(self, request_id: int, number: int) -> None:
         """Give up an attempt; an unknown one is ignored."""
 
     def close_idle(self, node: NodeId) -> None:
@@ -191,17 +191,17 @@
     def submit(self, now: float, work: ClientRequest, done: Callable[[Answer], None]) -> int:
         """Take a request; ``done`` is called once, and never from inside this call."""
         self._ids += 1
-        rid = self._ids
+        request_id = self._ids
         deadline = min(now + work.remaining_ms, self._until)
         kind = self.settings.classes[work.class_index]
         usable = (
             work.remaining_ms if work.remaining_ms > ATTEMPT_GUARD_MS else 0.0
         )  # else no attempt could end in time
-        self._open[rid] = _Open(work, kind, deadline, done, ran=work.possible_execution)
-        heapq.heappush(self._timers, (now + work.remaining_ms - ANSWER_GUARD_MS, -1, rid))
+        self._open[request_id] = _Open(work, kind, deadline, done, ran=work.possible_execution)
+        heapq.heappush(self._timers, (now + work.remaining_ms - ANSWER_GUARD_MS, -1, request_id))
         self._event(
             Request(
-                rid,
+                request_id,
                 work.class_index,
                 work.plan_index,
                 work.data_key,
@@ -216,20 +216,22 @@
                 work.quota_share,
             )
         )
-        return rid
+        return request_id
 
-    def on_client_disconnected(self, rid: int) -> None:
+    def on_client_disconnected(self, request_id: int) -> None:
         """The client is gone: nothing is owed any more."""
-        request = self._open.get(rid)
+        request = self._open.get(request_id)
         if request is not None and not request.answered:
             request.answered = True
-            self._event(ClientDisconnected(rid))
-            self._forget(rid)
+            self._event(ClientDisconnected(request_id))
+            self._forget(request_id)
 
-    def on_attempt_completed(self, now: float, rid: int, number: int, end: AttemptResult) -> None:
+    def on_attempt_completed(self, now: float, request_id: int, number: int, end: AttemptResult) -> None:
         """An attempt's one outcome."""
-        request = self._open.get(rid)
-        if not check(request is not None and number in request.out, "one outcome per attempt", f"{rid}"):
+        request = self._open.get(request_id)
+        if not check(
+            request is not None and number in request.out, "one outcome per attempt", f"{request_id}"
+        ):
             return
         assert request is not None
         sent, node = request.out.pop(number)
@@ -237,10 +239,10 @@
         if end.may_have_run:
             request.ran = request.ran or (sent, node)
         if end.outcome is Outcome.OK and not request.answered:
-            self._answer(rid, Answer(AnswerStatus.SERVED, end.body))
+            self._answer(request_id, Answer(AnswerStatus.SERVED, end.body))
         self._event(
             AttemptCompleted(
-                rid,
+                request_id,
                 node.node_id,
                 number,
                 end.outcome,
@@ -251,7 +253,7 @@
                 end.load_report,
             )
         )
-        self._forget(rid)
+        self._forget(request_id)
 
     def on_endpoint_list(self, news: EndpointList) -> list[NodeId]:
         """News of the list of nodes; returns those that are gone, which are forgotten here.
@@ -267,14 +269,14 @@
         self._event(news)
         return gone
 
-    def may_write(self, now: float, rid: int, number: int) -> bool:
+    def may_write(self, now: float, request_id: int, number: int) -> bool:
         """Whether an attempt may be written now; asked in the turn that writes it, as its connection may
         have taken long to come up.
 
         Guards against work for a client that has left, for a node that drains or started anew meanwhile, past
         the client's time, and past the window in which a repeat is recognised. What does not go has not run.
         """
-        request = self._open.get(rid)
+        request = self._open.get(request_id)
         if request is None or request.answered or number not in request.out:
             return False
         if now >= request.deadline - ATTEMPT_GUARD_MS or not request.work.client_connected():
@@ -301,13 +303,13 @@
         """Hand the module all that has come in, and do what it says."""
         late = []
         while self._timers and self._timers[0][0] <= now:
-            _, token, rid = heapq.heappop(self._timers)
+            _, token, request_id = heapq.heappop(self._timers)
             if token >= 0:
                 self._events.append(TimerFired(token))
             elif token == -2:
                 heapq.heappush(self._timers, (now + SHUTDOWN_POLL_MS, -2, 0))
-            elif rid in self._open and not self._open[rid].answered:
-                late.append(rid)
+            elif request_id in self._open and not self._open[request_id].answered:
+                late.append(request_id)
         events, self._events = self._events, []
         if events:
             try:
@@ -321,23 +323,23 @@
         if now >= self._until:
             self._answer_all(now)
         # Guards against a module that keeps silent: the client still gets its one answer in time.
-        for rid in late:
-            request = self._open.get(rid)
+        for request_id in late:
+            request = self._open.get(request_id)
             if request is not None and not request.answered:
-                self._answer(rid, Answer(AnswerStatus.FAILED))
-                self._event(ClientDisconnected(rid))
-                self._forget(rid)
-                check(False, "every request is answered by the module in time", f"request {rid}")
+                self._answer(request_id, Answer(AnswerStatus.FAILED))
+                self._event(ClientDisconnected(request_id))
+                self._forget(request_id)
+                check(False, "every request is answered by the module in time", f"request {request_id}")
 
     def _answer_all(self, now: float) -> None:
         """The end: whoever is owed an answer gets it now."""
-        for rid, request in [(i, r) for i, r in self._open.items() if not r.answered]:
+        for request_id, request in [(i, r) for i, r in self._open.items() if not r.answered]:
             ran = request.ran is not None or bool(request.out)
             harmless = not ran or request.kind.repeat_safety is RepeatSafety.IDEMPOTENT
             verdict = AnswerStatus.REJECTED if harmless else AnswerStatus.FAILED
-            self._answer(rid, Answer(verdict, retry_after_ms=self._advice(now, 0.0)))
-            self._event(ClientDisconnected(rid))
-            self._forget(rid)
+            self._answer(request_id, Answer(verdict, retry_after_ms=self._advice(now, 0.0)))
+            self._event(ClientDisconnected(request_id))
+            self._forget(request_id)
 
     def _advice(self, now: float, after: float) -> float:
         """Advice to who is refused: the module's, at the end not before somebody serves here again."""
@@ -351,15 +353,17 @@
 
     def _carry_out(self, now: float, action: Action) -> None:
         match action:
-            case StartAttempt(rid, node, timeout):
-                self._send(now, rid, node, timeout)
-            case Reject(rid, after):
-                self._finish(rid, Answer(AnswerStatus.REJECTED, retry_after_ms=self._advice(now, after)))
-            case Fail(rid):
-                self._finish(rid, Answer(AnswerStatus.FAILED))
-            case CancelAttempt(rid, number):
-                if rid in self._open and number in self._open[rid].out:
-                    self.transport.cancel(rid, number)
+            case StartAttempt(request_id, node, timeout):
+                self._send(now, request_id, node, timeout)
+            case Reject(request_id, after):
+                self._finish(
+                    request_id, Answer(AnswerStatus.REJECTED, retry_after_ms=self._advice(now, after))
+                )
+            case Fail(request_id):
+                self._finish(request_id, Answer(AnswerStatus.FAILED))
+            case CancelAttempt(request_id, number):
+                if request_id in self._open and number in self._open[request_id].out:
+                    self.transport.cancel(request_id, number)
             case SetTimer(token, delay):
                 heapq.heappush(self._timers, (now + delay, token, 0))
             case WatchList(on):
@@ -373,9 +377,9 @@
             case _:
                 check(False, "the module asks only for what is allowed here", repr(action))
 
-    def _send(self, now: float, rid: int, node: NodeId, timeout: float) -> None:
-        request = self._open.get(rid)
-        if not check(request is not None and not request.answered, "no send after the end", f"{rid}"):
+    def _send(self, now: float, request_id: int, node: NodeId, timeout: float) -> None:
+        request = self._open.get(request_id)
+        if not check(request is not None and not request.answered, "no send after the end", f"{request_id}"):
             return
         assert request is not None
         number, request.attempts = request.attempts, request.attempts + 1
@@ -386,12 +390,12 @@
         assert entry is not None
         beyond = entry.state is NodeState.GONE
         repeats = self._may_run(now, request, entry, list(request.out.values()))
-        beyond |= not check(repeats, "no repeat beyond its key", f"request {rid}")
+        beyond |= not check(repeats, "no repeat beyond its key", f"request {request_id}")
         request.out[number], request.work.last_node = (now, entry), entry
         if beyond or number >= self.settings.max_attempts or left <= 0:
-            self.on_attempt_completed(now, rid, number, AttemptResult(Outcome.EXPIRED, False))
+            self.on_attempt_completed(now, request_id, number, AttemptResult(Outcome.EXPIRED, False))
             return
-        self.transport.start(rid, number, node, request.work, min(timeout, left) if timeout else left)
+        self.transport.start(request_id, number, node, request.work, min(timeout, left) if timeout else left)
 
     def _may_run(
         self, now: float, request: _Open, here: NodeEntry, out: list[tuple[float, NodeEntry]]
@@ -406,19 +410,19 @@
         at, first = min(sent, key=lambda s: s[0])
         return may_repeat(request.kind, at, (first.shard, first.zone), now, (here.shard, here.zone))
 
-    def _finish(self, rid: int, answer: Answer) -> None:
-        if rid in self._open and not self._open[rid].answered:
-            self._answer(rid, answer)
-            self._forget(rid)
+    def _finish(self, request_id: int, answer: Answer) -> None:
+        if request_id in self._open and not self._open[request_id].answered:
+            self._answer(request_id, answer)
+            self._forget(request_id)
 
-    def _answer(self, rid: int, answer: Answer) -> None:
-        request = self._open[rid]
-        check(not request.answered, "one final answer", f"request {rid}")
+    def _answer(self, request_id: int, answer: Answer) -> None:
+        request = self._open[request_id]
+        check(not request.answered, "one final answer", f"request {request_id}")
         request.answered = True
         self.metrics.count_answer(answer.status.value, request.kind.name)
         request.done(answer)
 
-    def _forget(self, rid: int) -> None:
-        request = self._open.get(rid)
+    def _forget(self, request_id: int) -> None:
+        request = self._open.get(request_id)
         if request is not None and request.answered and not request.out:
-            del self._open[rid]
+            del self._open[request_id]
--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -125,18 +125,18 @@
                 self.close_idle(node)
             self._addresses[node] = address
 
-    def start(self, rid: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
+    def start(self, request_id: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
         """See ``core.Transport``."""
         loop = asyncio.get_running_loop()
-        attempt = _Attempt(rid, number, node, work)
-        self._attempts[rid, number] = attempt
+        attempt = _Attempt(request_id, number, node, work)
+        self._attempts[request_id, number] = attempt
         attempt.expires_at_s = loop.time() + timeout / 1000
         attempt.timer = loop.call_at(attempt.expires_at_s, self._expire, attempt)
         attempt.task = loop.create_task(self._carry_out(attempt, timeout))
 
-    def cancel(self, rid: int, number: int) -> None:
+    def cancel(self, request_id: int, number: int) -> None:
         """See ``core.Transport``."""
-        attempt = self._attempts.get((rid, number))
+        attempt = self._attempts.get((request_id, number))
         if attempt is not None:
             self._complete(attempt, AttemptResult(Outcome.CANCELLED, attempt.abort()))
 
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -68,9 +68,9 @@
         """See ``extensions.Part``."""
         return self.recording_transport.submit(work, done, onward)
 
-    def on_client_disconnected(self, rid: int) -> None:
+    def on_client_disconnected(self, request_id: int) -> None:
         """See ``extensions.Part``."""
-        self.recording_transport.on_client_departed(rid)
+        self.recording_transport.on_client_departed(request_id)
 
     async def open(self) -> None:
         """See ``extensions.Part``."""
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -239,13 +239,13 @@
 
     # Between the core and the connection pool.
 
-    def start(self, rid: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
+    def start(self, request_id: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
         """See ``core.Transport``."""
         name = write_name(work)
         if not name:
-            self.inner.start(rid, number, node, work, timeout)
+            self.inner.start(request_id, number, node, work, timeout)
             return
-        attempt = rid, number
+        attempt = request_id, number
         now_ms = clock.now()
         deadline_ms = now_ms + timeout
         entry = self._entry(node)
@@ -259,11 +259,11 @@
             self._carry_out(effects)
         self.writer.schedule()
 
-    def cancel(self, rid: int, number: int) -> None:
+    def cancel(self, request_id: int, number: int) -> None:
         """See ``core.Transport``."""
-        attempt = rid, number
+        attempt = request_id, number
         if attempt not in self._waiting:
-            self.inner.cancel(rid, number)
+            self.inner.cancel(request_id, number)
         elif self.intents.on_attempt_cancelled(attempt):
             self._end_unsent(attempt, AttemptResult(Outcome.CANCELLED, False))
 
@@ -271,13 +271,13 @@
         """See ``core.Transport``."""
         self.inner.close_idle(node)
 
-    def on_attempt_ended(self, rid: int, number: int, ended: AttemptResult) -> None:
+    def on_attempt_ended(self, request_id: int, number: int, ended: AttemptResult) -> None:
         """Pass on what the transport below reports."""
-        sent = self._sent.pop((rid, number), None)
+        sent = self._sent.pop((request_id, number), None)
         if sent is not None:
             self.intents.on_attempt_ended(sent.name, may_have_run=ended.may_have_run)
             ended = replace(ended, held_back_ms=sent.waited_ms)
-        self.report(rid, number, ended)
+        self.report(request_id, number, ended)
 
     # Effects.
 
--- a/sabledyke/wire.py
+++ b/sabledyke/wire.py
@@ -122,14 +122,28 @@
 
     def _event(self, code: int, data: bytes, at: int) -> tuple[Event | Started | Stopped, int]:
         if code == 18:
-            rid, band, plan, key, left, volume, units, shard, hosts, marks = _REQUEST.unpack_from(data, at)
+            request_id, band, plan, key, left, volume, units, shard, hosts, marks = _REQUEST.unpack_from(
+                data, at
+            )
             return Request(
-                rid, band, plan, key, left, volume, units, int(shard), hosts, bool(marks & 2), bool(marks & 4)
+                request_id,
+                band,
+                plan,
+                key,
+                left,
+                volume,
+                units,
+                int(shard),
+                hosts,
+                bool(marks & 2),
+                bool(marks & 4),
             ), at + _REQUEST.size
         if code == 25:
-            rid, used, node, how, over, others, number, lag, n = _REPLY.unpack_from(data, at)
+            request_id, used, node, how, over, others, number, lag, n = _REPLY.unpack_from(data, at)
             load, at = _floats(data, at + _REPLY.size, n)
-            return AttemptCompleted(rid, node, number, _outcome(how), bool(over), lag, used, others, load), at
+            return AttemptCompleted(
+                request_id, node, number, _outcome(how), bool(over), lag, used, others, load
+            ), at
         if code == 24:
             return TimerFired(*_U32.unpack_from(data, at)), at + 4
         if code == 19:
@@ -189,16 +203,16 @@
 def encode(action: Action) -> bytes:
     """One action as a record."""
     match action:
-        case StartAttempt(rid, node, timeout):
-            return _SEND.pack(16, rid, node, timeout)
+        case StartAttempt(request_id, node, timeout):
+            return _SEND.pack(16, request_id, node, timeout)
         case SetTimer(token, delay):
             return struct.pack(">BId", 23, token, delay)
-        case Reject(rid, after):
-            return struct.pack(">BId", 24, rid, after)
-        case Fail(rid):
-            return struct.pack(">BI", 18, rid)
-        case CancelAttempt(rid, attempt):
-            return struct.pack(">BIH", 28, rid, attempt)
+        case Reject(request_id, after):
+            return struct.pack(">BId", 24, request_id, after)
+        case Fail(request_id):
+            return struct.pack(">BI", 18, request_id)
+        case CancelAttempt(request_id, attempt):
+            return struct.pack(">BIH", 28, request_id, attempt)
         case Probe(node):
             return struct.pack(">B6s", 17, node)
         case WatchList(on):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -139,22 +139,22 @@
 
     def end(
         self,
-        rid: int,
+        request_id: int,
         how: Outcome = Outcome.OK,
         took: float = 20,
         where: int = 1,
         attempt: int | None = None,
         over: bool | None = None,
     ) -> list[Action]:
-        number = self.tries[rid] - 1 if attempt is None else attempt
+        number = self.tries[request_id] - 1 if attempt is None else attempt
         done = how is Outcome.OK if over is None else over
-        return self.do(AttemptCompleted(rid, node(where).node_id, number, how, done, took, 0, 0, ()))
+        return self.do(AttemptCompleted(request_id, node(where).node_id, number, how, done, took, 0, 0, ()))
 
-    def sends(self, rid: int) -> int:
-        return self.tries.get(rid, 0)
+    def sends(self, request_id: int) -> int:
+        return self.tries.get(request_id, 0)
 
-    def answers(self, rid: int) -> list[Action]:
-        return [a for a in self.log if isinstance(a, Reject | Fail) and a.request_id == rid]
+    def answers(self, request_id: int) -> list[Action]:
+        return [a for a in self.log if isinstance(a, Reject | Fail) and a.request_id == request_id]
 
 
 def of(actions: list[Action], kind: type[T]) -> list[T]:
--- a/tests/net/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -91,9 +91,9 @@
         rig.server.core.metrics.count_attempt = lambda *_: None  # type: ignore[method-assign]
         report = rig.server.pool._report
 
-        def note(rid: int, number: int, ended: AttemptResult) -> None:
+        def note(request_id: int, number: int, ended: AttemptResult) -> None:
             ends.append(ended)
-            report(rid, number, ended)
+            report(request_id, number, ended)
 
         rig.server.pool._report = note
         line.socket.sendall(request("late"))
@@ -119,14 +119,16 @@
     once = replace(KEYED, deduplication_window_ms=500)
     bench = Bench(lambda now, events: [])
     bench.core.settings = replace(helpers.SETTINGS, classes=(helpers.READ, once))
-    rid = bench.ask(class_index=1, write=True)
-    bench.core._carry_out(bench.now, StartAttempt(rid, helpers.node(1).node_id))
-    bench.core.on_attempt_completed(bench.now, rid, 0, AttemptResult(Outcome.RESET, True))
+    request_id = bench.ask(class_index=1, write=True)
+    bench.core._carry_out(bench.now, StartAttempt(request_id, helpers.node(1).node_id))
+    bench.core.on_attempt_completed(bench.now, request_id, 0, AttemptResult(Outcome.RESET, True))
     bench.now += 300
-    bench.core._carry_out(bench.now, StartAttempt(rid, helpers.node(1).node_id))
-    assert len(bench.started) == 2 and bench.core.may_write(bench.now, rid, 1)
-    assert not bench.core.may_write(bench.now + 60, rid, 1)  # inside by 140 ms: a pause of 150 would pass it
-    assert not bench.core.may_write(bench.now + 250, rid, 1)
+    bench.core._carry_out(bench.now, StartAttempt(request_id, helpers.node(1).node_id))
+    assert len(bench.started) == 2 and bench.core.may_write(bench.now, request_id, 1)
+    assert not bench.core.may_write(
+        bench.now + 60, request_id, 1
+    )  # inside by 140 ms: a pause of 150 would pass it
+    assert not bench.core.may_write(bench.now + 250, request_id, 1)
 
 
 def test_a_request_in_work_keeps_the_window_that_it_came_with() -> None:
@@ -134,14 +136,18 @@
     bench = Bench(lambda now, events: [])
     keyed = replace(KEYED, deduplication_window_ms=2000)
     bench.core.settings = replace(helpers.SETTINGS, classes=(helpers.READ, keyed))
-    rid = bench.ask(class_index=1, write=True)
-    bench.core._carry_out(bench.now, StartAttempt(rid, helpers.node(1).node_id))
-    bench.core.on_attempt_completed(bench.now, rid, 0, AttemptResult(Outcome.RESET, True))
+    request_id = bench.ask(class_index=1, write=True)
+    bench.core._carry_out(bench.now, StartAttempt(request_id, helpers.node(1).node_id))
+    bench.core.on_attempt_completed(bench.now, request_id, 0, AttemptResult(Outcome.RESET, True))
     shorter = replace(keyed, deduplication_window_ms=1)
     bench.core.settings = replace(bench.core.settings, classes=(helpers.READ, shorter))
     bench.now += 300
-    bench.core._carry_out(bench.now, StartAttempt(rid, helpers.node(1).node_id))
-    assert len(bench.started) == 2 and bench.core.may_write(bench.now, rid, 1) and not invariants.violations
+    bench.core._carry_out(bench.now, StartAttempt(request_id, helpers.node(1).node_id))
+    assert (
+        len(bench.started) == 2
+        and bench.core.may_write(bench.now, request_id, 1)
+        and not invariants.violations
+    )
 
 
 def test_a_request_with_hardly_any_time_left_is_refused_unsent() -> None:
@@ -150,9 +156,9 @@
     async def scenario(rig: Rig) -> None:
         attempts, ended = list[int](), rig.server.core.on_attempt_completed
 
-        def note(now: float, rid: int, number: int, end: AttemptResult) -> None:
+        def note(now: float, request_id: int, number: int, end: AttemptResult) -> None:
             attempts.append(number)
-            ended(now, rid, number, end)
+            ended(now, request_id, number, end)
 
         rig.server.core.on_attempt_completed = note  # type: ignore[method-assign]
         for left in (0.001, 0.029, 0.031, 0.059):
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -145,9 +145,9 @@
         line, outcomes = await Line.open(rig), list[Outcome]()
         report = rig.server.pool._report
 
-        def note(rid: int, number: int, ended: AttemptResult) -> None:
+        def note(request_id: int, number: int, ended: AttemptResult) -> None:
             outcomes.append(ended.outcome)
-            report(rid, number, ended)
+            report(request_id, number, ended)
 
         rig.server.pool._report = note
         whole = b"".join(request(f"{n}-" + "x" * 1900) for n in range(behind + 1))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -42,12 +42,12 @@
         self.core.on_endpoint_list(listing(node(1)))
         self.core.run_batch(self.now)
 
-    def start(self, rid: int, number: int, where: NodeId, work: ClientRequest, timeout: float) -> None:
-        self.started.append((rid, number, where, timeout))
+    def start(self, request_id: int, number: int, where: NodeId, work: ClientRequest, timeout: float) -> None:
+        self.started.append((request_id, number, where, timeout))
 
-    def cancel(self, rid: int, number: int) -> None:
-        self.cancelled.append((rid, number))
-        self.core.on_attempt_completed(self.now, rid, number, AttemptResult(Outcome.CANCELLED, True))
+    def cancel(self, request_id: int, number: int) -> None:
+        self.cancelled.append((request_id, number))
+        self.core.on_attempt_completed(self.now, request_id, number, AttemptResult(Outcome.CANCELLED, True))
 
     def close_idle(self, where: NodeId) -> None:
         raise AssertionError("not asked for here")
@@ -60,9 +60,9 @@
 
     def ask(self, **changes: Any) -> int:
         work = ClientRequest(0, 0, 1, 1, 2.0, 1, 1.0, 1000.0, False, False, "i")
-        rid = self.core.submit(self.now, replace(work, **changes), self.answers.append)
+        request_id = self.core.submit(self.now, replace(work, **changes), self.answers.append)
         self.core.run_batch(self.now)
-        return rid
+        return request_id
 
     def wait(self, ms: float) -> None:
         end = self.now + ms
@@ -74,9 +74,9 @@
 
 def test_an_answer_goes_out_at_once_and_once() -> None:
     bench = Bench()
-    rid = bench.ask()
-    assert bench.started == [(rid, 0, node(1).node_id, 200)]  # until the aim: later it earns little
-    bench.core.on_attempt_completed(bench.now, rid, 0, OK)
+    request_id = bench.ask()
+    assert bench.started == [(request_id, 0, node(1).node_id, 200)]  # until the aim: later it earns little
+    bench.core.on_attempt_completed(bench.now, request_id, 0, OK)
     assert bench.answers == [Answer(AnswerStatus.SERVED, b"body")]  # before the module's turn
     bench.wait(2000)
     assert len(bench.answers) == 1 and not bench.core.unanswered
@@ -84,10 +84,10 @@
 
 def test_a_client_gone_is_owed_nothing_and_its_attempt_is_called_off() -> None:
     bench = Bench()
-    rid = bench.ask()
-    bench.core.on_client_disconnected(rid)
+    request_id = bench.ask()
+    bench.core.on_client_disconnected(request_id)
     bench.core.run_batch(bench.now)
-    assert bench.cancelled == [(rid, 0)] and not bench.answers
+    assert bench.cancelled == [(request_id, 0)] and not bench.answers
     bench.wait(2000)
     assert not bench.answers and not bench.core._open
 
@@ -124,13 +124,13 @@
     )
     bench.core.settings = replace(SETTINGS, classes=(keyed,))
     bench.core.on_endpoint_list(listing(node(1), node(2)))
-    rid = bench.ask(write=True)
+    request_id = bench.ask(write=True)
 
     def send(now: float, where: int) -> None:
-        bench.core._carry_out(now, StartAttempt(rid, node(where).node_id))
+        bench.core._carry_out(now, StartAttempt(request_id, node(where).node_id))
 
     send(1000, 1)
-    bench.core.on_attempt_completed(1010, rid, 0, AttemptResult(Outcome.RESET, True))
+    bench.core.on_attempt_completed(1010, request_id, 0, AttemptResult(Outcome.RESET, True))
     send(1100, 1)  # its cell, inside its window
     for now, where in ((1100, 2), (1300, 1)):
         with pytest.raises(AssertionError):
@@ -151,9 +151,11 @@
 
 def test_more_attempts_than_allowed_are_moot() -> None:
     bench = Bench(lambda now, events: [])
-    rid = bench.ask()
+    request_id = bench.ask()
     for number in range(SETTINGS.max_attempts + 2):
-        bench.core._carry_out(bench.now, StartAttempt(rid, node(1).node_id))
+        bench.core._carry_out(bench.now, StartAttempt(request_id, node(1).node_id))
         if number < SETTINGS.max_attempts:
-            bench.core.on_attempt_completed(bench.now, rid, number, AttemptResult(Outcome.REJECTED, False))
+            bench.core.on_attempt_completed(
+                bench.now, request_id, number, AttemptResult(Outcome.REJECTED, False)
+            )
     assert [n for _, n, *_ in bench.started] == list(range(SETTINGS.max_attempts))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -67,16 +67,16 @@
 
 def test_a_node_back_from_silence_is_not_held_to_the_cold_part() -> None:
     rig = Rig()
-    rid = rig.ask()
+    request_id = rig.ask()
     rig.wait(900)
     rig.ask()
     rig.wait(5)
-    rig.end(rid, took=900)
+    rig.end(request_id, took=900)
     assert rig.scheduler.slow_start.fraction(rig.scheduler.nodes[node(1).node_id]) == 1
 
 
-def request(rid: int, shard: int = 1, volume: int = 1) -> Request:
-    return Request(rid, 0, 0, 0, 1000, volume, 2, shard, 1, False, False)
+def request(request_id: int, shard: int = 1, volume: int = 1) -> Request:
+    return Request(request_id, 0, 0, 0, 1000, volume, 2, shard, 1, False, False)
 
 
 def test_a_late_batch_with_requests_first_and_answers_last_darkens_nothing() -> None:
@@ -94,9 +94,9 @@
 def test_a_hosts_own_stall_does_not_count_as_answer_time() -> None:
     rig = Rig()
     before = rig.scheduler.nodes[node(1).node_id].latency_ms
-    rid = rig.ask()
+    request_id = rig.ask()
     rig.now += 800
-    rig.do(TimerFired(1), AttemptCompleted(rid, node(1).node_id, 0, Outcome.OK, True, 800, 0, 0, ()))
+    rig.do(TimerFired(1), AttemptCompleted(request_id, node(1).node_id, 0, Outcome.OK, True, 800, 0, 0, ()))
     assert rig.scheduler.nodes[node(1).node_id].latency_ms < before + 20
 
 
@@ -132,20 +132,20 @@
 
 def test_an_attempt_ends_with_the_aim_and_is_refused_then() -> None:
     rig = Rig()
-    rid = rig.ask()
+    request_id = rig.ask()
     assert of(rig.log, StartAttempt)[-1].timeout_ms == 200
-    rig.end(rid, Outcome.TIMEOUT, 200)
-    assert isinstance(rig.answers(rid)[0], Reject)
+    rig.end(request_id, Outcome.TIMEOUT, 200)
+    assert isinstance(rig.answers(request_id)[0], Reject)
 
 
 def test_trials_of_a_silent_node_grow_rarer() -> None:
     rig = Rig()
     for i in range(600):
-        rid = rig.ask(volume=i)
+        request_id = rig.ask(volume=i)
         rig.wait(50)
-        if rig.sends(rid):
+        if rig.sends(request_id):
             rig.wait(150)
-            rig.end(rid, Outcome.TIMEOUT, 200)
+            rig.end(request_id, Outcome.TIMEOUT, 200)
     late = [at for at, _, _ in rig.sent if at > rig.now - 10000]
     assert 0 < len(late) <= 5
 
@@ -188,9 +188,9 @@
     for i, rig in enumerate(rigs):
         rig.wait(i % 50 * 10)
         for k in range(10):
-            rid = rig.ask(shard=1 + k % 2)
-            if rig.sends(rid):
-                rig.end(rid, took=20, where=1 + k % 2)
+            request_id = rig.ask(shard=1 + k % 2)
+            if rig.sends(request_id):
+                rig.end(request_id, took=20, where=1 + k % 2)
                 sent += [rig.now] if k % 2 == 0 else []
             rig.wait(500)
     safe, window = SETTINGS.slow_start_units, SETTINGS.overload_window_ms
@@ -242,8 +242,8 @@
 def test_a_client_that_names_another_plan_spends_nothing_of_this_one() -> None:
     rig = Rig()
     rig.end(rig.ask(plan=0))
-    rid = rig.ask(plan=1)
-    assert rig.scheduler.requests.requests[rid].reserved
+    request_id = rig.ask(plan=1)
+    assert rig.scheduler.requests.requests[request_id].reserved
 
 
 @pytest.mark.parametrize("how", [Outcome.OK, Outcome.REJECTED])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,8 +22,8 @@
         rig.scheduler.context.random.seed(i)
         rig.wait(i * EVERY / HOSTS)
         for k in range(30):
-            rid = rig.ask(shard=1 + k % 2)
-            rig.end(rid, took=20, where=1 + k % 2)
+            request_id = rig.ask(shard=1 + k % 2)
+            rig.end(request_id, took=20, where=1 + k % 2)
             rig.wait(EVERY / 2)
     return rigs
 
@@ -49,10 +49,10 @@
         rig.do(listing(replace(node(3, shard=1), started_ms=start), node(2), kind=ListKind.FULL))
     for step in range(int(17000 / EVERY)):
         for rig in rigs:
-            rid = rig.ask(shard=1)
-            if rig.sends(rid):
+            request_id = rig.ask(shard=1)
+            if rig.sends(request_id):
                 sends.append(step * EVERY)
-                rig.end(rid, took=60, where=3)
+                rig.end(request_id, took=60, where=3)
             rig.wait(EVERY)
     full = (
         2 / EVERY * HOSTS * SETTINGS.overload_window_ms
@@ -109,8 +109,8 @@
         hosts = 1 if step < part or step > 1.5 * part else 3
         for rig in rigs[: 1 if step < part else 3]:
             rig.ask(plan=2, hosts=hosts, units=units)
-            for _, rid, _ in rig.sent[-2:]:
-                rig.end(rid, took=5)
+            for _, request_id, _ in rig.sent[-2:]:
+                rig.end(request_id, took=5)
             rig.wait(0)
         for rig in rigs:
             rig.wait(20)
@@ -126,14 +126,14 @@
     """Guards against a box that fails at once, and so looks quick, drawing all that may go anywhere."""
     rig = Rig(node(1), node(2), scheduler_count=HOSTS)
     for where, how, took in ((1, Outcome.ERROR, 2), (2, Outcome.OK, 40)):
-        rid = rig.ask(shard=where)
-        rig.end(rid, how, took, where, over=True)
+        request_id = rig.ask(shard=where)
+        rig.end(request_id, how, took, where, over=True)
     rig.scheduler.nodes[node(1).node_id].latency_ms = rig.scheduler.nodes[node(2).node_id].latency_ms / 2
     for _ in range(5):
         rig.wait(400)
-        rid = rig.ask(shard=-1)
+        request_id = rig.ask(shard=-1)
         assert rig.sent[-1][2] == node(2).node_id
-        rig.end(rid, took=40, where=2)
+        rig.end(request_id, took=40, where=2)
 
 
 def test_a_box_not_heard_yet_is_taken_for_what_its_kind_shows() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -191,19 +191,19 @@
 
 def test_outcomes_departures_and_timers_of_requests_already_over_are_ignored() -> None:
     rig = Rig()
-    rid = rig.ask()
-    rig.end(rid)
+    request_id = rig.ask()
+    rig.end(request_id)
     seen = len(rig.log)
-    rig.end(rid)
-    rig.do(ClientDisconnected(rid), TimerFired(77))
+    rig.end(request_id)
+    rig.do(ClientDisconnected(request_id), TimerFired(77))
     assert len(rig.log) == seen
 
 
 def test_misuse_raises_a_value_error_that_names_it() -> None:
     rig = Rig()
-    rid = rig.ask()
+    request_id = rig.ask()
     rig.ids -= 1
-    with pytest.raises(ValueError, match=f"request {rid} was given twice"):
+    with pytest.raises(ValueError, match=f"request {request_id} was given twice"):
         rig.ask()
     with pytest.raises(ValueError, match="time went back"):
         rig.scheduler.handle(rig.now - 1, [])
@@ -257,7 +257,7 @@
 def test_a_refusal_is_given_at_once_and_says_when_to_come_back() -> None:
     rig = Rig(node(1))
     before = len(rig.log)
-    rid = rig.ask(remaining=5)  # due too soon to be met
+    request_id = rig.ask(remaining=5)  # due too soon to be met
     gone = rig.ask(shard=9, remaining=5)  # and of a shard that no node holds
     refusals = {a.request_id: a for a in of(rig.log[before:], Reject)}
     assert (
@@ -265,8 +265,8 @@
         and refusals[gone].retry_after_ms == rig.scheduler.context.settings.max_retry_after_ms
     )
     assert (
-        rid in refusals
-        and rig.scheduler.context.shortest_objective_ms / 4 <= refusals[rid].retry_after_ms <= 500
+        request_id in refusals
+        and rig.scheduler.context.shortest_objective_ms / 4 <= refusals[request_id].retry_after_ms <= 500
     )
     silent = Rig(node(1), max_retry_after_ms=0)
     silent.ask(shard=9, remaining=5)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,26 +19,26 @@
     start = rig.now
     ids = [rig.ask() for _ in range(60)]
     rig.wait(980)
-    for rid in ids:
-        if not rig.sends(rid):
-            assert len(rig.answers(rid)) == 1
+    for request_id in ids:
+        if not rig.sends(request_id):
+            assert len(rig.answers(request_id)) == 1
     rig.now = start + 1000
-    for rid in ids:
-        if rig.sends(rid):
-            rig.end(rid, Outcome.TIMEOUT, 1000)
-    assert all(len(rig.answers(rid)) == 1 for rid in ids)
+    for request_id in ids:
+        if rig.sends(request_id):
+            rig.end(request_id, Outcome.TIMEOUT, 1000)
+    assert all(len(rig.answers(request_id)) == 1 for request_id in ids)
 
 
 def test_nothing_is_sent_after_the_client_left() -> None:
     rig = Rig()
     ids = [rig.ask() for _ in range(8)]
-    held = [rid for rid in ids if not rig.sends(rid) and not rig.answers(rid)]
+    held = [request_id for request_id in ids if not rig.sends(request_id) and not rig.answers(request_id)]
     assert held
-    rig.do(*[ClientDisconnected(rid) for rid in held])
-    for rid in ids:
-        if rig.sends(rid):
-            rig.end(rid)
-    assert not any(rig.sends(rid) for rid in held)
+    rig.do(*[ClientDisconnected(request_id) for request_id in held])
+    for request_id in ids:
+        if rig.sends(request_id):
+            rig.end(request_id)
+    assert not any(rig.sends(request_id) for request_id in held)
 
 
 def kind(repeat: RepeatSafety, group: DeduplicationScope) -> RequestClass:
@@ -49,19 +49,19 @@
 
 def test_at_most_once_is_not_repeated_and_not_refused_once_it_may_have_run() -> None:
     rig = Rig(classes=(kind(RepeatSafety.AT_MOST_ONCE, DeduplicationScope.ALL),))
-    rid = rig.ask()
-    rig.end(rid, Outcome.ERROR)
-    assert rig.sends(rid) == 1
-    assert isinstance(rig.answers(rid)[0], Fail)
+    request_id = rig.ask()
+    rig.end(request_id, Outcome.ERROR)
+    assert rig.sends(request_id) == 1
+    assert isinstance(rig.answers(request_id)[0], Fail)
 
 
 def test_at_most_once_may_go_again_when_it_never_ran() -> None:
     rig = Rig(classes=(kind(RepeatSafety.AT_MOST_ONCE, DeduplicationScope.ALL),))
-    rid = rig.ask()
+    request_id = rig.ask()
     rig.scheduler.nodes[node(1).node_id].latency_updated_ms = rig.now
-    rig.end(rid, Outcome.REJECTED, 2)
+    rig.end(request_id, Outcome.REJECTED, 2)
     rig.wait(30)
-    assert rig.sends(rid) == 2
+    assert rig.sends(request_id) == 2
 
 
 @pytest.mark.parametrize(
@@ -77,22 +77,22 @@
     group: DeduplicationScope, after: float, again: bool, last: type | None
 ) -> None:
     rig = Rig(classes=(kind(RepeatSafety.DEDUPLICATED, group),))
-    rid = rig.ask()
+    request_id = rig.ask()
     rig.wait(after)
-    rig.end(rid, Outcome.ERROR, after)
+    rig.end(request_id, Outcome.ERROR, after)
     rig.wait(120)
-    assert (rig.sends(rid) == 2) is again
+    assert (rig.sends(request_id) == 2) is again
     if last:
-        assert isinstance(rig.answers(rid)[0], last)
+        assert isinstance(rig.answers(request_id)[0], last)
 
 
 def test_deduplicated_new_object_stays_in_its_zone() -> None:
     rig = Rig(node(1), node(2, zone=1), classes=(kind(RepeatSafety.DEDUPLICATED, DeduplicationScope.ZONE),))
-    rid = rig.ask(shard=-1)
+    request_id = rig.ask(shard=-1)
     first = rig.sent[-1][2]
-    rig.do(AttemptCompleted(rid, first, 0, Outcome.ERROR, False, 5, 0, 0, ()))
+    rig.do(AttemptCompleted(request_id, first, 0, Outcome.ERROR, False, 5, 0, 0, ()))
     rig.wait(50)
-    assert {where for _, r, where in rig.sent if r == rid} == {first}
+    assert {where for _, r, where in rig.sent if r == request_id} == {first}
 
 
 @pytest.mark.parametrize("state", [NodeState.DRAINING, NodeState.GONE])
@@ -101,9 +101,9 @@
     ids = [rig.ask() for _ in range(8)]
     before = len(rig.sent)
     rig.do(listing(node(1, state=state), kind=ListKind.DELTA))
-    for rid in ids:
-        if rig.sends(rid):
-            rig.end(rid)
+    for request_id in ids:
+        if rig.sends(request_id):
+            rig.end(request_id)
     rig.ask()
     rig.wait(500)
     assert len(rig.sent) == before
@@ -112,10 +112,10 @@
 def test_a_node_missing_from_a_full_list_is_gone_and_its_replacement_takes_over() -> None:
     rig = Rig(node(1), node(2))
     rig.do(listing(node(2)))
-    rid = rig.ask()
-    assert not rig.sends(rid)
+    request_id = rig.ask()
+    assert not rig.sends(request_id)
     rig.do(listing(node(3, shard=1), kind=ListKind.DELTA))
-    assert rig.sends(rid) == 1 and rig.sent[-1][2] == node(3).node_id
+    assert rig.sends(request_id) == 1 and rig.sent[-1][2] == node(3).node_id
 
 
 def test_a_cold_node_gets_no_more_than_this_hosts_part() -> None:
@@ -123,9 +123,9 @@
     rig.do(listing(node(1, started=rig.now), kind=ListKind.DELTA))
     start = rig.now
     for _ in range(100):
-        rid = rig.ask()
-        if rig.sends(rid):
-            rig.end(rid, took=5)
+        request_id = rig.ask()
+        if rig.sends(request_id):
+            rig.end(request_id, took=5)
         rig.wait(20)
     assert 0 < sum(2 for at, _, _ in rig.sent if at <= start + 2000) <= 20 / 2
 
@@ -135,9 +135,9 @@
     for _ in range(5):
         rig.end(rig.ask())
     rig.do(listing(node(1, started=rig.now), kind=ListKind.DELTA))
-    rid = rig.ask()
+    request_id = rig.ask()
     rig.wait(100)
-    assert rig.sends(rid) == 0
+    assert rig.sends(request_id) == 0
 
 
 def ordered() -> RequestClass:
@@ -170,10 +170,10 @@
 def test_further_attempts_stay_within_budget() -> None:
     rig = Rig(retry_budget_window_ms=5000, retry_budget_free=1, retry_budget_ratio=0.1)
     for _ in range(20):
-        rid = rig.ask()
+        request_id = rig.ask()
         for _ in range(3):
-            if rig.sends(rid) and not rig.answers(rid):
-                rig.end(rid, Outcome.ERROR, 2)
+            if rig.sends(request_id) and not rig.answers(request_id):
+                rig.end(request_id, Outcome.ERROR, 2)
         rig.wait(60)
     assert 0 < len(rig.sent) - len(rig.tries) <= 1 + 0.1 * 20
 
@@ -183,9 +183,9 @@
     start = rig.now
     rig.wait(1000)
     for _ in range(200):
-        rid = rig.ask(hosts=2)
-        if rig.sends(rid):
-            rig.end(rid, took=5)
+        request_id = rig.ask(hosts=2)
+        if rig.sends(request_id):
+            rig.end(request_id, took=5)
         rig.wait(10)
     spent = 2 * len(rig.sent)
     assert 0 < spent <= 10 / 2 * (rig.now - start) / 1000
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -47,8 +47,8 @@
         self._note()
 
     def _note(self) -> None:
-        for at, rid, where in self.rig.sent[self._seen :]:
-            self._out.append((at + TOOK, rid, where))
+        for at, request_id, where in self.rig.sent[self._seen :]:
+            self._out.append((at + TOOK, request_id, where))
             self.sent += [at] if where == YOUNG.node_id else []
         self._seen = len(self.rig.sent)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -94,8 +94,8 @@
     return struct.pack(">BHQB", 22, number, 41, kind)
 
 
-def submit(rid: int, shard: float = 0) -> bytes:
-    return struct.pack(">BIHHQdQfffB", 18, rid, 0, 0, 0, 900.0, 77, 2.0, shard, 1.0, 6)
+def submit(request_id: int, shard: float = 0) -> bytes:
+    return struct.pack(">BIHHQdQfffB", 18, request_id, 0, 0, 0, 900.0, 77, 2.0, shard, 1.0, 6)
 
 
 def decode(frame: bytes) -> list[tuple[int, object]]:
