--- a/tests/standins/postgres.py
+++ b/tests/standins/postgres.py
@@ -35,7 +35,7 @@
         user: The one role.
         password: Its password.
         script: Acts at each point of each session.
-        sessions: How many sessions there were.
+        sessions: How many sessions have sent a StartupMessage.
         sessions_messages: How many messages each has received.
         cancelled: Sessions for which a CancelRequest came.
         statements: All that was executed, in order.
@@ -85,13 +85,21 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
+    def begin_session(self) -> int:
+        """Return the number of a session whose StartupMessage has come.
+
+        A connection without one is no session: a CancelRequest, or another program's attempt to reach
+        a service that had this port before.
+        """
+        self.sessions += 1
+        return self.sessions
+
     async def _on_client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        self.sessions += 1
-        session = PostgresSession(self, self.sessions, reader, writer)
+        session = PostgresSession(self, reader, writer)
         try:
             await session.serve()
         except (asyncio.IncompleteReadError, ConnectionError, ConnectionCutError, asyncio.CancelledError):
--- a/tests/standins/postgres_session.py
+++ b/tests/standins/postgres_session.py
@@ -58,11 +58,9 @@
 class PostgresSession:
     """One connection and its backend."""
 
-    def __init__(
-        self, server: Postgres, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-    ) -> None:
+    def __init__(self, server: Postgres, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.server = server
-        self.number = number
+        self.number = 0  # until its StartupMessage has come
         self._reader = reader
         self._writer = writer
         self._database = sqlite3.connect(server.path, isolation_level=None, timeout=0)
@@ -81,8 +79,7 @@
             return
         while True:
             kind, body = await self._receive()
-            self._messages += 1
-            self.server.sessions_messages[self.number] = self._messages
+            self._count_message()
             if kind == b"X":
                 return
             try:
@@ -137,6 +134,10 @@
         (size,) = struct.unpack("!I", await self._reader.readexactly(4))
         return kind, await self._reader.readexactly(size - 4)
 
+    def _count_message(self) -> None:
+        self._messages += 1
+        self.server.sessions_messages[self.number] = self._messages
+
     async def _reach(self, stage: str, what: str) -> None:
         """Let the script act."""
         await self.server.script(Point(self.number, self._messages, stage, what))
@@ -147,9 +148,10 @@
         body = await self._receive_startup()
         if body is None:
             return False
+        self.number = self.server.begin_session()
         words = body[4:].split(b"\0")
         parameters = dict(zip(words[::2], words[1::2], strict=False))
-        self._messages += 1
+        self._count_message()
         try:
             await self._reach("before", "StartupMessage")
             await self._authenticate(parameters.get(b"user", b"").decode())
--- a/tests/store/test_record_faults.py
+++ b/tests/store/test_record_faults.py
@@ -80,6 +80,21 @@
     run_scenario(tmp_path, "postgresql", scenario)
 
 
+def test_connections_of_other_programs_are_no_sessions_of_the_record(tmp_path: Path) -> None:
+    """A busy machine gives a port of a service that has ended to the next one, with its former clients."""
+
+    async def scenario(deployment: RecordDeployment) -> None:
+        for _ in range(2):
+            _, writer = await asyncio.open_connection("127.0.0.1", deployment.postgres.port)
+            writer.close()
+            await writer.wait_closed()
+        assert deployment.postgres.sessions == 1
+        assert deployment.postgres.sessions_messages.keys() == {1}
+        assert (await deployment.put("k"))[0] == 200
+
+    run_scenario(tmp_path, "postgresql", scenario)
+
+
 class RandomClients:
     """Clients that repeat what failed, while nodes, commits and the server break at random."""
 
