--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -159,19 +159,21 @@
         """Return what extensions see of the server; what is not made yet is looked up when it is used."""
         return ServerContext(
             config=self.config,
-            room=self.response_memory,
-            entry=lambda node: self.core.nodes[node],
+            response_memory=self.response_memory,
+            node_entry=lambda node: self.core.nodes[node],
             submit=lambda work, done: self._submit(work, done),
-            depart=self._on_client_gone,
+            on_client_disconnected=self._on_client_gone,
             connect=self._connect_through_all,
-            warm=lambda node: self.pool.preconnect(node),
-            ready=lambda: control.takes_clients,
-            leaving=lambda: control.stop_requested,
+            preconnect=lambda node: self.pool.preconnect(node),
+            is_accepting_clients=lambda: control.takes_clients,
+            is_shutting_down=lambda: control.stop_requested,
             reload=control.reload,
-            leave=lambda: control.leave(planned=True),
-            answers=lambda: self.core.metrics.answer_totals,
-            busy=lambda node: self.core.has_attempts_at(node),
-            relist=lambda entries: self._apply_list(EndpointList(ListKind.DELTA, 0, tuple(entries)), {}),
+            begin_shutdown=lambda: control.leave(planned=True),
+            answer_totals=lambda: self.core.metrics.answer_totals,
+            has_attempts_at=lambda node: self.core.has_attempts_at(node),
+            apply_node_entries=lambda entries: self._apply_list(
+                EndpointList(ListKind.DELTA, 0, tuple(entries)), {}
+            ),
         )
 
     def _chain_submit(self) -> Submit:
--- a/sabledyke/application/extensions.py
+++ b/sabledyke/application/extensions.py
@@ -1,8 +1,8 @@
-"""The hooks of an optional part: what the server calls, so that it knows each part by one name only.
+"""The hooks of an extension: what the server calls, so that it knows each extension by one name only.
 
-A part is set up by its own package from its own section of the operator's file (``set_up``), is loaded only
-when that section is there, and overrides the hooks it needs. Transports stack in the order in which
-``server.PARTS`` names their parts: the first is next to the core, the last next to the pool.
+An extension is set up by its own package from its own section of the operator's file (``set_up``), is loaded
+only when that section is there, and overrides the hooks it needs. Transports stack in the order in which
+``assembly.EXTENSIONS`` names their extensions: the first is next to the core, the last next to the pool.
 """
 
 from __future__ import annotations
@@ -25,81 +25,137 @@
 Submit = Callable[[ClientRequest, Done], int]
 
 
+def _never() -> bool:
+    return False
+
+
+def _reload_nothing() -> str:
+    return ""
+
+
+def _do_nothing() -> None:
+    pass
+
+
+def _no_answers() -> tuple[int, int]:
+    return 0, 0
+
+
+def _no_attempts_at(_: NodeId) -> bool:
+    return False
+
+
+def _ignore_entries(_: Sequence[NodeEntry]) -> None:
+    pass
+
+
 @dataclass(slots=True)
 class ServerContext:
-    """What a part may use of the server that it is set up in."""
+    """What an extension may use of the server that it is set up in.
+
+    Attributes:
+        config: The configuration at the start.
+        response_memory: The memory that all responses share.
+        node_entry: Returns a listed node's entry; a KeyError for any other.
+        submit: Passes a request to the core, through all extensions.
+        on_client_disconnected: Tells the core and all extensions that a request's client has left.
+        connect: Connects to a node's address, through all extensions.
+        preconnect: Opens a connection to a node ahead of need.
+        is_accepting_clients: Whether the listeners take clients.
+        is_shutting_down: Whether the server was told to end.
+        reload: Applies the configuration as SIGHUP does; returns why it was rejected, or an empty string.
+        begin_shutdown: Ends the server as SIGTERM does.
+        answer_totals: Returns the number of final answers, and how many of them were rejections or failures.
+        has_attempts_at: Whether an attempt of this scheduler is in flight at a node.
+        apply_node_entries: Replaces the listed entries of some nodes.
+        connect_slack_ms: Milliseconds that ``connect`` may take beyond a plain connection, as set by the
+            extensions before.
+    """
 
     config: Config
-    room: streams.ResponseMemory
-    entry: Callable[[NodeId], NodeEntry]  # a listed box
-    submit: Submit  # the way to the core, through all parts
-    depart: Callable[[int], None]  # the client of a request is gone
-    connect: Connect  # the way to a box's address, through all parts
-    warm: Callable[[NodeId], None]  # have a connection to a box ahead of need
-    ready: Callable[[], bool] = lambda: False  # its listeners take clients
-    leaving: Callable[[], bool] = lambda: False  # it was told to end
-    reload: Callable[[], str] = lambda: ""  # take on the configuration as SIGHUP does: why not, or ""
-    leave: Callable[[], None] = lambda: None  # have it end, as SIGTERM does
-    answers: Callable[[], tuple[int, int]] = lambda: (0, 0)  # final answers, and those that served nobody
-    busy: Callable[[NodeId], bool] = lambda _: False  # an attempt of this scheduler's is out there
-    relist: Callable[[Sequence[NodeEntry]], None] = lambda _: None  # take boxes for what these say
-    slack: float = 0.0  # ms that this way may take beyond a connection, as parts before have set it
+    response_memory: streams.ResponseMemory
+    node_entry: Callable[[NodeId], NodeEntry]
+    submit: Submit
+    on_client_disconnected: Callable[[int], None]
+    connect: Connect
+    preconnect: Callable[[NodeId], None]
+    is_accepting_clients: Callable[[], bool] = _never
+    is_shutting_down: Callable[[], bool] = _never
+    reload: Callable[[], str] = _reload_nothing
+    begin_shutdown: Callable[[], None] = _do_nothing
+    answer_totals: Callable[[], tuple[int, int]] = _no_answers
+    has_attempts_at: Callable[[NodeId], bool] = _no_attempts_at
+    apply_node_entries: Callable[[Sequence[NodeEntry]], None] = _ignore_entries
+    connect_slack_ms: float = 0.0
 
 
 class Extension:
-    """An optional part; every hook does nothing unless it is overridden."""
+    """An optional part of the server; every hook does nothing unless it is overridden.
 
-    waits_for_budget = False  # let in by a budget: the list is asked for at once, and listeners wait for it
+    Attributes:
+        waits_for_budget: A disruption budget admits this process: the endpoint list is requested at once,
+            and the listeners wait until the budget has admitted it.
+    """
+
+    waits_for_budget = False
 
     def wrap_report(self, onward: ReportAttempt) -> ReportAttempt:
-        """What a transport of this part reports to, given what is above it."""
+        """Return what this extension's transport reports to, given what is above it."""
         return onward
 
     def wrap_transport(self, inner: Transport) -> Transport:
-        """The transport of this part round another."""
+        """Return the transport of this extension around another."""
         return inner
 
     def dialers(self) -> dict[NodeId, Dial]:
-        """For which boxes this part opens the connections."""
+        """Return the nodes whose connections this extension opens, and how."""
         return {}
 
     def wrap_connect(self, onward: Connect) -> Connect:
-        """What this part makes of connections to boxes."""
+        """Return how this extension connects to nodes, given the plain way."""
         return onward
 
     def connection_guard(self, front: str) -> Guard | None:
-        """What a connection must pass before this front sees it as a client."""
+        """Return what a connection must pass before this front end sees it as a client; None for nothing."""
         return None
 
     def frontends(self) -> Sequence[tuple[Frontend, tuple[str, int]]]:
-        """Fronts that it adds, and where each listens."""
+        """Return the front ends that it adds, and where each listens."""
         return ()
 
     def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
-        """A front hands in work, on its way to the core."""
+        """Pass a request from a front end on towards the core; return its number."""
         return onward(work, done)
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """The client of a request is gone; the core has not been told yet."""
+        """The client of a request has left; the core has not been notified yet."""
 
     async def open(self) -> None:
-        """Before any listener opens; a ConfigError ends the start in one plain line."""
+        """Open what this extension needs, before any listener opens.
+
+        Raises:
+            ConfigError: Where that fails; it ends the start in one plain line.
+        """
 
     def apply_config(self, config: Config) -> None:
         """A new configuration is in force."""
 
     def check_operator_config(self, operator: OperatorConfig) -> None:
-        """The operator's file was read anew: a ConfigError where this part cannot take it on."""
+        """Check a new operator's file before any of it is applied.
+
+        Raises:
+            ConfigError: Where this extension cannot apply it.
+        """
 
     def apply_operator_config(self, operator: OperatorConfig) -> None:
-        """A new operator's file is in force; all parts have found it good."""
+        """A new operator's file is in force; all extensions have checked it."""
 
-    def adjust_endpoint_list(self, news: EndpointList) -> EndpointList:
-        """What this part makes of news of the list, before the core learns of them."""
-        return news
+    def adjust_endpoint_list(self, update: EndpointList) -> EndpointList:
+        """Return what the core is given for an update of the endpoint list."""
+        return update
 
-    def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
-        """These boxes are gone from the list."""
+    def on_nodes_removed(self, removed: Iterable[NodeId]) -> None:
+        """These nodes have left the endpoint list."""
 
     async def close(self) -> None:
-        """All that was taken is answered: the program ends."""
+        """Close what ``open`` opened: the program ends, and all that was accepted is answered."""
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -33,15 +33,15 @@
         translator = Translator(settings, section.nqn, section.volumes)
         self._translator = translator
         self.dialer = NvmeDialer(
-            settings, translator, self._nqn_by_node, section.host_nqn, host.connect, host.slack
+            settings, translator, self._nqn_by_node, section.host_nqn, host.connect, host.connect_slack_ms
         )
         self._frontend = Frontend(
             "NVMe",
             section.connections,
             lambda frontend, stream: NvmeClientConnection(
-                frontend, stream, translator, host.submit, host.depart
+                frontend, stream, translator, host.submit, host.on_client_disconnected
             ),
-            host.room,
+            host.response_memory,
         )
 
     def dialers(self) -> dict[NodeId, Dial]:
--- a/sabledyke/rollout/coordinator_driver.py
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -83,7 +83,7 @@
         Raises:
             Lost: The lease is another's.
         """
-        if self._host.leaving():
+        if self._host.is_shutting_down():
             return
         pen = self._pen_of(self._lease.current_token())
         await self._read_registers()
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -70,7 +70,7 @@
         self._identity = f"{host.config.name}.{uuid4().hex[:12]}"
         self._authority = create_authority(lease)
         self._tasks: list[asyncio.Task[None]] = []
-        self._nodes = NodeList(lambda entries: host.relist(entries))
+        self._nodes = NodeList(lambda entries: host.apply_node_entries(entries))
         self._loads = VolumeLoads() if sites is not None else None
         self.board = CompactedLog(board_section.create_backend(), host.config.seed)
         self._fleet_log = FleetLog(self.board, board_section.max_keys, self._on_view)
@@ -93,7 +93,7 @@
         """See ``extensions.Part``: returns once the log answers and this incarnation has begun."""
         await self._authority.open()
         while (view := await self.member.join()) is None:
-            if self._host.leaving():
+            if self._host.is_shutting_down():
                 return
             await asyncio.sleep(JOIN_RETRY_INTERVAL_S)
         self.waits_for_budget = self.member.begin(view)
--- a/sabledyke/rollout/member_driver.py
+++ b/sabledyke/rollout/member_driver.py
@@ -143,7 +143,7 @@
             self._leave(ticket)  # its use stands on the log, though the answer to that write was lost
             return
         now_ms = boottime_ms()
-        move = self._acknowledger.step(view, now_ms, lambda node: self._host.busy(node.encode()))
+        move = self._acknowledger.step(view, now_ms, lambda node: self._host.has_attempts_at(node.encode()))
         if move is None and state is MemberState.READY:
             move = self._participant.step(view, now_ms)
         if move is not None:
@@ -151,7 +151,7 @@
 
     async def send_heartbeat(self) -> None:
         """Write the heartbeat, and the loads of volumes since the last one."""
-        answered, failed = self._host.answers()
+        answered, failed = self._host.answer_totals()
         count = AnswerCount(self.incarnation, answered, failed)
         values = {self._name: encode_heartbeat(count, boottime_ms())}
         if self._loads is not None:
@@ -206,7 +206,7 @@
         """Have the server end; the version file says what is started next, or that this member retires."""
         self._version_file.announce(RETIRED_VERSION if ticket.is_final else ticket.target)
         self._retires = ticket.is_final
-        self._host.leave()
+        self._host.begin_shutdown()
 
     def _record(self, state: MemberState) -> Member:
         return Member(self._name, self.incarnation, self._section.version, self._section.site, state)
@@ -216,6 +216,6 @@
         return known is None or replace(known, offset=0) != self._record(state)
 
     def _state(self) -> MemberState:
-        if self._host.leaving():
+        if self._host.is_shutting_down():
             return MemberState.LEAVING
-        return MemberState.READY if self._host.ready() else MemberState.WARMING
+        return MemberState.READY if self._host.is_accepting_clients() else MemberState.WARMING
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -51,7 +51,7 @@
         async def open_session(timeout_s: float) -> Session:
             return await connect(target, connect_s=timeout_s)
 
-        self.recording_transport = RecordingTransport(intents, open_session, config.settings, host.entry)
+        self.recording_transport = RecordingTransport(intents, open_session, config.settings, host.node_entry)
         self._target = target
 
     def wrap_report(self, onward: ReportAttempt) -> ReportAttempt:
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -44,7 +44,7 @@
     def __init__(self, host: ServerContext, section: TlsSection) -> None:
         self._host = host
         self._section = section
-        host.slack = section.handshake_timeout_ms
+        host.connect_slack_ms = section.handshake_timeout_ms
         self.keyring = Keyring(section.overlap_s * 1000)
         self.connector = TlsConnector(
             section, self._budget(host.config), host.config.seed, host.config.settings.zones
@@ -62,7 +62,7 @@
             if self._section.nodes and node not in self._section.nodes:
                 return await plain(node, address, connect_timeout_ms, remaining_ms)
             self._last_used_ms[node] = clock.now()
-            entry = self._host.entry(node)
+            entry = self._host.node_entry(node)
             return await self.connector.connect(entry, address, connect_timeout_ms, remaining_ms)
 
         return connect
@@ -152,7 +152,7 @@
             if now_ms - last_used_ms > WARM_PERIOD_MS:
                 del self._last_used_ms[node]
             else:
-                self._host.warm(node)
+                self._host.preconnect(node)
 
     def _evict_idle(self) -> None:
         self.connector.admission.evict_idle(clock.now())
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -149,7 +149,7 @@
         name="n1", seed=1, settings=SimpleNamespace(plans=(), drain_grace_ms=0.0, warm_up_ms=0.0)
     )
 
-    def answers(self) -> tuple[int, int]:
+    def answer_totals(self) -> tuple[int, int]:
         return 120, 3
 
 
