--- /dev/null
+++ b/sabledyke/core/__init__.py
@@ -0,0 +1,23 @@
+"""Requests, attempts and answers between front ends and storage nodes, in no wire's terms."""
+
+from sabledyke.core.core import ANSWER_GUARD_MS, ATTEMPT_GUARD_MS, Core
+from sabledyke.core.types import (
+    Answer,
+    AnswerStatus,
+    AttemptResult,
+    ClientRequest,
+    EndpointSource,
+    Transport,
+)
+
+__all__ = [
+    "ANSWER_GUARD_MS",
+    "ATTEMPT_GUARD_MS",
+    "Answer",
+    "AnswerStatus",
+    "AttemptResult",
+    "ClientRequest",
+    "Core",
+    "EndpointSource",
+    "Transport",
+]
--- /dev/null
+++ b/sabledyke/core/core.py
@@ -0,0 +1,398 @@
+"""The life of a request between a front end and the storage nodes.
+
+Front ends submit a ``ClientRequest`` and get one ``Answer`` each; transports start and cancel attempts and
+report one ``AttemptResult`` each; ``Scheduler.handle`` decides. No wire, socket or clock is known here: every
+call is given the time in milliseconds, and the driver calls ``run_batch`` when events wait or a timer is due.
+"""
+
+from __future__ import annotations
+
+import traceback
+from collections.abc import Callable
+from math import inf
+
+from sabledyke import log
+from sabledyke.core.open_request import OpenRequest, SentAttempt
+from sabledyke.core.timers import TimerQueue
+from sabledyke.core.types import (
+    Answer,
+    AnswerStatus,
+    AttemptResult,
+    ClientRequest,
+    EndpointSource,
+    Transport,
+)
+from sabledyke.invariants import check
+from sabledyke.metrics import Metrics
+from sabledyke.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdle,
+    Fail,
+    FetchList,
+    Log,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    WatchList,
+)
+from sabledyke.policy.events import AttemptCompleted, ClientDisconnected, Event, Outcome, Request, TimerFired
+from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeId, NodeState, node_name
+from sabledyke.policy.scheduler import Scheduler
+from sabledyke.policy.settings import Settings
+
+# The client must have its answer inside its deadline, which it counts from when it sent: the core answers
+# this long before, and attempts end earlier still, so that their timeouts reach the policy first.
+ANSWER_GUARD_MS = 30.0
+ATTEMPT_GUARD_MS = 60.0
+SHUTDOWN_POLL_MS = 10.0  # between looks at what still came, once the time of a shutdown is over
+# Part of the drain's grace in which an attempt may still be written that was decided before its node left the
+# list as ready; the policy uses up to half of the grace for its decisions.
+WRITE_GRACE_FRACTION = 0.25
+
+
+class Core:
+    """Feeds the policy batches of events and carries out its actions.
+
+    Attributes:
+        settings: The settings in force.
+        scheduler: The policy.
+        transport: What carries attempts to nodes.
+        lists: Discovery.
+        nodes: The endpoint list, as far as it is known.
+        metrics: What is counted.
+        last_request_id: The number of the newest request; 0 before the first.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        transport: Transport,
+        lists: EndpointSource,
+        wake: Callable[[], None],
+    ) -> None:
+        """Make a core without requests.
+
+        Args:
+            settings: The settings.
+            seed: The seed of the policy's random choices.
+            transport: What carries attempts to nodes.
+            lists: Discovery.
+            wake: Called when the first event of a batch waits.
+        """
+        self.settings = settings
+        self.scheduler = Scheduler(settings, seed)
+        self.transport = transport
+        self.lists = lists
+        self.nodes: dict[NodeId, NodeEntry] = {}
+        self.metrics = Metrics()
+        self._wake = wake
+        self._events: list[Event] = []
+        self._timers = TimerQueue()
+        self._requests: dict[int, OpenRequest] = {}
+        self.last_request_id = 0
+        self._answer_all_by_ms = inf
+        self._available_again_at_ms = inf
+
+    @property
+    def unanswered(self) -> int:
+        """Requests that still wait for an answer."""
+        return sum(not request.answered for request in self._requests.values())
+
+    @property
+    def open_requests(self) -> list[OpenRequest]:
+        """Requests that wait for an answer or for the outcome of an attempt."""
+        return list(self._requests.values())
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Apply new settings; requests that were accepted keep their class and deadline."""
+        self.settings = settings
+        self.scheduler.apply_settings(settings)
+
+    def shut_down_by(self, answer_by_ms: float, available_again_at_ms: float) -> None:
+        """Have every request answered by a time, as the program ends then.
+
+        Guards against an end that cuts off accepted requests: what is unanswered then is rejected where it
+        has certainly not run or may be repeated, and else failed.
+
+        Args:
+            answer_by_ms: When the last answer is given.
+            available_again_at_ms: When rejected clients may expect a server here again.
+        """
+        self._answer_all_by_ms = min(self._answer_all_by_ms, answer_by_ms)
+        self._available_again_at_ms = available_again_at_ms
+        self.scheduler.shut_down_by(self._answer_all_by_ms)
+        for request in self._requests.values():
+            request.deadline_ms = min(request.deadline_ms, self._answer_all_by_ms)
+        self._timers.add_shutdown_poll(self._answer_all_by_ms)
+
+    def submit(self, now_ms: float, client_request: ClientRequest, done: Callable[[Answer], None]) -> int:
+        """Accept a request.
+
+        Args:
+            now_ms: The time.
+            client_request: The request.
+            done: Called once with the answer, and never from inside this call.
+
+        Returns:
+            The request's number.
+        """
+        self.last_request_id += 1
+        request_id = self.last_request_id
+        self._requests[request_id] = OpenRequest(
+            client_request=client_request,
+            request_class=self.settings.classes[client_request.class_index],
+            deadline_ms=min(now_ms + client_request.remaining_ms, self._answer_all_by_ms),
+            done=done,
+            first_execution=client_request.possible_execution,
+        )
+        self._timers.add_answer_guard(now_ms + client_request.remaining_ms - ANSWER_GUARD_MS, request_id)
+        self._add_event(_policy_request(request_id, client_request))
+        return request_id
+
+    def on_client_disconnected(self, request_id: int) -> None:
+        """The client has left: no answer is due any more."""
+        request = self._requests.get(request_id)
+        if request is not None and not request.answered:
+            request.answered = True
+            self._close_request(request_id)
+
+    def on_attempt_completed(self, now_ms: float, request_id: int, number: int, end: AttemptResult) -> None:
+        """Process the one outcome of an attempt."""
+        request = self._requests.get(request_id)
+        known = request is not None and number in request.in_flight
+        if not check(known, "one outcome per attempt", f"{request_id}"):
+            return
+        assert request is not None
+        attempt = request.in_flight.pop(number)
+        self.metrics.count_attempt(end.outcome, end.may_have_run)
+        if end.may_have_run and request.first_execution is None:
+            request.first_execution = attempt
+        if end.outcome is Outcome.OK and not request.answered:
+            self._answer(request_id, Answer(AnswerStatus.SERVED, end.body))
+        self._add_event(
+            AttemptCompleted(
+                request_id,
+                attempt.node.node_id,
+                number,
+                end.outcome,
+                request.answered,
+                now_ms - attempt.sent_at_ms - end.held_back_ms,
+                end.used_percent,
+                end.other_schedulers_units,
+                end.load_report,
+            )
+        )
+        self._forget_if_finished(request_id)
+
+    def on_endpoint_list(self, update: EndpointList) -> list[NodeId]:
+        """Process an update of the endpoint list.
+
+        Guards against growing with every node that ever was: attempts keep the entry that they need.
+
+        Returns:
+            The nodes that were removed.
+        """
+        self.nodes.update((entry.node_id, entry) for entry in update.entries)
+        is_partial = update.kind in (ListKind.DELTA, ListKind.FAILED)
+        named = self.nodes.keys() if is_partial else {entry.node_id for entry in update.entries}
+        removed = [
+            node_id
+            for node_id, entry in self.nodes.items()
+            if entry.state is NodeState.GONE or node_id not in named
+        ]
+        for node_id in removed:
+            del self.nodes[node_id]
+        self._add_event(update)
+        return removed
+
+    def may_write(self, now_ms: float, request_id: int, number: int) -> bool:
+        """Whether an attempt may be written now, at the moment at which its connection is up.
+
+        Guards against work for a client that has left, for a node that drains or was restarted meanwhile,
+        past the client's deadline, and past the window in which a repeat is recognised. An attempt that may
+        not be written has not run.
+        """
+        request = self._requests.get(request_id)
+        if request is None or request.answered or number not in request.in_flight:
+            return False
+        if now_ms >= request.deadline_ms - ATTEMPT_GUARD_MS or not request.client_request.client_connected():
+            return False
+        attempt = request.in_flight[number]
+        if not self._node_takes(attempt, now_ms):
+            return False
+        return request.may_run_at(attempt.node, now_ms, besides=number)
+
+    def has_attempts_at(self, node: NodeId) -> bool:
+        """Whether an attempt is in flight at a node."""
+        return any(request.has_attempt_at(node) for request in self._requests.values())
+
+    def next_batch_due(self) -> float | None:
+        """Return when ``run_batch`` must be called next if no event comes before; None for no such time."""
+        return self._timers.next_due_ms
+
+    def run_batch(self, now_ms: float) -> None:
+        """Pass all events and due timers to the policy, and carry out its actions."""
+        due = self._timers.pop_due(now_ms)
+        self._events.extend(TimerFired(token) for token in due.policy_tokens)
+        if due.shutdown_poll:
+            self._timers.add_shutdown_poll(now_ms + SHUTDOWN_POLL_MS)
+        for action in self._decide(now_ms):
+            self._carry_out(now_ms, action)
+        if now_ms >= self._answer_all_by_ms:
+            self._answer_all(now_ms)
+        for request_id in due.guarded_requests:
+            self._fail_if_unanswered(request_id)
+
+    def _decide(self, now_ms: float) -> list[Action]:
+        events = self._events
+        if not events:
+            return []
+        self._events = []
+        try:
+            return self.scheduler.handle(now_ms, events)
+        except Exception:  # guards against a fault in a decision ending the program with all that it accepted
+            log.emit("fault", traceback.format_exc())
+            check(False, "the module decides without a fault")
+            return []
+
+    def _carry_out(self, now_ms: float, action: Action) -> None:
+        match action:
+            case StartAttempt(request_id, node, timeout_ms):
+                self._start_attempt(now_ms, request_id, node, timeout_ms)
+            case Reject(request_id, after_ms):
+                retry_after_ms = self._retry_after_ms(now_ms, after_ms)
+                self._finish(request_id, Answer(AnswerStatus.REJECTED, retry_after_ms=retry_after_ms))
+            case Fail(request_id):
+                self._finish(request_id, Answer(AnswerStatus.FAILED))
+            case CancelAttempt(request_id, number):
+                if request_id in self._requests and number in self._requests[request_id].in_flight:
+                    self.transport.cancel(request_id, number)
+            case SetTimer(token, delay_ms):
+                self._timers.add_policy_timer(now_ms + delay_ms, token)
+            case WatchList(on):
+                self.lists.watch(on)
+            case FetchList():
+                self.lists.fetch()
+            case CloseIdle(node):
+                self.transport.close_idle(node)
+            case Log(text):
+                log.emit("module", text)
+            case _:
+                check(False, "the module asks only for what is allowed here", repr(action))
+
+    def _start_attempt(self, now_ms: float, request_id: int, node: NodeId, timeout_ms: float) -> None:
+        request = self._requests.get(request_id)
+        is_open = request is not None and not request.answered
+        if not check(is_open, "no send after the end", f"{request_id}"):
+            return
+        assert request is not None
+        entry = self._listed_entry(node)
+        number = request.attempt_count
+        request.attempt_count += 1
+        may_run = request.may_run_at(entry, now_ms)
+        check(may_run, "no repeat beyond its key", f"request {request_id}")
+        request.in_flight[number] = SentAttempt(now_ms, entry)
+        request.client_request.last_node = entry
+        remaining_ms = request.deadline_ms - ATTEMPT_GUARD_MS - now_ms
+        is_allowed = may_run and entry.state is not NodeState.GONE and number < self.settings.max_attempts
+        if not is_allowed or remaining_ms <= 0:
+            self.on_attempt_completed(now_ms, request_id, number, AttemptResult(Outcome.EXPIRED, False))
+            return
+        limit_ms = min(timeout_ms, remaining_ms) if timeout_ms else remaining_ms
+        self.transport.start(request_id, number, node, request.client_request, limit_ms)
+
+    def _listed_entry(self, node: NodeId) -> NodeEntry:
+        entry = self.nodes.get(node)
+        if check(entry is not None, "no send to a box that is not listed", node_name(node)):
+            assert entry is not None
+            return entry
+        return NodeEntry(node, -1, -1, -1, 0.0, 0.0, NodeState.GONE)
+
+    def _node_takes(self, attempt: SentAttempt, now_ms: float) -> bool:
+        """Whether the attempt's node is as it was when the attempt was decided, or has only just changed."""
+        here = self.nodes.get(attempt.node.node_id)
+        if here is not None and here.started_ms != attempt.node.started_ms:
+            return False
+        if here is not None and here.state is NodeState.READY:
+            return True
+        return now_ms <= attempt.sent_at_ms + WRITE_GRACE_FRACTION * self.settings.drain_grace_ms
+
+    def _answer_all(self, now_ms: float) -> None:
+        """Answer every request that still waits, as the program ends."""
+        unanswered = [number for number, request in self._requests.items() if not request.answered]
+        for request_id in unanswered:
+            may_be_rejected = self._requests[request_id].may_be_rejected
+            status = AnswerStatus.REJECTED if may_be_rejected else AnswerStatus.FAILED
+            self._answer(request_id, Answer(status, retry_after_ms=self._retry_after_ms(now_ms, 0.0)))
+            self._close_request(request_id)
+
+    def _fail_if_unanswered(self, request_id: int) -> None:
+        """Answer a request whose time is over.
+
+        Guards against a policy that keeps silent: the client still gets its one answer in time.
+        """
+        request = self._requests.get(request_id)
+        if request is None or request.answered:
+            return
+        self._answer(request_id, Answer(AnswerStatus.FAILED))
+        self._close_request(request_id)
+        check(False, "every request is answered by the module in time", f"request {request_id}")
+
+    def _retry_after_ms(self, now_ms: float, advised_ms: float) -> float:
+        """Return the policy's advice, or in a shutdown when a server is here again, if that is later."""
+        if self._available_again_at_ms == inf:
+            return advised_ms
+        back_ms = self._available_again_at_ms - now_ms
+        if back_ms <= advised_ms:
+            return advised_ms
+        return min(back_ms, self.settings.max_retry_after_ms)
+
+    def _finish(self, request_id: int, answer: Answer) -> None:
+        request = self._requests.get(request_id)
+        if request is not None and not request.answered:
+            self._answer(request_id, answer)
+            self._forget_if_finished(request_id)
+
+    def _answer(self, request_id: int, answer: Answer) -> None:
+        request = self._requests[request_id]
+        check(not request.answered, "one final answer", f"request {request_id}")
+        request.answered = True
+        self.metrics.count_answer(answer.status.value, request.request_class.name)
+        request.done(answer)
+
+    def _close_request(self, request_id: int) -> None:
+        """Tell the policy that a request is over which it did not end itself."""
+        self._add_event(ClientDisconnected(request_id))
+        self._forget_if_finished(request_id)
+
+    def _forget_if_finished(self, request_id: int) -> None:
+        request = self._requests.get(request_id)
+        if request is not None and request.finished:
+            del self._requests[request_id]
+
+    def _add_event(self, event: Event) -> None:
+        if not self._events:
+            self._wake()
+        self._events.append(event)
+
+
+def _policy_request(request_id: int, client_request: ClientRequest) -> Request:
+    # A request whose attempts could not end in time any more has no time left for the policy.
+    has_time = client_request.remaining_ms > ATTEMPT_GUARD_MS
+    return Request(
+        id=request_id,
+        class_index=client_request.class_index,
+        plan_index=client_request.plan_index,
+        data_key=client_request.data_key,
+        remaining_ms=client_request.remaining_ms if has_time else 0.0,
+        volume=client_request.volume,
+        units=client_request.units,
+        shard=client_request.shard,
+        scheduler_count=client_request.scheduler_count,
+        repeated=client_request.repeated,
+        write=client_request.write,
+        possible_execution=client_request.possible_execution,
+        quota_share=client_request.quota_share,
+    )
--- a/tests/net/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -62,8 +62,8 @@
 
 
 def has_no_time(rig: Rig, line: Line) -> None:
-    for request_ in rig.server.core._open.values():
-        request_.deadline -= 3600_000
+    for open_request in rig.server.core.open_requests:
+        open_request.deadline_ms -= 3600_000
 
 
 def is_late(rig: Rig, line: Line) -> None:
@@ -156,9 +156,9 @@
     async def scenario(rig: Rig) -> None:
         attempts, ended = list[int](), rig.server.core.on_attempt_completed
 
-        def note(now: float, request_id: int, number: int, end: AttemptResult) -> None:
+        def note(now_ms: float, request_id: int, number: int, end: AttemptResult) -> None:
             attempts.append(number)
-            ended(now, request_id, number, end)
+            ended(now_ms, request_id, number, end)
 
         rig.server.core.on_attempt_completed = note  # type: ignore[method-assign]
         for left in (0.001, 0.029, 0.031, 0.059):
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -69,10 +69,10 @@
         ended, outcomes = asyncio.Event(), []
         tell = rig.server.core.on_attempt_completed
 
-        def note(now: float, request_id: int, number: int, end: AttemptResult) -> None:
+        def note(now_ms: float, request_id: int, number: int, end: AttemptResult) -> None:
             outcomes.append(end.outcome)
             ended.set()
-            tell(now, request_id, number, end)
+            tell(now_ms, request_id, number, end)
 
         async def wait(_: object) -> bytes | None:
             client.close()
--- a/tests/shutdown/test_graceful_shutdown.py
+++ b/tests/shutdown/test_graceful_shutdown.py
@@ -73,7 +73,7 @@
     bench = Bench(None if sends else lambda now, events: [])  # a module that keeps silent
     once = replace(WRITE, repeat_safety=RepeatSafety.AT_MOST_ONCE)
     bench.core.settings = replace(SETTINGS, classes=(SETTINGS.classes[0], once))
-    request_id = bench.ask(**changes)
+    bench.ask(**changes)
     assert bool(bench.started) is sends
     bench.core.scheduler.handle = lambda now_ms, events: []  # type: ignore[method-assign]
     bench.core.shut_down_by(bench.now + 100, bench.now + 1e6)
@@ -84,7 +84,7 @@
     bench.ask(client_request_id="late")  # what still comes is answered within a look
     bench.wait(10)
     assert [a.status for a in bench.answers[1:]] == [AnswerStatus.REJECTED] and not bench.core.unanswered
-    assert not invariants.violations and (not sends or bench.core._open[request_id].out)
+    assert not invariants.violations and (not sends or bench.core.open_requests[0].in_flight)
 
 
 def test_requests_that_cannot_finish_are_rejected_at_once_and_not_started() -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -89,7 +89,7 @@
     bench.core.run_batch(bench.now)
     assert bench.cancelled == [(request_id, 0)] and not bench.answers
     bench.wait(2000)
-    assert not bench.answers and not bench.core._open
+    assert not bench.answers and not bench.core.open_requests
 
 
 def test_a_silent_module_costs_no_client_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
