--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -204,7 +204,7 @@
                 one.on_handshake_completed(ms, b"box", good=True)
             wanting += [(n, ms + 250.0) for n in late]  # the module tries again
             for item in [w for w in wanting if w[1] <= ms]:
-                answer = one.request(ms, b"box", 0.0, item[0], ms + 1000, False)
+                answer = one.request(ms, b"box", 0.0, item[0], ms + 1000, resumes=False)
                 wanting.remove(item)
                 if answer:
                     begun.append(ms)
--- a/sabledyke/core.py
+++ b/sabledyke/core.py
@@ -123,7 +123,7 @@
 class EndpointSource(Protocol):
     """Discovery, as the core asks it; it reports through ``Core.listed``."""
 
-    def watch(self, on: bool) -> None:
+    def watch(self, *, on: bool) -> None:
         """Watch for changes from now on, or stop."""
 
     def fetch(self) -> None:
@@ -367,7 +367,7 @@
             case SetTimer(token, delay):
                 heapq.heappush(self._timers, (now + delay, token, 0))
             case WatchList(on):
-                self.lists.watch(on)
+                self.lists.watch(on=on)
             case FetchList():
                 self.lists.fetch()
             case CloseIdle(node):
--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -181,7 +181,7 @@
             remaining_ms = (attempt.expires_at_s - asyncio.get_running_loop().time()) * 1000
             if remaining_ms <= 0 or not self._may_send(attempt.request_id, attempt.number):
                 self._return_connection(connection)
-                self._complete(attempt, AttemptResult(Outcome.EXPIRED, False))
+                self._complete(attempt, AttemptResult(Outcome.EXPIRED, may_have_run=False))
                 return
             attempt.connection = connection
             ended = await connection.link.exchange(attempt.work, remaining_ms)
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -58,14 +58,14 @@
     def start(self) -> None:
         """Begin to watch where lists are pushed; elsewhere the core begins when it wants."""
         if self.pushed:
-            self.watch(True)
+            self.watch(on=True)
 
     def stop(self) -> None:
         """Watch no more, also where lists are pushed: the program stops."""
         if self._resume_timer is not None:
             self._resume_timer.cancel()
             self._resume_timer = None
-        self.watch(False)
+        self.watch(on=False)
 
     def adopt(self, address: tuple[str, int], settings: Settings) -> None:
         """Put new settings in force, and watch at a new address, beginning with the complete list.
@@ -78,12 +78,12 @@
             self._address = address
             self._versions.reset()
             self._cancel_calls()  # what a call to the old address still brings is not reported
-            self.watch(True)
+            self.watch(on=True)
         elif self._wanted:
-            self.watch(True)  # the pause after a failed call may be of the old settings
+            self.watch(on=True)  # the pause after a failed call may be of the old settings
         self.start()
 
-    def watch(self, on: bool) -> None:
+    def watch(self, *, on: bool) -> None:
         """See ``core.Lists``."""
         self._wanted = on
         if on and self._task is None:
@@ -107,7 +107,7 @@
         return self._settings.connect_timeout_ms * CONNECT_TIMEOUT_FACTOR
 
     def _cancel_calls(self) -> None:
-        self.watch(False)
+        self.watch(on=False)
         for task in self._fetches:
             task.cancel()
 
@@ -174,7 +174,7 @@
     def _resume_watch(self) -> None:
         self._resume_timer = None
         if self._wanted:
-            self.watch(True)
+            self.watch(on=True)
 
     async def _call(self, stream: streams.IOStream, since: int | None) -> HttpMessage:
         host = f"{self._address[0]}:{self._address[1]}"
@@ -221,4 +221,4 @@
 def _log_unexpected(error: Exception) -> None:
     """Log a fault of this program with its stack, and count the invariant that it breaks."""
     log.emit("fault", "".join(traceback.format_exception(error)))
-    check(False, "a call for the list ends as expected", repr(error))
+    check(holds=False, name="a call for the list ends as expected", detail=repr(error))
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -56,7 +56,7 @@
         """See ``ClientConnection``."""
         return bool(self._request_ids or self._flush_count)
 
-    def timeout_s(self, idle_timeout_s: float) -> float:
+    def timeout_s(self, _idle_timeout_s: float) -> float:
         """See ``ClientConnection``; an idle queue is bounded by its keep-alive time."""
         if self._flush_count:
             return self._frontend.write_timeout_s
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -131,7 +131,7 @@
             return self._channel.initiator.write_data_sent
         return written.done() and written.exception() is None
 
-    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
+    async def exchange(self, work: ClientRequest, _timeout: float) -> AttemptResult:
         """See ``connection_pool.Link``; the time-out is the pool's, NVMe states none."""
         self.reusable = False
         self._work = work
@@ -141,7 +141,7 @@
         except NoPlaceError as error:
             log.emit("box", str(error))
             self.reusable = True
-            return AttemptResult(Outcome.ERROR, False)
+            return AttemptResult(Outcome.ERROR, may_have_run=False)
         completion, data = await self._channel.execute(command, payload)
         self.reusable = not self._channel.initiator.has_surplus_input
         return self._translator.from_node_completion(work, completion, data)
--- a/sabledyke/net/streams.py
+++ b/sabledyke/net/streams.py
@@ -31,7 +31,7 @@
     def write(self, data: bytes, /) -> asyncio.Future[None]:
         """Send; done once the kernel has accepted the last byte."""
 
-    def read_bytes(self, num_bytes: int, partial: bool = ...) -> Awaitable[bytes]:
+    def read_bytes(self, num_bytes: int, *, partial: bool = ...) -> Awaitable[bytes]:
         """Return what comes, as it comes; a StreamClosedError at the end."""
 
 
--- a/sabledyke/protocol/discovery.py
+++ b/sabledyke/protocol/discovery.py
@@ -97,12 +97,12 @@
     try:
         if not isinstance(document, dict):
             raise ListError("the list is no object")
-        return _read_document(document, settings, cached)
+        return _read_document(document, settings, cached=cached)
     except _INVALID as error:
         raise ListError(f"the list lacks or garbles {error}") from None
 
 
-def _read_document(document: dict[str, Any], settings: Settings, cached: bool) -> EndpointListing:
+def _read_document(document: dict[str, Any], settings: Settings, *, cached: bool) -> EndpointListing:
     kind = ListKind.FULL if document[names.LIST_IS_FULL] else ListKind.DELTA
     entries: list[NodeEntry] = []
     addresses: dict[NodeId, Address] = {}
--- a/sabledyke/protocol/http/head.py
+++ b/sabledyke/protocol/http/head.py
@@ -30,7 +30,7 @@
     message = _parse_status_line(lines[0]) if response else _parse_request_line(lines[0])
     for line in lines[1:]:
         _add_header(message, line)
-    message.keep_alive = _keeps_alive(message, http_1_0)
+    message.keep_alive = _keeps_alive(message, http_1_0=http_1_0)
     return message
 
 
@@ -71,7 +71,7 @@
     message.headers[key] = f"{message.headers[key]}, {text}"
 
 
-def _keeps_alive(message: HttpMessage, http_1_0: bool) -> bool:
+def _keeps_alive(message: HttpMessage, *, http_1_0: bool) -> bool:
     options = {option.strip() for option in message.headers.get("connection", "").lower().split(",")}
     if http_1_0:
         return "keep-alive" in options
--- a/sabledyke/protocol/http/parser.py
+++ b/sabledyke/protocol/http/parser.py
@@ -117,7 +117,7 @@
         if 100 <= message.status < 200:
             self._skip_interim_response(head_bytes)
             return True
-        self._start_body(message, http_1_0)
+        self._start_body(message, http_1_0=http_1_0)
         self._message = message
         self._interim_bytes = 0
         return True
@@ -132,7 +132,7 @@
         if self._interim_bytes > MAX_HEAD_BYTES:
             raise HttpError("interim answers without end")
 
-    def _start_body(self, message: HttpMessage, http_1_0: bool) -> None:
+    def _start_body(self, message: HttpMessage, *, http_1_0: bool) -> None:
         """Determine where the body ends."""
         self._chunked_body = None
         self._body_ends_with_stream = False
--- a/sabledyke/protocol/versions.py
+++ b/sabledyke/protocol/versions.py
@@ -59,7 +59,7 @@
         is_current = update.version == self.current
         requested_full_list = self.since is None
         if update.kind is not ListKind.FULL or (is_current and not requested_full_list):
-            return self._ignore(update, is_current)
+            return self._ignore(update, is_current=is_current)
         if not is_current and not self._ignored_older_list:
             self._ignored_older_list = True
             self.since = None
@@ -72,7 +72,7 @@
         self.since = update.version
         return VersionStatus.ACCEPTED
 
-    def _ignore(self, update: EndpointList, is_current: bool) -> VersionStatus:
+    def _ignore(self, update: EndpointList, *, is_current: bool) -> VersionStatus:
         if is_current or not update.entries:
             self.since = self.current
             return VersionStatus.UNCHANGED
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -265,7 +265,7 @@
         if attempt not in self._waiting:
             self.inner.cancel(request_id, number)
         elif self.intents.on_attempt_cancelled(attempt):
-            self._end_unsent(attempt, AttemptResult(Outcome.CANCELLED, False))
+            self._end_unsent(attempt, AttemptResult(Outcome.CANCELLED, may_have_run=False))
 
     def close_idle(self, node: NodeId) -> None:
         """See ``core.Transport``."""
@@ -288,9 +288,9 @@
                 case SendAttempt(attempt):
                     self._send(now_ms, attempt)
                 case ExpireAttempt(attempt):
-                    self._end_unsent(attempt, AttemptResult(Outcome.EXPIRED, False))
+                    self._end_unsent(attempt, AttemptResult(Outcome.EXPIRED, may_have_run=False))
                 case BlockAttempt(attempt):
-                    self._end_unsent(attempt, AttemptResult(Outcome.ERROR, True))
+                    self._end_unsent(attempt, AttemptResult(Outcome.ERROR, may_have_run=True))
                 case CompleteWrite(ticket, journaled):
                     served = self._served.pop(ticket)
                     served.done(served.answer if journaled else Answer(AnswerStatus.FAILED))
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -47,7 +47,7 @@
         self._retention_ms = retention_ms
         self._session: Session | None = None
 
-    def enter_idle(self, heard: Callable[[], None]) -> None:
+    def enter_idle(self, on_activity: Callable[[], None]) -> None:
         """See ``connection_pool.Link``: a session is checked when it is acquired."""
 
     def leave_idle(self) -> bool:
@@ -85,14 +85,14 @@
             self._log(str(error))
             if session.closed:
                 raise StreamClosedError from error
-            return AttemptResult(Outcome.ERROR, True)
+            return AttemptResult(Outcome.ERROR, may_have_run=True)
         finally:
             self._release()
         if not rows:
-            return AttemptResult(Outcome.ERROR, True)
+            return AttemptResult(Outcome.ERROR, may_have_run=True)
         body = rows[0][0]
         assert isinstance(body, bytes)
-        return AttemptResult(Outcome.OK, True, body)
+        return AttemptResult(Outcome.OK, may_have_run=True, body=body)
 
     # Writes.
 
@@ -142,7 +142,7 @@
         self._log(str(error))
         if session.closed:
             raise StreamClosedError from error
-        return AttemptResult(Outcome.REJECTED, False)
+        return AttemptResult(Outcome.REJECTED, may_have_run=False)
 
     # Writes in doubt.
 
@@ -164,11 +164,11 @@
         resolution = write.resolution
         self._log(f"lost a commit's answer: it {resolution.value} after {write.questions_asked} questions")
         if resolution is DoubtResolution.SERVED:
-            return AttemptResult(Outcome.OK, True, write.result)
+            return AttemptResult(Outcome.OK, may_have_run=True, body=write.result)
         if resolution is DoubtResolution.NEVER:
             self.may_have_run = False
-            return AttemptResult(Outcome.REJECTED, False)
-        return AttemptResult(Outcome.RESET, True)
+            return AttemptResult(Outcome.REJECTED, may_have_run=False)
+        return AttemptResult(Outcome.RESET, may_have_run=True)
 
     async def _ask(self, write: InDoubtWrite, name: str, question: DoubtQuestion) -> None:
         self._session = await self._pool.acquire()
@@ -218,7 +218,7 @@
         self._retention_ms = retention_ms
         self._pools: dict[NodeId, SessionPool] = {}
 
-    async def dial(self, node: NodeId, address: Address, patience: float) -> SqlLink:
+    async def dial(self, node: NodeId, address: Address, _timeout_ms: float) -> SqlLink:
         """See ``connection_pool.Dial``."""
         sql_node = self.nodes[node]
         target = sql_node.target
@@ -248,7 +248,7 @@
 def _ended_by_key(rows: list[Row]) -> AttemptResult:
     """Return what the key says after the transaction: done by this attempt, or by whichever was first."""
     if not rows or rows[0][1] != "done":
-        return AttemptResult(Outcome.ERROR, True)
+        return AttemptResult(Outcome.ERROR, may_have_run=True)
     result = rows[0][2]
     assert isinstance(result, bytes)
-    return AttemptResult(Outcome.OK, True, result)
+    return AttemptResult(Outcome.OK, may_have_run=True, body=result)
--- a/sabledyke/tls/connector.py
+++ b/sabledyke/tls/connector.py
@@ -147,7 +147,9 @@
         """Return whether the handshake was admitted in time."""
         attempt = next(self._attempt_numbers)
         node = entry.node_id
-        admitted = self.admission.request(now_ms, node, entry.started_ms, attempt, deadline_ms, resumes)
+        admitted = self.admission.request(
+            now_ms, node, entry.started_ms, attempt, deadline_ms, resumes=resumes
+        )
         if admitted is not False:
             return bool(admitted)
         waiter: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
--- a/sabledyke/tls/handshake_admission.py
+++ b/sabledyke/tls/handshake_admission.py
@@ -106,12 +106,19 @@
         capacity_share = min(1.0, initial_share + (1 - initial_share) * warm_up_fraction)
         return capacity_share * budget.cores * budget.handshake_share / budget.scheduler_count
 
-    def handshake_cost_ms(self, resumes: bool) -> float:
+    def handshake_cost_ms(self, *, resumes: bool) -> float:
         """Return the CPU time that a handshake takes of the node."""
         return self.budget.resumed_handshake_ms if resumes else self.budget.full_handshake_ms
 
     def request(
-        self, now_ms: float, node: bytes, started_ms: float, attempt: int, deadline_ms: float, resumes: bool
+        self,
+        now_ms: float,
+        node: bytes,
+        started_ms: float,
+        attempt: int,
+        deadline_ms: float,
+        *,
+        resumes: bool,
     ) -> bool | None:
         """Request a handshake.
 
@@ -128,10 +135,10 @@
             capacity in time.
         """
         account = self._account(now_ms, node, started_ms)
-        if self._may_begin(now_ms, account, resumes) and not account.waiting:
-            self._begin(account, resumes)
+        if self._may_begin(now_ms, account, resumes=resumes) and not account.waiting:
+            self._begin(account, resumes=resumes)
             return True
-        if now_ms + self._expected_wait_ms(now_ms, account, deadline_ms, resumes) > deadline_ms:
+        if now_ms + self._expected_wait_ms(now_ms, account, deadline_ms, resumes=resumes) > deadline_ms:
             return None
         heapq.heappush(account.waiting, _WaitingAttempt(deadline_ms, attempt, resumes))
         return False
@@ -144,8 +151,8 @@
             first = account.waiting[0]
             if first.deadline_ms <= now_ms:
                 due.expired.append(first.attempt)
-            elif self._may_begin(now_ms, account, first.resumes):
-                self._begin(account, first.resumes)
+            elif self._may_begin(now_ms, account, resumes=first.resumes):
+                self._begin(account, resumes=first.resumes)
                 due.admitted.append(first.attempt)
             else:
                 break
@@ -161,7 +168,7 @@
         if account.failures and account.in_flight:
             return first.deadline_ms
         self._refill(now_ms, account)
-        missing_ms = self.handshake_cost_ms(first.resumes) - account.available_ms
+        missing_ms = self.handshake_cost_ms(resumes=first.resumes) - account.available_ms
         admitted_ms = now_ms + self._refill_time_ms(now_ms, account, missing_ms)
         if account.failures:
             admitted_ms = max(admitted_ms, account.retry_at_ms)
@@ -218,14 +225,14 @@
         return account
 
     def _expected_wait_ms(
-        self, now_ms: float, account: _NodeAccount, deadline_ms: float, resumes: bool
+        self, now_ms: float, account: _NodeAccount, deadline_ms: float, *, resumes: bool
     ) -> float:
         ahead_ms = sum(
-            self.handshake_cost_ms(waiting.resumes)
+            self.handshake_cost_ms(resumes=waiting.resumes)
             for waiting in account.waiting
             if waiting.deadline_ms <= deadline_ms
         )
-        missing_ms = ahead_ms + self.handshake_cost_ms(resumes) - account.available_ms
+        missing_ms = ahead_ms + self.handshake_cost_ms(resumes=resumes) - account.available_ms
         wait_ms = self._refill_time_ms(now_ms, account, missing_ms)
         if not account.failures:
             return wait_ms
@@ -246,14 +253,14 @@
         account.available_ms = min(account.available_ms + rate * (now_ms - account.updated_ms), bucket_ms)
         account.updated_ms = now_ms
 
-    def _may_begin(self, now_ms: float, account: _NodeAccount, resumes: bool) -> bool:
+    def _may_begin(self, now_ms: float, account: _NodeAccount, *, resumes: bool) -> bool:
         self._refill(now_ms, account)
         if account.failures and (account.in_flight or now_ms < account.retry_at_ms):
             return False
-        return account.available_ms >= self.handshake_cost_ms(resumes)
+        return account.available_ms >= self.handshake_cost_ms(resumes=resumes)
 
-    def _begin(self, account: _NodeAccount, resumes: bool) -> None:
-        account.available_ms -= self.handshake_cost_ms(resumes)
+    def _begin(self, account: _NodeAccount, *, resumes: bool) -> None:
+        account.available_ms -= self.handshake_cost_ms(resumes=resumes)
         account.in_flight += 1
 
     def _jitter(self) -> float:
--- a/sabledyke/tls/stream.py
+++ b/sabledyke/tls/stream.py
@@ -84,12 +84,15 @@
             return failed
         return asyncio.ensure_future(self._inner.write(self.machine.output))
 
-    async def read_bytes(self, num_bytes: int, partial: bool = True) -> bytes:
+    async def read_bytes(self, num_bytes: int, *, partial: bool = True) -> bytes:
         """Return plaintext as it comes, at most ``num_bytes``.
 
         Raises:
             StreamClosedError: The stream has ended, with or without a closing alert.
+            ValueError: All of ``num_bytes`` were requested at once.
         """
+        if not partial:
+            raise ValueError("plaintext is returned only as it comes")
         while not self.machine.plaintext:
             if self.machine.state is TlsState.CLOSED:
                 self._inner.close()
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -60,11 +60,11 @@
             tell(listing)
 
         watch._report = report
-        watch.watch(True)
+        watch.watch(on=True)
         await until(lambda: seen)
         assert seen == [None] and not faults  # the module hears that the call failed
         if asks:
-            watch.watch(True)  # as it does then
+            watch.watch(on=True)  # as it does then
         await until(lambda: len(seen) > 1)
         assert seen[1] is not None
 
@@ -84,7 +84,7 @@
         await new.open()
         new.hosts = [HOST | {"health": "draining"}]
         if asked_before:
-            watch.watch(True)
+            watch.watch(on=True)
             await until(lambda: seen)
             seen.clear()
         watch.fetch()
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -141,7 +141,7 @@
             for client in list(front.clients):
                 client.on_client_gone = lambda: None  # type: ignore[method-assign]
                 client.close()
-        self.server.watch.watch(False)
+        self.server.watch.watch(on=False)
         for attempt in list(self.server.pool._attempts.values()):
             if attempt.connection is not None:
                 attempt.connection.link.close()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -52,7 +52,7 @@
     def close_idle(self, where: NodeId) -> None:
         raise AssertionError("not asked for here")
 
-    def watch(self, on: bool) -> None:
+    def watch(self, *, on: bool) -> None:
         self.watched.append(on)
 
     def fetch(self) -> None:
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -296,7 +296,7 @@
                 rig = TlsRig(folder, box, {"handshake_share": 0.05})
                 rig.keys(*OURS, ROOT.root)
                 await rig.__aenter__()
-                rig.server.watch.watch = lambda on: None  # type: ignore[method-assign] # its start is set by hand
+                rig.server.watch.watch = lambda *, on: None  # type: ignore[method-assign] # its start is set by hand
                 born = time.time() * 1000
                 entry = replace(rig.server.core.nodes[b"plain"], started_ms=born)
                 rig.server.core.nodes[b"plain"] = entry
--- a/tests/tls/test_handshake_admission.py
+++ b/tests/tls/test_handshake_admission.py
@@ -22,7 +22,7 @@
     waiting = 0
     for n, one in enumerate(schedulers):
         for attempt in range(50):
-            answer = one.request(0, b"node", 0, attempt, 3000, False)
+            answer = one.request(0, b"node", 0, attempt, 3000, resumes=False)
             if answer:
                 spent.append((0, 1.0))
                 one.on_handshake_completed(0, b"node", good=True)
@@ -48,12 +48,12 @@
 def test_waiting_attempts_begin_by_deadline_and_hopeless_ones_are_rejected_at_once() -> None:
     one = HandshakeAdmission(BUDGET, 1)
     began = 0
-    while one.request(0, b"node", 0, began, 100_000, False):
+    while one.request(0, b"node", 0, began, 100_000, resumes=False):
         began += 1
     assert began >= 1
-    assert one.request(0, b"node", 0, 100, 50_000, False) is False
-    assert one.request(0, b"node", 0, 101, 20_000, False) is False
-    assert one.request(0, b"node", 0, 102, 1, False) is None  # at once
+    assert one.request(0, b"node", 0, 100, 50_000, resumes=False) is False
+    assert one.request(0, b"node", 0, 101, 20_000, resumes=False) is False
+    assert one.request(0, b"node", 0, 102, 1, resumes=False) is None  # at once
     at = one.next_due_ms(0, b"node")
     while not (go := one.pop_due(at, b"node")[0]):
         at = one.next_due_ms(at, b"node") + 0.01
@@ -64,26 +64,26 @@
 
 def test_a_storage_node_whose_handshakes_fail_is_tried_singly_with_backoff() -> None:
     one, now, gaps = HandshakeAdmission(BUDGET, 2), 0.0, []
-    assert one.request(now, b"node", -1e6, 0, now + 500, False)
+    assert one.request(now, b"node", -1e6, 0, now + 500, resumes=False)
     for attempt in range(1, 8):
         one.on_handshake_completed(now, b"node", good=False)
-        assert one.request(now, b"node", -1e6, attempt, now + 60_000, False) is False
+        assert one.request(now, b"node", -1e6, attempt, now + 60_000, resumes=False) is False
         trial = one.next_due_ms(now, b"node")
         gaps.append(trial - now)
         now = trial
         assert one.pop_due(now, b"node")[0] == [attempt]
-        assert one.request(now, b"node", -1e6, 99, now + 100, False) is None  # one at a time
+        assert one.request(now, b"node", -1e6, 99, now + 100, resumes=False) is None  # one at a time
     assert gaps[0] <= 100 and gaps[-1] > 2000 and max(gaps) <= BUDGET.max_backoff_ms
     one.on_handshake_completed(now, b"node", good=True)
-    assert one.request(now, b"node", -1e6, 100, now + 1, False)
+    assert one.request(now, b"node", -1e6, 100, now + 1, resumes=False)
 
 
 def test_idle_storage_nodes_are_forgotten() -> None:
     one = HandshakeAdmission(BUDGET, 3)
     for n in range(500):
-        one.request(n, b"%d" % n, -1e6, n, n + 10, True)
+        one.request(n, b"%d" % n, -1e6, n, n + 10, resumes=True)
         one.on_handshake_completed(n, b"%d" % n, good=True)
     one.evict_idle(1e6)
     assert one.entry_count == 0
-    one.request(0, b"a", 0, 1, 10, True)
+    one.request(0, b"a", 0, 1, 10, resumes=True)
     assert one.forget(b"a") == [] and one.entry_count == 0
