--- a/sabledyke/core.py
+++ b/sabledyke/core.py
@@ -30,7 +30,15 @@
     StartAttempt,
     WatchList,
 )
-from sabledyke.policy.events import AttemptCompleted, ClientDisconnected, Event, Outcome, Request, TimerFired
+from sabledyke.policy.events import (
+    AttemptCompleted,
+    ClientDisconnected,
+    Event,
+    Outcome,
+    PossibleExecution,
+    Request,
+    TimerFired,
+)
 from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeId, NodeState, node_name
 from sabledyke.policy.retry import may_repeat
 from sabledyke.policy.scheduler import Scheduler
@@ -77,7 +85,7 @@
     target: str = ""
     body: bytes = b""
     read_size_bytes: int = 0  # bytes a read wants, where the front's wire says so
-    possible_execution: tuple[float, NodeEntry] | None = None  # a former life sent it then, there
+    possible_execution: PossibleExecution | None = None  # a former life sent it then, there
     last_node: NodeEntry | None = None  # where its last attempt went
     quota_share: float = 0.0  # see ``interface.Request``
     client_connected: Callable[[], bool] = (
--- a/sabledyke/policy/attempts.py
+++ b/sabledyke/policy/attempts.py
@@ -5,14 +5,9 @@
 from math import inf
 
 from sabledyke.policy.actions import StartAttempt
-from sabledyke.policy.concurrency import ConcurrencyLimiter, smoothing_weight
-from sabledyke.policy.context import Context
-from sabledyke.policy.events import AttemptCompleted, Outcome
-from sabledyke.policy.node_directory import NodeDirectory
-from sabledyke.policy.outlier import OutlierDetector
-from sabledyke.policy.quota import VolumeQuotas
-from sabledyke.policy.requests import RequestTable
-from sabledyke.policy.retry import RetryPolicy
+from sabledyke.policy.collaborators import Collaborators
+from sabledyke.policy.concurrency import smoothing_weight
+from sabledyke.policy.events import AttemptCompleted, Outcome, PossibleExecution
 from sabledyke.policy.state import NodeRecord, PendingRequest
 
 # Outcomes after which the request may still be running at the node.
@@ -27,23 +22,14 @@
 class AttemptTracker:
     """Starts attempts and takes in their outcomes."""
 
-    def __init__(
-        self,
-        context: Context,
-        directory: NodeDirectory,
-        requests: RequestTable,
-        quotas: VolumeQuotas,
-        retries: RetryPolicy,
-        concurrency: ConcurrencyLimiter,
-        outliers: OutlierDetector,
-    ) -> None:
-        self._context = context
-        self._directory = directory
-        self._requests = requests
-        self._quotas = quotas
-        self._retries = retries
-        self._concurrency = concurrency
-        self._outliers = outliers
+    def __init__(self, collaborators: Collaborators) -> None:
+        self._context = collaborators.context
+        self._directory = collaborators.directory
+        self._requests = collaborators.requests
+        self._quotas = collaborators.quotas
+        self._retries = collaborators.retries
+        self._concurrency = collaborators.concurrency
+        self._outliers = collaborators.outliers
 
     def start(self, pending: PendingRequest, node: NodeRecord) -> None:
         """Starts an attempt, and counts it wherever attempts are counted.
@@ -95,7 +81,7 @@
         if outcome in MAY_STILL_RUN:
             self._requests.delay_order(pending)
         if outcome in MAY_STILL_RUN or outcome is Outcome.ERROR:
-            pending.possible_execution = pending.possible_execution or (sent_ms, node.entry)
+            pending.possible_execution = pending.possible_execution or PossibleExecution(sent_ms, node.entry)
 
     def _note_response(self, node: NodeRecord, outcome: Outcome) -> None:
         if outcome not in RESPONSES:
--- a/sabledyke/policy/dispatch.py
+++ b/sabledyke/policy/dispatch.py
@@ -6,14 +6,9 @@
 from math import inf
 
 from sabledyke.policy.attempts import AttemptTracker
+from sabledyke.policy.collaborators import Collaborators
 from sabledyke.policy.concurrency import ConcurrencyLimiter
 from sabledyke.policy.context import Context
-from sabledyke.policy.node_directory import NodeDirectory
-from sabledyke.policy.outlier import OutlierDetector
-from sabledyke.policy.quota import VolumeQuotas
-from sabledyke.policy.requests import RequestTable
-from sabledyke.policy.retry import RetryPolicy
-from sabledyke.policy.slow_start import SlowStart
 from sabledyke.policy.state import NodeRecord, PendingRequest
 
 
@@ -65,26 +60,15 @@
 class Dispatcher:
     """Dispatches the queues of nodes."""
 
-    def __init__(
-        self,
-        context: Context,
-        directory: NodeDirectory,
-        requests: RequestTable,
-        quotas: VolumeQuotas,
-        retries: RetryPolicy,
-        concurrency: ConcurrencyLimiter,
-        slow_start: SlowStart,
-        outliers: OutlierDetector,
-        attempts: AttemptTracker,
-    ) -> None:
-        self._context = context
-        self._directory = directory
-        self._requests = requests
-        self._quotas = quotas
-        self._retries = retries
-        self._concurrency = concurrency
-        self._slow_start = slow_start
-        self._outliers = outliers
+    def __init__(self, collaborators: Collaborators, attempts: AttemptTracker) -> None:
+        self._context = collaborators.context
+        self._directory = collaborators.directory
+        self._requests = collaborators.requests
+        self._quotas = collaborators.quotas
+        self._retries = collaborators.retries
+        self._concurrency = collaborators.concurrency
+        self._slow_start = collaborators.slow_start
+        self._outliers = collaborators.outliers
         self._attempts = attempts
 
     def dispatch_queue(self, node: NodeRecord) -> None:
--- a/sabledyke/policy/events.py
+++ b/sabledyke/policy/events.py
@@ -7,6 +7,7 @@
 
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
 
 from sabledyke.policy.nodes import EndpointList, NodeEntry, NodeId
 
@@ -24,6 +25,13 @@
     EXPIRED = 8
 
 
+class PossibleExecution(NamedTuple):
+    """The first send of a request that may have run: when, and to which node."""
+
+    sent_at_ms: float
+    node: NodeEntry
+
+
 @dataclass(slots=True, frozen=True)
 class Request:
     """A client's request.
@@ -52,7 +60,7 @@
     scheduler_count: float
     repeated: bool
     write: bool
-    possible_execution: tuple[float, NodeEntry] | None = None
+    possible_execution: PossibleExecution | None = None
     quota_share: float = 0.0
 
 
--- a/sabledyke/policy/outlier.py
+++ b/sabledyke/policy/outlier.py
@@ -11,6 +11,7 @@
 
 from sabledyke.policy.actions import CancelAttempt
 from sabledyke.policy.context import Context
+from sabledyke.policy.events import PossibleExecution
 from sabledyke.policy.nodes import node_name
 from sabledyke.policy.requests import RequestTable
 from sabledyke.policy.retry import RetryPolicy
@@ -81,7 +82,7 @@
             node.in_flight_units -= units
             self.on_answer_lost()
             pending = self._requests.requests[request_id]
-            pending.possible_execution = pending.possible_execution or (sent_ms, node.entry)
+            pending.possible_execution = pending.possible_execution or PossibleExecution(sent_ms, node.entry)
             self._repeat_overdue(pending, number, node)
         if node.in_flight:
             oldest_ms, _ = next(iter(node.in_flight.values()))
--- a/sabledyke/policy/retry.py
+++ b/sabledyke/policy/retry.py
@@ -65,19 +65,19 @@
 
     def repeat_window_over(self, pending: PendingRequest) -> bool:
         """Whether the request may run nowhere any more."""
-        if pending.possible_execution is None:
+        earlier = pending.possible_execution
+        if earlier is None:
             return False
-        sent_at_ms, _ = pending.possible_execution
-        return window_over(pending.request_class, sent_at_ms, self._context.now_ms)
+        return window_over(pending.request_class, earlier.sent_at_ms, self._context.now_ms)
 
     def may_run_at(self, pending: PendingRequest, node: NodeRecord) -> bool:
         """Whether the request may run at this node, given what may have run already."""
-        if pending.possible_execution is None:
+        earlier = pending.possible_execution
+        if earlier is None:
             return True
-        sent_at_ms, first = pending.possible_execution
-        there = first.shard, first.zone
+        there = earlier.node.shard, earlier.node.zone
         here = node.entry.shard, node.entry.zone
-        return may_repeat(pending.request_class, sent_at_ms, there, self._context.now_ms, here)
+        return may_repeat(pending.request_class, earlier.sent_at_ms, there, self._context.now_ms, here)
 
     def may_retry(self, pending: PendingRequest, node: NodeRecord) -> bool:
         """Whether another attempt is allowed and would be answered in time."""
--- a/sabledyke/policy/scheduler.py
+++ b/sabledyke/policy/scheduler.py
@@ -13,6 +13,7 @@
 from sabledyke.policy.actions import Action, SetTimer, WatchList
 from sabledyke.policy.admission import AdmissionControl
 from sabledyke.policy.attempts import AttemptTracker
+from sabledyke.policy.collaborators import Collaborators
 from sabledyke.policy.concurrency import ConcurrencyLimiter
 from sabledyke.policy.context import TICK_MS, Context
 from sabledyke.policy.demand import Demand
@@ -66,25 +67,7 @@
         self.concurrency = ConcurrencyLimiter(context, self.directory, self.slow_start)
         self.requests = RequestTable(context, self.quotas, self.retries)
         self.outliers = OutlierDetector(context, self.requests, self.retries)
-        self.attempts = AttemptTracker(
-            context,
-            self.directory,
-            self.requests,
-            self.quotas,
-            self.retries,
-            self.concurrency,
-            self.outliers,
-        )
-        self._selector = NodeSelector(
-            context,
-            self.directory,
-            self.requests,
-            self.retries,
-            self.concurrency,
-            AdmissionControl(context),
-            self.slow_start,
-        )
-        self._dispatcher = Dispatcher(
+        collaborators = Collaborators(
             context,
             self.directory,
             self.requests,
@@ -93,8 +76,10 @@
             self.concurrency,
             self.slow_start,
             self.outliers,
-            self.attempts,
         )
+        self.attempts = AttemptTracker(collaborators)
+        self._selector = NodeSelector(collaborators, AdmissionControl(context))
+        self._dispatcher = Dispatcher(collaborators, self.attempts)
         self._wake_at_ms = inf
         self._last_eviction_ms = -inf
 
--- a/sabledyke/policy/selection.py
+++ b/sabledyke/policy/selection.py
@@ -3,12 +3,8 @@
 from __future__ import annotations
 
 from sabledyke.policy.admission import AdmissionControl
-from sabledyke.policy.concurrency import ConcurrencyLimiter
-from sabledyke.policy.context import TICK_MS, Context
-from sabledyke.policy.node_directory import NodeDirectory
-from sabledyke.policy.requests import RequestTable
-from sabledyke.policy.retry import RetryPolicy
-from sabledyke.policy.slow_start import SlowStart
+from sabledyke.policy.collaborators import Collaborators
+from sabledyke.policy.context import TICK_MS
 from sabledyke.policy.state import NodeRecord, PendingRequest
 
 # Fraction of its capacity below which a warming node is a last choice for new objects.
@@ -22,23 +18,14 @@
 class NodeSelector:
     """Queues requests at nodes."""
 
-    def __init__(
-        self,
-        context: Context,
-        directory: NodeDirectory,
-        requests: RequestTable,
-        retries: RetryPolicy,
-        concurrency: ConcurrencyLimiter,
-        admission: AdmissionControl,
-        slow_start: SlowStart,
-    ) -> None:
-        self._context = context
-        self._directory = directory
-        self._requests = requests
-        self._retries = retries
-        self._concurrency = concurrency
+    def __init__(self, collaborators: Collaborators, admission: AdmissionControl) -> None:
+        self._context = collaborators.context
+        self._directory = collaborators.directory
+        self._requests = collaborators.requests
+        self._retries = collaborators.retries
+        self._concurrency = collaborators.concurrency
         self._admission = admission
-        self._slow_start = slow_start
+        self._slow_start = collaborators.slow_start
 
     def select(self, pending: PendingRequest) -> None:
         """Queues the request at the best node that can serve it, or keeps it while one may still come."""
--- a/sabledyke/policy/state.py
+++ b/sabledyke/policy/state.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from sabledyke.policy.events import Request
+from sabledyke.policy.events import PossibleExecution, Request
 from sabledyke.policy.nodes import NodeEntry, NodeState
 from sabledyke.policy.settings import Plan, RequestClass
 
@@ -51,7 +51,7 @@
     value: float = 0.0
     attempts_started: int = 0
     open_attempts: dict[int, NodeRecord] = field(default_factory=dict)
-    possible_execution: tuple[float, NodeEntry] | None = None
+    possible_execution: PossibleExecution | None = None
     waiting: bool = False
     completed: bool = False
 
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -17,7 +17,7 @@
 from sabledyke.core import ANSWER_GUARD_MS, Answer, AnswerStatus, AttemptResult, ClientRequest, Transport
 from sabledyke.net import clock
 from sabledyke.net.connection_pool import ReportAttempt
-from sabledyke.policy.events import Outcome
+from sabledyke.policy.events import Outcome, PossibleExecution
 from sabledyke.policy.nodes import NodeEntry, NodeId, NodeState, node_name
 from sabledyke.policy.settings import Settings
 from sabledyke.store.batch_writer import TICK_S, BatchWriter, Opener
@@ -178,7 +178,7 @@
         first = self.intents.earlier_send(name)
         if first is not None:
             node = NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, NodeState.GONE)
-            work.possible_execution = first.sent_at_ms, node
+            work.possible_execution = PossibleExecution(first.sent_at_ms, node)
 
     def _on_answer(self, request_id: int, write: _OpenWrite, answer: Answer, done: Done) -> None:
         self._open_writes.pop(request_id, None)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,13 @@
 import pytest
 
 from sabledyke.policy.actions import Fail, Reject, WatchList
-from sabledyke.policy.events import AttemptCompleted, ClientDisconnected, Outcome, Request
+from sabledyke.policy.events import (
+    AttemptCompleted,
+    ClientDisconnected,
+    Outcome,
+    PossibleExecution,
+    Request,
+)
 from sabledyke.policy.nodes import EndpointList, ListKind, NodeState
 from sabledyke.policy.retry import WRITE_DELAY_MS
 from sabledyke.policy.settings import DeduplicationScope, Plan, RepeatSafety, RequestClass
@@ -220,7 +226,7 @@
     )
     for age, shard, sent in ((100, 1, True), (500, 1, False), (100, 2, False)):
         rig = Rig(node(1), node(2), classes=(keyed,))
-        ran = rig.now - age, node(1)
+        ran = PossibleExecution(rig.now - age, node(1))
         rig.do(Request(1, 0, 0, 0, 2000, 1, 2, shard, 1, False, True, ran))
         assert (rig.sends(1) > 0) is sent
         if age == 500:  # nothing can change: it fails at once
