--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -19,19 +19,12 @@
 from sabledyke.config import Config
 from sabledyke.core import ClientRequest, Core, Transport
 from sabledyke.net import streams
-from sabledyke.net.connection_pool import (
-    Address,
-    Connect,
-    ConnectionPool,
-    Dial,
-    Link,
-    ReportAttempt,
-    connect_plain,
-)
+from sabledyke.net.connection_pool import ConnectionPool, ReportAttempt
 from sabledyke.net.endpoint_watch import EndpointWatch
 from sabledyke.net.frontend import Frontend
 from sabledyke.net.http_frontend import HttpClientConnection
 from sabledyke.net.http_link import HttpDialer
+from sabledyke.net.link import Address, Connect, Dial, Link, connect_plain
 from sabledyke.policy.nodes import EndpointList, ListKind, NodeId
 from sabledyke.protocol.discovery import EndpointListing
 from sabledyke.protocol.gateway import MessageReader
--- a/sabledyke/application/extensions.py
+++ b/sabledyke/application/extensions.py
@@ -12,7 +12,8 @@
 from typing import TYPE_CHECKING
 
 from sabledyke.core import Answer, ClientRequest, Transport
-from sabledyke.net.connection_pool import Connect, Dial, ReportAttempt
+from sabledyke.net.connection_pool import ReportAttempt
+from sabledyke.net.link import Connect, Dial
 from sabledyke.policy.nodes import EndpointList, NodeEntry, NodeId
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/sabledyke/lease/holder_state.py
@@ -0,0 +1,85 @@
+"""The state of one instance's side of one lease, and what its transitions consist of."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+from math import inf
+from typing import NamedTuple
+
+from sabledyke.lease.types import LeaseRequest, LeaseVersion
+
+
+class Phase(Enum):
+    """What the holder is doing."""
+
+    WATCHING = "watching"
+    HOLDING = "holding"
+    STOPPED = "ended"
+
+
+class HolderEvent(Enum):
+    """What is logged, and what the leader task is notified of."""
+
+    GRANTED = "granted"
+    RENEWED = "renewed"
+    EXPIRED = "lapsed"  # not renewed in time: it stops acting, and keeps requesting
+    LOST = "lost"  # another holds it, or nobody
+    RECALLED = "recalled"  # an operator wanted it released
+    RELEASED = "released"
+    FENCED = "fenced"  # a resource knows a later token
+
+
+@dataclass(slots=True, frozen=True)
+class SendRequest:
+    """An action: send this request to the authority, and pass on its reply under this number."""
+
+    number: int
+    request: LeaseRequest
+
+
+@dataclass(slots=True, frozen=True)
+class HolderState:
+    """All that a holder knows; times are on its own clock, in ms.
+
+    Attributes:
+        holder_id: The identifier that this instance holds the lease under.
+        phase: What it is doing.
+        token: The token of the lease that it holds.
+        acts_until_ms: It may act before this time.
+        acting: Whether the leader task was last notified that it may act.
+        seen_version: The version of the lease when it was last seen.
+        seen_free: Whether it was free then.
+        unchanged_since_ms: Since when it has been seen at that version.
+        seen_ttl_ms: How long its holder may rely on it, as far as is known.
+        pending_request: The request that waits for a reply.
+        request_number: The number of the latest request.
+        requested_at_ms: When that was sent.
+        next_request_at_ms: When to send the next one.
+        acquire_not_before_ms: It was recalled, and acquires nothing before this time.
+        consecutive_failures: How many requests in a row have failed.
+    """
+
+    holder_id: str
+    phase: Phase = Phase.WATCHING
+    token: int = 0
+    acts_until_ms: float = -inf
+    acting: bool = False
+    seen_version: LeaseVersion | None = None
+    seen_free: bool = False
+    unchanged_since_ms: float = 0.0
+    seen_ttl_ms: float = 0.0
+    pending_request: LeaseRequest | None = None
+    request_number: int = 0
+    requested_at_ms: float = 0.0
+    next_request_at_ms: float = -inf
+    acquire_not_before_ms: float = -inf
+    consecutive_failures: int = 0
+
+
+class Transition(NamedTuple):
+    """The result of an input: the new state, and what is to be carried out in this order."""
+
+    state: HolderState
+    requests: list[SendRequest]
+    events: list[HolderEvent]
--- a/sabledyke/lease/manager.py
+++ b/sabledyke/lease/manager.py
@@ -16,7 +16,7 @@
 from sabledyke import log
 from sabledyke.errors import AuthorityError, LeaseLostError
 from sabledyke.lease import holder
-from sabledyke.lease.holder import HolderEvent, HolderState, Phase
+from sabledyke.lease.holder_state import HolderEvent, HolderState, Phase, SendRequest, Transition
 from sabledyke.lease.types import Authority, LeaseTimes
 
 Clock = Callable[[], float]
@@ -105,7 +105,7 @@
         if self._requests:
             await asyncio.wait(self._requests)
 
-    def _apply(self, transition: holder.Transition) -> None:
+    def _apply(self, transition: Transition) -> None:
         self.state = transition.state
         for event in transition.events:
             self._publish(event)
@@ -114,7 +114,7 @@
             self._requests.add(task)
             task.add_done_callback(self._requests.discard)
 
-    async def _send(self, action: holder.SendRequest) -> None:
+    async def _send(self, action: SendRequest) -> None:
         try:
             async with asyncio.timeout(self.times.renew_interval_ms / 1000):
                 reply = await self._authority.request(self.task_name, self.holder_id, action.request)
--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -7,13 +7,12 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable, Iterable
-from typing import Protocol
+from collections.abc import Callable, Iterable
 
 from sabledyke import log
 from sabledyke.core import AttemptResult, ClientRequest
-from sabledyke.errors import SabledykeError
 from sabledyke.net import streams
+from sabledyke.net.link import Address, Dial, Link, PeerProtocolError
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId, node_name
 from sabledyke.policy.settings import Settings
@@ -21,69 +20,12 @@
 IDLE_TIMEOUT_SHARE = 0.6  # of the time after which nodes close idle connections: ours are closed by then
 PRECONNECT_TIMEOUT_FACTOR = 2  # of the connect time-out
 
-Address = tuple[str, int]
 # Request, number of the attempt, and how it ended.
 ReportAttempt = Callable[[int, int, AttemptResult], None]
 # Request and number of the attempt: may it be written now? See ``core.Core.may_go``.
 MaySend = Callable[[int, int], bool]
 
 
-class PeerProtocolError(SabledykeError):
-    """A storage node does not speak its protocol; the text says where."""
-
-    code, remedy = "box-garbled", "look at the box's version"
-
-
-class Link(Protocol):
-    """An open connection to a storage node."""
-
-    @property
-    def closed(self) -> bool:
-        """Whether it is of no more use."""
-
-    @property
-    def may_have_run(self) -> bool:
-        """Whether the node may have run what was exchanged last."""
-
-    @property
-    def reusable(self) -> bool:
-        """Whether another exchange may follow the last."""
-
-    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
-        """Carry out one attempt.
-
-        Args:
-            work: The request.
-            timeout: What the attempt may take, in milliseconds.
-
-        Raises:
-            StreamClosedError: The connection broke.
-            PeerProtocolError: The node does not speak its protocol.
-        """
-
-    def enter_idle(self, on_activity: Callable[[], None]) -> None:
-        """Wait for no answer; ``on_activity`` is called when the peer sends or closes all the same."""
-
-    def leave_idle(self) -> bool:
-        """Prepare for an exchange, and tell whether the link is fit for it."""
-
-    def close(self) -> None:
-        """End it, whatever is under way on it."""
-
-
-# Node, address, and the milliseconds that the attempt has.
-Dial = Callable[[NodeId, Address, float], Awaitable[Link]]
-# Node, address, milliseconds for the connection itself, and those that the attempt has.
-Connect = Callable[[NodeId, Address, float, float], Awaitable[streams.Stream]]
-
-
-async def connect_plain(
-    _node: NodeId, address: Address, connect_ms: float, _attempt_ms: float
-) -> streams.Stream:
-    """Connect as no extension has wrapped it."""
-    return await streams.connect(address, connect_ms)
-
-
 class ConnectionPool:
     """Carries attempts to storage nodes over a bounded number of connections.
 
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -6,7 +6,7 @@
 
 from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import streams
-from sabledyke.net.connection_pool import Address, Connect, PeerProtocolError, connect_plain
+from sabledyke.net.link import Address, Connect, PeerProtocolError, connect_plain
 from sabledyke.policy.nodes import NodeId
 from sabledyke.policy.settings import Settings
 from sabledyke.protocol.gateway import MessageReader, encode_node_request
@@ -14,7 +14,7 @@
 
 
 class HttpLink(streams.StreamLink):
-    """A connection that carries one request at a time; see ``connection_pool.Link``."""
+    """A connection that carries one request at a time; see ``link.Link``."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         return self._written is not None and self._written.done() and self._written.exception() is None
 
     async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         self.reusable = False
         self._written = None
         self._written = asyncio.ensure_future(
@@ -102,6 +102,6 @@
         self._connect = connect
 
     async def dial(self, node: NodeId, address: Address, timeout_ms: float) -> HttpLink:
-        """See ``connection_pool.Dial``."""
+        """See ``link.Dial``."""
         stream = await self._connect(node, address, self.settings.connect_timeout_ms, timeout_ms)
         return HttpLink(f"{address[0]}:{address[1]}", stream, self._reader, self._response_memory)
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from sabledyke.application.extensions import Extension, ServerContext
-from sabledyke.net.connection_pool import Dial
 from sabledyke.net.frontend import Frontend
+from sabledyke.net.link import Dial
 from sabledyke.net.nvme_frontend import NvmeClientConnection
 from sabledyke.net.nvme_link import NvmeDialer
 from sabledyke.policy.nodes import NodeId
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -12,7 +12,7 @@
 from sabledyke import log
 from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import streams
-from sabledyke.net.connection_pool import Address, Connect, PeerProtocolError, connect_plain
+from sabledyke.net.link import Address, Connect, PeerProtocolError, connect_plain
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId
 from sabledyke.policy.settings import Settings
@@ -72,7 +72,7 @@
         self._associations: dict[NodeId, _Association] = {}
 
     async def dial(self, node: NodeId, address: Address, timeout_ms: float) -> NvmeLink:
-        """See ``connection_pool.Dial``."""
+        """See ``link.Dial``."""
         association = self._associations.get(node)
         if association is None or association.address != address:
             if association is not None:
@@ -109,7 +109,7 @@
 
 
 class NvmeLink(streams.StreamLink):
-    """An I/O queue; see ``connection_pool.Link``."""
+    """An I/O queue; see ``link.Link``."""
 
     def __init__(self, channel: _Channel, translator: Translator) -> None:
         super().__init__(channel.stream, channel.read_ahead)
@@ -132,7 +132,7 @@
         return written.done() and written.exception() is None
 
     async def exchange(self, work: ClientRequest, _timeout: float) -> AttemptResult:
-        """See ``connection_pool.Link``; the time-out is the pool's, NVMe states none."""
+        """See ``link.Link``; the time-out is the pool's, NVMe states none."""
         self.reusable = False
         self._work = work
         self._channel.written = None
--- a/sabledyke/net/streams.py
+++ b/sabledyke/net/streams.py
@@ -110,7 +110,7 @@
 
 
 class StreamLink:
-    """What links over one stream have in common; see ``connection_pool.Link``."""
+    """What links over one stream have in common; see ``link.Link``."""
 
     def __init__(self, stream: Stream, read_ahead: ReadAhead | None = None) -> None:
         self.stream = stream
@@ -118,19 +118,19 @@
 
     @property
     def closed(self) -> bool:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         return bool(self.stream.closed())
 
     def close(self) -> None:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         abort(self.stream)
 
     def enter_idle(self, on_activity: Callable[[], None]) -> None:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         self.read_ahead.enter_idle(on_activity)
 
     def leave_idle(self) -> bool:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         return self.read_ahead.leave_idle()
 
 
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -8,7 +8,8 @@
 from sabledyke import log
 from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
 from sabledyke.core import ClientRequest, Transport
-from sabledyke.net.connection_pool import Dial, ReportAttempt
+from sabledyke.net.connection_pool import ReportAttempt
+from sabledyke.net.link import Dial
 from sabledyke.policy.nodes import NodeId
 from sabledyke.store.connect import connect
 from sabledyke.store.database_errors import DatabaseError, StoreError
--- a/sabledyke/store/intent_manager.py
+++ b/sabledyke/store/intent_manager.py
@@ -5,9 +5,9 @@
 carries out. Knows neither a database, a socket nor the scheduler; the time, in Unix milliseconds, and the
 seed are passed in.
 
-Owns the position, the batch in flight and the findings of drift (at most ``MAX_PENDING_DRIFTS``);
-``IntentTable`` owns the writes and their attempts, ``JournalQueue`` the entries, ``StoreHealth`` whether the
-store is fit.
+Owns the position and the batch in flight; ``IntentTable`` owns the writes and their attempts,
+``JournalQueue`` the entries, ``BatchGatherer`` the findings of drift, ``StoreHealth`` whether the store is
+fit.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from dataclasses import replace
 
 from sabledyke.policy.settings import RequestClass
-from sabledyke.store import audit_journal
+from sabledyke.store.batch_gathering import BatchGatherer
 from sabledyke.store.database_errors import DatabaseError, DatabaseErrorKind
 from sabledyke.store.effects import AttemptId, CompleteWrite, Effect, ExpireAttempt, LogLine
 from sabledyke.store.health import HealthState, StoreHealth, StoreLimits
@@ -35,8 +35,6 @@
     Settlement,
 )
 
-MAX_PENDING_DRIFTS = 64  # findings of drift that may wait for a batch
-FORGET_INTERVAL_MS = 1000.0  # between batches that also delete writes past their retention
 MAX_CONFLICTS = 3  # batches in a row that are simply written again where the database asks for that
 
 
@@ -59,12 +57,10 @@
         self.position = JournalPosition(0)
         self.batch_in_flight: RecordBatch | None = None
         self.position_unknown = False
-        self._retention_ms = retention_ms
         self._uncertain_batch: RecordBatch | None = None  # nobody knows whether it took effect
         self._writes = IntentTable()
         self._journal = JournalQueue()
-        self._drifts: list[DriftFinding] = []
-        self._forgot_at_ms = 0.0
+        self._gatherer = BatchGatherer(instance, limits.batch, retention_ms, self._writes, self._journal)
         self._conflicts = 0  # batches in a row that the database gave up for another transaction
 
     def on_opened(
@@ -120,7 +116,7 @@
     @property
     def size(self) -> int:
         """Entries in all tables, for what watches their bounds."""
-        return self._writes.size + len(self._journal) + len(self._drifts)
+        return self._writes.size + len(self._journal) + len(self._gatherer.drifts)
 
     # Events of writes and attempts.
 
@@ -167,8 +163,7 @@
 
     def on_drift(self, drift: DriftFinding) -> None:
         """Queue a finding of drift; beyond the bound it is only logged."""
-        if len(self._drifts) < MAX_PENDING_DRIFTS:
-            self._drifts.append(drift)
+        self._gatherer.on_drift(drift)
 
     def on_tick(self, now_ms: float) -> list[Effect]:
         """Give up attempts and answers past their deadlines, and all that waits when a batch stalls."""
@@ -192,7 +187,7 @@
         is_trial = self.health.state is HealthState.STALLED
         if not (self._needs_batch or is_trial):
             return None
-        self.batch_in_flight = self._gather_batch(now_ms)
+        self.batch_in_flight = self._gatherer.gather(now_ms, self.position)
         self.health.on_batch_began(now_ms)
         return self.batch_in_flight
 
@@ -227,7 +222,7 @@
         if self._may_write_again(error):
             self._conflicts += 1
             self._writes.restore_intents(batch.intents)
-            self._requeue(batch)
+            self._gatherer.requeue(batch)
             self.health.allow_immediate_retry()
             return []
         self.position_unknown = True  # what the database holds is read before it is written again
@@ -236,9 +231,9 @@
             self._uncertain_batch = batch
             self._writes.settle_as_never_sent(batch.intents)
             effects += self._give_up(batch)  # while these are still in flight: they may be in the journal
-            self._requeue(batch)
+            self._gatherer.requeue(batch)
         else:
-            self._requeue(batch)
+            self._gatherer.requeue(batch)
             effects += self._give_up(batch)
         return effects
 
@@ -249,8 +244,7 @@
         self.position_unknown = False
         if uncertain is not None and position == uncertain.after:  # it took effect
             self.position = position
-            self._journal.drop_written(len(uncertain.entries))
-            del self._drifts[: len(uncertain.drifts)]
+            self._gatherer.drop_written(uncertain)
             return []
         if position == self.position:
             return []
@@ -265,23 +259,7 @@
 
     @property
     def _needs_batch(self) -> bool:
-        return bool(self._writes.needs_batch or self._journal or self._drifts)
-
-    def _gather_batch(self, now_ms: float) -> RecordBatch:
-        limit = self.limits.batch
-        pending = self._journal.take(limit)
-        entries = [each.entry for each in pending]
-        after, hashes = audit_journal.extend_chain(self.position, self.instance, entries)
-        batch = RecordBatch(self.position, after, entries=entries, hashes=hashes)
-        batch.intents = self._writes.take_intents(limit)
-        completed = [each.settlement for each in pending]
-        batch.settled = self._writes.take_settlements(limit, completed, batch.intents)
-        batch.drifts = self._drifts
-        self._drifts = []
-        if now_ms - self._forgot_at_ms >= FORGET_INTERVAL_MS:
-            self._forgot_at_ms = now_ms
-            batch.forget_before_ms = now_ms - self._retention_ms
-        return batch
+        return bool(self._writes.needs_batch or self._journal or self._gatherer.drifts)
 
     def _end_batch(self) -> RecordBatch:
         batch = self.batch_in_flight
@@ -294,10 +272,6 @@
         is_conflict = error.kind is DatabaseErrorKind.CONFLICT and not error.uncertain
         return is_conflict and self._conflicts < MAX_CONFLICTS
 
-    def _requeue(self, batch: RecordBatch) -> None:
-        self._journal.requeue()
-        self._drifts = (batch.drifts + self._drifts)[:MAX_PENDING_DRIFTS]
-
     def _stall(self, now_ms: float, error: DatabaseError) -> list[Effect]:
         """Begin a stall between batches, and give up all that waits; nothing where it has begun."""
         effects = self._begin_stall(now_ms, error)
--- a/sabledyke/store/intent_table.py
+++ b/sabledyke/store/intent_table.py
@@ -11,20 +11,14 @@
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from itertools import islice
 
 from sabledyke.policy.retry import may_repeat
 from sabledyke.policy.settings import RequestClass
 from sabledyke.store.effects import AttemptId, BlockAttempt, Effect, ExpireAttempt, SendAttempt
+from sabledyke.store.settlements import merge_settlements, take_states
 from sabledyke.store.types import Intent, RecordedWrite, SendRecord, Settlement, WriteState
 
 EVICT_INTERVAL_MS = 1000.0  # between searches for writes that memory need not hold any longer
-_STRENGTH = {  # of two states for one write, the stronger stands
-    None: 0,
-    WriteState.NEVER: 1,
-    WriteState.UNKNOWN: 2,
-    WriteState.SERVED: 3,
-}
 
 
 @dataclass(slots=True)
@@ -207,12 +201,7 @@
             completed: States that come with the journal entries of the same batch.
             intents: The intents of the same batch: what is sent anew is not settled as never sent.
         """
-        states = dict(islice(self._settlements.items(), limit))
-        for name in states:
-            del self._settlements[name]
-        for settlement in completed:
-            if settlement is not None:
-                _settle(states, settlement)
+        states = take_states(self._settlements, limit, completed)
         sent_anew = {intent.name for intent in intents}
         return [
             Settlement(name, state)
@@ -222,8 +211,7 @@
 
     def restore_settlements(self, settlements: Iterable[Settlement]) -> None:
         """Take back the states of a batch that failed."""
-        for settlement in settlements:
-            _settle(self._settlements, settlement)
+        merge_settlements(self._settlements, settlements)
 
     def restore_intents(self, intents: Iterable[Intent]) -> None:
         """Take back the intents of a batch that did not take effect, before all others."""
@@ -312,9 +300,3 @@
     def _may_repeat(now_ms: float, write: _Write, request_class: RequestClass, send: SendRecord) -> bool:
         first = write.first_send
         return may_repeat(request_class, first.sent_at_ms, first.place, now_ms, send.place)
-
-
-def _settle(states: dict[str, WriteState], settlement: Settlement) -> None:
-    """Note a state unless a stronger one stands."""
-    if _STRENGTH[settlement.state] > _STRENGTH[states.get(settlement.name)]:
-        states[settlement.name] = settlement.state
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -10,7 +10,7 @@
 import asyncio
 import hashlib
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+from dataclasses import replace
 
 from sabledyke import log
 from sabledyke.application.extensions import Done, Submit
@@ -32,13 +32,12 @@
     SendAttempt,
 )
 from sabledyke.store.intent_manager import IntentManager
+from sabledyke.store.open_requests import OpenWrite, SentAttempt, ServedAnswer, WaitingAttempt
 from sabledyke.store.types import (
     OUTCOME_DEPARTED,
     OUTCOME_SERVED,
     DriftFinding,
-    JournalEntry,
     SendRecord,
-    idempotency_token,
     write_name,
 )
 
@@ -49,48 +48,6 @@
 LOGGED_DIGEST_LENGTH = 12
 
 
-@dataclass(slots=True, frozen=True)
-class _WaitingAttempt:
-    """An attempt that waits for its intent."""
-
-    node: NodeId
-    work: ClientRequest
-    name: str
-    requested_at_ms: float
-    deadline_ms: float
-
-
-@dataclass(slots=True, frozen=True)
-class _SentAttempt:
-    """An attempt of a keyed write that was sent."""
-
-    name: str
-    waited_ms: float
-
-
-@dataclass(slots=True, frozen=True)
-class _OpenWrite:
-    """A write that is open, for its journal entry and for drift."""
-
-    work: ClientRequest
-    name: str  # empty where it has no key
-    began_at_ms: float
-    deadline_ms: float
-    digest: str
-
-    @property
-    def piece(self) -> tuple[int, int]:
-        return self.work.volume, self.work.data_key
-
-
-@dataclass(slots=True, frozen=True)
-class _ServedAnswer:
-    """An answer that waits for its journal entry."""
-
-    done: Done
-    answer: Answer
-
-
 class RecordingTransport:
     """The record's transport; one for a server.
 
@@ -118,10 +75,10 @@
         self.inner: Transport
         self._entry = entry
         self._loop = asyncio.get_running_loop()
-        self._waiting: dict[AttemptId, _WaitingAttempt] = {}
-        self._sent: dict[AttemptId, _SentAttempt] = {}
-        self._open_writes: dict[int, _OpenWrite] = {}  # by request
-        self._served: dict[int, _ServedAnswer] = {}  # by ticket
+        self._waiting: dict[AttemptId, WaitingAttempt] = {}
+        self._sent: dict[AttemptId, SentAttempt] = {}
+        self._open_writes: dict[int, OpenWrite] = {}  # by request
+        self._served: dict[int, ServedAnswer] = {}  # by ticket
         self._last_ticket = 0
 
     async def open(self) -> None:
@@ -161,7 +118,7 @@
         if name:
             self._note_earlier_send(work, name)
         digest = hashlib.sha256(work.body).hexdigest()
-        write = _OpenWrite(work, name, now_ms, now_ms + work.remaining_ms - ANSWER_MARGIN_MS, digest)
+        write = OpenWrite(work, name, now_ms, now_ms + work.remaining_ms - ANSWER_MARGIN_MS, digest)
         self.drift.on_write_began(write.piece)
         request_id = onward(work, lambda answer: self._on_answer(request_id, write, answer, done))
         self._open_writes[request_id] = write
@@ -180,7 +137,7 @@
             node = NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, NodeState.GONE)
             work.possible_execution = PossibleExecution(first.sent_at_ms, node)
 
-    def _on_answer(self, request_id: int, write: _OpenWrite, answer: Answer, done: Done) -> None:
+    def _on_answer(self, request_id: int, write: OpenWrite, answer: Answer, done: Done) -> None:
         self._open_writes.pop(request_id, None)
         served = answer.status is AnswerStatus.SERVED
         self.drift.on_write_ended(clock.now(), write.piece, write.digest if served else None)
@@ -189,33 +146,17 @@
             done(answer)
             return
         self._last_ticket += 1
-        self._served[self._last_ticket] = _ServedAnswer(done, answer)
+        self._served[self._last_ticket] = ServedAnswer(done, answer)
         self._journal(write, OUTCOME_SERVED, self._last_ticket)
 
-    def _journal(self, write: _OpenWrite, outcome: str, ticket: int | None) -> None:
+    def _journal(self, write: OpenWrite, outcome: str, ticket: int | None) -> None:
         if not write.name:
             return
-        entry = self._journal_entry(write, outcome)
+        class_name = self.settings.classes[write.work.class_index].name
+        entry = write.journal_entry(clock.now(), class_name, outcome)
         self._carry_out(self.intents.on_write_completed(write.name, entry, ticket, write.deadline_ms))
         self.writer.schedule()
 
-    def _journal_entry(self, write: _OpenWrite, outcome: str) -> JournalEntry:
-        work = write.work
-        sent_to = work.last_node
-        return JournalEntry(
-            completed_at_ms=int(clock.now()),
-            began_at_ms=int(write.began_at_ms),
-            class_name=self.settings.classes[work.class_index].name,
-            volume=f"{work.volume:016x}",
-            key=idempotency_token(work),
-            piece=f"{work.data_key:016x}",
-            shard=sent_to.shard if sent_to else work.shard,
-            node=node_name(sent_to.node_id) if sent_to else "",
-            units=work.units,
-            digest=write.digest,
-            outcome=outcome,
-        )
-
     def _on_read(self, work: ClientRequest, requested_at_ms: float, answer: Answer, done: Done) -> None:
         piece = work.volume, work.data_key
         if answer.status is AnswerStatus.SERVED and self.drift.can_compare(requested_at_ms, piece):
@@ -249,7 +190,7 @@
         now_ms = clock.now()
         deadline_ms = now_ms + timeout
         entry = self._entry(node)
-        self._waiting[attempt] = _WaitingAttempt(node, work, name, now_ms, deadline_ms)
+        self._waiting[attempt] = WaitingAttempt(node, work, name, now_ms, deadline_ms)
         send = SendRecord(now_ms, entry.shard, entry.zone)
         request_class = self.settings.classes[work.class_index]
         effects = self.intents.on_attempt(now_ms, attempt, name, send, deadline_ms, request_class)
@@ -299,7 +240,7 @@
 
     def _send(self, now_ms: float, attempt: AttemptId) -> None:
         waiting = self._waiting.pop(attempt)
-        self._sent[attempt] = _SentAttempt(waiting.name, now_ms - waiting.requested_at_ms)
+        self._sent[attempt] = SentAttempt(waiting.name, now_ms - waiting.requested_at_ms)
         remaining_ms = max(MIN_TIMEOUT_MS, waiting.deadline_ms - now_ms)
         self.inner.start(*attempt, waiting.node, waiting.work, remaining_ms)
 
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -17,7 +17,7 @@
 from sabledyke import log
 from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import clock
-from sabledyke.net.connection_pool import Address
+from sabledyke.net.link import Address
 from sabledyke.net.streams import StreamClosedError
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId, node_name
@@ -37,7 +37,7 @@
 
 
 class SqlLink:
-    """See ``connection_pool.Link``."""
+    """See ``link.Link``."""
 
     def __init__(self, pool: SessionPool, retention_ms: float) -> None:
         self.closed = False
@@ -48,20 +48,20 @@
         self._session: Session | None = None
 
     def enter_idle(self, on_activity: Callable[[], None]) -> None:
-        """See ``connection_pool.Link``: a session is checked when it is acquired."""
+        """See ``link.Link``: a session is checked when it is acquired."""
 
     def leave_idle(self) -> bool:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         return not self._pool.closed
 
     def close(self) -> None:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         self.closed = True
         if self._session is not None:
             self._session.abort()
 
     async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         self.may_have_run = False
         self.reusable = False
         deadline_ms = clock.now() + timeout
@@ -205,7 +205,7 @@
 
 
 class SqlDialer:
-    """Opens links to the nodes that are databases; see ``connection_pool.Dial``.
+    """Opens links to the nodes that are databases; see ``link.Dial``.
 
     Attributes:
         settings: The settings in force.
@@ -219,7 +219,7 @@
         self._pools: dict[NodeId, SessionPool] = {}
 
     async def dial(self, node: NodeId, address: Address, _timeout_ms: float) -> SqlLink:
-        """See ``connection_pool.Dial``."""
+        """See ``link.Dial``."""
         sql_node = self.nodes[node]
         target = sql_node.target
         if not target.path:
--- a/sabledyke/testbed/lease_model.py
+++ b/sabledyke/testbed/lease_model.py
@@ -21,7 +21,7 @@
 from typing import NamedTuple
 
 from sabledyke.lease import holder
-from sabledyke.lease.holder import HolderState, Phase
+from sabledyke.lease.holder_state import HolderState, Phase, SendRequest
 from sabledyke.lease.types import (
     UNACQUIRED,
     Acquire,
@@ -168,7 +168,7 @@
     return _ticked(setup, world, who)
 
 
-def _sent(world: World, who: int, state: HolderState, sends: list[holder.SendRequest]) -> World:
+def _sent(world: World, who: int, state: HolderState, sends: list[SendRequest]) -> World:
     flying, budget = list(world.flying), world.budget
     if state.pending_request is None or sends:  # what it waited for before is waited for no more
         flying = [m for m in flying if m.who != who or not m.current or budget.late]
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -12,7 +12,7 @@
 from sabledyke.config import ConfigError
 from sabledyke.errors import OperatorError
 from sabledyke.net import clock, streams
-from sabledyke.net.connection_pool import Connect
+from sabledyke.net.link import Connect
 from sabledyke.net.streams import Stream
 from sabledyke.policy.nodes import NodeId
 from sabledyke.tls import contexts
--- a/tests/net/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -11,7 +11,7 @@
 
 from sabledyke import invariants
 from sabledyke.core import AttemptResult
-from sabledyke.net.connection_pool import Address
+from sabledyke.net.link import Address
 from sabledyke.policy.actions import StartAttempt
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId
--- a/tests/store/test_intent_manager.py
+++ b/tests/store/test_intent_manager.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 from sabledyke.policy.retry import WRITE_DELAY_MS
+from sabledyke.store.batch_gathering import MAX_PENDING_DRIFTS
 from sabledyke.store.database_errors import DatabaseError, DatabaseErrorKind
 from sabledyke.store.effects import BlockAttempt, CompleteWrite, Effect, ExpireAttempt, SendAttempt
 from sabledyke.store.health import HealthState
-from sabledyke.store.intent_manager import MAX_PENDING_DRIFTS, IntentManager
+from sabledyke.store.intent_manager import IntentManager
 from sabledyke.store.types import (
     DriftFinding,
     JournalPosition,
