--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -221,4 +221,4 @@
 def _log_unexpected(error: Exception) -> None:
     """Log a fault of this program with its stack, and count the invariant that it breaks."""
     log.emit("fault", "".join(traceback.format_exception(error)))
-    check(holds=False, name="a call for the list ends as expected", detail=repr(error))
+    check(False, "a call for the list ends as expected", repr(error))
--- a/sabledyke/store/batch_writer.py
+++ b/sabledyke/store/batch_writer.py
@@ -130,7 +130,7 @@
             self._carry_out(self._intents.on_batch_failed(now_ms, failure))
         else:
             self._carry_out(self._intents.on_unreachable(now_ms, failure))
-        check(holds=False, name="the record's driver works without a fault")
+        check(False, "the record's driver works without a fault")
 
     def _on_tick(self) -> None:
         self._tick_timer = None
