--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -24,9 +24,9 @@
 from sabledyke.net.frontend import Frontend
 from sabledyke.net.http_frontend import HttpClientConnection
 from sabledyke.net.http_link import HttpDialer
-from sabledyke.net.link import Address, Connect, Dial, Link, connect_plain
+from sabledyke.net.link import Connect, Dial, Link, connect_plain
 from sabledyke.policy.nodes import EndpointList, ListKind, NodeId
-from sabledyke.protocol.discovery import EndpointListing
+from sabledyke.protocol.discovery import Address, EndpointListing
 from sabledyke.protocol.gateway import MessageReader
 from sabledyke.protocol.request_ids import RequestIds
 
@@ -111,7 +111,7 @@
         self.core = Core(settings, config.seed, self._chain_transports(), self.watch, self.driver.wake)
         self.driver.core = self.core
         self.fronts: list[Frontend] = []
-        self.listen_addresses: list[Address] = []
+        self.listen_addresses: list[tuple[str, int]] = []
         self._add_frontends(config)
         self.apply_limits()
 
@@ -202,7 +202,7 @@
             guards = [part.connection_guard(frontend.name) for part in self.parts]
             frontend.guard = next((guard for guard in guards if guard is not None), None)
 
-    def _add_frontend(self, frontend: Frontend, address: Address) -> None:
+    def _add_frontend(self, frontend: Frontend, address: tuple[str, int]) -> None:
         self.fronts.append(frontend)
         self.listen_addresses.append(address)
 
--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -12,10 +12,11 @@
 from sabledyke import log
 from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import streams
-from sabledyke.net.link import Address, Dial, Link, PeerProtocolError
+from sabledyke.net.link import Dial, Link, PeerProtocolError
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId, node_name
 from sabledyke.policy.settings import Settings
+from sabledyke.protocol.discovery import Address
 
 IDLE_TIMEOUT_SHARE = 0.6  # of the time after which nodes close idle connections: ours are closed by then
 PRECONNECT_TIMEOUT_FACTOR = 2  # of the connect time-out
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -6,9 +6,10 @@
 
 from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import streams
-from sabledyke.net.link import Address, Connect, PeerProtocolError, connect_plain
+from sabledyke.net.link import Connect, PeerProtocolError, connect_plain
 from sabledyke.policy.nodes import NodeId
 from sabledyke.policy.settings import Settings
+from sabledyke.protocol.discovery import Address
 from sabledyke.protocol.gateway import MessageReader, encode_node_request
 from sabledyke.protocol.http import MAX_BODY_BYTES, HttpError, HttpMessage, HttpParser
 
@@ -104,4 +105,4 @@
     async def dial(self, node: NodeId, address: Address, timeout_ms: float) -> HttpLink:
         """See ``link.Dial``."""
         stream = await self._connect(node, address, self.settings.connect_timeout_ms, timeout_ms)
-        return HttpLink(f"{address[0]}:{address[1]}", stream, self._reader, self._response_memory)
+        return HttpLink(f"{address.host}:{address.port}", stream, self._reader, self._response_memory)
--- a/sabledyke/net/link.py
+++ b/sabledyke/net/link.py
@@ -13,8 +13,7 @@
 from sabledyke.errors import SabledykeError
 from sabledyke.net import streams
 from sabledyke.policy.nodes import NodeId
-
-Address = tuple[str, int]
+from sabledyke.protocol.discovery import Address
 
 
 class PeerProtocolError(SabledykeError):
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -12,10 +12,11 @@
 from sabledyke import log
 from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import streams
-from sabledyke.net.link import Address, Connect, PeerProtocolError, connect_plain
+from sabledyke.net.link import Connect, PeerProtocolError, connect_plain
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId
 from sabledyke.policy.settings import Settings
+from sabledyke.protocol.discovery import Address
 from sabledyke.protocol.nvme import (
     DYNAMIC_CONTROLLER_ID,
     MAX_IO_QUEUES,
--- a/sabledyke/protocol/discovery.py
+++ b/sabledyke/protocol/discovery.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 from math import isfinite
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
@@ -23,8 +23,12 @@
     names.STATE_REMOVED: NodeState.GONE,
 }
 
-Address = tuple[str, int]
-"""Host and port."""
+
+class Address(NamedTuple):
+    """Where a server listens."""
+
+    host: str
+    port: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,7 +67,7 @@
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) <= _MAX_PORT:
         raise ListError(f"no address: {text!r}")
-    return host.strip("[]"), int(port)
+    return Address(host.strip("[]"), int(port))
 
 
 def parse_listing(text: bytes, settings: Settings) -> EndpointListing:
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -17,11 +17,11 @@
 from sabledyke import log
 from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import clock
-from sabledyke.net.link import Address
 from sabledyke.net.streams import StreamClosedError
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId, node_name
 from sabledyke.policy.settings import Settings
+from sabledyke.protocol.discovery import Address
 from sabledyke.store import statements
 from sabledyke.store.database_errors import DatabaseError
 from sabledyke.store.in_doubt import DoubtQuestion, DoubtResolution, InDoubtWrite
@@ -223,7 +223,7 @@
         sql_node = self.nodes[node]
         target = sql_node.target
         if not target.path:
-            target = replace(target, host=address[0], port=address[1])
+            target = replace(target, host=address.host, port=address.port)
         pool = self._pools.get(node)
         if pool is None or pool.target != target:
             if pool is not None:
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -15,6 +15,7 @@
 from sabledyke.net.link import Connect
 from sabledyke.net.streams import Stream
 from sabledyke.policy.nodes import NodeId
+from sabledyke.protocol.discovery import Address
 from sabledyke.tls import contexts
 from sabledyke.tls.connector import TlsConnector
 from sabledyke.tls.handshake_admission import HandshakeBudget
@@ -57,7 +58,7 @@
         """See ``Extension``: never plaintext where TLS is requested."""
 
         async def connect(
-            node: NodeId, address: tuple[str, int], connect_timeout_ms: float, remaining_ms: float
+            node: NodeId, address: Address, connect_timeout_ms: float, remaining_ms: float
         ) -> Stream:
             if self._section.nodes and node not in self._section.nodes:
                 return await plain(node, address, connect_timeout_ms, remaining_ms)
