--- a/sabledyke/core/core.py
+++ b/sabledyke/core/core.py
@@ -36,7 +36,15 @@
     StartAttempt,
     WatchList,
 )
-from sabledyke.policy.events import AttemptCompleted, ClientDisconnected, Event, Outcome, Request, TimerFired
+from sabledyke.policy.events import (
+    AttemptCompleted,
+    ClientDisconnected,
+    Event,
+    Outcome,
+    PossibleExecution,
+    Request,
+    TimerFired,
+)
 from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeId, NodeState, node_name
 from sabledyke.policy.scheduler import Scheduler
 from sabledyke.policy.settings import Settings
@@ -168,7 +176,7 @@
         attempt = request.in_flight.pop(number)
         self.metrics.count_attempt(end.outcome, end.may_have_run)
         if end.may_have_run and request.first_execution is None:
-            request.first_execution = attempt
+            request.first_execution = PossibleExecution(*attempt)
         if end.outcome is Outcome.OK and not request.answered:
             self._answer(request_id, Answer(AnswerStatus.SERVED, end.body))
         self._add_event(
@@ -272,7 +280,7 @@
             case SetTimer(token, delay_ms):
                 self._timers.add_policy_timer(now_ms + delay_ms, token)
             case WatchList(on):
-                self.lists.watch(on)
+                self.lists.watch(on=on)
             case FetchList():
                 self.lists.fetch()
             case CloseIdle(node):
@@ -298,7 +306,9 @@
         remaining_ms = request.deadline_ms - ATTEMPT_GUARD_MS - now_ms
         is_allowed = may_run and entry.state is not NodeState.GONE and number < self.settings.max_attempts
         if not is_allowed or remaining_ms <= 0:
-            self.on_attempt_completed(now_ms, request_id, number, AttemptResult(Outcome.EXPIRED, False))
+            self.on_attempt_completed(
+                now_ms, request_id, number, AttemptResult(Outcome.EXPIRED, may_have_run=False)
+            )
             return
         limit_ms = min(timeout_ms, remaining_ms) if timeout_ms else remaining_ms
         self.transport.start(request_id, number, node, request.client_request, limit_ms)
--- a/sabledyke/core/types.py
+++ b/sabledyke/core/types.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Protocol
 
-from sabledyke.policy.events import Outcome
+from sabledyke.policy.events import Outcome, PossibleExecution
 from sabledyke.policy.nodes import NodeEntry, NodeId
 
 
@@ -66,7 +66,7 @@
     target: str = ""
     body: bytes = b""
     read_size_bytes: int = 0
-    possible_execution: tuple[float, NodeEntry] | None = None
+    possible_execution: PossibleExecution | None = None
     last_node: NodeEntry | None = None
     quota_share: float = 0.0
     client_connected: Callable[[], bool] = _always
@@ -129,7 +129,7 @@
 class EndpointSource(Protocol):
     """Discovery, as the core uses it; it reports through ``Core.on_endpoint_list``."""
 
-    def watch(self, on: bool) -> None:
+    def watch(self, *, on: bool) -> None:
         """Watch for changes from now on, or stop."""
 
     def fetch(self) -> None:
