--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -36,7 +36,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from tests.standins import Discovery, HttpBox, Service, http  # noqa: E402
+from tests.standins import Discovery, HttpNode, Service, http  # noqa: E402
 from tests.test_outside import nested  # noqa: E402
 
 BOXES, RATE, BUSY, KEYED = 4, 100.0, 400.0, 0.35
@@ -75,7 +75,7 @@
     return out
 
 
-class Box(HttpBox):
+class Box(HttpNode):
     """Answers after a few milliseconds."""
 
     def __init__(self) -> None:
--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -36,7 +36,7 @@
 from sabledyke.tls.tls_machine import TlsMachine  # noqa: E402
 from tests.standins import http  # noqa: E402
 from tests.standins.keys import Authority  # noqa: E402
-from tests.standins.tls import TlsBox, server_context  # noqa: E402
+from tests.standins.tls import TlsNode, server_context  # noqa: E402
 
 AUTHORITY = Authority()
 SERVER = server_context(*AUTHORITY.issue("box"))
@@ -129,7 +129,7 @@
 
 async def resumption(count: int) -> float:
     """The share of reconnections through the program that resume."""
-    box = TlsBox(SERVER)
+    box = TlsNode(SERVER)
     await box.open()
     connector = TlsConnector(TlsSection(KeyPaths(), name_template="box"), FREE, 1)
     connector.use_generation(keys().generation)
@@ -144,7 +144,7 @@
     return connector.resumed_handshakes / count
 
 
-class SlowBox(TlsBox):
+class SlowBox(TlsNode):
     """As the store's boxes, behind TLS."""
 
     def __init__(self) -> None:
--- a/tests/net/test_nvme.py
+++ b/tests/net/test_nvme.py
@@ -9,7 +9,7 @@
 from sabledyke.net.nvme_extension import NvmeExtension
 from sabledyke.net.nvme_frontend import NvmeClientConnection
 from sabledyke.protocol import discovery
-from tests.standins import NQN, NvmeBox, ask, http
+from tests.standins import NQN, NvmeNode, ask, http
 from tests.support.server_rig import DEPLOYMENT, INFO, PUT, Rig, play
 
 
@@ -86,7 +86,7 @@
     """A box breaks off with part of the data: the write may have begun, only its cell may see it again."""
 
     async def scenario(rig: Rig) -> None:
-        spare = NvmeBox()  # another cell
+        spare = NvmeNode()  # another cell
         await spare.open()
         nvme = rig.server.parts[-1]
         assert isinstance(nvme, NvmeExtension)
@@ -96,11 +96,11 @@
         rig.discovery.hosts = rig.discovery.hosts[1:]  # none that speaks HTTP
         rig.server.assembly.on_endpoint_list(discovery.read_listing(rig.discovery.listing(), DEPLOYMENT))
         for box in (rig.nvme, spare):
-            box.mercy, box.deadly = 1000, deadly
+            box.write_bytes_until_fault, box.dies_at_fault = 1000, deadly
         info = INFO.replace("shard=0", "shard=-1") + "Idempotency-Key: k\nContent-Length: 3000\n"
         text = PUT.format(1, "i", info)
         status, _, _ = await ask(rig.port, text, bytes(3000))
-        assert sorted((rig.nvme.begun, spare.begun)) == [0, 1 if deadly else 2]
+        assert sorted((rig.nvme.started_writes, spare.started_writes)) == [0, 1 if deadly else 2]
         assert len(rig.nvme.writes + spare.writes) == (0 if deadly else 1)
         assert status == (500 if deadly else 200)
         spare.die()
--- a/tests/standins/keys.py
+++ b/tests/standins/keys.py
@@ -1,4 +1,4 @@
-"""Certificates for tests, made at run time and never kept: authorities, what they sign and revoke."""
+"""Certificates for tests, created at run time and never stored: authorities, what they sign and revoke."""
 
 from __future__ import annotations
 
@@ -15,14 +15,24 @@
 
 
 class Authority:
-    """Signs certificates; ``now`` may be moved to make them hold at other times."""
+    """Signs certificates and revocation lists."""
 
     def __init__(self, name: str = "root", days: float = 365) -> None:
         self._key = ec.generate_private_key(ec.SECP256R1())
         self._name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
         now = datetime.now(UTC)
-        usage = x509.KeyUsage(True, False, False, False, False, True, True, False, False)
-        made = (
+        usage = x509.KeyUsage(
+            digital_signature=True,
+            content_commitment=False,
+            key_encipherment=False,
+            data_encipherment=False,
+            key_agreement=False,
+            key_cert_sign=True,
+            crl_sign=True,
+            encipher_only=False,
+            decipher_only=False,
+        )
+        certificate = (
             x509.CertificateBuilder()
             .subject_name(self._name)
             .issuer_name(self._name)
@@ -30,26 +40,27 @@
             .serial_number(x509.random_serial_number())
             .not_valid_before(now - DAY)
             .not_valid_after(now + timedelta(days=days))
-            .add_extension(x509.BasicConstraints(True, None), True)
-            .add_extension(usage, True)
-            .add_extension(x509.SubjectKeyIdentifier.from_public_key(self._key.public_key()), False)
+            .add_extension(x509.BasicConstraints(ca=True, path_length=None), critical=True)
+            .add_extension(usage, critical=True)
+            .add_extension(x509.SubjectKeyIdentifier.from_public_key(self._key.public_key()), critical=False)
             .sign(self._key, hashes.SHA256())
         )
-        self.root = made.public_bytes(Encoding.PEM)
-        self._certificate = made
+        self.root = certificate.public_bytes(Encoding.PEM)
+        self._certificate = certificate
 
     def issue(self, *names: str, days: float = 90, begin: float = -1) -> tuple[bytes, bytes]:
-        """A certificate for these names and its key, both PEM; ``begin`` in days from now."""
-        key, now = ec.generate_private_key(ec.SECP256R1()), datetime.now(UTC)
+        """Return a certificate for these names and its key, both PEM; times are in days from now."""
+        key = ec.generate_private_key(ec.SECP256R1())
+        now = datetime.now(UTC)
         alternative: list[x509.GeneralName] = []
         for name in names:
             try:
                 alternative.append(x509.IPAddress(ipaddress.ip_address(name)))
             except ValueError:
                 alternative.append(x509.DNSName(name))
-        uses = x509.ExtendedKeyUsage([ExtendedKeyUsageOID.SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH])
-        known = self._certificate.extensions.get_extension_for_class(x509.SubjectKeyIdentifier).value
-        made = (
+        purposes = x509.ExtendedKeyUsage([ExtendedKeyUsageOID.SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH])
+        identifier = self._certificate.extensions.get_extension_for_class(x509.SubjectKeyIdentifier).value
+        certificate = (
             x509.CertificateBuilder()
             .subject_name(x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, names[0])]))
             .issuer_name(self._name)
@@ -57,22 +68,26 @@
             .serial_number(x509.random_serial_number())
             .not_valid_before(now + timedelta(days=begin))
             .not_valid_after(now + timedelta(days=days))
-            .add_extension(x509.SubjectAlternativeName(alternative), False)
-            .add_extension(uses, False)
-            .add_extension(x509.BasicConstraints(False, None), True)
-            .add_extension(x509.AuthorityKeyIdentifier.from_issuer_subject_key_identifier(known), False)
+            .add_extension(x509.SubjectAlternativeName(alternative), critical=False)
+            .add_extension(purposes, critical=False)
+            .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
+            .add_extension(
+                x509.AuthorityKeyIdentifier.from_issuer_subject_key_identifier(identifier), critical=False
+            )
             .sign(self._key, hashes.SHA256())
         )
         pem = key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
-        return made.public_bytes(Encoding.PEM), pem
+        return certificate.public_bytes(Encoding.PEM), pem
 
     def revoke(self, *chains: bytes, days: float = 7) -> bytes:
-        """A revocation list with these certificates."""
+        """Return a revocation list with these certificates."""
         now = datetime.now(UTC)
-        built = x509.CertificateRevocationListBuilder().issuer_name(self._name)
-        built = built.last_update(now - DAY).next_update(now + timedelta(days=days))
+        builder = x509.CertificateRevocationListBuilder().issuer_name(self._name)
+        builder = builder.last_update(now - DAY).next_update(now + timedelta(days=days))
         for chain in chains:
             serial = x509.load_pem_x509_certificate(chain).serial_number
-            one = x509.RevokedCertificateBuilder().serial_number(serial).revocation_date(now - DAY).build()
-            built = built.add_revoked_certificate(one)
-        return built.sign(self._key, hashes.SHA256()).public_bytes(Encoding.PEM)
+            revoked = (
+                x509.RevokedCertificateBuilder().serial_number(serial).revocation_date(now - DAY).build()
+            )
+            builder = builder.add_revoked_certificate(revoked)
+        return builder.sign(self._key, hashes.SHA256()).public_bytes(Encoding.PEM)
--- a/tests/standins/tls.py
+++ b/tests/standins/tls.py
@@ -7,7 +7,11 @@
 import tempfile
 from pathlib import Path
 
-from tests.standins import HttpBox, Reader, Service, Writer
+from tests.standins.http_node import HttpNode
+from tests.standins.service import Reader, Service, Writer
+
+READ_SIZE = 65536
+FOREVER_S = 3600
 
 
 def server_context(
@@ -28,7 +32,7 @@
     return context
 
 
-class TlsBox(HttpBox):
+class TlsNode(HttpNode):
     """An HTTP storage node behind TLS; it counts handshakes, and accepts a new context in service."""
 
     def __init__(self, context: ssl.SSLContext) -> None:
@@ -47,7 +51,7 @@
         await super().talk(reader, writer)
 
     async def renew(self, context: ssl.SSLContext, *, reset: bool = False) -> None:
-        """A new certificate, at the same port; open connections live on unless they are reset."""
+        """Present a new certificate at the same port; open connections remain unless they are reset."""
         self._server.close()
         if reset:
             for writer in list(self._writers):
@@ -56,57 +60,77 @@
         await self.open(self.port)
 
 
-class Saying(Service):
-    """Reads what comes, sends some bytes, and then closes, stalls, or resets."""
+class FixedResponseNode(Service):
+    """Reads what comes, sends some bytes, and then closes, stalls, or resets.
+
+    Attributes:
+        data: What it sends.
+        then: ``stall``, ``reset``, or anything else to close.
+        connections: How many connections it has accepted.
+    """
 
     def __init__(self, data: bytes, then: str) -> None:
         super().__init__()
-        self.data, self.then = data, then
-        self.came = 0
+        self.data = data
+        self.then = then
+        self.connections = 0
 
     async def talk(self, reader: Reader, writer: Writer) -> None:
-        self.came += 1
-        await reader.read(65536)
+        self.connections += 1
+        await reader.read(READ_SIZE)
         writer.write(self.data)
         await writer.drain()
         if self.then == "stall":
-            await asyncio.sleep(3600)
+            await asyncio.sleep(FOREVER_S)
         elif self.then == "reset":
             writer.transport.abort()
 
 
-class Between(Service):
-    """Forwards bytes to a storage node, and cuts off after so many of its bytes, or stalls there."""
+class CuttingProxy(Service):
+    """Forwards bytes to a storage node; after so many bytes of its responses it cuts or stalls.
+
+    Attributes:
+        after: That number of bytes.
+        how: ``stall``, ``reset``, or anything else to close.
+        connections: How many connections it has accepted.
+    """
 
     def __init__(self, port: int, after: int, how: str) -> None:
         super().__init__()
-        self._port, self.after, self.how = port, after, how
-        self.came = 0
+        self._port = port
+        self.after = after
+        self.how = how
+        self.connections = 0
 
     async def talk(self, reader: Reader, writer: Writer) -> None:
-        self.came += 1
-        there, back = await asyncio.open_connection("127.0.0.1", self._port)
-        self._writers.add(back)
-
-        async def forward() -> None:
-            while data := await reader.read(65536):
-                back.write(data)
-
-        task = asyncio.create_task(forward())
+        self.connections += 1
+        node_reader, node_writer = await asyncio.open_connection("127.0.0.1", self._port)
+        self._writers.add(node_writer)
+        task = asyncio.create_task(self._forward(reader, node_writer))
         try:
-            left = self.after
-            while left > 0:
-                data = await there.read(min(65536, left))
-                if not data:
-                    return
-                left -= len(data)
-                writer.write(data)
-                await writer.drain()
-            if self.how == "stall":
-                await asyncio.sleep(3600)
-            elif self.how == "reset":
-                writer.transport.abort()
+            await self._forward_responses(node_reader, writer)
         finally:
             task.cancel()
-            back.transport.abort()
-            self._writers.discard(back)
+            node_writer.transport.abort()
+            self._writers.discard(node_writer)
+
+    async def _forward(self, reader: Reader, node_writer: Writer) -> None:
+        while True:
+            data = await reader.read(READ_SIZE)
+            if not data:
+                return
+            node_writer.write(data)
+
+    async def _forward_responses(self, node_reader: Reader, writer: Writer) -> None:
+        remaining = self.after
+        while remaining > 0:
+            data = await node_reader.read(min(READ_SIZE, remaining))
+            if not data:
+                return
+            remaining -= len(data)
+            writer.write(data)
+            await writer.drain()
+        if self.how == "stall":
+            await asyncio.sleep(FOREVER_S)
+        elif self.how == "reset":
+            writer.transport.abort()
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -12,7 +12,7 @@
 from sabledyke.policy.settings import DeduplicationScope, RepeatSafety
 from sabledyke.protocol import discovery
 from tests.helpers import BRISK, HELD, READ, SETTINGS, WRITE
-from tests.standins import NQN, Discovery, HttpBox, NvmeBox, NvmeHost, http
+from tests.standins import NQN, Discovery, HttpNode, NvmeHost, NvmeNode, http
 
 KEYED = replace(
     WRITE,
@@ -68,7 +68,7 @@
     """A server with an HTTP box (shard 0) and an NVMe box (shard 1), both fronts open."""
 
     def __init__(self, store: str = "", console: tuple[str, int] | None = None) -> None:
-        self.http, self.nvme, self.discovery = HttpBox(), NvmeBox(), Discovery()
+        self.http, self.nvme, self.discovery = HttpNode(), NvmeNode(), Discovery()
         self._store, self._console = store, console
 
     async def __aenter__(self) -> Rig:
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -19,9 +19,9 @@
 from sabledyke.tls.extension import TlsExtension
 from sabledyke.tls.section import KeyPaths, TlsSection
 from tests.helpers import BRISK
-from tests.standins import Discovery, NvmeBox, NvmeHost, Service, http, read_http
+from tests.standins import Discovery, NvmeHost, NvmeNode, Service, http, read_http
 from tests.standins.keys import Authority
-from tests.standins.tls import Between, Saying, TlsBox, server_context
+from tests.standins.tls import CuttingProxy, FixedResponseNode, TlsNode, server_context
 from tests.support.server_rig import DEPLOYMENT, GET, INFO, NVME, PUT, VOLUME
 
 ROOT, OTHER = Authority(), Authority("other")
@@ -114,7 +114,7 @@
 
 
 def test_a_boxs_name_may_come_from_its_site(tmp_path: Path) -> None:
-    box = TlsBox(server_context(*ROOT.issue(f"plain.{DEPLOYMENT.zones[0]}.example")))
+    box = TlsNode(server_context(*ROOT.issue(f"plain.{DEPLOYMENT.zones[0]}.example")))
 
     async def story(rig: TlsRig) -> None:
         assert await rig.ask() == 200
@@ -123,7 +123,7 @@
 
 
 def test_requests_pass_verified_and_connections_resume(tmp_path: Path) -> None:
-    box = TlsBox(server_context(CHAIN, KEY, ROOT.root))  # it wants a certificate of ours, too
+    box = TlsNode(server_context(CHAIN, KEY, ROOT.root))  # it wants a certificate of ours, too
 
     async def story(rig: TlsRig) -> None:
         assert await rig.ask() == 200 and await rig.ask("k") == 200
@@ -165,15 +165,15 @@
         chain, key = ROOT.issue("another")
     elif what == "root":
         chain, key = OTHER.issue("plain")
-    box: Service = TlsBox(server_context(chain, key, version=version))
+    box: Service = TlsNode(server_context(chain, key, version=version))
     if what in ("plain", "garbage", "silent", "ends"):
         data = {"plain": http(200, b"secret"), "garbage": b"\x99" * 500}.get(what, b"")
-        box = Saying(data, {"silent": "stall", "ends": "end"}.get(what, "stall"))
+        box = FixedResponseNode(data, {"silent": "stall", "ends": "end"}.get(what, "stall"))
 
     async def story(rig: TlsRig) -> None:
         assert {await rig.ask(), await rig.ask("k")} <= {503}  # nothing of either has run
         assert rig.part.connector.failed_handshakes >= 1
-        if isinstance(box, TlsBox):
+        if isinstance(box, TlsNode):
             assert not box.seen
 
     TlsRig(tmp_path, box, {}).keys(*OURS, ROOT.root, ROOT.revoke(chain) if what == "revoked" else b"")
@@ -183,7 +183,7 @@
 
 
 def test_tls_1_2_is_spoken_only_where_it_is_allowed(tmp_path: Path) -> None:
-    box = TlsBox(server_context(CHAIN, KEY, version=ssl.TLSVersion.TLSv1_2))
+    box = TlsNode(server_context(CHAIN, KEY, version=ssl.TLSVersion.TLSv1_2))
 
     async def story(rig: TlsRig) -> None:
         assert await rig.ask() == 200
@@ -195,12 +195,12 @@
 @pytest.mark.parametrize("after", [0, 1, 5, 60, 127, 300, 700, 900, 1100, 1250, 1400, 1700])
 def test_a_cut_or_a_stall_anywhere_runs_nothing_beyond_its_key(tmp_path: Path, after: int, how: str) -> None:
     """In the handshake, in the tickets, in the answer: one answer each, and no write in two cells."""
-    inner = TlsBox(GOOD)
+    inner = TlsNode(GOOD)
 
     async def run() -> None:
         async with asyncio.timeout(30):
             await inner.open()
-            box = Between(inner.port, after, how)
+            box = CuttingProxy(inner.port, after, how)
             await box.open()
             async with TlsRig(tmp_path, box, {}) as rig:
                 status = await rig.ask("k")
@@ -219,7 +219,7 @@
 def test_an_answer_without_its_closing_alert_is_not_whole(tmp_path: Path) -> None:
     """Where only the end of the connection says that an answer is over, a cut must not pass for it."""
 
-    class Cutting(TlsBox):
+    class Cutting(TlsNode):
         async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_http(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it")
@@ -234,7 +234,7 @@
 
 def test_keys_rotated_in_a_surge_cost_no_request(tmp_path: Path) -> None:
     """Ours, the box's and the root, all under load; the box's old connections live on."""
-    box = TlsBox(server_context(CHAIN, KEY, ROOT.root + OTHER.root))
+    box = TlsNode(server_context(CHAIN, KEY, ROOT.root + OTHER.root))
 
     async def story(rig: TlsRig) -> None:
         stop, answers = asyncio.Event(), list[int]()
@@ -265,7 +265,7 @@
 
 
 def test_a_box_back_with_a_new_certificate_and_flushed_tickets_is_served_again(tmp_path: Path) -> None:
-    box = TlsBox(GOOD)
+    box = TlsNode(GOOD)
 
     async def story(rig: TlsRig) -> None:
         assert await rig.ask() == 200 and rig.part.connector.tickets.ticket_count
@@ -283,7 +283,7 @@
 
 def test_twenty_schedulers_do_not_push_a_returning_box_over(tmp_path: Path) -> None:
     """Each admits by its own share: together they begin no more than it bears, and all get through."""
-    box = TlsBox(GOOD)
+    box = TlsNode(GOOD)
     settings = replace(DEPLOYMENT, scheduler_count=20, slow_start_fraction=0.2, warm_up_ms=10_000)
 
     async def run() -> None:
@@ -324,7 +324,7 @@
 
 
 def test_clients_are_let_in_by_their_certificates_and_kept_to_their_volumes(tmp_path: Path) -> None:
-    box = TlsBox(GOOD)
+    box = TlsNode(GOOD)
     till, stranger = ROOT.issue("till-1"), OTHER.issue("till-1")
 
     def client(pair: tuple[bytes, bytes] | None) -> ssl.SSLContext:
@@ -359,7 +359,7 @@
 ) -> None:
     monkeypatch.setattr("sabledyke.net.frontend.MAX_PENDING_HANDSHAKES", 8)
     monkeypatch.setattr("sabledyke.tls.extension.CLIENT_HANDSHAKE_TIMEOUT_MS", 300.0)
-    box = TlsBox(GOOD)
+    box = TlsNode(GOOD)
 
     async def story(rig: TlsRig) -> None:
         context = ssl.create_default_context(cadata=ROOT.root.decode())
@@ -384,7 +384,7 @@
 
 
 def test_an_nvme_host_without_a_right_gets_its_status(tmp_path: Path) -> None:
-    box = TlsBox(GOOD)
+    box = TlsNode(GOOD)
     context = ssl.create_default_context(cadata=ROOT.root.decode())
     path = tmp_path / "host.pem"
     path.touch(0o600)
@@ -420,7 +420,7 @@
     )
 
 
-class TlsNvmeBox(NvmeBox):
+class TlsNvmeNode(NvmeNode):
     """A controller behind TLS."""
 
     async def open(self) -> None:
@@ -429,7 +429,7 @@
 
 
 def test_nvme_boxes_are_reached_by_tls_alike(tmp_path: Path) -> None:
-    box = TlsNvmeBox()
+    box = TlsNvmeNode()
 
     async def story(rig: TlsRig) -> None:
         host = NvmeHost(rig.server.listeners[1].port, "nqn.2026-12.example:front")
@@ -448,7 +448,7 @@
 
 def test_a_connection_is_kept_ahead_of_need(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("sabledyke.tls.extension.WARM_CHECK_INTERVAL_S", 0.05)
-    box = TlsBox(GOOD)
+    box = TlsNode(GOOD)
 
     async def story(rig: TlsRig) -> None:
         assert await rig.ask() == 200
@@ -467,7 +467,7 @@
 
 
 def test_bad_keys_end_the_start_in_one_line(tmp_path: Path) -> None:
-    box = TlsBox(GOOD)
+    box = TlsNode(GOOD)
 
     async def run() -> str:
         await box.open()
