--- a/tests/application/test_reload.py
+++ b/tests/application/test_reload.py
@@ -11,10 +11,10 @@
 
 from sabledyke.config import Config, ConfigError
 from sabledyke.settings import MAX_CLASSES, SettingsError, merge
-from tests.helpers import HELD
 from tests.standins import Discovery, ask
 from tests.support.console_calls import call, stats
 from tests.support.server_rig import DEPLOYMENT, GET, INFO, Rig, held_back, play
+from tests.support.settings import HELD
 
 
 def test_sighup_takes_on_a_whole_configuration_or_none_of_it(capfd: pytest.CaptureFixture[str]) -> None:
--- a/tests/application/test_start.py
+++ b/tests/application/test_start.py
@@ -12,9 +12,9 @@
 from sabledyke.application.extensions import Extension
 from sabledyke.application.server import Server
 from sabledyke.config import Config
-from tests.helpers import BRISK
 from tests.standins import Discovery, ask
 from tests.support.server_rig import DEPLOYMENT, GET, INFO, SHORT_SHUTDOWN, Rig, play
+from tests.support.settings import FAST_SHUTDOWN
 
 
 async def _over() -> None:
@@ -24,7 +24,7 @@
 def test_a_new_version_takes_over_the_address_with_no_request_rejected() -> None:
     async def scenario(rig: Rig) -> None:
         config = replace(rig.config, name="n0-new", listen=("127.0.0.1", rig.port))
-        new = Server(config, None, BRISK)  # binding the same port fails without SO_REUSEPORT
+        new = Server(config, None, FAST_SHUTDOWN)  # binding the same port fails without SO_REUSEPORT
         await new.open()
         new.start()
         assert new.listeners[0].port == rig.port
@@ -48,7 +48,7 @@
 
 def test_a_server_stopped_before_its_listeners_open_opens_none() -> None:
     async def scenario(rig: Rig) -> None:
-        new = Server(replace(rig.config, name="young"), None, BRISK)
+        new = Server(replace(rig.config, name="young"), None, FAST_SHUTDOWN)
         run = asyncio.create_task(new.run())
         await asyncio.sleep(0)
         new.leave()
--- /dev/null
+++ b/tests/core/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of requests, attempts, outcomes and timers."""
--- /dev/null
+++ b/tests/core/test_answers.py
@@ -0,0 +1,59 @@
+"""Answers: one for each request, in time, and none for a client that has left."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+import pytest
+
+from sabledyke.core import ANSWER_GUARD_MS, Answer, AnswerStatus, AttemptResult
+from sabledyke.policy.actions import Action
+from sabledyke.policy.events import Event, Outcome
+from tests.support.core_bench import START_MS, CoreBench, StartedAttempt, no_actions
+from tests.support.nodes import node_id
+from tests.support.settings import READ
+
+SUCCESS = AttemptResult(Outcome.OK, may_have_run=True, body=b"body")
+
+
+def test_an_answer_goes_out_at_once_and_once() -> None:
+    bench = CoreBench()
+    request_id = bench.submit()
+    timeout_ms = READ.latency_objective_ms  # a later answer earns little
+    assert bench.started == [StartedAttempt(request_id, 0, node_id(1), timeout_ms)]
+    bench.core.on_attempt_completed(bench.now_ms, request_id, 0, SUCCESS)
+    assert bench.answers == [Answer(AnswerStatus.SERVED, b"body")]  # before the policy's next batch
+    bench.advance(2000)
+    assert len(bench.answers) == 1
+    assert not bench.core.unanswered
+
+
+def test_a_client_that_left_gets_no_answer_and_its_attempt_is_cancelled() -> None:
+    bench = CoreBench()
+    request_id = bench.submit()
+    bench.core.on_client_disconnected(request_id)
+    bench.core.run_batch(bench.now_ms)
+    assert bench.cancelled == [(request_id, 0)]
+    assert not bench.answers
+    bench.advance(2000)
+    assert not bench.answers
+    assert not bench.core.open_request_ids
+
+
+def test_a_policy_that_remains_silent_costs_no_client_its_answer(violations: Counter[str]) -> None:
+    bench = CoreBench(no_actions)
+    bench.submit(remaining_ms=500.0)
+    with pytest.raises(AssertionError):  # counted only, under -O
+        bench.advance(500)
+    assert bench.answers == [Answer(AnswerStatus.FAILED)]
+    assert bench.now_ms == START_MS + 500 - ANSWER_GUARD_MS
+    assert sum(violations.values()) == 1
+
+
+def test_an_error_in_the_policy_does_not_end_the_program(violations: Counter[str]) -> None:
+    def fail(_now_ms: float, _events: list[Event]) -> list[Action]:
+        raise KeyError("a bug")
+
+    with pytest.raises(AssertionError, match="without a fault"):
+        CoreBench(fail)
+    assert sum(violations.values()) == 1
--- a/tests/lease/test_authorities.py
+++ b/tests/lease/test_authorities.py
@@ -23,8 +23,8 @@
     Renew,
 )
 from sabledyke.store.section import Target
-from tests.helpers import FIXED
 from tests.lease.support import TIMEOUT_S, etcd_server
+from tests.support.generated_bytes import FIXED
 
 HOLDERS = "abc"
 REQUESTS = st.tuples(st.sampled_from(HOLDERS), st.sampled_from([Inspect, Acquire, Renew, Release]))
--- a/tests/net/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -12,15 +12,14 @@
 from sabledyke import invariants
 from sabledyke.core import AttemptResult
 from sabledyke.net.connection_pool import Address
-from sabledyke.policy.actions import StartAttempt
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId
 from sabledyke.protocol import discovery
-from tests import helpers
+from tests.support.core_bench import CoreBench, no_actions
 from tests.support.endpoint_lists import DRAINS, GONE, HOST, change
 from tests.support.request_steps import Line, request, until
 from tests.support.server_rig import DEPLOYMENT, KEYED, Rig, play
-from tests.test_core import Bench
+from tests.support.settings import READ, SETTINGS
 
 Act = Callable[[Rig, Line], None]
 
@@ -117,35 +116,35 @@
 def test_a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_written() -> None:
     """Lodi, short days, seed 2: a keyed write was sent again outside its window."""
     once = replace(KEYED, deduplication_window_ms=500)
-    bench = Bench(lambda now, events: [])
-    bench.core.settings = replace(helpers.SETTINGS, classes=(helpers.READ, once))
-    request_id = bench.ask(class_index=1, write=True)
-    bench.core._carry_out(bench.now, StartAttempt(request_id, helpers.node(1).node_id))
-    bench.core.on_attempt_completed(bench.now, request_id, 0, AttemptResult(Outcome.RESET, True))
-    bench.now += 300
-    bench.core._carry_out(bench.now, StartAttempt(request_id, helpers.node(1).node_id))
-    assert len(bench.started) == 2 and bench.core.may_write(bench.now, request_id, 1)
+    bench = CoreBench(no_actions)
+    bench.core.settings = replace(SETTINGS, classes=(READ, once))
+    request_id = bench.submit(class_index=1, write=True)
+    bench.start_attempt(request_id)
+    bench.core.on_attempt_completed(bench.now_ms, request_id, 0, AttemptResult(Outcome.RESET, True))
+    bench.now_ms += 300
+    bench.start_attempt(request_id)
+    assert len(bench.started) == 2 and bench.core.may_write(bench.now_ms, request_id, 1)
     assert not bench.core.may_write(
-        bench.now + 60, request_id, 1
+        bench.now_ms + 60, request_id, 1
     )  # inside by 140 ms: a pause of 150 would pass it
-    assert not bench.core.may_write(bench.now + 250, request_id, 1)
+    assert not bench.core.may_write(bench.now_ms + 250, request_id, 1)
 
 
 def test_a_request_in_work_keeps_the_window_that_it_came_with() -> None:
     """A new configuration takes its class's window away: what is decided and what is checked agree."""
-    bench = Bench(lambda now, events: [])
+    bench = CoreBench(no_actions)
     keyed = replace(KEYED, deduplication_window_ms=2000)
-    bench.core.settings = replace(helpers.SETTINGS, classes=(helpers.READ, keyed))
-    request_id = bench.ask(class_index=1, write=True)
-    bench.core._carry_out(bench.now, StartAttempt(request_id, helpers.node(1).node_id))
-    bench.core.on_attempt_completed(bench.now, request_id, 0, AttemptResult(Outcome.RESET, True))
+    bench.core.settings = replace(SETTINGS, classes=(READ, keyed))
+    request_id = bench.submit(class_index=1, write=True)
+    bench.start_attempt(request_id)
+    bench.core.on_attempt_completed(bench.now_ms, request_id, 0, AttemptResult(Outcome.RESET, True))
     shorter = replace(keyed, deduplication_window_ms=1)
-    bench.core.settings = replace(bench.core.settings, classes=(helpers.READ, shorter))
-    bench.now += 300
-    bench.core._carry_out(bench.now, StartAttempt(request_id, helpers.node(1).node_id))
+    bench.core.settings = replace(bench.core.settings, classes=(READ, shorter))
+    bench.now_ms += 300
+    bench.start_attempt(request_id)
     assert (
         len(bench.started) == 2
-        and bench.core.may_write(bench.now, request_id, 1)
+        and bench.core.may_write(bench.now_ms, request_id, 1)
         and not invariants.violations
     )
 
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -15,10 +15,10 @@
 from sabledyke.policy.nodes import EndpointList, ListKind
 from sabledyke.protocol import discovery
 from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout
-from tests import helpers
 from tests.standins import Discovery
 from tests.support.endpoint_lists import DRAINS, GONE, HOST, change
 from tests.support.request_steps import until
+from tests.support.scheduler_rig import SchedulerRig, actions_of
 from tests.support.server_rig import DEPLOYMENT
 
 
@@ -103,14 +103,14 @@
 @pytest.mark.parametrize("hosts", [3, 30, 200, 3200])
 def test_after_failed_calls_the_list_is_requested_before_a_drain_must_be_known(hosts: int) -> None:
     """Told 6 s after discovery can be reached, and 2 s of grace; a call takes up to 3 s, and 0.15 s go by."""
-    rig = helpers.Rig(polls_endpoint_list=True, scheduler_count=hosts)
+    rig = SchedulerRig(polls_endpoint_list=True, scheduler_count=hosts)
     for _ in range(60):
-        told = rig.do(EndpointList(ListKind.FAILED, 0, ()))
-        (timer,) = helpers.of(told, SetTimer)
+        told = rig.handle(EndpointList(ListKind.FAILED, 0, ()))
+        (timer,) = actions_of(told, SetTimer)
         assert 0 < timer.delay_ms <= 6000 + 2000 - 3000 - 150 - 350
-        rig.now += timer.delay_ms
+        rig.now_ms += timer.delay_ms
     rig.scheduler.apply_settings(replace(rig.scheduler.context.settings, mean_units=3))
-    (timer,) = helpers.of(rig.do(EndpointList(ListKind.FAILED, 0, ())), SetTimer)
+    (timer,) = actions_of(rig.handle(EndpointList(ListKind.FAILED, 0, ())), SetTimer)
     assert (
         timer.delay_ms <= rig.scheduler.discovery.first_call_spread_ms
     )  # new settings: the pauses begin anew
--- /dev/null
+++ b/tests/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the decisions: events in, actions out."""
--- /dev/null
+++ b/tests/policy/test_admission.py
@@ -0,0 +1,64 @@
+"""Admission: which volumes may start a session at a storage node whose capacity is used up."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from sabledyke.policy.admission import SAFETY_MARGIN
+from sabledyke.policy.concurrency import SESSION_IDLE_PERIODS
+from sabledyke.policy.context import LOOKBACK_MS
+from tests.support.scheduler_rig import SchedulerRig
+
+RESERVED_PLAN = 1  # an index into SETTINGS.plans
+
+
+def admits(loads: list[float], session_count: int, *, strained: bool = True) -> bool:
+    """Return whether a volume that was here before is admitted to a node with these loads and sessions."""
+    rig = SchedulerRig()
+    for volume in range(session_count):
+        rig.complete(rig.submit(volume=volume))
+    node = rig.node()
+    node.strained = strained
+    node.period_loads = deque(loads)
+    node.sessions[99] = rig.now_ms - LOOKBACK_MS / 2
+    sent_before = len(rig.sent)
+    rig.submit(volume=99)
+    return len(rig.sent) > sent_before
+
+
+def test_admission_agrees_with_numbers_worked_out_by_hand() -> None:
+    # A session's mean load over the two periods is (0.2 + 0.4) / 2 = 0.3. As the third session the volume is
+    # admitted, since 0.3 * 3 = 0.9 < SAFETY_MARGIN; as the fourth it is not, since 0.3 * 4 = 1.2.
+    assert SAFETY_MARGIN == 1.0
+    assert admits([0.2, 0.4], 2)
+    assert not admits([0.2, 0.4], 3)
+    assert admits([0.2, 0.4], 3, strained=False)
+    assert admits([], 3)
+
+
+def test_a_volume_inside_its_reservation_or_without_history_is_admitted() -> None:
+    rig = SchedulerRig()
+    rig.complete(rig.submit(volume=5))
+    node = rig.node()
+    node.strained = True
+    node.period_loads = deque([0.9])
+    assert rig.attempt_count(rig.submit(volume=50)) == 1
+    node.sessions[60] = rig.now_ms - LOOKBACK_MS / 2
+    assert rig.attempt_count(rig.submit(volume=60, plan_index=RESERVED_PLAN)) == 1
+
+
+def test_with_200_schedulers_as_with_3_the_budget_holds_and_admission_rejects() -> None:
+    for scheduler_count in (3, 200):
+        rig = SchedulerRig(scheduler_count=scheduler_count)
+        period_ms = rig.scheduler.context.period_ms
+        rig.now_ms = (rig.now_ms // period_ms + 1) * period_ms
+        node = rig.node()
+        node.budget_units = 8.0
+        node.window_units = 32.0
+        node.latency_ms = 1.0
+        request_ids = [rig.submit() for _ in range(6)]
+        assert sum(rig.attempt_count(request_id) for request_id in request_ids) == 4
+        node.strained = True
+        node.sessions[99] = rig.now_ms - period_ms * (SESSION_IDLE_PERIODS + 0.5)
+        node.period_loads.extend([0.9, 0.9])
+        assert rig.answers(rig.submit(volume=99))
--- /dev/null
+++ b/tests/policy/test_latency_estimates.py
@@ -0,0 +1,42 @@
+"""Estimates of nodes' latency: what is measured, and what is taken from other nodes of the kind."""
+
+from __future__ import annotations
+
+from sabledyke.policy.events import Outcome, TimerFired
+from tests.support.nodes import node_entry
+from tests.support.scheduler_rig import SchedulerRig, attempt_completed
+
+SCHEDULER_COUNT = 40
+
+
+def test_a_stall_of_the_scheduler_itself_does_not_count_as_latency() -> None:
+    rig = SchedulerRig()
+    latency_before_ms = rig.node().latency_ms
+    request_id = rig.submit()
+    rig.now_ms += 800
+    rig.handle(TimerFired(1), attempt_completed(request_id, Outcome.OK, 800, request_completed=True))
+    assert rig.node().latency_ms < latency_before_ms + 20
+
+
+def test_an_outdated_estimate_gives_way_to_what_other_nodes_of_the_kind_show() -> None:
+    rig = SchedulerRig(node_entry(1), node_entry(2))
+    rig.node(1).latency_ms = 180.0
+    for _ in range(60):
+        rig.advance(500)
+        rig.complete(rig.submit(shard=2), elapsed_ms=30, node_number=2)
+    rig.submit(shard=1)
+    assert rig.node(1).latency_ms < 80
+
+
+def test_a_node_that_has_not_answered_yet_is_estimated_by_its_kind() -> None:
+    """Guards against rejections at idle nodes that a scheduler happens not to have sent anything yet."""
+    rig = SchedulerRig(node_entry(1), node_entry(2), scheduler_count=SCHEDULER_COUNT)
+    for _ in range(40):
+        rig.complete(rig.submit(), elapsed_ms=20)
+        rig.advance(50)
+    kind = rig.scheduler.directory.kinds[0]
+    unknown = rig.node(2)
+    difference_before_ms = unknown.latency_ms - kind.latency_ms
+    rig.submit(shard=2)
+    # 2 s have passed; a measured estimate gives way by half in 10 s.
+    assert unknown.latency_ms - kind.latency_ms < difference_before_ms / 3
--- /dev/null
+++ b/tests/policy/test_ordering.py
@@ -0,0 +1,38 @@
+"""Ordered classes: requests with the same data key run one after the other."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from sabledyke.policy.events import ClientDisconnected, Outcome
+from tests.support.scheduler_rig import SchedulerRig
+from tests.support.settings import WRITE
+
+ORDERED = replace(WRITE, ordered=True)
+
+
+def test_ordered_requests_run_one_at_a_time_with_a_pause_after_a_reset() -> None:
+    rig = SchedulerRig(classes=(ORDERED,), order_settle_ms=200)
+    first = rig.submit(data_key=9)
+    second = rig.submit(data_key=9)
+    other = rig.submit(data_key=8)
+    assert rig.attempt_count(first) == 1
+    assert rig.attempt_count(second) == 0
+    assert rig.attempt_count(other) == 1
+    rig.complete(first, Outcome.RESET, request_completed=True)
+    rig.advance(180)
+    assert rig.attempt_count(second) == 0
+    rig.advance(40)
+    assert rig.attempt_count(second) == 1
+
+
+def test_an_ordered_request_waits_for_the_outcome_of_one_that_is_already_over() -> None:
+    rig = SchedulerRig(classes=(ORDERED,))
+    first = rig.submit(data_key=9)
+    second = rig.submit(data_key=9)
+    rig.handle(ClientDisconnected(first))
+    rig.advance(50)
+    assert rig.attempt_count(second) == 0
+    rig.complete(first, request_completed=True)
+    rig.advance(20)
+    assert rig.attempt_count(second) == 1
--- /dev/null
+++ b/tests/policy/test_settings.py
@@ -0,0 +1,20 @@
+"""Settings that are out of range."""
+
+from __future__ import annotations
+
+import pytest
+
+from tests.support.scheduler_rig import SchedulerRig
+
+
+@pytest.mark.parametrize(
+    ("field", "name", "value"),
+    [
+        ("scheduler_count", "hosts", 0),
+        ("mean_units", "mean_units", -1.0),
+        ("slow_start_fraction", "cold_share", 1.5),
+    ],
+)
+def test_a_setting_out_of_range_is_named(field: str, name: str, value: float) -> None:
+    with pytest.raises(ValueError, match=f"setting {name} must be"):
+        SchedulerRig(**{field: value})
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -10,7 +10,8 @@
 from hypothesis import strategies as st
 
 from sabledyke.protocol import discovery
-from tests.helpers import FIXED, SETTINGS, spoilt
+from tests.support.generated_bytes import FIXED, damaged
+from tests.support.settings import SETTINGS
 
 NODE = {
     "host": "s1",
@@ -27,7 +28,7 @@
 
 
 @FIXED
-@given(st.one_of(spoilt(LIST), JSON.map(orjson.dumps)))
+@given(st.one_of(damaged(LIST), JSON.map(orjson.dumps)))
 def test_spoilt_lists_are_a_list_error_or_a_list(data: bytes) -> None:
     settings = replace(SETTINGS, node_kinds=("m",))
     valid = discovery.parse_listing(LIST, settings)
--- a/tests/protocol/test_gateway.py
+++ b/tests/protocol/test_gateway.py
@@ -12,8 +12,9 @@
 from sabledyke.protocol.gateway import MessageReader
 from sabledyke.protocol.http import HttpError, HttpMessage
 from sabledyke.protocol.request_ids import RequestIds
-from tests.helpers import FIXED, SETTINGS
 from tests.protocol.support import REQUEST_HEADERS
+from tests.support.generated_bytes import FIXED
+from tests.support.settings import SETTINGS
 
 
 @FIXED
--- a/tests/protocol/test_http_parser.py
+++ b/tests/protocol/test_http_parser.py
@@ -15,8 +15,8 @@
     encode_request,
     encode_response,
 )
-from tests.helpers import FIXED, SIZES, pieces, spoilt
 from tests.protocol.support import parse_http
+from tests.support.generated_bytes import FIXED, SIZES, damaged, pieces
 
 REQUESTS = encode_request("PUT", "/api/1/2?x", [("Req-Id", "a"), ("X", "")], b"body") + encode_request(
     "GET", "/api/1/3", [("Req-Id", "b")], b""
@@ -45,7 +45,7 @@
 
 
 @FIXED
-@given(st.one_of(spoilt(REQUESTS), spoilt(RESPONSES)), SIZES, st.booleans())
+@given(st.one_of(damaged(REQUESTS), damaged(RESPONSES)), SIZES, st.booleans())
 def test_spoilt_http_is_an_http_error_or_a_message(data: bytes, sizes: list[int], responses: bool) -> None:
     with contextlib.suppress(HttpError):
         for message in parse_http(HttpParser(responses=responses), pieces(data, sizes)):
--- a/tests/protocol/test_nvme_blocks.py
+++ b/tests/protocol/test_nvme_blocks.py
@@ -11,8 +11,9 @@
 from sabledyke.protocol.gateway import MessageReader
 from sabledyke.protocol.http import HttpMessage
 from sabledyke.protocol.nvme.blocks import Translator
-from tests.helpers import FIXED, SETTINGS
 from tests.protocol.support import NQN, REQUEST_HEADERS
+from tests.support.generated_bytes import FIXED
+from tests.support.settings import SETTINGS
 
 OPERATOR_FILE = """
 [[nvme.volume]]
--- a/tests/protocol/test_nvme_connection.py
+++ b/tests/protocol/test_nvme_connection.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 
 from sabledyke.protocol import nvme
-from tests.helpers import FIXED, SIZES, pieces, spoilt
 from tests.protocol.support import HOST, NQN, feed_target, host_session, new_target
+from tests.support.generated_bytes import FIXED, SIZES, damaged, pieces
 
 HOST_BYTES = host_session()
 TARGET_BYTES = bytes(feed_target([HOST_BYTES]).output)
@@ -31,7 +31,7 @@
 
 
 @FIXED
-@given(spoilt(HOST_BYTES), spoilt(TARGET_BYTES), SIZES)
+@given(damaged(HOST_BYTES), damaged(TARGET_BYTES), SIZES)
 def test_spoilt_nvme_is_an_nvme_error_or_an_answer(
     host_bytes: bytes, target_bytes: bytes, sizes: list[int]
 ) -> None:
--- a/tests/quota_sharing/test_shared_limits.py
+++ b/tests/quota_sharing/test_shared_limits.py
@@ -20,7 +20,8 @@
 from sabledyke.testbed import shared_limits
 from sabledyke.testbed.quota_model import Model, Rules
 from sabledyke.testbed.scenario import Report
-from tests.helpers import CAPPED, SETTINGS, Rig, of
+from tests.support.scheduler_rig import SchedulerRig, actions_of
+from tests.support.settings import CAPPED, SETTINGS
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -68,11 +69,11 @@
 
 
 def test_the_module_goes_by_the_part_that_it_is_told_and_else_by_hosts() -> None:
-    rig, plan = Rig(), SETTINGS.plans.index(CAPPED)
+    rig, plan = SchedulerRig(), SETTINGS.plans.index(CAPPED)
     for number, (told, part) in enumerate([(0.0, 0.5), (0.9, 0.9), (0.05, 0.05), (0.0, 0.05)], 1):
-        rig.do(Request(number, 0, plan, 0, 1000.0, 1, 2.0, 1, 2, False, False, None, told))
+        rig.handle(Request(number, 0, plan, 0, 1000.0, 1, 2.0, 1, 2, False, False, None, told))
         assert [volume.quota_share for volume in rig.scheduler.quotas.volumes.values()] == [part]
-    assert not of(rig.log, Log)
+    assert not actions_of(rig.actions, Log)
 
 
 @pytest.mark.parametrize(
--- a/tests/shutdown/test_graceful_shutdown.py
+++ b/tests/shutdown/test_graceful_shutdown.py
@@ -12,8 +12,10 @@
 from sabledyke.core import Answer, AnswerStatus
 from sabledyke.policy.settings import RepeatSafety
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase, ShutdownTimes
-from tests.helpers import FIXED, SETTINGS, WRITE, Rig
-from tests.test_core import Bench
+from tests.support.core_bench import CoreBench
+from tests.support.generated_bytes import FIXED
+from tests.support.scheduler_rig import SchedulerRig
+from tests.support.settings import SETTINGS, WRITE
 
 
 @FIXED
@@ -70,36 +72,36 @@
 def test_at_the_end_every_unanswered_request_gets_an_answer(
     changes: dict[str, object], sends: bool, verdict: AnswerStatus
 ) -> None:
-    bench = Bench(None if sends else lambda now, events: [])  # a module that keeps silent
+    bench = CoreBench(None if sends else lambda now, events: [])  # a module that keeps silent
     once = replace(WRITE, repeat_safety=RepeatSafety.AT_MOST_ONCE)
     bench.core.settings = replace(SETTINGS, classes=(SETTINGS.classes[0], once))
-    request_id = bench.ask(**changes)
+    request_id = bench.submit(**changes)
     assert bool(bench.started) is sends
     bench.core.scheduler.handle = lambda now_ms, events: []  # type: ignore[method-assign]
-    bench.core.shut_down_by(bench.now + 100, bench.now + 1e6)
-    bench.wait(99)
+    bench.core.shut_down_by(bench.now_ms + 100, bench.now_ms + 1e6)
+    bench.advance(99)
     assert not bench.answers
-    bench.wait(1)
+    bench.advance(1)
     assert bench.answers == [Answer(verdict, retry_after_ms=SETTINGS.max_retry_after_ms)]
-    bench.ask(client_request_id="late")  # what still comes is answered within a look
-    bench.wait(10)
+    bench.submit(client_request_id="late")  # what still comes is answered within a look
+    bench.advance(10)
     assert [a.status for a in bench.answers[1:]] == [AnswerStatus.REJECTED] and not bench.core.unanswered
     assert not invariants.violations and (not sends or bench.core._open[request_id].out)
 
 
 def test_requests_that_cannot_finish_are_rejected_at_once_and_not_started() -> None:
-    rig = Rig(scheduler_count=1)
+    rig = SchedulerRig(scheduler_count=1)
     for _ in range(20):  # an answer takes 100 ms
-        rig.end(rig.ask(), took=100)
-        rig.wait(100)
-    held = [rig.ask() for _ in range(40)]
-    rig.scheduler.shut_down_by(rig.now + 150)
-    rig.wait(20)
+        rig.complete(rig.submit(), elapsed_ms=100)
+        rig.advance(100)
+    held = [rig.submit() for _ in range(40)]
+    rig.scheduler.shut_down_by(rig.now_ms + 150)
+    rig.advance(20)
     early = [r for r in held if rig.answers(r)]
-    rig.wait(90)
-    late = rig.ask()
-    rig.wait(20)
-    assert early and not rig.sends(late) and rig.answers(late)
+    rig.advance(90)
+    late = rig.submit()
+    rig.advance(20)
+    assert early and not rig.was_sent(late) and rig.answers(late)
     assert all(
         job.full_value_until_ms <= rig.scheduler.context.shutdown_at_ms
         for job in rig.scheduler.requests.requests.values()
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -19,11 +19,11 @@
 from sabledyke.store.database_errors import StoreError
 from sabledyke.store.extension import RecordExtension
 from sabledyke.store.recording_transport import RecordingTransport
-from tests.helpers import BRISK
 from tests.standins import Discovery, Service, ask, http, read_http
 from tests.standins.postgres import Postgres
 from tests.standins.postgres_faults import no_fault
 from tests.support.server_rig import DEPLOYMENT, GET, PUT
+from tests.support.settings import FAST_SHUTDOWN
 
 RECOVERY_TIMEOUT_S = 5  # within which a store that is back is found
 BACKENDS = ("sqlite", "postgresql")
@@ -112,7 +112,7 @@
         """A start."""
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, self.listing(), DEPLOYMENT)
-        self.server = Server(config, self.extras(), BRISK)
+        self.server = Server(config, self.extras(), FAST_SHUTDOWN)
         await self.server.open()
         self.server.start()
         return self.server
--- a/tests/store/record_model.py
+++ b/tests/store/record_model.py
@@ -19,7 +19,7 @@
     SendRecord,
     WriteState,
 )
-from tests.helpers import WRITE
+from tests.support.settings import WRITE
 
 KEYED = replace(
     WRITE,
--- a/tests/store/sql_node_deployment.py
+++ b/tests/store/sql_node_deployment.py
@@ -13,11 +13,11 @@
 from sabledyke.config import Config
 from sabledyke.protocol import discovery
 from sabledyke.store.section import SqlNode, StoreSection, Target
-from tests.helpers import BRISK
 from tests.standins import Discovery, ask
 from tests.standins.postgres import Postgres
 from tests.standins.postgres_faults import no_fault
 from tests.support.server_rig import DEPLOYMENT, GET, PUT
+from tests.support.settings import FAST_SHUTDOWN
 
 INFO = "IO-Info: units=1,shard=0,hosts=1\n"
 
@@ -44,7 +44,7 @@
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
-        self.server = Server(config, operator_config.OperatorConfig(store=store), BRISK)
+        self.server = Server(config, operator_config.OperatorConfig(store=store), FAST_SHUTDOWN)
         await self.server.open()
         self.server.start()
         return self
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -11,8 +11,8 @@
 from sabledyke.config import Config
 from sabledyke.policy.settings import DeduplicationScope, RepeatSafety
 from sabledyke.protocol import discovery
-from tests.helpers import BRISK, HELD, READ, SETTINGS, WRITE
 from tests.standins import NQN, Discovery, HttpNode, NvmeHost, NvmeNode, http
+from tests.support.settings import FAST_SHUTDOWN, HELD, READ, SETTINGS, WRITE
 
 KEYED = replace(
     WRITE,
@@ -61,7 +61,7 @@
 
 
 PUT = "PUT /api/1/{}?q=1 HTTP/1.1\nReq-Id: {}\nReq-Kind: write\nTier: gold\nReq-Deadline: 1.0\n{}\n"
-SHORT_SHUTDOWN = replace(BRISK, max_deadline_s=1.2)  # completed 1.5 s after it was requested
+SHORT_SHUTDOWN = replace(FAST_SHUTDOWN, max_deadline_s=1.2)  # completed 1.5 s after it was requested
 
 
 class Rig:
@@ -82,7 +82,7 @@
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         self.config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT, self._console)
-        self.server = Server(self.config, extras, BRISK, self.reread)
+        self.server = Server(self.config, extras, FAST_SHUTDOWN, self.reread)
         await self.server.open()
         self.server.start()
         self.port, self.nvme_port = (opened.port for opened in self.server.listeners)
--- a/tests/test_outside.py
+++ b/tests/test_outside.py
@@ -22,7 +22,7 @@
 from sabledyke.__main__ import main
 from sabledyke.log import Limiter
 from sabledyke.protocol.discovery import ListError
-from tests.helpers import FREE, READ, SETTINGS, WRITE
+from tests.support.settings import FREE, READ, SETTINGS, WRITE
 from tests.test_wire import CONF
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -18,11 +18,11 @@
 from sabledyke.protocol.nvme import Status
 from sabledyke.tls.extension import TlsExtension
 from sabledyke.tls.section import KeyPaths, TlsSection
-from tests.helpers import BRISK
 from tests.standins import Discovery, NvmeHost, NvmeNode, Service, http, read_http
 from tests.standins.keys import Authority
 from tests.standins.tls import CuttingProxy, FixedResponseNode, TlsNode, server_context
 from tests.support.server_rig import DEPLOYMENT, GET, INFO, NVME, PUT, VOLUME
+from tests.support.settings import FAST_SHUTDOWN
 
 ROOT, OTHER = Authority(), Authority("other")
 CHAIN, KEY = ROOT.issue("plain")
@@ -63,7 +63,7 @@
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
-        self.server = Server(config, replace(extras, tls=tls, listen=listen), BRISK)
+        self.server = Server(config, replace(extras, tls=tls, listen=listen), FAST_SHUTDOWN)
         await self.server.open()
         self.server.start()
         return self
--- a/tests/tls/test_tls_machine.py
+++ b/tests/tls/test_tls_machine.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from sabledyke.tls.tls_machine import MAX_HANDSHAKE_BYTES, TlsError, TlsMachine, TlsState, certificate_names
-from tests.helpers import FIXED, SIZES, pieces, spoilt
 from tests.standins.tls import server_context
+from tests.support.generated_bytes import FIXED, SIZES, damaged, pieces
 from tests.tls.support import CHAIN, CLIENT, KEY, SERVER, pair
 
 
@@ -41,7 +41,7 @@
 def test_spoilt_bytes_are_a_tls_error_or_nothing_at_all(data: st.DataObject, sizes: list[int]) -> None:
     client, server = pair()
     server.send(b"a whole answer")
-    spoil = data.draw(spoilt(server.output))
+    spoil = data.draw(damaged(server.output))
     try:
         for piece in pieces(spoil, sizes):
             client.feed(piece)
