--- /dev/null
+++ b/tests/tls/test_node_verification.py
@@ -0,0 +1,140 @@
+"""Storage nodes behind TLS: whom the scheduler trusts, and with which keys it starts."""
+
+from __future__ import annotations
+
+import asyncio
+import ssl
+from pathlib import Path
+
+import pytest
+
+from tests.standins import Service, http
+from tests.standins.tls import FixedResponseNode, TlsNode, server_context
+from tests.support.server_rig import DEPLOYMENT
+from tests.tls.tls_server_rig import (
+    NODE,
+    NODE_CHAIN,
+    NODE_CONTEXT,
+    NODE_KEY,
+    OTHER_ROOT,
+    ROOT,
+    SCHEDULER_CHAIN,
+    SCHEDULER_KEY,
+    TlsServerRig,
+    play,
+    write_keys,
+)
+
+
+def test_the_name_in_a_nodes_certificate_may_come_from_its_zone(tmp_path: Path) -> None:
+    node = TlsNode(server_context(*ROOT.issue(f"plain.{DEPLOYMENT.zones[0]}.example")))
+
+    async def scenario(rig: TlsServerRig) -> None:
+        assert await rig.request() == 200
+
+    play(tmp_path, node, scenario, name_template="{host}.{site}.example")
+
+
+def test_requests_are_verified_both_ways_and_connections_resume(tmp_path: Path) -> None:
+    node = TlsNode(server_context(NODE_CHAIN, NODE_KEY, ROOT.root))  # it requires our certificate, too
+
+    async def scenario(rig: TlsServerRig) -> None:
+        assert await rig.request() == 200
+        assert await rig.request("k") == 200
+        for _ in range(20):
+            rig.server.pool.close_idle(NODE)
+            assert await rig.request() == 200
+        connector = rig.extension.connector
+        assert connector.full_handshakes == 1
+        assert connector.resumed_handshakes == 20
+        assert connector.failed_handshakes == 0
+        assert node.resumed == 20
+
+    play(tmp_path, node, scenario)
+
+
+def untrusted_node(fault: str) -> Service:
+    """Return a storage node that cannot be trusted, or that does not complete the handshake."""
+    match fault:
+        case "plain":
+            return FixedResponseNode(http(200, b"secret"), "stall")
+        case "garbage":
+            return FixedResponseNode(b"\x99" * 500, "stall")
+        case "silent":
+            return FixedResponseNode(b"", "stall")
+        case "ends":
+            return FixedResponseNode(b"", "end")
+        case "expired":
+            return TlsNode(server_context(*ROOT.issue("plain", days=-0.1)))
+        case "name":
+            return TlsNode(server_context(*ROOT.issue("another")))
+        case "root":
+            return TlsNode(server_context(*OTHER_ROOT.issue("plain")))
+        case "old":
+            return TlsNode(server_context(NODE_CHAIN, NODE_KEY, version=ssl.TLSVersion.TLSv1_2))
+        case _:
+            return TlsNode(NODE_CONTEXT)
+
+
+@pytest.mark.parametrize(
+    ("fault", "logged"),
+    [
+        ("expired", "certificate has expired"),
+        ("name", "Hostname mismatch"),
+        ("root", "local issuer"),
+        ("revoked", "certificate revoked"),
+        ("old", "ended the connection"),
+        ("plain", "it speaks no TLS"),
+        ("garbage", "it speaks no TLS"),
+        ("silent", "does not end in time"),
+        ("ends", "ended the connection"),
+    ],
+)
+def test_a_node_that_cannot_be_trusted_gets_no_request_and_is_logged_once(
+    tmp_path: Path, capfd: pytest.CaptureFixture[str], fault: str, logged: str
+) -> None:
+    node = untrusted_node(fault)
+
+    async def scenario(rig: TlsServerRig) -> None:
+        read_status = await rig.request()
+        write_status = await rig.request("k")
+        assert read_status == 503
+        assert write_status == 503  # rejected: neither has run
+        assert rig.extension.connector.failed_handshakes >= 1
+        if isinstance(node, TlsNode):
+            assert not node.seen
+
+    revoked = ROOT.revoke(NODE_CHAIN) if fault == "revoked" else b""
+    write_keys(tmp_path, SCHEDULER_CHAIN, SCHEDULER_KEY, ROOT.root, revoked)
+    play(tmp_path, node, scenario)
+    output = capfd.readouterr().err
+    assert output.count("sabledyke tls: plain: ") == 1
+    assert logged in output
+
+
+def test_tls_1_2_is_spoken_only_where_it_is_allowed(tmp_path: Path) -> None:
+    node = TlsNode(server_context(NODE_CHAIN, NODE_KEY, version=ssl.TLSVersion.TLSv1_2))
+
+    async def scenario(rig: TlsServerRig) -> None:
+        assert await rig.request() == 200
+
+    play(tmp_path, node, scenario, allow_tls_1_2=True)
+
+
+def test_a_key_that_does_not_fit_its_certificate_ends_the_start_with_one_line(tmp_path: Path) -> None:
+    node = TlsNode(NODE_CONTEXT)
+
+    async def start() -> str:
+        await node.open()
+        rig = TlsServerRig(tmp_path, node)
+        write_keys(tmp_path, SCHEDULER_CHAIN, NODE_KEY, ROOT.root)
+        try:
+            await rig.__aenter__()
+        except Exception as error:
+            return str(error)
+        finally:
+            node.die()
+            rig.discovery.die()
+        return ""
+
+    assert asyncio.run(start()) == "tls: the key does not belong to certificate CN=scheduler"
--- /dev/null
+++ b/tests/tls/tls_server_rig.py
@@ -0,0 +1,198 @@
+"""A server that reaches one storage node by TLS, and the keys of its tests."""
+
+from __future__ import annotations
+
+import asyncio
+import ssl
+from collections.abc import Awaitable, Callable
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from sabledyke import invariants, log, operator_config
+from sabledyke.application.server import Server
+from sabledyke.config import Config
+from sabledyke.protocol import discovery
+from sabledyke.tls.extension import TlsExtension
+from sabledyke.tls.section import KeyPaths, TlsSection
+from tests.standins import Discovery, Service, read_http
+from tests.standins.keys import Authority
+from tests.standins.tls import server_context
+from tests.support.server_rig import DEPLOYMENT, GET, INFO, PUT
+from tests.support.settings import FAST_SHUTDOWN
+
+NODE = b"plain"  # the storage node's name, and so the one in its certificate
+ROOT = Authority()
+OTHER_ROOT = Authority("other")
+NODE_CHAIN, NODE_KEY = ROOT.issue("plain")
+NODE_CONTEXT = server_context(NODE_CHAIN, NODE_KEY)
+SCHEDULER_CHAIN, SCHEDULER_KEY = ROOT.issue("scheduler", "127.0.0.1")
+NO_ANSWER = 0  # in place of a status
+PLAY_TIMEOUT_S = 30
+
+
+def write_keys(folder: Path, chain: bytes, key: bytes, roots: bytes, revoked: bytes = b"") -> None:
+    """Write key files as an operator's tool does: each is replaced as a whole."""
+    for name, data in (("chain", chain), ("key", key), ("roots", roots), ("revoked", revoked)):
+        part = folder / f"{name}.part"
+        part.touch(0o600)
+        part.write_bytes(data)
+        part.rename(folder / name)
+
+
+def client_context(folder: Path, pair: tuple[bytes, bytes] | None = None) -> ssl.SSLContext:
+    """Return a context that trusts the scheduler; with a chain and its key it presents that certificate."""
+    context = ssl.create_default_context(cadata=ROOT.root.decode())
+    if pair is not None:
+        chain, key = pair
+        path = folder / "client.pem"
+        path.touch(0o600)
+        path.write_bytes(key + chain)
+        context.load_cert_chain(path)
+    return context
+
+
+class TlsServerRig:
+    """A server before one storage node at shard 0, reached by TLS.
+
+    Attributes:
+        folder: Where the key files are.
+        node: The storage node.
+        discovery: The discovery stand-in, which lists it.
+        server: The server.
+    """
+
+    def __init__(
+        self,
+        folder: Path,
+        node: Service,
+        tls_changes: dict[str, Any] | None = None,
+        operator_text: str = "",
+        *,
+        ends_node: bool = True,
+    ) -> None:
+        """Prepare a server.
+
+        Args:
+            folder: Where the key files are; without any, valid ones are written at the start.
+            node: The storage node, which listens already.
+            tls_changes: Fields of the TLS section.
+            operator_text: Further sections of the operator's file.
+            ends_node: The node ends with the server.
+        """
+        self.folder = folder
+        self.node = node
+        self.discovery = Discovery()
+        self._tls_changes = tls_changes or {}
+        self._operator_text = operator_text
+        self._ends_node = ends_node
+        self._request_count = 0
+        self._patch = pytest.MonkeyPatch()
+
+    async def __aenter__(self) -> TlsServerRig:
+        invariants.violations.clear()
+        self._patch.setattr(log, "_limiter", log.Limiter())
+        await self.discovery.open()
+        self.discovery.add(NODE.decode(), self.node.port, 0)
+        if not (self.folder / "roots").exists():
+            write_keys(self.folder, SCHEDULER_CHAIN, SCHEDULER_KEY, ROOT.root)
+        config, operator_settings = self._config()
+        self.server = Server(config, operator_settings, FAST_SHUTDOWN)
+        await self.server.open()
+        self.server.start()
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        self.server.leave()
+        await self.server.finish()
+        if self._ends_node:
+            self.node.die()
+        self.discovery.die()
+        self._patch.undo()
+        assert not invariants.violations
+        assert self.open_connections == 0  # no descriptor is lost
+
+    @property
+    def extension(self) -> TlsExtension:
+        """The TLS extension."""
+        extension = self.server.parts[0]
+        assert isinstance(extension, TlsExtension)
+        return extension
+
+    @property
+    def handshake_count(self) -> int:
+        """Handshakes with the storage node that were completed."""
+        connector = self.extension.connector
+        return connector.full_handshakes + connector.resumed_handshakes
+
+    @property
+    def open_connections(self) -> int:
+        """Connections to the storage node that are open."""
+        return self.server.pool._open_count
+
+    @property
+    def idle_connections(self) -> int:
+        """Connections to the storage node that are idle."""
+        return len(self.server.pool._idle.get(NODE, ()))
+
+    def update_list(self) -> None:
+        """Have the server receive the list that discovery would serve now."""
+        served = discovery.read_listing(self.discovery.listing(), DEPLOYMENT)
+        self.server.assembly.on_endpoint_list(served)
+
+    async def request(self, key: str = "", context: ssl.SSLContext | None = None, volume: int = 1) -> int:
+        """Send a request on a connection of its own; return the status, or NO_ANSWER.
+
+        Args:
+            key: The idempotency key of a write; without one it is a read.
+            context: The client's TLS context; without one it connects without TLS.
+            volume: The volume.
+        """
+        self._request_count += 1
+        headers = f"{INFO}Idempotency-Key: {key}\nContent-Length: 1\n" if key else INFO
+        text = (PUT if key else GET).format("1", f"i{self._request_count}", headers)
+        text = text.replace("/api/1/", f"/api/{volume}/")
+        server_name = "scheduler" if context else None
+        try:
+            reader, writer = await asyncio.open_connection(
+                "127.0.0.1", self.server.listeners[0].port, ssl=context, server_hostname=server_name
+            )
+            writer.write(text.replace("\n", "\r\n").encode() + (b"x" if key else b""))
+            first_line, _, _ = await read_http(reader)
+        except (OSError, asyncio.IncompleteReadError):
+            return NO_ANSWER
+        writer.close()
+        return int(first_line.split()[1])
+
+    def _config(self) -> tuple[Config, operator_config.OperatorConfig]:
+        paths = KeyPaths(*(str(self.folder / name) for name in ("chain", "key", "roots", "revoked")))
+        if not (self.folder / "revoked").read_bytes():
+            paths = replace(paths, revocation_lists="")
+        tls = TlsSection(paths, poll_interval_s=0, handshake_timeout_ms=400, **self._tls_changes)
+        operator_settings = operator_config.OperatorConfig()
+        if self._operator_text:
+            operator_settings = operator_config.read(self._operator_text, DEPLOYMENT)
+        nvme_address = ("127.0.0.1", 0) if operator_settings.listen else None
+        known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
+        discovery_address = ("127.0.0.1", self.discovery.port)
+        config = Config("n0", ("127.0.0.1", 0), discovery_address, 1, 256, 1 << 22, known, DEPLOYMENT)
+        return config, replace(operator_settings, tls=tls, listen=nvme_address)
+
+
+Scenario = Callable[[TlsServerRig], Awaitable[None]]
+
+
+def play(
+    folder: Path, node: Service, scenario: Scenario, operator_text: str = "", **tls_changes: Any
+) -> None:
+    """Play a scenario on a server before a storage node, with fields of the TLS section changed so."""
+
+    async def run() -> None:
+        async with asyncio.timeout(PLAY_TIMEOUT_S):
+            await node.open()
+            async with TlsServerRig(folder, node, tls_changes, operator_text) as rig:
+                await scenario(rig)
+
+    asyncio.run(run())
