--- /dev/null
+++ b/tests/standins/postgres_statements.py
@@ -0,0 +1,140 @@
+"""Prepared statements and portals of a session with the stand-in for PostgreSQL."""
+
+from __future__ import annotations
+
+import struct
+from dataclasses import dataclass
+from typing import Any
+
+from tests.standins.postgres_backend import Backend, Row
+from tests.standins.postgres_values import (
+    BIGINT,
+    FLOAT,
+    TABLE,
+    TEXT,
+    decode,
+    encode,
+    parameter_types,
+    to_sqlite,
+)
+
+FIXED_SIZES = {BIGINT: 8, FLOAT: 8}
+VARIABLE_SIZE = -1
+BINARY = 1
+Message = tuple[bytes, bytes]
+
+
+@dataclass(slots=True, frozen=True)
+class Prepared:
+    """A prepared statement.
+
+    Attributes:
+        oids: Types of its parameters.
+        columns: Names and types of its columns.
+    """
+
+    sql: str
+    oids: list[int]
+    columns: list[tuple[str, int]]
+
+
+@dataclass(slots=True, frozen=True)
+class Portal:
+    """A prepared statement with its values."""
+
+    prepared: Prepared
+    values: list[Any]
+
+
+class Statements:
+    """What a session has prepared and bound.
+
+    Attributes:
+        portals: The portals by name.
+    """
+
+    def __init__(self, backend: Backend) -> None:
+        self._backend = backend
+        self._prepared: dict[str, Prepared] = {}
+        self.portals: dict[str, Portal] = {}
+
+    def prepare(self, name: str, sql: str) -> None:
+        """Prepare a statement."""
+        oids = parameter_types(sql)
+        table = TABLE.search(sql)
+        table_name = table.group(1) if table else ""
+        columns: list[tuple[str, int]] = []
+        for column in self._backend.column_names(to_sqlite(sql), len(oids)):
+            default = BIGINT if "(" in column else TEXT
+            columns.append((column, self._backend.column_type(table_name, column, default)))
+        self._prepared[name] = Prepared(sql, oids, columns)
+
+    def describe(self, body: bytes) -> list[Message]:
+        """Return the descriptions that a Describe message requests, as types and bodies of messages."""
+        is_statement = body[:1] == b"S"
+        name = body[1:-1].decode()
+        prepared = self._prepared[name] if is_statement else self.portals[name].prepared
+        messages: list[Message] = []
+        if is_statement:
+            count = len(prepared.oids)
+            messages.append((b"t", struct.pack(f"!H{count}I", count, *prepared.oids)))
+        messages.append(row_description(prepared))
+        return messages
+
+    def bind(self, body: bytes) -> None:
+        """Bind the values of a Bind message to a portal."""
+        portal, rest = body.split(b"\0", 1)
+        name, rest = rest.split(b"\0", 1)
+        prepared = self._prepared[name.decode()]
+        self.portals[portal.decode()] = Portal(prepared, BoundValues(rest).read(prepared))
+
+    def close(self, name: str) -> None:
+        """Forget a prepared statement."""
+        self._prepared.pop(name, None)
+
+
+class BoundValues:
+    """The formats and values of a Bind message."""
+
+    def __init__(self, data: bytes) -> None:
+        self._data = data
+        self._offset = 0
+
+    def read(self, prepared: Prepared) -> list[Any]:
+        """Return the values for a statement."""
+        formats = [self._unpack("!H") for _ in range(self._unpack("!H"))]
+        values: list[Any] = []
+        for index in range(self._unpack("!H")):
+            size = self._unpack("!i")
+            if size < 0:
+                values.append(None)
+                continue
+            raw = self._data[self._offset : self._offset + size]
+            self._offset += size
+            is_binary = formats and formats[index if len(formats) > 1 else 0] == BINARY
+            oid = prepared.oids[index]
+            assert is_binary or oid == TEXT, "values come in binary"
+            values.append(decode(raw, oid))
+        return values
+
+    def _unpack(self, form: str) -> int:
+        (value,) = struct.unpack_from(form, self._data, self._offset)
+        self._offset += struct.calcsize(form)
+        return int(value)
+
+
+def row_description(prepared: Prepared) -> Message:
+    """Return RowDescription, or NoData for a statement without columns."""
+    if not prepared.columns:
+        return b"n", b""
+    description = struct.pack("!H", len(prepared.columns))
+    for column, oid in prepared.columns:
+        size = FIXED_SIZES.get(oid, VARIABLE_SIZE)
+        description += column.encode() + b"\0" + struct.pack("!IHIhiH", 0, 0, oid, size, -1, BINARY)
+    return b"T", description
+
+
+def data_row(row: Row, prepared: Prepared) -> Message:
+    """Return DataRow."""
+    cells = [encode(value, oid) for value, (_, oid) in zip(row, prepared.columns, strict=True)]
+    return b"D", struct.pack("!H", len(cells)) + b"".join(cells)
