--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -16,7 +16,7 @@
 from sabledyke.protocol import discovery
 from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout
 from tests.standins import Discovery
-from tests.support.endpoint_lists import DRAINS, GONE, HOST, change
+from tests.support.endpoint_lists import DRAINS, GONE, HOST, change, complete_list
 from tests.support.request_steps import until
 from tests.support.scheduler_rig import SchedulerRig, actions_of
 from tests.support.server_rig import DEPLOYMENT
@@ -149,9 +149,9 @@
         ),
         (True, [DRAINS, b'{"seq": 3, "whole": false, "hosts": [', GONE], ["READY", "DRAINING", None, "GONE"]),
         # Older than what is held, or out of order: set aside, and the whole list is asked for.
-        (True, [GONE, DRAINS, change(HOST, 4, True)], ["READY", "GONE", None, "READY"]),
+        (True, [GONE, DRAINS, complete_list(HOST, 4)], ["READY", "GONE", None, "READY"]),
         # An older whole list is taken once a second call brings one too: it counts from the start.
-        (True, [GONE, change(HOST, 1, True), change(HOST, 1, True)], ["READY", "GONE", None, "READY"]),
+        (True, [GONE, complete_list(HOST, 1), complete_list(HOST, 1)], ["READY", "GONE", None, "READY"]),
         (
             True,
             [change(HOST, 2, born_ms=5.0), change(HOST, 3, born_ms="nan"), GONE],
@@ -160,7 +160,7 @@
         # One garbled entry hides no drain beside it, and nobody is taken for gone.
         (
             True,
-            [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINS["hosts"][0]]}, change(HOST, 2, True)],
+            [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINS["hosts"][0]]}, complete_list(HOST, 2)],
             ["READY", "DRAINING", None, "READY"],
         ),
     ],
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -4,11 +4,6 @@
 
 from typing import Any
 
-
-def change(host: dict[str, Any], version: int, whole: bool = False, **of: Any) -> dict[str, Any]:
-    return {"seq": version, "whole": whole, "hosts": [host | of]}
-
-
 HOST = {
     "host": "plain",
     "dial": "127.0.0.1:1",
@@ -21,7 +16,15 @@
 }
 
 
-DRAINS = change(HOST, 2, health="draining")
+def change(host: dict[str, Any], version: int, **changes: Any) -> dict[str, Any]:
+    """Return a list that states one node, changed so, and leaves the others as they are."""
+    return {"seq": version, "whole": False, "hosts": [host | changes]}
 
 
+def complete_list(host: dict[str, Any], version: int) -> dict[str, Any]:
+    """Return a list of one node and no others."""
+    return {"seq": version, "whole": True, "hosts": [host]}
+
+
+DRAINS = change(HOST, 2, health="draining")
 GONE = change(HOST, 3, health="gone")
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -15,15 +15,18 @@
 from sabledyke.net.client_connection import ClientConnection
 from tests.support.server_rig import GET, INFO, Rig, held_back
 
+READ_SIZE = 65536
+HALF_SIZE = 20  # bytes of a request
+
 
 class Step(Enum):
     """How far a request has come."""
 
     CONNECTED = "the connection is accepted, nothing is read"
-    HALF = "half of the request is read and looked at"
-    ARRIVED = "the whole request is in the kernel, nothing is read"
-    READ = "the stream has read the whole request, the program has not looked at it"
-    IN_WORK = "a storage node holds it"
+    HALF = "half of the request is read and parsed"
+    ARRIVED = "the complete request is in the kernel, nothing is read"
+    READ = "the stream has read the complete request, the program has not parsed it"
+    IN_WORK = "a storage node has received it"
     ANSWERED = "its answer is written"
 
 
@@ -31,33 +34,44 @@
 
 
 async def until(holds: Callable[[], object]) -> None:
-    """Let the program run, one turn of the loop at a time, until it holds."""
+    """Let the program run, one iteration of the loop at a time, until it holds."""
     while not holds():
         await asyncio.sleep(0)
 
 
 def request(number: object = 1) -> bytes:
-    """A read, as a client sends it."""
+    """Return a read as a client sends it."""
     return GET.format(1, f"id-{number}", INFO).replace("\n", "\r\n").encode()
 
 
 class Line:
-    """A client's connection: its socket, and what the program has for it."""
+    """A client's connection.
+
+    Attributes:
+        rig: The server.
+        socket: The client's socket.
+        client: What the program has for the connection.
+        number: The connection's own number, for request identifiers.
+        asked: Set once the storage node has the request.
+        go: To be set to have the storage node answer.
+    """
 
     def __init__(self, rig: Rig, sock: socket.socket, client: ClientConnection) -> None:
-        self.rig, self.socket, self.client = rig, sock, client
+        self.rig = rig
+        self.socket = sock
+        self.client = client
         self.number = next(_numbers)
         self.asked, self.go = held_back(rig)
 
     @classmethod
     async def open(cls, rig: Rig) -> Line:
-        """Connect, and have one request answered: it is a connection that rests between requests."""
-        front = rig.server.fronts[0]
-        known = set(front.clients)
+        """Connect, and have one request answered, so that the connection is idle between requests."""
+        clients = rig.server.fronts[0].clients
+        known = set(clients)
         sock = socket.create_connection(("127.0.0.1", rig.port))
         sock.setblocking(False)
-        await until(lambda: set(front.clients) - known)
-        line = cls(rig, sock, (set(front.clients) - known).pop())
+        await until(lambda: set(clients) - known)
+        line = cls(rig, sock, (set(clients) - known).pop())
         line.go.set()
         sock.sendall(request(f"{line.number}-first"))
         assert (await line.answer()).startswith(b"HTTP/1.1 200")
@@ -69,12 +83,12 @@
         """Send a request, and let the program run until it has come so far."""
         if step is Step.CONNECTED:
             return
-        whole = request(f"{self.number}-second")
-        self.socket.sendall(whole[:20] if step is Step.HALF else whole)
+        data = request(f"{self.number}-second")
+        self.socket.sendall(data[:HALF_SIZE] if step is Step.HALF else data)
         if step is Step.HALF:
             await until(lambda: not self.client.idle)
         elif step is Step.READ:
-            # The stream's read ends in the turn before ``serve`` goes on; this task is woken ahead of it.
+            # The stream's read ends in the iteration before ``serve`` goes on; this task wakes ahead of it.
             await until(lambda: self.client.has_unprocessed)
         elif step in (Step.IN_WORK, Step.ANSWERED):
             await self.asked.wait()
@@ -83,18 +97,19 @@
             await until(lambda: not self.client.busy)
 
     async def answer(self) -> bytes:
-        """What the client gets: an answer, or nothing where the connection ends before one."""
-        loop, said = asyncio.get_running_loop(), b""
-        while not said.endswith((b"\r\n\r\n", b"late")):
+        """Return what the client gets: an answer, or nothing where the connection ends before one."""
+        loop = asyncio.get_running_loop()
+        received = b""
+        while not received.endswith((b"\r\n\r\n", b"late")):
             try:
-                data = await loop.sock_recv(self.socket, 65536)
+                data = await loop.sock_recv(self.socket, READ_SIZE)
             except ConnectionResetError:
                 break
             if not data:
                 break
-            said += data
-        return said
+            received += data
+        return received
 
     def close(self) -> None:
-        """The client goes."""
+        """Close the client's socket."""
         self.socket.close()
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -22,7 +22,6 @@
     deduplication_window_ms=1500,
 )
 
-
 DEPLOYMENT = replace(
     SETTINGS,
     classes=(replace(READ, latency_objective_ms=900), KEYED),
@@ -32,7 +31,6 @@
     node_kinds=("m",),
 )
 
-
 NVME = f"""
 [nvme]
 listen = "127.0.0.1:1"
@@ -40,7 +38,6 @@
 box = [{{host = "block", nqn = "{NQN}"}}]
 """
 
-
 VOLUME = """
 [[nvme.volume]]
 namespace = {0}
@@ -53,73 +50,99 @@
 write_deadline_ms = 1000
 """
 
-
 INFO = "IO-Info: units=1,shard=0,hosts=1\n"
 
-
 GET = "GET /api/1/{} HTTP/1.1\nReq-Id: {}\nReq-Kind: read\nTier: gold\nReq-Deadline: 1.0\n{}\n"
 
-
 PUT = "PUT /api/1/{}?q=1 HTTP/1.1\nReq-Id: {}\nReq-Kind: write\nTier: gold\nReq-Deadline: 1.0\n{}\n"
+PLAY_TIMEOUT_S = 30
 SHORT_SHUTDOWN = replace(FAST_SHUTDOWN, max_deadline_s=1.2)  # completed 1.5 s after it was requested
 
 
 class Rig:
-    """A server with an HTTP box (shard 0) and an NVMe box (shard 1), both fronts open."""
+    """A server with an HTTP node (shard 0) and an NVMe node (shard 1), both frontends open.
+
+    Attributes:
+        http: The HTTP node.
+        nvme: The NVMe node.
+        discovery: The discovery stand-in, which lists both.
+        config: The configuration; what a reload reads.
+        server: The server.
+        port: Where it listens for HTTP.
+        nvme_port: Where it listens for NVMe/TCP.
+    """
 
     def __init__(self, store: str = "", console: tuple[str, int] | None = None) -> None:
-        self.http, self.nvme, self.discovery = HttpNode(), NvmeNode(), Discovery()
-        self._store, self._console = store, console
+        self.http = HttpNode()
+        self.nvme = NvmeNode()
+        self.discovery = Discovery()
+        self._store = store
+        self._console = console
 
     async def __aenter__(self) -> Rig:
         for service in (self.http, self.nvme, self.discovery):
             await service.open()
         self.discovery.add("plain", self.http.port, 0)
         self.discovery.add("block", self.nvme.port, 1)
-        rows = VOLUME.format(1, "gold", 0) + VOLUME.format(2, "gold", 1) + VOLUME.format(3, "held", 0)
-        text = NVME + rows + VOLUME.format(4, "held", 1) + f'[store]\npath = "{self._store}"\n'
-        extras = replace(operator_config.read(text, DEPLOYMENT), listen=("127.0.0.1", 0))
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
-        here = ("127.0.0.1", self.discovery.port)
-        self.config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT, self._console)
-        self.server = Server(self.config, extras, FAST_SHUTDOWN, self.reread)
+        discovery_address = ("127.0.0.1", self.discovery.port)
+        self.config = Config(
+            "n0", ("127.0.0.1", 0), discovery_address, 1, 256, 1 << 22, known, DEPLOYMENT, self._console
+        )
+        self.server = Server(self.config, self._operator_config(), FAST_SHUTDOWN, self.reread)
         await self.server.open()
         self.server.start()
         self.port, self.nvme_port = (opened.port for opened in self.server.listeners)
         return self
 
+    async def __aexit__(self, *_: object) -> None:
+        self.server.leave()
+        await self.server.finish()
+        for service in (self.http, self.nvme, self.discovery):
+            service.die()
+        assert not invariants.violations
+
     def reread(self, _: Config) -> Config:
+        """Return the configuration that a reload reads."""
         return self.config
 
     async def host(self) -> NvmeHost:
+        """Return an NVMe host that has connected to the server."""
         host = NvmeHost(self.nvme_port, "nqn.2026-12.example:front")
         await host.open()
         return host
 
-    async def __aexit__(self, *_: object) -> None:
-        self.server.leave()
-        await self.server.finish()
-        for service in (self.http, self.nvme, self.discovery):
-            service.die()
-        assert not invariants.violations
+    def _operator_config(self) -> operator_config.OperatorConfig:
+        volumes = (
+            VOLUME.format(1, "gold", 0),
+            VOLUME.format(2, "gold", 1),
+            VOLUME.format(3, "held", 0),
+            VOLUME.format(4, "held", 1),
+        )
+        text = NVME + "".join(volumes) + f'[store]\npath = "{self._store}"\n'
+        return replace(operator_config.read(text, DEPLOYMENT), listen=("127.0.0.1", 0))
+
 
+def play(scenario: Callable[[Rig], Awaitable[None]], store: str = "", *, console: bool = False) -> None:
+    """Play a scenario on a server, with a path for its store, and with the operators' console or without."""
+    console_address = ("127.0.0.1", 0) if console else None
 
-def play(scenario: Callable[[Rig], Awaitable[None]], store: str = "", console: bool = False) -> None:
     async def run() -> None:
-        async with asyncio.timeout(30), Rig(store, ("127.0.0.1", 0) if console else None) as rig:
+        async with asyncio.timeout(PLAY_TIMEOUT_S), Rig(store, console_address) as rig:
             await scenario(rig)
 
     asyncio.run(run())
 
 
 def held_back(rig: Rig) -> tuple[asyncio.Event, asyncio.Event]:
-    """The HTTP box answers ``late``, once the second event is set; the first says that it was asked."""
-    asked, go = asyncio.Event(), asyncio.Event()
+    """Have the HTTP node answer ``late`` once the second event is set; the first is set by its request."""
+    requested = asyncio.Event()
+    released = asyncio.Event()
 
-    async def slowly(_: object) -> bytes | None:
-        asked.set()
-        await go.wait()
+    async def answer(_: object) -> bytes | None:
+        requested.set()
+        await released.wait()
         return http(200, b"late")
 
-    rig.http.answer = slowly
-    return asked, go
+    rig.http.answer = answer
+    return requested, released
