--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -37,7 +37,7 @@
 sys.path.insert(0, str(ROOT))
 
 from tests.standins import Discovery, HttpNode, Service, http  # noqa: E402
-from tests.test_outside import nested  # noqa: E402
+from tests.support.platform_config import platform_settings  # noqa: E402
 
 BOXES, RATE, BUSY, KEYED = 4, 100.0, 400.0, 0.35
 TICK = os.sysconf("SC_CLK_TCK")
@@ -45,7 +45,7 @@
 
 def settings() -> dict[str, Any]:
     """A deployment of two classes."""
-    out = nested()
+    out = platform_settings()
     base = out["profiles"][0]
     out["profiles"] = [
         base
--- a/tests/store/test_killed_program.py
+++ b/tests/store/test_killed_program.py
@@ -20,7 +20,7 @@
 from tests.store.record_deployment import (
     KeyedNode,
 )
-from tests.test_outside import ROOT, nested
+from tests.support.platform_config import ROOT, platform_settings
 
 SETTLE_S = 0.05  # for an answer that is not to come
 TEST_TIMEOUT_S = 40
@@ -35,7 +35,7 @@
         self._operator = tmp_path / "operator.toml"
         self._operator.write_text(f'[store]\npath = "{self.record}"\nstall_ms = 9000\n')
         self._config = tmp_path / "config.json"
-        self._settings = nested()
+        self._settings = platform_settings()
         self._settings["profiles"][0] |= {
             "name": "write",
             "semantics": "deduplicated",
--- /dev/null
+++ b/tests/test_program.py
@@ -0,0 +1,93 @@
+"""The program as it is started: its commands, its start and its end."""
+
+from __future__ import annotations
+
+import os
+import socket
+import subprocess
+import sys
+import urllib.request
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from sabledyke.__main__ import main
+from tests.support.platform_config import ROOT, platform_settings, write_config
+
+PROGRAM = [sys.executable, "-O", "-m", "sabledyke"]
+
+
+@pytest.mark.parametrize(
+    ("changes", "expected_text"),
+    [
+        ({"listen": 5, "discovery": None}, "discovery"),
+        ({"settings": {}}, "setting me"),
+        ({"seed": "x"}, "seed"),
+        ({"limits": {"sockets": 3}}, "limits.sockets"),
+        ({"known": []}, "list"),
+        ({"settings": None}, "settings"),
+        ({"settings": platform_settings() | {"siblings": 0}}, "hosts"),
+        ({"discovery": "nowhere"}, "nowhere"),
+        ({"console": 8}, "console"),
+        ({"console": "no-port"}, "no-port"),
+    ],
+)
+def test_an_invalid_configuration_ends_the_start_with_one_plain_line(
+    tmp_path: Path, changes: dict[str, Any], expected_text: str
+) -> None:
+    completed = subprocess.run(
+        PROGRAM,
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        env={**os.environ, **write_config(tmp_path, **changes)},
+    )
+    assert completed.returncode == 2
+    assert completed.stderr.count("\n") == 1
+    assert not completed.stdout
+    assert completed.stderr.startswith("sabledyke: ")
+    assert expected_text in completed.stderr
+
+
+def test_the_commands_print_the_version_and_check_the_configuration(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    assert main(["version"]) == 0
+    assert capsys.readouterr().out.startswith("sabledyke 0")
+    monkeypatch.delenv("GW_CONFIG", raising=False)
+    assert main(["check-config"]) == 2
+    assert "GW_CONFIG" in capsys.readouterr().err
+    for name, value in write_config(tmp_path).items():
+        monkeypatch.setenv(name, value)
+    assert main(["check-config"]) == 0
+    assert "n3: listens at 127.0.0.1:9090" in capsys.readouterr().out
+    with pytest.raises(SystemExit):
+        main(["serve", "--nonsense"])
+
+
+def free_port() -> int:
+    """Return a port that is free now."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        port: int = probe.getsockname()[1]
+        return port
+
+
+def test_the_program_starts_serves_and_ends_on_sigterm(tmp_path: Path) -> None:
+    port = free_port()
+    program = subprocess.Popen(
+        PROGRAM,
+        cwd=ROOT,
+        env={**os.environ, **write_config(tmp_path), "GW_LISTEN": f"127.0.0.1:{port}"},
+        text=True,
+        stderr=subprocess.PIPE,
+    )
+    assert program.stderr is not None
+    assert f"n3 serves at 127.0.0.1:{port}" in program.stderr.readline()
+    with urllib.request.urlopen(f"http://127.0.0.1:{port}/_health", timeout=10) as answer:
+        assert answer.status == 200
+    program.terminate()
+    _, last_lines = program.communicate(timeout=20)
+    assert program.returncode == 0
+    assert last_lines.endswith("invariants broken: none\n")
