--- a/tests/standins/postgres_session.py
+++ b/tests/standins/postgres_session.py
@@ -31,12 +31,10 @@
 class PostgresSession(MessageStream):
     """One connection and its backend."""
 
-    def __init__(
-        self, server: Postgres, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-    ) -> None:
+    def __init__(self, server: Postgres, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         super().__init__(reader, writer)
         self.server = server
-        self.number = number
+        self.number = 0  # until its StartupMessage has come
         self._backend = Backend(server)
         self._statements = Statements(self._backend)
         self._secret = secrets.randbits(31)
@@ -49,8 +47,7 @@
             return
         while True:
             kind, body = await self._receive()
-            self._messages += 1
-            self.server.sessions_messages[self.number] = self._messages
+            self._count_message()
             if kind == b"X":
                 return
             try:
@@ -88,6 +85,10 @@
         fields = (("S", "ERROR"), ("V", "ERROR"), ("C", error.sqlstate), ("M", str(error)))
         self._send(b"E", b"".join(code.encode() + text.encode() + b"\0" for code, text in fields) + b"\0")
 
+    def _count_message(self) -> None:
+        self._messages += 1
+        self.server.sessions_messages[self.number] = self._messages
+
     async def _reach(self, stage: str, what: str) -> None:
         """Let the script act."""
         await self.server.script(Point(self.number, self._messages, stage, what))
@@ -100,9 +101,10 @@
         if code == CANCEL_REQUEST:
             self.server.cancelled.append(struct.unpack_from("!I", body)[0])
             return False
+        self.number = self.server.begin_session()
         words = body.split(b"\0")
         parameters = dict(zip(words[::2], words[1::2], strict=False))
-        self._messages += 1
+        self._count_message()
         try:
             await self._reach("before", "StartupMessage")
             await self._authenticate(parameters.get(b"user", b"").decode())
