--- a/tests/policy/test_dispatch.py
+++ b/tests/policy/test_dispatch.py
@@ -16,14 +16,14 @@
     rig.node().window_units = 4.1
     rig.node().latency_ms = 0.1
     sent = [rig.submit(), rig.submit()]
-    due_late = rig.submit(class_index=WRITE_CLASS)
-    due_soon = rig.submit(class_index=0)
-    assert [rig.attempt_count(request_id) for request_id in (*sent, due_late, due_soon)] == [1, 1, 0, 0]
+    later_due = rig.submit(class_index=WRITE_CLASS)
+    earlier_due = rig.submit(class_index=0)
+    assert [rig.attempt_count(request_id) for request_id in (*sent, later_due, earlier_due)] == [1, 1, 0, 0]
     rig.complete(sent[0])
-    assert rig.attempt_count(due_soon) == 1
-    assert rig.attempt_count(due_late) == 0
+    assert rig.attempt_count(earlier_due) == 1
+    assert rig.attempt_count(later_due) == 0
     rig.complete(sent[1])
-    assert rig.attempt_count(due_late) == 1
+    assert rig.attempt_count(later_due) == 1
 
 
 def test_the_requests_of_least_value_are_rejected_first() -> None:
@@ -88,15 +88,15 @@
 def test_a_rejection_is_given_at_once_and_says_when_to_retry_if_clients_accept_that() -> None:
     rig = SchedulerRig(node_entry(1))
     actions_before = len(rig.actions)
-    due_too_soon = rig.submit(remaining_ms=5)
+    without_time = rig.submit(remaining_ms=5)
     without_node = rig.submit(shard=9, remaining_ms=5)
     rejections = {action.request_id: action for action in actions_of(rig.actions[actions_before:], Reject)}
     assert without_node in rejections
     max_retry_after_ms = rig.scheduler.context.settings.max_retry_after_ms
     assert rejections[without_node].retry_after_ms == max_retry_after_ms
-    assert due_too_soon in rejections
+    assert without_time in rejections
     shortest_ms = rig.scheduler.context.shortest_objective_ms / 4
-    assert shortest_ms <= rejections[due_too_soon].retry_after_ms <= 500
+    assert shortest_ms <= rejections[without_time].retry_after_ms <= 500
     without_advice = SchedulerRig(node_entry(1), max_retry_after_ms=0)
     without_advice.submit(shard=9, remaining_ms=5)
     assert [action.retry_after_ms for action in actions_of(without_advice.actions, Reject)] == [0]
--- a/tests/standins/discovery.py
+++ b/tests/standins/discovery.py
@@ -7,9 +7,7 @@
 from typing import Any
 
 from tests.standins.http_messages import http, read_http
-from tests.standins.service import Reader, Service, Writer
-
-FOREVER_S = 3600
+from tests.standins.service import FOREVER_S, Reader, Service, Writer
 
 
 class Discovery(Service):
--- a/tests/standins/nvme_node.py
+++ b/tests/standins/nvme_node.py
@@ -6,25 +6,28 @@
 import struct
 from dataclasses import dataclass
 
+from tests.standins.nvme_commands import (
+    BLOCK_SIZE,
+    FABRICS_CONNECT,
+    FABRICS_PROPERTY_GET,
+    FEATURE_NUMBER_OF_QUEUES,
+    OPCODE_FABRICS,
+    OPCODE_READ,
+    OPCODE_SET_FEATURES,
+    OPCODE_WRITE,
+    PROPERTY_CAPABILITIES,
+    PROPERTY_STATUS,
+)
 from tests.standins.nvme_pdus import LAST_PDU, Pdu, pdu, read_pdu
-from tests.standins.service import Reader, Service, Writer
+from tests.standins.service import FOREVER_S, Reader, Service, Writer
 
 NQN = "nqn.2026-12.example:box"
-BLOCK_SIZE = 512
 CONTROLLER_ID = 7
 MAX_DATA_SIZE = 4096
-FOREVER_S = 3600
 NO_FAULT_BYTES = 1 << 40
 
-OPCODE_WRITE = 1
-OPCODE_READ = 2
-OPCODE_SET_FEATURES = 0x09
-OPCODE_FABRICS = 0x7F
-FEATURE_NUMBER_OF_QUEUES = 7
 QUEUE_COUNTS = 0x00030003  # four of each kind, counted from zero
-FABRICS_CONNECT = 1
-FABRICS_PROPERTY_GET = 4
-PROPERTY_VALUES = {0x00: 1 << 37, 0x1C: 1}  # capabilities; status: ready
+PROPERTY_VALUES = {PROPERTY_CAPABILITIES: 1 << 37, PROPERTY_STATUS: 1}  # status: ready
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/standins/nvme_pdus.py
+++ b/tests/standins/nvme_pdus.py
@@ -40,6 +40,6 @@
     kind, _, header_size, _, total_size = struct.unpack(
         COMMON_HEADER, await reader.readexactly(COMMON_HEADER_SIZE)
     )
-    rest = await reader.readexactly(total_size - COMMON_HEADER_SIZE)
+    body = await reader.readexactly(total_size - COMMON_HEADER_SIZE)
     data_offset = header_size - COMMON_HEADER_SIZE
-    return kind, rest[:data_offset], rest[data_offset:]
+    return kind, body[:data_offset], body[data_offset:]
--- a/tests/standins/postgres_statements.py
+++ b/tests/standins/postgres_statements.py
@@ -83,10 +83,9 @@
 
     def bind(self, body: bytes) -> None:
         """Bind the values of a Bind message to a portal."""
-        portal, rest = body.split(b"\0", 1)
-        name, rest = rest.split(b"\0", 1)
+        portal, name, values = body.split(b"\0", 2)
         prepared = self._prepared[name.decode()]
-        self.portals[portal.decode()] = Portal(prepared, BoundValues(rest).read(prepared))
+        self.portals[portal.decode()] = Portal(prepared, BoundValues(values).read(prepared))
 
     def close(self, name: str) -> None:
         """Forget a prepared statement."""
--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -8,6 +8,7 @@
 
 Reader: TypeAlias = asyncio.StreamReader
 Writer: TypeAlias = asyncio.StreamWriter
+FOREVER_S = 3600  # longer than any test takes
 
 
 class Service:
--- a/tests/standins/tls.py
+++ b/tests/standins/tls.py
@@ -8,10 +8,9 @@
 from pathlib import Path
 
 from tests.standins.http_node import HttpNode
-from tests.standins.service import Reader, Service, Writer
+from tests.standins.service import FOREVER_S, Reader, Service, Writer
 
 READ_SIZE = 65536
-FOREVER_S = 3600
 
 
 def server_context(
--- a/tests/tls/test_clients.py
+++ b/tests/tls/test_clients.py
@@ -29,7 +29,7 @@
 STATUS_MASK = 0x7FF  # status code and type
 
 
-def test_clients_are_admitted_by_their_certificates_and_kept_to_their_volumes(tmp_path: Path) -> None:
+def test_clients_are_admitted_by_their_certificates_to_their_volumes_only(tmp_path: Path) -> None:
     node = TlsNode(NODE_CONTEXT)
     known = ROOT.issue("till-1")
     unknown = OTHER_ROOT.issue("till-1")
--- a/tests/tls/test_nvme_nodes.py
+++ b/tests/tls/test_nvme_nodes.py
@@ -18,7 +18,7 @@
         self.port = int(self._server.sockets[0].getsockname()[1])
 
 
-def test_nvme_nodes_are_reached_by_tls_like_http_nodes(tmp_path: Path) -> None:
+def test_nvme_nodes_are_reached_by_tls_as_http_nodes_are(tmp_path: Path) -> None:
     node = TlsNvmeNode()
 
     async def scenario(rig: TlsServerRig) -> None:
--- a/tests/tls/tls_server_rig.py
+++ b/tests/tls/tls_server_rig.py
@@ -36,10 +36,10 @@
 def write_keys(folder: Path, chain: bytes, key: bytes, roots: bytes, revoked: bytes = b"") -> None:
     """Write key files as an operator's tool does: each is replaced as a whole."""
     for name, data in (("chain", chain), ("key", key), ("roots", roots), ("revoked", revoked)):
-        part = folder / f"{name}.part"
-        part.touch(0o600)
-        part.write_bytes(data)
-        part.rename(folder / name)
+        temporary = folder / f"{name}.part"
+        temporary.touch(0o600)
+        temporary.write_bytes(data)
+        temporary.rename(folder / name)
 
 
 def client_context(folder: Path, pair: tuple[bytes, bytes] | None = None) -> ssl.SSLContext:
