--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -15,10 +15,10 @@
 from sabledyke.policy.nodes import EndpointList, ListKind
 from sabledyke.protocol import discovery
 from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout
-from tests import helpers
 from tests.standins import Discovery
-from tests.support.endpoint_lists import DRAINS, GONE, HOST, change
+from tests.support.endpoint_lists import DRAINS, GONE, HOST, change, complete_list
 from tests.support.request_steps import until
+from tests.support.scheduler_rig import SchedulerRig, actions_of
 from tests.support.server_rig import DEPLOYMENT
 
 
@@ -105,14 +105,14 @@
 @pytest.mark.parametrize("hosts", [3, 30, 200, 3200])
 def test_after_failed_calls_the_list_is_requested_before_a_drain_must_be_known(hosts: int) -> None:
     """Told 6 s after discovery can be reached, and 2 s of grace; a call takes up to 3 s, and 0.15 s go by."""
-    rig = helpers.Rig(polls_endpoint_list=True, scheduler_count=hosts)
+    rig = SchedulerRig(polls_endpoint_list=True, scheduler_count=hosts)
     for _ in range(60):
-        told = rig.do(EndpointList(ListKind.FAILED, 0, ()))
-        (timer,) = helpers.of(told, SetTimer)
+        told = rig.handle(EndpointList(ListKind.FAILED, 0, ()))
+        (timer,) = actions_of(told, SetTimer)
         assert 0 < timer.delay_ms <= 6000 + 2000 - 3000 - 150 - 350
-        rig.now += timer.delay_ms
+        rig.now_ms += timer.delay_ms
     rig.scheduler.apply_settings(replace(rig.scheduler.context.settings, mean_units=3))
-    (timer,) = helpers.of(rig.do(EndpointList(ListKind.FAILED, 0, ())), SetTimer)
+    (timer,) = actions_of(rig.handle(EndpointList(ListKind.FAILED, 0, ())), SetTimer)
     assert (
         timer.delay_ms <= rig.scheduler.discovery.first_call_spread_ms
     )  # new settings: the pauses begin anew
@@ -151,13 +151,9 @@
         ),
         (True, [DRAINS, b'{"seq": 3, "whole": false, "hosts": [', GONE], ["READY", "DRAINING", None, "GONE"]),
         # Older than what is held, or out of order: set aside, and the whole list is asked for.
-        (True, [GONE, DRAINS, change(HOST, 4, whole=True)], ["READY", "GONE", None, "READY"]),
+        (True, [GONE, DRAINS, complete_list(HOST, 4)], ["READY", "GONE", None, "READY"]),
         # An older whole list is taken once a second call brings one too: it counts from the start.
-        (
-            True,
-            [GONE, change(HOST, 1, whole=True), change(HOST, 1, whole=True)],
-            ["READY", "GONE", None, "READY"],
-        ),
+        (True, [GONE, complete_list(HOST, 1), complete_list(HOST, 1)], ["READY", "GONE", None, "READY"]),
         (
             True,
             [change(HOST, 2, born_ms=5.0), change(HOST, 3, born_ms="nan"), GONE],
@@ -166,10 +162,7 @@
         # One garbled entry hides no drain beside it, and nobody is taken for gone.
         (
             True,
-            [
-                {"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINS["hosts"][0]]},
-                change(HOST, 2, whole=True),
-            ],
+            [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINS["hosts"][0]]}, complete_list(HOST, 2)],
             ["READY", "DRAINING", None, "READY"],
         ),
     ],
