--- a/sabledyke/__main__.py
+++ b/sabledyke/__main__.py
@@ -60,7 +60,9 @@
 
 from __future__ import annotations
 
+import asyncio
 import functools
+import importlib
 import os
 import sys
 from typing import TYPE_CHECKING
@@ -71,101 +73,111 @@
     from sabledyke.operator_config import OperatorConfig
 
 VERSION = "0.1.0"
+SUBCOMMAND_GROUPS = ("tls", "lease", "fleet", "lab", "store")
+"""Sub-commands that have sub-commands of their own; each is the module of ``sabledyke.cli`` of that name."""
 
 
-def serve(settings: config.Config, operator: OperatorConfig | None, path: str | None = None) -> None:
-    """Run one scheduler; ``path`` is the operator's file, which SIGHUP has read again."""
-    import asyncio
+def main(arguments: list[str]) -> int:
+    """Run one command.
+
+    Args:
+        arguments: The command line without the program's name.
+
+    Returns:
+        The exit code: 0 for success, 2 for a configuration that cannot be used; a group of sub-commands may
+        return others.
+    """
+    if not arguments:  # a plain start spares the time that reading the command line takes
+        return _serve_command(None)
+    from docopt import docopt
+
+    options = docopt(__doc__, arguments)
+    for group in SUBCOMMAND_GROUPS:
+        if options[group]:
+            exit_code: int = importlib.import_module(f"sabledyke.cli.{group}").main(options)
+            return exit_code
+    if options["version"]:
+        print(f"sabledyke {VERSION}")
+        return 0
+    if options["check-config"]:
+        return _check_config_command(options["--operator"])
+    return _serve_command(options["--operator"])
+
+
+def serve(
+    deployment: config.Config, operator_config: OperatorConfig | None, operator_path: str | None = None
+) -> None:
+    """Run one scheduler until it is told to end.
+
+    Args:
+        deployment: The platform's configuration.
+        operator_config: What the operator's file says; None without one.
+        operator_path: The operator's file, which is read again on SIGHUP.
 
+    Raises:
+        ConfigError: The start found that the configuration cannot be used.
+        OSError: An address cannot be listened at.
+    """
     from sabledyke.application.server import Server
 
-    again = None
-    if path is not None:
-        from sabledyke import operator_config as operators_file  # only here, so that a plain start is quick
+    reread_operator = None
+    if operator_path is not None:
+        from sabledyke import operator_config as operator_file  # only here, so that a plain start is quick
 
-        again = functools.partial(operators_file.load, path)
-    if operator is not None and operator.json_log:
+        reread_operator = functools.partial(operator_file.load, operator_path)
+    if operator_config is not None and operator_config.json_log:
         from sabledyke import structured_log
 
-        structured_log.set_up(settings.name)
+        structured_log.set_up(deployment.name)
 
     async def run() -> None:
         reread = functools.partial(config.load, os.environ)
-        await Server(settings, operator, reread=reread, reread_operator=again).run()
+        await Server(deployment, operator_config, reread=reread, reread_operator=reread_operator).run()
 
     asyncio.run(run())
 
 
-def _operator(path: str, settings: config.Config) -> OperatorConfig:
-    from sabledyke import operator_config  # only here, so that a plain start is quick
-
-    return operator_config.load(path, settings.settings)
+def _serve_command(operator_path: str | None) -> int:
+    try:
+        deployment, operator_config = _load(operator_path)
+    except config.ConfigError as error:
+        return _report(error)
+    try:
+        serve(deployment, operator_config, operator_path)
+    except (config.ConfigError, OSError) as error:  # no store, or an address that cannot be listened at
+        return _report(error)
+    return 0
 
 
-def main(arguments: list[str]) -> int:
-    """Run one command; 0 for success, 2 for a configuration that cannot be used."""
-    command, path = "serve", None
-    if arguments:  # a plain start spares the time that reading the command line takes
-        from docopt import docopt
-
-        said = docopt(__doc__, arguments)
-        command = next((c for c in ("check-config", "version") if said[c]), "serve")
-        path = said["--operator"]
-        if said["tls"]:
-            from sabledyke.cli import tls
-
-            return tls.main(said)
-        if said["lease"]:
-            from sabledyke.cli import lease
-
-            return lease.main(said)
-        if said["fleet"]:
-            from sabledyke.cli import fleet
-
-            return fleet.main(said)
-        if said["lab"]:
-            from sabledyke.cli import lab
-
-            return lab.main(said)
-        if said["store"]:
-            from sabledyke.cli import store
-
-            return store.main(said)
-    if command == "version":
-        print(f"sabledyke {VERSION}")
-        return 0
+def _check_config_command(operator_path: str | None) -> int:
     try:
-        settings = config.load(os.environ)
-        operator_config = _operator(path, settings) if path else None
-    except config.ConfigError as fault:
-        print(f"sabledyke: {fault}", file=sys.stderr)
-        return 2
-    if command == "check-config":
-        known = settings.known.update.entries if settings.known else ()
-        print(
-            f"{settings.name}: listens at {settings.listen[0]}:{settings.listen[1]}, "
-            f"{len(known)} nodes known, {len(settings.settings.classes)} classes, "
-            f"{len(settings.settings.plans)} plans"
-        )
-        if operator_config is not None:
-            where = ":".join(map(str, operator_config.listen)) if operator_config.listen else "nowhere"
-            print(
-                f"operator's file: NVMe at {where}, {len(operator_config.volumes)} volumes, "
-                f"{len(operator_config.boxes)} boxes; "
-                f"store {operator_config.store or 'off'}; TLS {'on' if operator_config.tls else 'off'}; "
-                f"leases {operator_config.lease or 'off'}"
-            )
-        return 0
-    try:
-        serve(settings, operator_config, path)
-    except (config.ConfigError, OSError) as fault:  # no store, or an address that cannot be listened at
-        print(f"sabledyke: {fault}", file=sys.stderr)
-        return 2
+        deployment, operator_config = _load(operator_path)
+    except config.ConfigError as error:
+        return _report(error)
+    from sabledyke.cli import check_config
+
+    print("\n".join(check_config.describe(deployment, operator_config)))
     return 0
 
 
+def _report(error: Exception) -> int:
+    """Print why the configuration cannot be used, and return the exit code for it."""
+    print(f"sabledyke: {error}", file=sys.stderr)
+    return 2
+
+
+def _load(operator_path: str | None) -> tuple[config.Config, OperatorConfig | None]:
+    """Read the configuration that the environment names, and the operator's file where there is one."""
+    deployment = config.load(os.environ)
+    if not operator_path:
+        return deployment, None
+    from sabledyke import operator_config as operator_file  # only here, so that a plain start is quick
+
+    return deployment, operator_file.load(operator_path, deployment.settings)
+
+
 def command() -> None:
-    """The installed command."""
+    """Run the installed command, and end the process with its exit code."""
     sys.exit(main(sys.argv[1:]))
 
 
--- a/sabledyke/cli/store.py
+++ b/sabledyke/cli/store.py
@@ -32,7 +32,7 @@
 
 
 async def _run(command: str, arguments: Mapping[str, Any]) -> bool:
-    target = section.load(arguments["--operator"]).record
+    target = section.load(arguments["--operator"]).record  # there is one: ``load`` checks it
     assert target is not None
     try:
         return await _run_on(target, command, arguments)
--- a/sabledyke/cli/tls.py
+++ b/sabledyke/cli/tls.py
@@ -10,23 +10,33 @@
 from sabledyke.config import ConfigError
 
 
-def main(said: Mapping[str, Any]) -> int:
-    """0 where the keys can be used, 1 where they end within 30 days, 2 where they cannot be used."""
+def main(arguments: Mapping[str, Any]) -> int:
+    """Check the keys, and print what they are good for and until when.
+
+    Args:
+        arguments: The command line, as docopt reads it.
+
+    Returns:
+        The exit code: 0 where the keys can be used, 1 where they expire within 30 days, 2 where they cannot
+        be used.
+    """
     try:
         from sabledyke.tls import key_material, keyring, section
     except ImportError:
         print("sabledyke: tls wants cryptography: pip install 'sabledyke[tls]'", file=sys.stderr)
         return 2
-    now = time.time() * 1000
+    now_ms = time.time() * 1000
     try:
-        found = section.load(said["FILE"])
-        checked = key_material.check_key_files(found.paths.read_files(), now)
-    except (ConfigError, key_material.MaterialError) as fault:
-        print(f"sabledyke: {fault}", file=sys.stderr)
+        tls_section = section.load(arguments["FILE"])
+        material = key_material.check_key_files(tls_section.paths.read_files(), now_ms)
+    except (ConfigError, key_material.MaterialError) as error:
+        print(f"sabledyke: {error}", file=sys.stderr)
         return 2
-    names = ", ".join(checked.names) or "no name"
-    print(f"our certificate is for {names}" if checked.files.chain else "no certificate of ours")
-    for end, what in sorted(checked.expirations):
-        print(f"{what}: ends in {(end - now) / keyring.DAY_MS:.1f} days")
-    print(f"boxes are known as {found.name_template}")
-    return 1 if checked.first_expiration[0] - now <= max(keyring.WARNING_DAYS) * keyring.DAY_MS else 0
+    names = ", ".join(material.names) or "no name"
+    print(f"our certificate is for {names}" if material.files.chain else "no certificate of ours")
+    for expires_ms, subject in sorted(material.expirations):
+        print(f"{subject}: ends in {(expires_ms - now_ms) / keyring.DAY_MS:.1f} days")
+    print(f"boxes are known as {tls_section.name_template}")
+    first_expires_ms = material.first_expiration[0]
+    expires_soon = first_expires_ms - now_ms <= max(keyring.WARNING_DAYS) * keyring.DAY_MS
+    return 1 if expires_soon else 0
