--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -60,9 +60,7 @@
     ExtensionFactory("sabledyke.tls.extension", "set_up", lambda operator: operator.tls),
     ExtensionFactory("sabledyke.store.extension", "set_up", lambda operator: operator.store),
     ExtensionFactory("sabledyke.store.extension", "set_up_boxes", lambda operator: operator.store),
-    ExtensionFactory(
-        "sabledyke.net.nvme_extension", "set_up", lambda operator: operator.listen or operator.boxes
-    ),
+    ExtensionFactory("sabledyke.net.nvme_extension", "set_up", lambda operator: operator.nvme.is_configured),
     ExtensionFactory("sabledyke.lease.extension", "set_up", lambda operator: operator.lease),
     ExtensionFactory("sabledyke.rollout.extension", "set_up", lambda operator: operator.rollout),
     ExtensionFactory("sabledyke.quota_sharing.extension", "set_up", lambda operator: operator.fleet),
--- a/sabledyke/cli/check_config.py
+++ b/sabledyke/cli/check_config.py
@@ -25,10 +25,11 @@
 
 
 def _describe_operator_config(operator_config: OperatorConfig) -> str:
-    address = ":".join(map(str, operator_config.listen)) if operator_config.listen else "nowhere"
+    nvme = operator_config.nvme
+    address = ":".join(map(str, nvme.listen)) if nvme.listen else "nowhere"
     return (
-        f"operator's file: NVMe at {address}, {len(operator_config.volumes)} volumes, "
-        f"{len(operator_config.boxes)} boxes; "
+        f"operator's file: NVMe at {address}, {len(nvme.volumes)} volumes, "
+        f"{len(nvme.nodes)} boxes; "
         f"store {operator_config.store or 'off'}; TLS {'on' if operator_config.tls else 'off'}; "
         f"leases {operator_config.lease or 'off'}"
     )
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -10,6 +10,7 @@
 from sabledyke.net.frontend import Frontend
 from sabledyke.net.nvme_frontend import NvmeClientConnection
 from sabledyke.net.nvme_link import NvmeDialer
+from sabledyke.net.nvme_section import NvmeSection
 from sabledyke.policy.nodes import NodeId
 from sabledyke.protocol.nvme.blocks import Translator
 
@@ -23,13 +24,13 @@
 
     Args:
         host: What the server offers to its extensions.
-        section: The operator's file.
+        section: The section ``[nvme]``.
     """
 
-    def __init__(self, host: ServerContext, section: OperatorConfig) -> None:
+    def __init__(self, host: ServerContext, section: NvmeSection) -> None:
         settings = host.config.settings
         self._section = section
-        self._nqn_by_node = dict(section.boxes)
+        self._nqn_by_node = dict(section.nodes)
         translator = Translator(settings, section.nqn, section.volumes)
         self._translator = translator
         self.dialer = NvmeDialer(
@@ -66,6 +67,6 @@
         self.dialer.close()
 
 
-def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
+def set_up(host: ServerContext, operator: OperatorConfig) -> Extension | None:
     """Return the extension, where the operator's file asks for it."""
-    return NvmeExtension(host, section) if section.listen or section.boxes else None
+    return NvmeExtension(host, operator.nvme) if operator.nvme.is_configured else None
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -1,110 +1,64 @@
-"""The operator's file: what is off on the platform, such as NVMe over TCP, the store of record and leases."""
+"""The operator's file: what is off on the platform, such as NVMe over TCP, the store of record and leases.
+
+Each section is read in the package that it configures, which is loaded only where the file has the section.
+What is checked here concerns more than one section.
+"""
 
 from __future__ import annotations
 
 import os
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Annotated, Any, Literal
-
-from msgspec import Meta
+from typing import TYPE_CHECKING, Any, Literal, NamedTuple
 
 from sabledyke.errors import OperatorError
-from sabledyke.policy.nodes import NodeId
+from sabledyke.net import nvme_section
+from sabledyke.net.nvme_section import NvmeSection, NvmeTable
 from sabledyke.policy.settings import Settings
-from sabledyke.protocol.discovery import parse_address
-from sabledyke.protocol.nvme import BLOCK_BYTES, MAX_DATA_BYTES
-from sabledyke.protocol.nvme.blocks import NvmeVolume
-from sabledyke.store import section
+from sabledyke.store import section as store_section
 from sabledyke.store.section import StoreSection, Target
-from sabledyke.toml_tables import Milliseconds, Table, convert, from_file, parsed
+from sabledyke.toml_tables import Table, convert, from_file, parsed
 
 if TYPE_CHECKING:
-    from sabledyke.compacted_log.section import LogSection as BoardSection
-    from sabledyke.lease.section import LeaseSection as LeaseSection
+    from sabledyke.compacted_log.section import LogSection
+    from sabledyke.lease.section import LeaseSection
     from sabledyke.placement.volume_placement import SiteMap
-    from sabledyke.quota_sharing.section import Section as FleetSection
+    from sabledyke.quota_sharing.section import Section as QuotaSharingSection
     from sabledyke.rollout.section import Section as RolloutSection
     from sabledyke.tls.section import TlsSection
 
-NQN = 223  # bytes of a name
-LARGEST = MAX_DATA_BYTES // BLOCK_BYTES  # blocks of one command
+__all__ = ["OperatorConfig", "OperatorError", "load", "read"]
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorConfig:
-    """What the file says; without one, everything here is off."""
-
-    listen: tuple[str, int] | None = None
-    connections: int = 32
-    nqn: str = ""
-    host_nqn: str = ""
-    volumes: tuple[NvmeVolume, ...] = ()
-    boxes: tuple[tuple[NodeId, str], ...] = ()  # nodes that speak NVMe, and their subsystems
+    """What the file says; without one, everything here is off.
+
+    Sections have their names of the file: ``board`` is the compacted log's, ``sites`` that of placement and
+    ``fleet`` that of quota sharing.
+    """
+
+    nvme: NvmeSection = NvmeSection()
     store: StoreSection | None = None
     tls: TlsSection | None = None
     lease: LeaseSection | None = None
-    board: BoardSection | None = None
+    board: LogSection | None = None
     rollout: RolloutSection | None = None
     sites: SiteMap | None = None
-    fleet: FleetSection | None = None
+    fleet: QuotaSharingSection | None = None
     json_log: bool = False
 
 
-class BoxRow(Table, frozen=True, kw_only=True):
-    """A node that speaks NVMe."""
-
-    host: str
-    nqn: Annotated[str, Meta(max_length=NQN)]
-
-
-class VolumeRow(Table, frozen=True, kw_only=True):
-    """A namespace that a volume is reached by; what is 0 for none takes the class's or the largest."""
-
-    namespace: Annotated[int, Meta(ge=1, le=1024)]
-    volume: Annotated[str, Meta(pattern="^[0-9a-fA-F]+$")]
-    grade: str
-    read_class: str
-    write_class: str
-    blocks: Annotated[int, Meta(ge=1, le=1 << 48)]
-    stripe: Annotated[tuple[Annotated[int, Meta(ge=0, lt=65536)], ...], Meta(min_length=1)]
-    stripe_blocks: Annotated[int, Meta(ge=1, le=65535)] = LARGEST
-    hosts: Annotated[int, Meta(ge=1, le=1000)] = 1
-    unit_bytes: Annotated[int, Meta(ge=BLOCK_BYTES, le=MAX_DATA_BYTES)] = 8192
-    read_deadline_ms: Milliseconds | None = None
-    write_deadline_ms: Milliseconds | None = None
-    object_blocks: Annotated[int, Meta(ge=1, le=LARGEST)] = 8
-
-
-class NvmeTable(Table, frozen=True, kw_only=True):
-    """NVMe over TCP, on both sides."""
-
-    listen: str = ""
-    connections: Annotated[int, Meta(ge=1, le=256)] = 32
-    nqn: Annotated[str, Meta(max_length=NQN)] = ""
-    host_nqn: Annotated[str, Meta(max_length=NQN)] = "nqn.2026-12.example:sabledyke"
-    volume: tuple[VolumeRow, ...] = ()
-    box: tuple[BoxRow, ...] = ()
-
-    def __post_init__(self) -> None:
-        namespaces, volumes = {v.namespace for v in self.volume}, {int(v.volume, 16) for v in self.volume}
-        for what, some in {"namespace": namespaces, "volume": volumes}.items():
-            if len(some) < len(self.volume):
-                raise ValueError(f"two volume rows have the same {what}")
-        if self.listen and not (self.nqn and self.volume):
-            raise ValueError("listen wants nqn and at least one volume")
-
-
-class LogTable(Table, frozen=True, kw_only=True):
-    """How lines are written."""
+class LogFormatTable(Table, frozen=True, kw_only=True):
+    """The table ``[log]``: how lines are written."""
 
     format: Literal["plain", "json"] = "plain"
 
 
-class File(Table, frozen=True, kw_only=True):
-    """The whole file; what is loaded only where it is named is read in its own package."""
+class OperatorFile(Table, frozen=True, kw_only=True):
+    """All sections by their names; those that are plain tables here are converted in their own packages."""
 
     nvme: NvmeTable = NvmeTable()
-    log: LogTable = LogTable()
+    log: LogFormatTable = LogFormatTable()
     store: dict[str, Any] = {}
     tls: dict[str, Any] = {}
     lease: dict[str, Any] = {}
@@ -114,109 +68,99 @@
     fleet: dict[str, Any] = {}
 
 
+class RolloutSections(NamedTuple):
+    """The sections that ``[rollout]`` depends on, or that depend on it."""
+
+    board: LogSection | None = None
+    rollout: RolloutSection | None = None
+    sites: SiteMap | None = None
+
+
 def load(path: str, settings: Settings) -> OperatorConfig:
-    """The file at a path, under the deployment's settings."""
+    """Read the file at a path, under the deployment's settings.
+
+    Raises:
+        OperatorError: The file cannot be used; one line that names it and the key.
+    """
     return from_file(path, lambda text: read(text, settings))
 
 
 def read(text: str, settings: Settings) -> OperatorConfig:
-    """The text of such a file."""
-    said = convert(parsed(text), File, "file")
-    nvme, store = said.nvme, section.read(said.store, os.environ)
-    lease = _lease(said.lease, store.record if store is not None else None)
-    board, rollout, sites = _fleet(said, lease)
-    operator = OperatorConfig(
-        listen=parse_address(nvme.listen) if nvme.listen else None,
-        connections=nvme.connections,
-        nqn=nvme.nqn,
-        host_nqn=nvme.host_nqn,
-        volumes=tuple(_volume(row, i, settings) for i, row in enumerate(nvme.volume)),
-        boxes=tuple((box.host.encode(), box.nqn) for box in nvme.box),
+    """Read the text of an operator's file, under the deployment's settings.
+
+    Raises:
+        OperatorError: It cannot be used; one line that names the key.
+        ListError: An address in it cannot be read.
+    """
+    file = convert(parsed(text), OperatorFile, "file")
+    store = store_section.read(file.store, os.environ)
+    lease = _read_lease(file.lease, store.record if store is not None else None)
+    board, rollout, sites = _read_rollout(file, lease)
+    nvme = nvme_section.read(file.nvme, settings)
+    tls = _read_tls(file.tls)
+    fleet = _read_quota_sharing(file.fleet, board)
+    _check_nodes(nvme, store)
+    return OperatorConfig(
+        nvme=nvme,
         store=store,
-        tls=_tls(said.tls),
+        tls=tls,
         lease=lease,
         board=board,
         rollout=rollout,
         sites=sites,
-        fleet=_shares(said.fleet, board),
-        json_log=said.log.format == "json",
+        fleet=fleet,
+        json_log=file.log.format == "json",
     )
-    if store is not None and {b.node for b in store.sql_nodes} & {n for n, _ in operator.boxes}:
-        raise OperatorError("a host is named both in nvme.box and in store.box")
-    return operator
 
 
-def _lease(data: dict[str, Any], record: Target | None) -> LeaseSection | None:
+def _read_lease(data: dict[str, Any], record: Target | None) -> LeaseSection | None:
     if not data:
         return None
-    from sabledyke.lease import section as lease  # loaded only where it is wanted
+    from sabledyke.lease import section  # loaded only where it is wanted
 
-    return lease.read(data, record)
+    return section.read(data, record)
 
 
-def _fleet(
-    said: File, lease: LeaseSection | None
-) -> tuple[BoardSection | None, RolloutSection | None, SiteMap | None]:
-    if not (said.board or said.rollout or said.sites):
-        return None, None, None
-    from sabledyke.compacted_log import section as boards  # loaded only where they are wanted
-    from sabledyke.placement import section as sites
-    from sabledyke.rollout import section as rollouts
+def _read_rollout(file: OperatorFile, lease: LeaseSection | None) -> RolloutSections:
+    if not (file.board or file.rollout or file.sites):
+        return RolloutSections()
+    from sabledyke.compacted_log import section as log_section  # loaded only where they are wanted
+    from sabledyke.placement import section as placement_section
+    from sabledyke.rollout import section as rollout_section
 
-    board, rollout, where = boards.read(said.board), rollouts.read(said.rollout), sites.read(said.sites)
+    board = log_section.read(file.board)
+    rollout = rollout_section.read(file.rollout)
+    sites = placement_section.read(file.sites)
     if board is not None and board.topics and rollout is None:
         raise OperatorError("board.topics wants [rollout], whose members clean them")
     if rollout is not None and (board is None or lease is None):
         raise OperatorError("rollout wants [board], where its plans stand, and [lease], for its coordinator")
-    if where is not None and (rollout is None or rollout.site not in where.capacity):
+    if sites is not None and (rollout is None or rollout.site not in sites.capacity):
         raise OperatorError("sites wants [rollout], whose site is one of sites.room")
-    return board, rollout, where
+    return RolloutSections(board, rollout, sites)
 
 
-def _shares(data: dict[str, Any], board: BoardSection | None) -> FleetSection | None:
+def _read_tls(data: dict[str, Any]) -> TlsSection | None:
     if not data:
         return None
-    from sabledyke.quota_sharing import section as fleet  # loaded only where it is wanted
-
-    if board is None:
-        raise OperatorError("fleet wants [board], where its members tell their demands")
-    return fleet.read(data)
+    try:
+        from sabledyke.tls import section  # its library is loaded only where it is wanted
+    except ImportError:
+        raise OperatorError("tls wants cryptography: pip install 'sabledyke[tls]'") from None
+    return section.read(data)
 
 
-def _tls(data: dict[str, Any]) -> TlsSection | None:
+def _read_quota_sharing(data: dict[str, Any], board: LogSection | None) -> QuotaSharingSection | None:
     if not data:
         return None
-    try:
-        from sabledyke.tls import section as tls  # its library is loaded only where it is wanted
-    except ImportError:
-        raise OperatorError("tls wants cryptography: pip install 'sabledyke[tls]'") from None
-    return tls.read(data)
-
-
-def _volume(row: VolumeRow, number: int, settings: Settings) -> NvmeVolume:
-    def place(key: str, names: list[str]) -> int:
-        if (name := str(getattr(row, key))) not in names:
-            where = f"file.nvme.volume[{number}].{key}"
-            raise OperatorError(f"{where} must be one of {', '.join(names)}, not {name!r}")
-        return names.index(name)
-
-    classes, plans = [c.name for c in settings.classes], [p.name for p in settings.plans]
-    read_class, write_class = place("read_class", classes), place("write_class", classes)
-    return NvmeVolume(
-        namespace_id=row.namespace,
-        volume_id=int(row.volume, 16),
-        plan_index=place("grade", plans),
-        read_class=read_class,
-        write_class=write_class,
-        block_count=row.blocks,
-        stripe_shards=row.stripe,
-        stripe_blocks=row.stripe_blocks,
-        host_count=float(row.hosts),
-        unit_bytes=row.unit_bytes,
-        read_deadline_ms=row.read_deadline_ms or settings.classes[read_class].deadline_ms,
-        write_deadline_ms=row.write_deadline_ms or settings.classes[write_class].deadline_ms,
-        object_blocks=row.object_blocks,
-    )
+    from sabledyke.quota_sharing import section  # loaded only where it is wanted
 
+    if board is None:
+        raise OperatorError("fleet wants [board], where its members tell their demands")
+    return section.read(data)
 
-__all__ = ["OperatorConfig", "OperatorError", "load", "read"]
+
+def _check_nodes(nvme: NvmeSection, store: StoreSection | None) -> None:
+    sql_nodes = store.sql_nodes if store is not None else ()
+    if {row.node for row in sql_nodes} & {row.node for row in nvme.nodes}:
+        raise OperatorError("a host is named both in nvme.box and in store.box")
--- a/tests/compatibility/program/settings.py
+++ b/tests/compatibility/program/settings.py
@@ -48,7 +48,7 @@
         "sites": sites_section.SitesTable,
         "fleet": fleet_section.FleetTable,
     }
-    keys = set(_keys(operator_config.File))
+    keys = set(_keys(operator_config.OperatorFile))
     return keys.union(*(_keys(table, f"{name}.") for name, table in tables.items()))
 
 
--- a/tests/protocol/test_nvme_blocks.py
+++ b/tests/protocol/test_nvme_blocks.py
@@ -29,7 +29,7 @@
 @FIXED
 @given(st.binary(max_size=2000), st.integers(0, 7), st.booleans())
 def test_an_http_object_comes_back_from_blocks_as_it_was(body: bytes, piece: int, keyed: bool) -> None:
-    translator = Translator(SETTINGS, NQN, operator_config.read(OPERATOR_FILE, SETTINGS).volumes)
+    translator = Translator(SETTINGS, NQN, operator_config.read(OPERATOR_FILE, SETTINGS).nvme.volumes)
     headers = {**REQUEST_HEADERS, "idempotency-key": "k" * keyed}
     reader = MessageReader(SETTINGS)
     write = reader.read_request(HttpMessage("PUT", f"/api/9/{piece}", headers=headers, body=body))
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -78,7 +78,8 @@
         self.discovery.add("block", self.nvme.port, 1)
         rows = VOLUME.format(1, "gold", 0) + VOLUME.format(2, "gold", 1) + VOLUME.format(3, "held", 0)
         text = NVME + rows + VOLUME.format(4, "held", 1) + f'[store]\npath = "{self._store}"\n'
-        extras = replace(operator_config.read(text, DEPLOYMENT), listen=("127.0.0.1", 0))
+        operator = operator_config.read(text, DEPLOYMENT)
+        extras = replace(operator, nvme=replace(operator.nvme, listen=("127.0.0.1", 0)))
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         self.config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT, self._console)
--- a/tests/test_outside.py
+++ b/tests/test_outside.py
@@ -174,12 +174,13 @@
 
 def test_the_example_file_is_valid() -> None:
     got = operator_config.read(EXAMPLE, SITE)
-    assert got.listen == ("127.0.0.1", 4420) and got.boxes[0][0] == b"s-00000001" and got.store
-    assert (
-        got.volumes[0].plan_index == 1
-        and got.volumes[0].write_class == 1
-        and got.volumes[0].stripe_shards == (0, 3)
-    )
+    assert got.store
+    assert got.nvme.listen == ("127.0.0.1", 4420)
+    assert got.nvme.nodes[0].node == b"s-00000001"
+    volume = got.nvme.volumes[0]
+    assert volume.plan_index == 1
+    assert volume.write_class == 1
+    assert volume.stripe_shards == (0, 3)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_tls_net.py
+++ b/tests/test_tls_net.py
@@ -59,11 +59,13 @@
         extras = (
             operator_config.read(self._more, DEPLOYMENT) if self._more else operator_config.OperatorConfig()
         )
-        listen = ("127.0.0.1", 0) if extras.listen else None
+        listen = ("127.0.0.1", 0) if extras.nvme.listen else None
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         here = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
-        self.server = Server(config, replace(extras, tls=tls, listen=listen), BRISK)
+        self.server = Server(
+            config, replace(extras, tls=tls, nvme=replace(extras.nvme, listen=listen)), BRISK
+        )
         await self.server.open()
         self.server.start()
         return self
