--- a/sabledyke/application/reload.py
+++ b/sabledyke/application/reload.py
@@ -49,10 +49,10 @@
             operator = self._read_checked_operator(config)
             self._move_listener(config)
         except (ConfigError, SettingsError, OSError) as error:
-            metrics.count_reload(False)
+            metrics.count_failed_reload()
             log.emit("reload", f"the new configuration is not used: {error}")
             return str(error)
-        metrics.count_reload(True)
+        metrics.count_successful_reload()
         self._apply(config, operator)
         where = f"discovery at {config.discovery[0]}:{config.discovery[1]}"
         log.emit("reload", f"the new configuration is in force; {where}, {config.sockets} descriptors")
--- a/sabledyke/application/resource_limits.py
+++ b/sabledyke/application/resource_limits.py
@@ -31,7 +31,7 @@
     node_connections = usable_descriptors // NODE_DESCRIPTOR_DIVISOR
     longest_deadline_ms = max(class_.deadline_ms for class_ in settings.classes)
     http, *others = frontends
-    response_memory.limit_bytes = int(config.memory * RESPONSE_MEMORY_SHARE)
+    response_memory.limit_bytes = int(config.memory_bytes * RESPONSE_MEMORY_SHARE)
     for frontend in frontends:  # past its deadline a client has given up
         frontend.write_timeout_s = longest_deadline_ms / 1000 + CLIENT_READ_GRACE_S
     http.crowded_above = CROWDED_SHARE * settings.max_open_requests
--- a/sabledyke/core.py
+++ b/sabledyke/core.py
@@ -235,7 +235,7 @@
             return
         assert request is not None
         sent, node = request.out.pop(number)
-        self.metrics.count_attempt(end.outcome, end.may_have_run)
+        self.metrics.count_attempt(end.outcome, may_have_run=end.may_have_run)
         if end.may_have_run:
             request.ran = request.ran or (sent, node)
         if end.outcome is Outcome.OK and not request.answered:
--- a/sabledyke/metrics.py
+++ b/sabledyke/metrics.py
@@ -1,8 +1,8 @@
-"""The one place where the scheduler's figures are counted, and their line form.
+"""The one place where the scheduler's metrics are counted, and their line form.
 
-Told by the core of each final answer and of each attempt whose last byte was written, and by the server of
-each configuration taken or turned down; gauges are read from what is given when the figures are asked for.
-It knows no socket, clock or wire. Counts start at 0 when the process starts and only grow.
+The core reports each final answer and each completed attempt, the server each configuration that was read
+again; gauges are passed in when the metrics are requested. Nothing here knows a socket, a clock or the wire.
+Counts start at 0 when the process starts and only grow.
 """
 
 from __future__ import annotations
@@ -14,62 +14,97 @@
 from sabledyke.policy.nodes import NodeEntry, NodeState
 from sabledyke.policy.state import NodeRecord
 
-# What a final answer's verdict is counted as (see ``core.Verdict``).
-ANSWER_METRICS = {"served": "success", "refused": "overload", "failed": "error"}
-# Attempts whose last byte certainly never reached the box, or that were never sent at all.
+METRIC_OF_STATUS = {"served": "success", "refused": "overload", "failed": "error"}
+"""What a final answer is counted as, by its status (``core.AnswerStatus``)."""
+
 UNSENT_OUTCOMES = (Outcome.NO_CONNECTION, Outcome.EXPIRED)
+"""Outcomes of attempts that were never sent, or whose last byte certainly never reached the node."""
 
 
 class Metrics:
-    """Counts of one process's life; class names as the request came with them."""
-
-    def __init__(self) -> None:
-        self.answers: Counter[tuple[str, str]] = Counter()  # (verdict's figure, class) -> requests
-        self.dispatches = 0  # attempts written whole to boxes
-        self.reloads: Counter[str] = Counter()  # "success" or "failure" -> files on SIGHUP
-
-    def count_answer(self, verdict: str, class_name: str) -> None:
-        """A request's one final answer; ``verdict`` is a ``Verdict`` value."""
-        self.answers[ANSWER_METRICS[verdict], class_name] += 1
+    """Counts of one process.
 
-    def count_attempt(self, outcome: Outcome, may_have_run: bool) -> None:
-        """An attempt's one outcome: counted where its last byte was written."""
-        if outcome not in UNSENT_OUTCOMES and (outcome is not Outcome.CANCELLED or may_have_run):
-            self.dispatches += 1
+    Attributes:
+        answers: Final answers by metric (a value of ``METRIC_OF_STATUS``) and name of the request class.
+        dispatches: Attempts that were written completely to storage nodes.
+        successful_reloads: Configurations that were read again and are in force.
+        failed_reloads: Configurations that were read again and rejected.
+    """
 
-    def count_reload(self, taken: bool) -> None:
-        """A file read on SIGHUP was taken, or turned down whole."""
-        self.reloads["success" if taken else "failure"] += 1
+    def __init__(self) -> None:
+        self.answers: Counter[tuple[str, str]] = Counter()
+        self.dispatches = 0
+        self.successful_reloads = 0
+        self.failed_reloads = 0
+
+    def count_answer(self, status: str, class_name: str) -> None:
+        """Count a request's one final answer; ``status`` is a value of ``core.AnswerStatus``."""
+        self.answers[METRIC_OF_STATUS[status], class_name] += 1
+
+    def count_attempt(self, outcome: Outcome, *, may_have_run: bool) -> None:
+        """Count an attempt's one outcome as a dispatch, where its last byte was written."""
+        if outcome in UNSENT_OUTCOMES:
+            return
+        if outcome is Outcome.CANCELLED and not may_have_run:
+            return
+        self.dispatches += 1
+
+    def count_successful_reload(self) -> None:
+        """Count a configuration that was read again and is in force."""
+        self.successful_reloads += 1
+
+    def count_failed_reload(self) -> None:
+        """Count a configuration that was read again and rejected as a whole."""
+        self.failed_reloads += 1
 
     @property
     def answer_totals(self) -> tuple[int, int]:
-        """Final answers, and how many of them were refusals or failures."""
-        good = sum(n for (what, _), n in self.answers.items() if what == ANSWER_METRICS["served"])
-        return self.answers.total(), self.answers.total() - good
+        """Final answers, and how many of them were rejections or failures."""
+        total = self.answers.total()
+        served = sum(
+            count for (metric, _), count in self.answers.items() if metric == METRIC_OF_STATUS["served"]
+        )
+        return total, total - served
 
     def format_lines(
-        self, classes: Iterable[str], concurrent: int, listed: Iterable[NodeEntry], unresponsive_nodes: int
+        self,
+        classes: Iterable[str],
+        concurrent: int,
+        nodes: Iterable[NodeEntry],
+        unresponsive_nodes: int,
     ) -> list[str]:
-        """All figures as ``svc.NAME:VALUE|c`` (counts) and ``|g`` (gauges), one a line.
-
-        ``classes`` are those in force, each shown from 0; a class no longer in force stays shown while it
-        has counts. ``unresponsive_nodes`` counts ready nodes that do not respond.
+        """Return all metrics as ``svc.NAME:VALUE|c`` (counts) and ``|g`` (gauges), one a line.
+
+        Args:
+            classes: Request classes in force, each shown from 0; a class that is no longer in force stays
+                shown once it has counts.
+            concurrent: Requests without a final answer.
+            nodes: The nodes of the endpoint list.
+            unresponsive_nodes: How many ready nodes do not respond.
         """
-        names = dict.fromkeys([*classes, *(c for _, c in self.answers)])
-        out = [f"svc.{what}.{c}:{self.answers[what, c]}|c" for c in names for what in ANSWER_METRICS.values()]
-        entries = list(listed)
-        disabled = sum(e.state is not NodeState.READY for e in entries) + unresponsive_nodes
-        out += [
+        listed = list(nodes)
+        not_ready = sum(node.state is not NodeState.READY for node in listed)
+        disabled = min(not_ready + unresponsive_nodes, len(listed))
+        return [
+            *self._answer_lines(classes),
             f"svc.dispatches:{self.dispatches}|c",
             f"svc.concurrent:{concurrent}|g",
-            f"svc.targets:{len(entries)}|g",
-            f"svc.targets_disabled:{min(disabled, len(entries))}|g",
-            f"svc.reload_success:{self.reloads['success']}|c",
-            f"svc.reload_failure:{self.reloads['failure']}|c",
+            f"svc.targets:{len(listed)}|g",
+            f"svc.targets_disabled:{disabled}|g",
+            f"svc.reload_success:{self.successful_reloads}|c",
+            f"svc.reload_failure:{self.failed_reloads}|c",
+        ]
+
+    def _answer_lines(self, classes: Iterable[str]) -> list[str]:
+        counted_classes = (class_name for _, class_name in self.answers)
+        class_names = dict.fromkeys([*classes, *counted_classes])
+        return [
+            f"svc.{metric}.{class_name}:{self.answers[metric, class_name]}|c"
+            for class_name in class_names
+            for metric in METRIC_OF_STATUS.values()
         ]
-        return out
 
 
 def unresponsive_count(nodes: Iterable[NodeRecord]) -> int:
-    """Counts the ready nodes that do not respond, which the scheduler sends single probes only."""
+    """Count the ready nodes that do not respond, which the scheduler sends single probes only."""
     return sum(node.ready and node.unresponsive for node in nodes)
--- a/sabledyke/rollout/member_driver.py
+++ b/sabledyke/rollout/member_driver.py
@@ -11,7 +11,7 @@
 from sabledyke.compacted_log import registers
 from sabledyke.compacted_log.client import CompactedLog
 from sabledyke.compacted_log.section import LogSection as BoardSection
-from sabledyke.config import PREFIX, ConfigError
+from sabledyke.config import ENVIRONMENT_PREFIX, ConfigError
 from sabledyke.errors import CompactedLogError, StaleWriterError
 from sabledyke.lease.manager import boottime_ms
 from sabledyke.rollout.canary_analysis import AnswerCount
@@ -73,7 +73,7 @@
         self._fleet_log = fleet_log
         self._loads = loads
         self._name = host.config.name
-        self._settings_file = os.environ.get(f"{PREFIX}CONFIG", "")
+        self._settings_file = os.environ.get(f"{ENVIRONMENT_PREFIX}CONFIG", "")
         self._version_file = VersionFile(section.version_file)
         self._retires = False
 
--- a/tests/net/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -88,7 +88,7 @@
     async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
         dial, ends = LateDial(rig), list[AttemptResult]()
-        rig.server.core.metrics.count_attempt = lambda *_: None  # type: ignore[method-assign]
+        rig.server.core.metrics.count_attempt = lambda *_, **__: None  # type: ignore[method-assign]
         report = rig.server.pool._report
 
         def note(request_id: int, number: int, ended: AttemptResult) -> None:
