--- a/sabledyke/invariants.py
+++ b/sabledyke/invariants.py
@@ -6,13 +6,28 @@
 
 from sabledyke import log
 
-violations: Counter[str] = Counter()  # how often each was found not to hold, since the start
+violations: Counter[str] = Counter()
+"""How often each invariant was found not to hold since the start, by name."""
 
 
-def check(holds: bool, name: str, detail: str = "") -> bool:
-    """Return whether it holds; where it does not, stop a debug run, and count it in a release run."""
-    if not holds:
-        violations[name] += 1
-        assert False, f"{name}: {detail}"  # noqa: B011 - it vanishes under -O, which is what it is for
-        log.emit("invariant", f"{name} does not hold ({violations[name]} times so far) {detail}".rstrip())
-    return holds
+def check(condition: object, name: str, detail: str = "") -> bool:
+    """Check that an invariant holds.
+
+    Args:
+        condition: What must be true.
+        name: The invariant's name, for the log and the count of violations.
+        detail: What was found instead.
+
+    Returns:
+        Whether it holds.
+
+    Raises:
+        AssertionError: It does not, in a debug run.
+    """
+    if condition:
+        return True
+    violations[name] += 1
+    if __debug__:
+        raise AssertionError(f"{name}: {detail}")
+    log.emit("invariant", f"{name} does not hold ({violations[name]} times so far) {detail}".rstrip())
+    return False
--- a/sabledyke/structured_log.py
+++ b/sabledyke/structured_log.py
@@ -1,8 +1,8 @@
 """Structured logs through structlog: a JSON object a line, for installations that collect them.
 
 Loaded only where the operator's file has ``[log] format = "json"``. Each line has ``kind`` (as docs/ONCALL.md
-lists them), ``event`` (the text), ``instance`` (its name), ``life`` (a new one with each start), ``mono`` and
-``wall`` (ms, steady and Unix), and the figures that come with it.
+lists them), ``event`` (the text), ``instance`` (its name), ``life`` (its incarnation, a new one with each
+start), ``mono`` and ``wall`` (ms, monotonic and Unix), and the fields that come with the line.
 """
 
 from __future__ import annotations
@@ -16,22 +16,36 @@
 
 from sabledyke import log
 
-
-def _times(_: object, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
-    event["mono"], event["wall"] = round(time.monotonic() * 1000, 3), round(time.time() * 1000, 3)
-    return event
+INCARNATION_DIGITS = 12
 
 
 def set_up(instance: str) -> str:
-    """Write all lines so from now on; the life that they carry."""
-    life = uuid4().hex[:12]
+    """Write all lines so from now on.
+
+    Args:
+        instance: The name of this scheduler.
+
+    Returns:
+        The incarnation that the lines carry.
+    """
+    incarnation = uuid4().hex[:INCARNATION_DIGITS]
     logger = structlog.wrap_logger(
         structlog.BytesLogger(sys.stderr.buffer),
-        processors=[_times, structlog.processors.JSONRenderer(serializer=lambda e, **_: orjson.dumps(e))],
-    ).bind(instance=instance, life=life)
+        processors=[_add_times, structlog.processors.JSONRenderer(serializer=_to_json)],
+    ).bind(instance=instance, life=incarnation)
 
-    def write(kind: str, text: str, figures: dict[str, log.Field]) -> None:
-        logger.info(text, kind=kind, **figures)
+    def write(kind: str, text: str, fields: dict[str, log.Field]) -> None:
+        logger.info(text, kind=kind, **fields)
 
     log.set_writer(write)
-    return life
+    return incarnation
+
+
+def _add_times(_: object, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
+    event["mono"] = round(time.monotonic() * 1000, 3)
+    event["wall"] = round(time.time() * 1000, 3)
+    return event
+
+
+def _to_json(event: object, **_: object) -> bytes:
+    return orjson.dumps(event)
