--- /dev/null
+++ b/benchmarks/program.py
@@ -0,0 +1,136 @@
+"""The complete program under measurement, in a process of its own."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import re
+import socket
+import subprocess
+import sys
+import time
+from dataclasses import dataclass, field
+from pathlib import Path
+
+import orjson
+
+from benchmarks.deployment import MEMORY_MB, settings
+from benchmarks.nodes import NodeProcess
+
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+USER_TICKS_FIELD = 11  # of /proc/PID/stat, counted after the name
+SYSTEM_TICKS_FIELD = 12
+
+
+@dataclass
+class Program:
+    """One scheduler under measurement.
+
+    Attributes:
+        process: Its process.
+        port: Where it listens.
+        startup_s: From its start to the line that says that it serves.
+        lines: What it has logged so far.
+    """
+
+    process: asyncio.subprocess.Process
+    port: int
+    startup_s: float
+    lines: list[str] = field(default_factory=list)
+
+    def cpu_s(self) -> float:
+        """Return the CPU time of all its threads so far."""
+        fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
+        return (int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])) / CLOCK_TICKS_PER_S
+
+    def memory_mb(self) -> float:
+        """Return the resident memory now."""
+        text = Path(f"/proc/{self.process.pid}/status").read_text()
+        found = re.search(r"VmRSS:\s+(\d+) kB", text)
+        assert found is not None
+        return int(found.group(1)) / 1024
+
+    async def stop(self) -> str:
+        """Have it shut down, and return what its last line says of broken invariants."""
+        self.process.terminate()
+        await self.process.wait()
+        texts = [line.rpartition("invariants broken: ")[2] for line in self.lines if "invariants" in line]
+        return texts[-1].strip() if texts else "?"
+
+
+async def start_program(tree: Path, folder: Path, nodes: NodeProcess, operator_file: str = "") -> Program:
+    """Start the program of a checkout before these nodes.
+
+    Args:
+        tree: The checkout.
+        folder: Where its files are written.
+        nodes: The storage nodes.
+        operator_file: The text of its operator's file; empty for none.
+    """
+    arguments = _write_files(folder, nodes, operator_file)
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
+    environment["GW_CONFIG"] = str(folder / "config.json")
+    environment["SABLEDYKE_STORE_PASSWORD"] = "secret"
+    began_s = time.monotonic()
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-O",
+        "-m",
+        "sabledyke",
+        *arguments,
+        cwd=tree,
+        env=environment,
+        stderr=subprocess.PIPE,
+    )
+    assert process.stderr is not None
+    lines: list[str] = []
+    line = await process.stderr.readline()
+    while b"serves at" not in line:
+        assert line, f"it did not start: {lines}"
+        lines.append(line.decode())
+        line = await process.stderr.readline()
+    startup_s = time.monotonic() - began_s
+    program = Program(process, int(line.rpartition(b":")[2]), startup_s, lines)
+    _collect_lines(process.stderr, lines)
+    return program
+
+
+def free_port() -> int:
+    """Return a port that nobody listens at."""
+    with socket.socket() as unused:
+        unused.bind(("127.0.0.1", 0))
+        return int(unused.getsockname()[1])
+
+
+def _write_files(folder: Path, nodes: NodeProcess, operator_file: str) -> list[str]:
+    """Write the program's files, and return the arguments that name them."""
+    config = {
+        "name": "n0",
+        "listen": f"127.0.0.1:{free_port()}",
+        "seed": "1",
+        "discovery": f"127.0.0.1:{nodes.discovery_port}",
+        "settings": settings(),
+        "known": nodes.listing,
+        "limits": {"memory_mb": MEMORY_MB},
+    }
+    (folder / "config.json").write_bytes(orjson.dumps(config))
+    if not operator_file:
+        return []
+    path = folder / "operator.toml"
+    path.write_text(operator_file)
+    return ["serve", "--operator", str(path)]
+
+
+_collectors: set[asyncio.Task[None]] = set()
+
+
+def _collect_lines(stream: asyncio.StreamReader, lines: list[str]) -> None:
+    """Go on reading what the program logs, so that it never waits for its reader."""
+
+    async def collect() -> None:
+        async for line in stream:
+            lines.append(line.decode())
+
+    task = asyncio.create_task(collect())
+    _collectors.add(task)
+    task.add_done_callback(_collectors.discard)
