--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,4 +1,4 @@
-"""What sharing limits out by demand costs: a request's part, a look at all members, the words themselves.
+"""What sharing limits out by demand costs: a request's quota, a poll of all members, the published demands.
 
     python -m benchmarks.shares [MEMBERS] [VOLUMES]
 
@@ -9,7 +9,7 @@
 
 import sys
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 import orjson
 
@@ -18,47 +18,112 @@
 from sabledyke.quota_sharing.demand import DemandMeter
 from sabledyke.quota_sharing.publisher import decode_demands
 
+DEFAULT_MEMBER_COUNT = 100
+DEFAULT_VOLUME_COUNT = 64
 ROUNDS = 2000
+SLOW_ROUNDS = 200  # of what takes longer
+BEATS = 19
+POLLS_PER_BEAT = 4
 
+Demands = dict[int, float]
 
-def timed(what: Callable[[int], object], rounds: int = ROUNDS) -> float:
-    """Microseconds of one."""
-    began = time.perf_counter()
-    for n in range(rounds):
-        what(n)
-    return (time.perf_counter() - began) / rounds * 1e6
-
-
-def run(members: int, volumes: int) -> None:
-    """All of it."""
-    times, told = Timing(), {volume: 10.0 + volume for volume in range(volumes)}
-    shares, now = QuotaAllocator(QuotaPolicy(members), times), 0.0
-    cell = Cell(1, orjson.dumps([1, {f"{volume:x}": rate for volume, rate in told.items()}]))
-    for number in range(1, 20):
-        shares.on_publishing(number, told, now, number - 1)
-        shares.on_published(number, now)
-        for _ in range(4):
-            now += times.beat_ms / 4
-            shares.on_poll(now - 1, now, {f"n{i}": (number, told) for i in range(members - 1)})
-    assert shares.is_fresh(now)
-
-    def anew(n: int) -> None:
-        shares._cached_shares.clear()
-        shares.share_of(n % volumes, now)
-
-    first = timed(anew)
-    known = timed(lambda n: shares.share_of(n % volumes, now))
-    print(f"a part among {members} members: {first:.1f} us once a look and volume, {known:.2f} us after that")
-    meter = DemandMeter(now)
-    print(f"a request's count: {timed(lambda n: meter.add(now, n % volumes, 1.0, 100.0)):.2f} us")
-    word = timed(lambda n: meter.next_demands(now + n), 200)
-    print(f"a word of {volumes} volumes: {word:.0f} us, {len(cell.data)} bytes")
-    found = {f"n{i}": (20, told) for i in range(members - 1)}
-    look = timed(lambda n: shares.on_poll(now, now + 1, found), 200)
-    read = timed(lambda _: decode_demands(cell), 200) * (members - 1)
-    print(f"a look at {members} members, {volumes} volumes each: {read:.0f} us to read, {look:.0f} to take")
+
+class SharedQuotas:
+    """A member's allocator after some beats, at a time when all members know of each other.
+
+    Attributes:
+        now_ms: The time.
+        allocator: The allocator.
+    """
+
+    def __init__(self, member_count: int, demands: Demands) -> None:
+        timing = Timing()
+        self.now_ms = 0.0
+        self.allocator = QuotaAllocator(QuotaPolicy(member_count), timing)
+        self._others = [f"n{member}" for member in range(member_count - 1)]
+        self._demands = demands
+        for number in range(1, BEATS + 1):
+            self.allocator.on_publishing(number, demands, self.now_ms, number - 1)
+            self.allocator.on_published(number, self.now_ms)
+            for _ in range(POLLS_PER_BEAT):
+                self.now_ms += timing.beat_ms / POLLS_PER_BEAT
+                self.poll(self.published(number))
+        assert self.allocator.is_fresh(self.now_ms)
+
+    def published(self, number: int) -> Mapping[str, tuple[int, Demands]]:
+        """Return what the other members have published in this beat."""
+        return {name: (number, self._demands) for name in self._others}
+
+    def poll(self, found: Mapping[str, tuple[int, Demands]]) -> None:
+        """Have the allocator learn of what was found."""
+        self.allocator.on_poll(self.now_ms - 1, self.now_ms, found)
+
+
+def run(member_count: int, volume_count: int) -> None:
+    """Measure all of it and print a line for each."""
+    demands = {volume: 10.0 + volume for volume in range(volume_count)}
+    quotas = SharedQuotas(member_count, demands)
+    measure_quota(quotas, member_count, volume_count)
+    demand_map = {f"{volume:x}": rate for volume, rate in demands.items()}
+    cell = Cell(1, orjson.dumps([1, demand_map]))
+    measure_demands(quotas.now_ms, volume_count, cell)
+    measure_poll(quotas, member_count, volume_count, cell)
+
+
+def measure_quota(quotas: SharedQuotas, member_count: int, volume_count: int) -> None:
+    """Print what a request's quota costs, at the first request for a volume after a poll and at others."""
+
+    def quota_of(number: int) -> None:
+        quotas.allocator.share_of(number % volume_count, quotas.now_ms)
+
+    found = quotas.published(BEATS)
+    first_us: list[float] = []
+    for _ in range(ROUNDS // volume_count + 1):
+        quotas.poll(found)  # drops what was calculated before
+        first_us.append(time_us(quota_of, volume_count))
+    mean_first_us = sum(first_us) / len(first_us)
+    cached_us = time_us(quota_of)
+    print(
+        f"a part among {member_count} members: {mean_first_us:.1f} us once a look and volume,"
+        f" {cached_us:.2f} us after that"
+    )
+
+
+def measure_demands(now_ms: float, volume_count: int, cell: Cell) -> None:
+    """Print what counting a request costs, and what a publication of the demands does."""
+    meter = DemandMeter(now_ms)
+    count_us = time_us(lambda number: meter.add(now_ms, number % volume_count, 1.0, 100.0))
+    print(f"a request's count: {count_us:.2f} us")
+    publication_us = time_us(lambda number: meter.next_demands(now_ms + number), SLOW_ROUNDS)
+    print(f"a word of {volume_count} volumes: {publication_us:.0f} us, {len(cell.data)} bytes")
+
+
+def measure_poll(quotas: SharedQuotas, member_count: int, volume_count: int, cell: Cell) -> None:
+    """Print what a poll of all members costs: to decode what they have published, and to learn of it."""
+    found = quotas.published(BEATS + 1)
+    learn_us = time_us(lambda _: quotas.poll(found), SLOW_ROUNDS)
+    decode_us = time_us(lambda _: decode_demands(cell), SLOW_ROUNDS) * (member_count - 1)
+    print(
+        f"a look at {member_count} members, {volume_count} volumes each: {decode_us:.0f} us to read,"
+        f" {learn_us:.0f} to take"
+    )
+
+
+def time_us(call: Callable[[int], object], rounds: int = ROUNDS) -> float:
+    """Return the mean time of a call, which is given the number of its round."""
+    began_s = time.perf_counter()
+    for number in range(rounds):
+        call(number)
+    return (time.perf_counter() - began_s) / rounds * 1e6
+
+
+def main(arguments: list[str]) -> None:
+    """Run with the sizes that the command line names."""
+    sizes = [int(argument) for argument in arguments]
+    member_count = sizes[0] if sizes else DEFAULT_MEMBER_COUNT
+    volume_count = sizes[1] if len(sizes) > 1 else DEFAULT_VOLUME_COUNT
+    run(member_count, volume_count)
 
 
 if __name__ == "__main__":
-    numbers = [int(word) for word in sys.argv[1:]]
-    run(numbers[0] if numbers else 100, numbers[1] if len(numbers) > 1 else 64)
+    main(sys.argv[1:])
--- a/benchmarks/store_libraries.py
+++ b/benchmarks/store_libraries.py
@@ -2,7 +2,7 @@
 
     python benchmarks/store_libraries.py
 
-Each candidate is measured where it is installed and left out, with a word, where it is not. All figures of
+Each candidate is measured where it is installed and left out, with a note, where it is not. All figures of
 one call come from one machine at one time: compare within a call, not between calls.
 """
 
@@ -17,125 +17,155 @@
 import time
 from collections.abc import Callable
 from pathlib import Path
+from typing import Any, NamedTuple
 
-ROWS = 600
+ROW_COUNT = 600
+BATCH_SIZES = (1, 8, 32, 128)
+WARM_UP_BATCH_SIZE = 128
+IMPORT_ROUNDS = 3
+COLUMNS = ("name", "at", "shard", "zone")
 TABLE = "CREATE TABLE writes (name TEXT PRIMARY KEY, at REAL, shard INTEGER, zone INTEGER) WITHOUT ROWID"
 INSERT = "INSERT OR IGNORE INTO writes VALUES (?, ?, ?, ?)"
 PRAGMAS = ("PRAGMA journal_mode = WAL", "PRAGMA synchronous = FULL")
+MODULES = ("sqlite3", "apsw", "aiosqlite", "sqlalchemy", "alembic.command", "asyncpg", "psycopg", "pg8000")
 
+Row = tuple[str, float, int, int]
+WriteRows = Callable[[str, int], None]
+"""Writes ``ROW_COUNT`` rows to a new file at this path, so many in a transaction."""
 
-def rows(batch: int) -> list[list[tuple[str, float, int, int]]]:
-    """ROWS rows in batches."""
-    out = [(f"1/{i:x}/{i:032x}", float(i), 1, 0) for i in range(ROWS)]
-    return [out[i : i + batch] for i in range(0, ROWS, batch)]
 
+class WriteCost(NamedTuple):
+    """What writing all rows cost."""
 
-def with_sqlite3(path: str, batch: int) -> None:
+    commits_per_s: float
+    cpu_us_per_row: float
+
+
+def main() -> None:
+    """Print both tables."""
+    print("import, beyond asyncio and ssl:")
+    for module in MODULES:
+        best = min(import_cost(module) for _ in range(IMPORT_ROUNDS))
+        print(f"  {module:16s} {best}")
+    print(f"{ROW_COUNT} rows through SQLite (WAL, synchronous FULL): commits/s, CPU us a row")
+    for batch_size in BATCH_SIZES:
+        for name, write_rows in CANDIDATES.items():
+            print(f"  batch {batch_size:4d} {name:12s} {_describe(name, write_rows, batch_size)}")
+
+
+def import_cost(module: str) -> str:
+    """Return the milliseconds and MB of resident memory that a fresh interpreter needs for an import."""
+    program = (
+        "import time,resource,asyncio,ssl;a=resource.getrusage(0).ru_maxrss;t=time.perf_counter();"
+        f"import {module};print(f'{{(time.perf_counter()-t)*1e3:.0f}} ms, "
+        "{(resource.getrusage(0).ru_maxrss-a)/1024:.1f} MB')"
+    )
+    done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=False)
+    return done.stdout.strip() or "not installed"
+
+
+def measure(write_rows: WriteRows, batch_size: int) -> WriteCost:
+    """Measure a candidate that is installed, once it has written to another file."""
+    with tempfile.TemporaryDirectory(dir=os.environ.get("BENCH_DIR")) as folder:
+        write_rows(str(Path(folder) / "warm.db"), WARM_UP_BATCH_SIZE)
+        wall_before_s = time.perf_counter()
+        cpu_before_s = time.process_time()
+        write_rows(str(Path(folder) / "record.db"), batch_size)
+        wall_s = time.perf_counter() - wall_before_s
+        cpu_s = time.process_time() - cpu_before_s
+    return WriteCost(ROW_COUNT / batch_size / wall_s, cpu_s / ROW_COUNT * 1e6)
+
+
+def _describe(name: str, write_rows: WriteRows, batch_size: int) -> str:
+    if importlib.util.find_spec(name) is None:
+        return "not installed"
+    cost = measure(write_rows, batch_size)
+    return f"{cost.commits_per_s:8.0f} {cost.cpu_us_per_row:8.1f}"
+
+
+def make_batches(batch_size: int) -> list[list[Row]]:
+    """Return all rows in batches."""
+    rows = [(f"1/{number:x}/{number:032x}", float(number), 1, 0) for number in range(ROW_COUNT)]
+    return [rows[first : first + batch_size] for first in range(0, ROW_COUNT, batch_size)]
+
+
+def write_with_sqlite3(path: str, batch_size: int) -> None:
+    """See ``WriteRows``."""
     import sqlite3
 
-    db = sqlite3.connect(path, isolation_level=None)
-    for line in (*PRAGMAS, TABLE):
-        db.execute(line)
-    for some in rows(batch):
-        db.execute("BEGIN IMMEDIATE")
-        db.executemany(INSERT, some)
-        db.execute("COMMIT")
-    db.close()
+    database = sqlite3.connect(path, isolation_level=None)
+    _write_batches(database, batch_size)
+    database.close()
 
 
-def with_apsw(path: str, batch: int) -> None:
+def write_with_apsw(path: str, batch_size: int) -> None:
+    """See ``WriteRows``."""
     import apsw
 
-    db = apsw.Connection(path)
-    for line in (*PRAGMAS, TABLE):
-        db.execute(line)
-    for some in rows(batch):
-        db.execute("BEGIN IMMEDIATE")
-        db.executemany(INSERT, some)
-        db.execute("COMMIT")
-    db.close()
+    database = apsw.Connection(path)
+    _write_batches(database, batch_size)
+    database.close()
+
+
+def _write_batches(database: Any, batch_size: int) -> None:
+    """Write all rows through a connection whose transactions are begun by hand."""
+    for statement in (*PRAGMAS, TABLE):
+        database.execute(statement)
+    for batch in make_batches(batch_size):
+        database.execute("BEGIN IMMEDIATE")
+        database.executemany(INSERT, batch)
+        database.execute("COMMIT")
 
 
-def with_aiosqlite(path: str, batch: int) -> None:
+def write_with_aiosqlite(path: str, batch_size: int) -> None:
+    """See ``WriteRows``."""
     import aiosqlite
 
-    async def run() -> None:
-        async with aiosqlite.connect(path, isolation_level=None) as db:
-            for line in (*PRAGMAS, TABLE):
-                await db.execute(line)
-            for some in rows(batch):
-                await db.execute("BEGIN IMMEDIATE")
-                await db.executemany(INSERT, some)
-                await db.execute("COMMIT")
+    async def write() -> None:
+        async with aiosqlite.connect(path, isolation_level=None) as database:
+            for statement in (*PRAGMAS, TABLE):
+                await database.execute(statement)
+            for batch in make_batches(batch_size):
+                await database.execute("BEGIN IMMEDIATE")
+                await database.executemany(INSERT, batch)
+                await database.execute("COMMIT")
 
-    asyncio.run(run())
+    asyncio.run(write())
 
 
-def with_sqlalchemy(path: str, batch: int) -> None:
+def write_with_sqlalchemy(path: str, batch_size: int) -> None:
+    """See ``WriteRows``."""
     import sqlalchemy as sa
     from sqlalchemy.dialects.sqlite import insert
 
     engine = sa.create_engine(f"sqlite:///{path}")
-    meta = sa.MetaData()
+    metadata = sa.MetaData()
     table = sa.Table(
         "writes",
-        meta,
+        metadata,
         sa.Column("name", sa.Text, primary_key=True),
         sa.Column("at", sa.Float),
         sa.Column("shard", sa.Integer),
         sa.Column("zone", sa.Integer),
     )
-    with engine.connect() as db:
-        for line in PRAGMAS:
-            db.exec_driver_sql(line)
-        db.commit()
-        meta.create_all(db)
-        statement = insert(table).on_conflict_do_nothing()
-        for some in rows(batch):
-            db.execute(statement, [dict(zip(("name", "at", "shard", "zone"), r, strict=True)) for r in some])
-            db.commit()
+    with engine.connect() as connection:
+        for statement in PRAGMAS:
+            connection.exec_driver_sql(statement)
+        connection.commit()
+        metadata.create_all(connection)
+        insert_rows = insert(table).on_conflict_do_nothing()
+        for batch in make_batches(batch_size):
+            connection.execute(insert_rows, [dict(zip(COLUMNS, row, strict=True)) for row in batch])
+            connection.commit()
     engine.dispose()
 
 
-CANDIDATES: dict[str, Callable[[str, int], None]] = {
-    "sqlite3": with_sqlite3,
-    "apsw": with_apsw,
-    "aiosqlite": with_aiosqlite,
-    "sqlalchemy": with_sqlalchemy,
+CANDIDATES: dict[str, WriteRows] = {
+    "sqlite3": write_with_sqlite3,
+    "apsw": write_with_apsw,
+    "aiosqlite": write_with_aiosqlite,
+    "sqlalchemy": write_with_sqlalchemy,
 }
-IMPORTS = ("sqlite3", "apsw", "aiosqlite", "sqlalchemy", "alembic.command", "asyncpg", "psycopg", "pg8000")
-
-
-def cost_of_import(module: str) -> str:
-    """Milliseconds and MB of resident memory that a fresh interpreter needs more."""
-    text = (
-        "import time,resource,asyncio,ssl;a=resource.getrusage(0).ru_maxrss;t=time.perf_counter();"
-        f"import {module};print(f'{{(time.perf_counter()-t)*1e3:.0f}} ms, "
-        "{(resource.getrusage(0).ru_maxrss-a)/1024:.1f} MB')"
-    )
-    done = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, check=False)
-    return done.stdout.strip() or "not installed"
-
-
-def main() -> None:
-    """Print both tables."""
-    print("import, beyond asyncio and ssl:")
-    for module in IMPORTS:
-        best = min(cost_of_import(module) for _ in range(3))
-        print(f"  {module:16s} {best}")
-    print(f"{ROWS} rows through SQLite (WAL, synchronous FULL): commits/s, CPU us a row")
-    for batch in (1, 8, 32, 128):
-        for name, run in CANDIDATES.items():
-            if importlib.util.find_spec(name) is None:
-                print(f"  batch {batch:4d} {name:12s} not installed")
-                continue
-            with tempfile.TemporaryDirectory(dir=os.environ.get("BENCH_DIR")) as folder:
-                run(str(Path(folder) / "warm.db"), 128)
-                began, cpu = time.perf_counter(), time.process_time()
-                run(str(Path(folder) / "record.db"), batch)
-                took, spent = time.perf_counter() - began, time.process_time() - cpu
-            commits = ROWS / batch / took
-            print(f"  batch {batch:4d} {name:12s} {commits:8.0f} {spent / ROWS * 1e6:8.1f}")
 
 
 if __name__ == "__main__":
