--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,5 +1,7 @@
-"""What the board and a release cost: a late join, cleaning, a decision, a member at rest, the time of a
-release, and what it and a site's retirement cost in service.
+"""What the compacted log and a release cost.
+
+A late reader, compaction, a decision, a member at rest, the time of a release, and what it and the retirement
+of a site cost in service.
 
     python -m benchmarks.agreement [MESSAGES] [SIZE ...]
 
@@ -11,179 +13,19 @@
 
 import asyncio
 import signal
-import sqlite3
 import sys
 import tempfile
 import time
-import tracemalloc
 from collections.abc import Awaitable
-from dataclasses import replace
 from pathlib import Path
 
-from sabledyke.compacted_log.client import CompactedLog
-from sabledyke.compacted_log.compaction import CompactionPolicy
-from sabledyke.compacted_log.reader import LogReader
-from sabledyke.compacted_log.records import (
-    Draft,
-    Message,
-    encode_fields,
-    encode_message,
-    head_key,
-    message_key,
-    position_key,
-)
-from sabledyke.compacted_log.sqlite_backend import SqliteBackend
-from sabledyke.errors import CompactedLogError
-from sabledyke.lease.manager import boottime_ms
-from sabledyke.rollout import disruption_budget, node_drain, planner
-from sabledyke.rollout.change_tracker import ChangeTracker
-from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.records import (
-    Drain,
-    DrainPhase,
-    Epoch,
-    ListedNode,
-    Member,
-    MemberState,
-    Plan,
-    PlanStage,
-    TicketRequest,
-)
-from sabledyke.rollout.timeouts import Timeouts
+from benchmarks.compacted_log import measure_log, time_s
+from benchmarks.rollout_decisions import measure_drain_decision, measure_ticket_decision
+from sabledyke.rollout import disruption_budget
+from sabledyke.rollout.records import Plan, PlanStage
 from sabledyke.testbed.fleet_release import Fleet, Setting, plan, play
 
-KEYS, VALUE = 10_000, b"x" * 100
 WARM, STEADY = 15.0, 30.0  # seconds: boxes are learnt, and service is counted before anything happens
-SLOW = CompactionPolicy(
-    min_lag_messages=1000, tombstone_retention_ms=1e12, min_dirty_ratio=0.5, max_bytes_per_s=1e12
-)
-
-
-def fill(path: str, messages: int) -> None:
-    """A topic of so many messages over ``KEYS`` keys, written past the board: appending is measured apart."""
-    db, last, size = sqlite3.connect(path), dict[str, tuple[int, int]](), 0
-    dirty = 0
-    with db:
-        for n in range(1, messages + 1):
-            key = f"article-{n * 7919 % KEYS}"
-            made = Message(n, key, VALUE, "w", 1, n)
-            db.execute("INSERT INTO board VALUES (?, 1, ?)", (message_key("t", n), encode_message(made)))
-            dirty += last[key][1] if key in last else 0
-            last[key], size = (n, made.size_bytes), size + made.size_bytes
-        for key, (offset, bytes_) in last.items():
-            db.execute(
-                "INSERT INTO board VALUES (?, 1, ?)",
-                (position_key("t", key), encode_fields(offset, bytes_, False)),
-            )
-        head = encode_fields(messages + 1, 0, size, dirty, 0)
-        db.execute("INSERT INTO board VALUES (?, 1, ?)", (head_key("t"), head))
-    db.close()
-
-
-async def join(board: CompactedLog) -> float:
-    """Seconds of a late joiner until it has caught up."""
-    began, reader = time.perf_counter(), LogReader()
-    while not reader.caught_up:  # news are used as they come
-        await board.poll("t", reader, 2000)
-    assert len(reader.latest) == KEYS
-    return time.perf_counter() - began
-
-
-async def memory(board: CompactedLog) -> float:
-    """Bytes that a reader keeps for each key."""
-    tracemalloc.start()
-    reader = LogReader()
-    while not reader.caught_up:
-        await board.poll("t", reader, 2000)
-    held, _ = tracemalloc.get_traced_memory()
-    tracemalloc.stop()
-    return held / len(reader.latest)
-
-
-async def log(messages: int) -> None:
-    """Joining, cleaning, and joining again; what cleaning does to an append beside it."""
-    with tempfile.TemporaryDirectory() as folder:
-        path = str(Path(folder) / "board.sqlite3")
-        shelf = SqliteBackend(path, 30.0)
-        await shelf.open()
-        fill(path, messages)
-        board = CompactedLog(shelf)
-        whole = await join(board)
-        other = CompactedLog(SqliteBackend(path, 30.0))
-        pen = await other.claim_writer("other", "w")
-        alone = [await timed(pen.append([_draft(n)])) for n in range(200)]
-        size = (await board.head("t")).size_bytes
-        cleaning, beside = asyncio.create_task(cleaned(board)), list[float]()
-        began, cpu = time.perf_counter(), time.process_time()
-        while not cleaning.done():
-            beside.append(await timed(pen.append([_draft(0)])))
-        took = time.perf_counter() - began
-        after = await join(board)
-        p99 = [sorted(some)[len(some) * 99 // 100] * 1000 for some in (alone, beside)]
-        times = whole / after
-        print(f"late join: {whole:.2f} s over {messages} messages, {after:.3f} s cleaned: {times:.0f} times")
-        spent = time.process_time() - cpu
-        speed = size / took / 1e6
-        print(f"cleaning beside appends: {took:.1f} s, {speed:.2f} MB/s, {spent:.1f} s of CPU in all")
-        print(f"a reader keeps {await memory(board):.0f} bytes a key of {len(VALUE)} bytes")
-        print(
-            f"an append's p99: {p99[0]:.1f} ms alone, {p99[1]:.1f} ms beside cleaning ({len(beside)} appends)"
-        )
-        await shelf.close()
-        await other.backend.close()
-
-
-async def cleaned(board: CompactedLog) -> None:
-    """Until there is nothing to clean; what a lock turned down is tried again, as in service."""
-    while True:
-        try:
-            await board.compact("t", SLOW, lambda: 1, boottime_ms)
-            return
-        except CompactedLogError:
-            continue
-
-
-def _draft(n: int) -> Draft:
-    return Draft(f"k{n}", VALUE)
-
-
-async def timed(what: Awaitable[object]) -> float:
-    """Seconds that it takes."""
-    began = time.perf_counter()
-    await what
-    return time.perf_counter() - began
-
-
-def decisions(members: int) -> None:
-    """Microseconds of one decision, where the first 100 of a plan are released and all others ask."""
-    seen = FleetView(9999, epoch=Epoch("c", 1, 1))
-    for i in range(members):
-        name = f"n{i}"
-        seen.members[name] = Member(name, 1, "1", f"s{i % 10}", MemberState.READY, i + 2)
-        seen.requests[name] = TicketRequest(name, "p", 1, 1, i + 5000)
-    first = tuple(f"n{i}" for i in range(min(100, members // 2)))
-    seen.plans["p"] = replace(plan("p", members, max_out=5, max_out_per_site=1), released=first, offset=9000)
-    began = time.perf_counter()
-    for _ in range(200):
-        assert planner.decide(seen, "c", 1, 0.0, ChangeTracker(), Timeouts()) is not None
-    print(f"a decision over {members} members: {(time.perf_counter() - began) / 200 * 1e6:.0f} us")
-
-
-def drains(members: int, count: int) -> None:
-    """Microseconds of one decision about boxes, a tenth of which are drained, with nothing to do."""
-    seen = FleetView(9999, epoch=Epoch("c", 1, 1))
-    yard = {f"b{i}": ListedNode(f"b{i}", i % 4, i // 4, True, 0.0) for i in range(count)}
-    for i in range(members):
-        seen.members[f"n{i}"] = Member(f"n{i}", 1, "1", "", MemberState.READY, i + 2)
-    out = tuple(yard)[: count // 10]
-    seen.plans["p"] = Plan("p", (), len(out), nodes=tuple(yard), offset=9000)
-    for i, name in enumerate(out):
-        seen.drains[name] = Drain(name, "p", 1, 0.0, 5000 + i, DrainPhase.LEAVING, 5000 + i)
-    began = time.perf_counter()
-    for _ in range(20):
-        assert node_drain.decide(seen, 1, 0.0, ChangeTracker(), Timeouts(), yard) is None
-    took = (time.perf_counter() - began) / 20 * 1e6
-    print(f"a decision over {count} boxes, {len(out)} of them drained, and {members} members: {took:.0f} us")
 
 
 async def service(what: str, size: int = 6) -> None:
@@ -195,7 +37,7 @@
             count = fleet.count
             served, asked = count.ends["served"], count.asked
             count.begin()
-            took = await timed(what)
+            took = await time_s(what)
             return took, (count.ends["served"] - served) / (count.asked - asked), count.p99()
 
         await fleet.until(lambda v: len(fleet.homes()) >= 20)
@@ -222,8 +64,9 @@
 
 
 async def release(size: int) -> None:
-    """The time of a rolling restart over the least: members times one member's cycle, by hand in the same
-    fleet, from SIGTERM until its door is open again.
+    """Print the time of a rolling restart over the least, which is members times one member's cycle.
+
+    A cycle is measured by hand in the same fleet, from SIGTERM until the member's listener is open again.
     """
     took, cycles = list[float](), list[float]()
 
@@ -249,9 +92,7 @@
 
 
 async def rest() -> None:
-    """What a member costs at rest: CPU seconds of its process, with and without the
-    parts, over ten seconds.
-    """
+    """Print what a member costs at rest: CPU seconds of its process over ten seconds."""
 
     async def story(fleet: Fleet) -> None:
         pids = [one.process.pid for one in fleet.cluster.instances if one.process is not None]
@@ -276,9 +117,9 @@
 async def run(messages: int, sizes: list[int]) -> None:
     """All of it."""
     for members in (12, 200, 1000):
-        decisions(members)
-    drains(200, 1000)
-    await log(messages)
+        measure_ticket_decision(members)
+    measure_drain_decision(member_count=200, node_count=1000)
+    await measure_log(messages)
     await rest()
     for what in ("release", "retirement"):
         await service(what)
--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -1,8 +1,8 @@
-"""What leases cost: asks a second, bytes a lease, time of the loop for a renewal, time to a new holder.
+"""What leases cost: requests a second, bytes a lease, CPU of a renewal, time to a new holder.
 
     python -m benchmarks.lease [SEEDS]
 
-The etcd is the laboratory's stand-in, in this process: its figures bound what this side costs, and say
+The etcd is the testbed's stand-in, in this process: its figures bound what this side costs, and say
 nothing of a real server. Bounded: about a minute with three seeds.
 """
 
@@ -24,51 +24,89 @@
 from sabledyke.testbed.etcd_server import Etcd
 from sabledyke.testbed.experiment import Experiment, Fault, Run
 
-GRANTS, RENEWALS, LEASES = 200, 400, 1000
+GRANTS = 200
+RENEWALS = 400
+LEASES_PER_FILE_GROWTH = 1000
+HOLDER = "me"
+DEFAULT_SEEDS = 3
+TABLE_TTL_MS = 1000
+ETCD_TIMEOUT_MS = 500
+MANAGER_TIMES = LeaseTimes(ttl_ms=1000, renew_interval_ms=20, safety_margin_ms=100)
+MANAGER_RUN_S = 3
+CHECKPOINT_WAIT_S = 0.2
 
 
-async def rate(count: int, ask: Callable[[int], Awaitable[object]]) -> float:
-    """Asks a second, one after the other."""
-    began = time.perf_counter()
-    for i in range(count):
-        await ask(i)
-    return count / (time.perf_counter() - began)
+async def main(seeds: int) -> None:
+    """Run all measurements and print them."""
+    with tempfile.TemporaryDirectory() as scratch:
+        folder = Path(scratch)
+        etcd = Etcd()
+        await etcd.open()
+        table = SqlAuthority(Target(path=str(folder / "leases.sqlite3")), TABLE_TTL_MS)
+        await measure_authority("table", table)
+        remote = EtcdAuthority([f"127.0.0.1:{etcd.port}"], "b/", TABLE_TTL_MS, ETCD_TIMEOUT_MS)
+        await measure_authority("etcd", remote)
+        await etcd.close()
+        await measure_lease_size(folder)
+        for backend in ("table", "etcd"):
+            await takeover(backend, folder, seeds)
 
 
-async def authority(name: str, made: Authority) -> None:
-    """Grants and renewals a second, and what a keeper costs the loop."""
-    await made.open()
-    grants = await rate(GRANTS, lambda i: made.request(f"grant{i}", "me", Acquire(UNACQUIRED)))
-    granted = await made.request("renewed", "me", Acquire(UNACQUIRED))
-    assert isinstance(granted, Granted)
-    renewals = await rate(RENEWALS, lambda _: made.request("renewed", "me", Renew(granted.token)))
-    keeper = LeaseManager(
-        "kept", "me", made, LeaseTimes(ttl_ms=1000, renew_interval_ms=20, safety_margin_ms=100), 1
+async def measure_authority(name: str, authority: Authority) -> None:
+    """Print grants and renewals a second, and what a lease manager costs the event loop."""
+    await authority.open()
+    grants_per_s = await calls_per_s(
+        GRANTS, lambda number: authority.request(f"grant{number}", HOLDER, Acquire(UNACQUIRED))
     )
-    cpu, began = time.thread_time(), time.perf_counter()
-    task = asyncio.create_task(keeper.run())
-    await asyncio.sleep(3)
-    asked, spent = keeper.state.request_number, time.thread_time() - cpu
-    await keeper.stop()
+    granted = await authority.request("renewed", HOLDER, Acquire(UNACQUIRED))
+    assert isinstance(granted, Granted)
+    token = granted.token
+    renewals_per_s = await calls_per_s(RENEWALS, lambda _: authority.request("renewed", HOLDER, Renew(token)))
+    print(f"{name}: {grants_per_s:.0f} grants/s, {renewals_per_s:.0f} renewals/s")
+    await measure_manager(authority)
+    await authority.close()
+
+
+async def measure_manager(authority: Authority) -> None:
+    """Print the CPU of the event loop's thread for a request of a lease manager."""
+    manager = LeaseManager("kept", HOLDER, authority, MANAGER_TIMES, 1)
+    cpu_before_s = time.thread_time()
+    wall_before_s = time.perf_counter()
+    task = asyncio.create_task(manager.run())
+    await asyncio.sleep(MANAGER_RUN_S)
+    request_count = manager.state.request_number
+    cpu_s = time.thread_time() - cpu_before_s
+    await manager.stop()
     await task
-    cost, took = 1e6 * spent / asked, time.perf_counter() - began
-    print(f"{name}: {grants:.0f} grants/s, {renewals:.0f} renewals/s")
-    print(f"  {cost:.0f} us of the loop's thread an ask ({asked} in {took:.1f} s); etcd's with the stand-in")
+    wall_s = time.perf_counter() - wall_before_s
+    print(
+        f"  {1e6 * cpu_s / request_count:.0f} us of the loop's thread an ask"
+        f" ({request_count} in {wall_s:.1f} s); etcd's with the stand-in"
+    )
+
 
+async def calls_per_s(count: int, call: Callable[[int], Awaitable[object]]) -> float:
+    """Return how many calls a second complete, one after the other."""
+    began_s = time.perf_counter()
+    for number in range(count):
+        await call(number)
+    return count / (time.perf_counter() - began_s)
 
-async def bytes_a_lease(folder: Path) -> None:
-    """By the size of the file."""
+
+async def measure_lease_size(folder: Path) -> None:
+    """Print the bytes of a lease, by the growth of the file."""
     path = folder / "many.sqlite3"
-    made = SqlAuthority(Target(path=str(path)), 3000)
-    await made.open()
-    sizes = []
-    for first in (0, LEASES):
-        for i in range(first, first + LEASES):
-            await made.request(f"duty-{i}", "n0.0123456789ab", Acquire(UNACQUIRED))
-        await made.close()  # the last connection moves the log into the file
-        await asyncio.sleep(0.2)
-        sizes.append(path.stat().st_size)
-    print(f"table: {(sizes[1] - sizes[0]) / LEASES:.0f} bytes a lease")
+    authority = SqlAuthority(Target(path=str(path)), 3000)
+    await authority.open()
+    file_bytes: list[int] = []
+    for first in (0, LEASES_PER_FILE_GROWTH):
+        for number in range(first, first + LEASES_PER_FILE_GROWTH):
+            await authority.request(f"duty-{number}", "n0.0123456789ab", Acquire(UNACQUIRED))
+        await authority.close()  # the last connection moves the log into the file
+        await asyncio.sleep(CHECKPOINT_WAIT_S)
+        file_bytes.append(path.stat().st_size)
+    growth_bytes = file_bytes[1] - file_bytes[0]
+    print(f"table: {growth_bytes / LEASES_PER_FILE_GROWTH:.0f} bytes a lease")
 
 
 async def takeover(backend: str, folder: Path, seeds: int) -> None:
@@ -85,22 +123,5 @@
     print(f"{backend}: a new holder acts after {told} of lease plus renew interval ({len(parts)} kills)")
 
 
-async def main(seeds: int) -> None:
-    """All of it."""
-    with tempfile.TemporaryDirectory() as scratch:
-        folder, etcd = Path(scratch), Etcd()
-        await etcd.open()
-        table = SqlAuthority(Target(path=str(folder / "leases.sqlite3")), 1000)
-        remote = EtcdAuthority([f"127.0.0.1:{etcd.port}"], "b/", 1000, 500)
-        made: Authority
-        for name, made in (("table", table), ("etcd", remote)):
-            await authority(name, made)
-            await made.close()
-        await etcd.close()
-        await bytes_a_lease(folder)
-        for backend in ("table", "etcd"):
-            await takeover(backend, folder, seeds)
-
-
 if __name__ == "__main__":
-    asyncio.run(main(int(sys.argv[1]) if len(sys.argv) > 1 else 3))
+    asyncio.run(main(int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEEDS))
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -54,8 +54,8 @@
             await measure_commits(folder)
         if "stall" in arguments.parts:
             for label, tree in trees.items():
-                held_s = QUICK_STALL_S if arguments.quick else STALL_S
-                await measure_stall(nodes, tree, folder, held_s, label)
+                lock_s = QUICK_STALL_S if arguments.quick else STALL_S
+                await measure_stall(nodes, tree, folder, lock_s, label)
         if "starts" in arguments.parts:
             await measure_starts(nodes, trees, folder, QUICK_ROW_COUNT if arguments.quick else ROW_COUNT)
         await nodes.close()
--- a/benchmarks/store_stall.py
+++ b/benchmarks/store_stall.py
@@ -17,7 +17,7 @@
 LATER_S = 5.0
 
 
-async def measure_stall(nodes: NodeProcess, tree: Path, folder: Path, held_s: float, label: str) -> None:
+async def measure_stall(nodes: NodeProcess, tree: Path, folder: Path, lock_s: float, label: str) -> None:
     """Hold the file for so long under load, and print what became of the requests."""
     path = folder / "stall.sqlite3"
     program = await start_program(tree, folder, nodes, f'[store]\npath = "{path}"\n')
@@ -25,7 +25,7 @@
     await load.run(BEFORE_S, "before")
     blocker = sqlite3.connect(path, isolation_level=None, timeout=5)
     blocker.execute("BEGIN EXCLUSIVE")
-    await load.run(held_s, "stalled")
+    await load.run(lock_s, "stalled")
     blocker.execute("COMMIT")
     blocker.close()
     await load.run(JUST_AFTER_S, "first second after")
@@ -33,7 +33,7 @@
     await load.finish()
     broken_invariants = await program.stop()
     path.unlink()
-    print(f"file held for {held_s:.0f} s, {label}; invariants broken: {broken_invariants}")
+    print(f"file held for {lock_s:.0f} s, {label}; invariants broken: {broken_invariants}")
     for what, count in sorted(load.table().items()):
         print(f"  {what:45s} {count}")
 
--- a/sabledyke/metrics.py
+++ b/sabledyke/metrics.py
@@ -82,14 +82,14 @@
             nodes: The nodes of the endpoint list.
             unresponsive_nodes: How many ready nodes do not respond.
         """
-        listed = list(nodes)
-        not_ready = sum(node.state is not NodeState.READY for node in listed)
-        disabled = min(not_ready + unresponsive_nodes, len(listed))
+        nodes_on_list = list(nodes)
+        not_ready = sum(node.state is not NodeState.READY for node in nodes_on_list)
+        disabled = min(not_ready + unresponsive_nodes, len(nodes_on_list))
         return [
             *self._answer_lines(classes),
             f"svc.dispatches:{self.dispatches}|c",
             f"svc.concurrent:{concurrent}|g",
-            f"svc.targets:{len(listed)}|g",
+            f"svc.targets:{len(nodes_on_list)}|g",
             f"svc.targets_disabled:{disabled}|g",
             f"svc.reload_success:{self.successful_reloads}|c",
             f"svc.reload_failure:{self.failed_reloads}|c",
--- a/sabledyke/wire.py
+++ b/sabledyke/wire.py
@@ -141,7 +141,7 @@
         size = node_count * _NODE.size
         if size > reader.remaining:
             raise WireError(f"list of {node_count} entries runs past the end of its frame")
-        entries = _NODE.iter_unpack(reader.take(size))
+        entries = _NODE.iter_unpack(reader.read_bytes(size))
         self._node_lists[number] = tuple(_node_entry(*fields) for fields in entries)
 
     def _endpoint_list(self, reader: _RecordReader) -> EndpointList:
@@ -196,7 +196,7 @@
         self._offset += layout.size
         return fields
 
-    def take(self, size: int) -> bytes:
+    def read_bytes(self, size: int) -> bytes:
         """Read so many bytes."""
         if size > self.remaining:
             raise WireError(f"field of {size} bytes runs past the end of its frame")
@@ -271,12 +271,12 @@
 
 def _started(reader: _RecordReader) -> Started:
     seed, size = reader.unpack(_STARTED)
-    return Started(reader.take(size).decode("utf-8", "replace"), seed)
+    return Started(reader.read_bytes(size).decode("utf-8", "replace"), seed)
 
 
 def _peer_message(reader: _RecordReader) -> PeerMessage:
     sender, size = reader.unpack(_PEER_MESSAGE)
-    return PeerMessage(sender, reader.take(size))
+    return PeerMessage(sender, reader.read_bytes(size))
 
 
 _EVENT_READERS: dict[int, Callable[[_RecordReader], InstanceEvent]] = {
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -279,7 +279,7 @@
     assert wire_replies.encode_bug("ValueError: request 5 was given twice") in reply
 
 
-def test_frames_are_read_whole_from_a_slow_stream() -> None:
+def test_frames_are_read_completely_from_a_slow_stream() -> None:
     class Slow(io.BytesIO):
         def read(self, n: int | None = -1) -> bytes:
             return super().read(min(n or 1, 3))
