--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -84,15 +84,10 @@
     )
     assert process.stderr is not None
     lines: list[str] = []
-    line = await process.stderr.readline()
-    while b"serves at" not in line:
-        assert line, f"it did not start: {lines}"
-        lines.append(line.decode())
-        line = await process.stderr.readline()
+    port = await _read_port(process.stderr, lines)
     startup_s = time.monotonic() - began_s
-    program = Program(process, int(line.rpartition(b":")[2]), startup_s, lines)
     _collect_lines(process.stderr, lines)
-    return program
+    return Program(process, port, startup_s, lines)
 
 
 def free_port() -> int:
@@ -121,6 +116,16 @@
     return ["serve", "--operator", str(path)]
 
 
+async def _read_port(stream: asyncio.StreamReader, lines: list[str]) -> int:
+    """Read what the program logs until it says that it serves, and return its port."""
+    line = await stream.readline()
+    while b"serves at" not in line:
+        assert line, f"it did not start: {lines}"
+        lines.append(line.decode())
+        line = await stream.readline()
+    return int(line.rpartition(b":")[2])
+
+
 _collectors: set[asyncio.Task[None]] = set()
 
 
