--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -7,83 +7,26 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable, Iterable
-from typing import Protocol
+from collections.abc import Callable, Iterable
 
 from sabledyke import log
 from sabledyke.core import AttemptResult, ClientRequest
-from sabledyke.errors import SabledykeError
 from sabledyke.net import streams
+from sabledyke.net.link import Dial, Link, PeerProtocolError
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId, node_name
 from sabledyke.policy.settings import Settings
+from sabledyke.protocol.discovery import Address
 
 IDLE_TIMEOUT_SHARE = 0.6  # of the time after which nodes close idle connections: ours are closed by then
 PRECONNECT_TIMEOUT_FACTOR = 2  # of the connect time-out
 
-Address = tuple[str, int]
 # Request, number of the attempt, and how it ended.
 ReportAttempt = Callable[[int, int, AttemptResult], None]
 # Request and number of the attempt: may it be written now? See ``core.Core.may_go``.
 MaySend = Callable[[int, int], bool]
 
 
-class PeerProtocolError(SabledykeError):
-    """A storage node does not speak its protocol; the text says where."""
-
-    code, remedy = "box-garbled", "look at the box's version"
-
-
-class Link(Protocol):
-    """An open connection to a storage node."""
-
-    @property
-    def closed(self) -> bool:
-        """Whether it is of no more use."""
-
-    @property
-    def may_have_run(self) -> bool:
-        """Whether the node may have run what was exchanged last."""
-
-    @property
-    def reusable(self) -> bool:
-        """Whether another exchange may follow the last."""
-
-    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
-        """Carry out one attempt.
-
-        Args:
-            work: The request.
-            timeout: What the attempt may take, in milliseconds.
-
-        Raises:
-            StreamClosedError: The connection broke.
-            PeerProtocolError: The node does not speak its protocol.
-        """
-
-    def enter_idle(self, on_activity: Callable[[], None]) -> None:
-        """Wait for no answer; ``on_activity`` is called when the peer sends or closes all the same."""
-
-    def leave_idle(self) -> bool:
-        """Prepare for an exchange, and tell whether the link is fit for it."""
-
-    def close(self) -> None:
-        """End it, whatever is under way on it."""
-
-
-# Node, address, and the milliseconds that the attempt has.
-Dial = Callable[[NodeId, Address, float], Awaitable[Link]]
-# Node, address, milliseconds for the connection itself, and those that the attempt has.
-Connect = Callable[[NodeId, Address, float, float], Awaitable[streams.Stream]]
-
-
-async def connect_plain(
-    _node: NodeId, address: Address, connect_ms: float, _attempt_ms: float
-) -> streams.Stream:
-    """Connect as no extension has wrapped it."""
-    return await streams.connect(address, connect_ms)
-
-
 class ConnectionPool:
     """Carries attempts to storage nodes over a bounded number of connections.
 
@@ -93,6 +36,12 @@
         max_connections: How many connections there may be.
         dial: Opens a connection.
         may_send: Asked right before an attempt is written.
+
+    Attributes:
+        settings: The settings in force.
+        max_connections: How many connections there may be.
+        report: Called once for each attempt, when it has ended.
+        addresses: Where nodes listen, without those that were removed.
     """
 
     def __init__(
@@ -105,25 +54,30 @@
     ) -> None:
         self.settings = settings
         self.max_connections = max_connections
-        self._report = report
+        self.report = report
         self._dial = dial
         self._may_send = may_send
-        self._addresses: dict[NodeId, Address] = {}
+        self.addresses: dict[NodeId, Address] = {}
         self._idle: dict[NodeId, list[_PooledConnection]] = {}
         self._attempts: dict[tuple[int, int], _Attempt] = {}
         self._open_count = 0
         self._preconnects: dict[NodeId, asyncio.Task[None]] = {}  # one at a time for a node
         self._closed = False
 
+    @property
+    def open_connections(self) -> int:
+        """How many connections are open or being opened."""
+        return self._open_count
+
     def update_addresses(self, addresses: dict[NodeId, Address], removed: Iterable[NodeId] = ()) -> None:
         """Note where nodes listen and which are removed; idle connections to former addresses are closed."""
         for node in removed:
-            if self._addresses.pop(node, None):
+            if self.addresses.pop(node, None):
                 self.close_idle(node)
         for node, address in addresses.items():
-            if self._addresses.get(node, address) != address:
+            if self.addresses.get(node, address) != address:
                 self.close_idle(node)
-            self._addresses[node] = address
+            self.addresses[node] = address
 
     def start(self, request_id: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
         """See ``core.Transport``."""
@@ -147,7 +101,7 @@
 
     def preconnect(self, node: NodeId) -> None:
         """Open a connection ahead of need, where none is idle and capacity remains; nothing is sent on it."""
-        if self._idle.get(node) or node not in self._addresses:
+        if self._idle.get(node) or node not in self.addresses:
             return
         if self._open_count >= self.max_connections or self._closed:
             return
@@ -181,7 +135,7 @@
             remaining_ms = (attempt.expires_at_s - asyncio.get_running_loop().time()) * 1000
             if remaining_ms <= 0 or not self._may_send(attempt.request_id, attempt.number):
                 self._return_connection(connection)
-                self._complete(attempt, AttemptResult(Outcome.EXPIRED, False))
+                self._complete(attempt, AttemptResult(Outcome.EXPIRED, may_have_run=False))
                 return
             attempt.connection = connection
             ended = await connection.link.exchange(attempt.work, remaining_ms)
@@ -200,7 +154,7 @@
         self._complete(attempt, AttemptResult(Outcome.RESET if ran else Outcome.NO_CONNECTION, ran))
 
     async def _open(self, node: NodeId, timeout_ms: float) -> _PooledConnection:
-        address = self._addresses.get(node)
+        address = self.addresses.get(node)
         if self._open_count >= self.max_connections:
             self._evict_idle()
         if address is None or self._open_count >= self.max_connections:
@@ -229,7 +183,7 @@
 
     def _return_connection(self, connection: _PooledConnection) -> None:
         """Keep a connection for later attempts, where it can still serve one."""
-        moved = self._addresses.get(connection.node) != connection.address
+        moved = self.addresses.get(connection.node) != connection.address
         if self._closed or connection.link.closed or moved:
             self._discard(connection)
             return
@@ -270,7 +224,7 @@
         attempt.connection = None
         if connection is not None:
             self._discard(connection)
-        self._report(attempt.request_id, attempt.number, ended)
+        self.report(attempt.request_id, attempt.number, ended)
 
 
 class _PooledConnection:
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -30,6 +30,9 @@
         since: The version of the cached list, where there is one.
         report: Called with each new list, and with None where a call failed.
         seed: For the back-off between calls.
+
+    Attributes:
+        report: As given.
     """
 
     def __init__(
@@ -42,7 +45,7 @@
     ) -> None:
         self._address = address
         self._settings = settings
-        self._report = report
+        self.report = report
         self._versions = VersionTracker(since)
         self._task: asyncio.Task[None] | None = None
         self._fetches: set[asyncio.Task[None]] = set()
@@ -58,14 +61,14 @@
     def start(self) -> None:
         """Begin to watch where lists are pushed; elsewhere the core begins when it wants."""
         if self.pushed:
-            self.watch(True)
+            self.watch(on=True)
 
     def stop(self) -> None:
         """Watch no more, also where lists are pushed: the program stops."""
         if self._resume_timer is not None:
             self._resume_timer.cancel()
             self._resume_timer = None
-        self.watch(False)
+        self.watch(on=False)
 
     def adopt(self, address: tuple[str, int], settings: Settings) -> None:
         """Put new settings in force, and watch at a new address, beginning with the complete list.
@@ -78,12 +81,12 @@
             self._address = address
             self._versions.reset()
             self._cancel_calls()  # what a call to the old address still brings is not reported
-            self.watch(True)
+            self.watch(on=True)
         elif self._wanted:
-            self.watch(True)  # the pause after a failed call may be of the old settings
+            self.watch(on=True)  # the pause after a failed call may be of the old settings
         self.start()
 
-    def watch(self, on: bool) -> None:
+    def watch(self, *, on: bool) -> None:
         """See ``core.Lists``."""
         self._wanted = on
         if on and self._task is None:
@@ -107,7 +110,7 @@
         return self._settings.connect_timeout_ms * CONNECT_TIMEOUT_FACTOR
 
     def _cancel_calls(self) -> None:
-        self.watch(False)
+        self.watch(on=False)
         for task in self._fetches:
             task.cancel()
 
@@ -174,7 +177,7 @@
     def _resume_watch(self) -> None:
         self._resume_timer = None
         if self._wanted:
-            self.watch(True)
+            self.watch(on=True)
 
     async def _call(self, stream: streams.IOStream, since: int | None) -> HttpMessage:
         host = f"{self._address[0]}:{self._address[1]}"
@@ -199,7 +202,7 @@
         if listing.error:
             self._versions.request_full_list()
             if self._versions.is_newer(listing.update):
-                self._report(listing)
+                self.report(listing)
             raise ListError(listing.error)
         verdict = self._versions.evaluate(listing.update)
         if verdict is VersionStatus.STALE:
@@ -207,7 +210,7 @@
                 f"version {listing.update.version} is older than {self._versions.current}, set aside"
             )
         if verdict is VersionStatus.ACCEPTED:
-            self._report(listing)
+            self.report(listing)
         elif listing.update.entries:
             log.emit("discovery", f"version {listing.update.version} came again, nothing of it is new")
         return verdict is VersionStatus.ACCEPTED
@@ -215,7 +218,7 @@
     def _report_failure(self, error: Exception) -> None:
         reason = getattr(error, "real_error", None) or error  # what closed the stream says more
         log.emit("discovery", f"a call failed: {str(reason) or type(reason).__name__}")
-        self._report(None)
+        self.report(None)
 
 
 def _log_unexpected(error: Exception) -> None:
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -17,11 +17,11 @@
 from sabledyke import log
 from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import clock
-from sabledyke.net.connection_pool import Address
 from sabledyke.net.streams import StreamClosedError
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId, node_name
 from sabledyke.policy.settings import Settings
+from sabledyke.protocol.discovery import Address
 from sabledyke.store import statements
 from sabledyke.store.database_errors import DatabaseError
 from sabledyke.store.in_doubt import DoubtQuestion, DoubtResolution, InDoubtWrite
@@ -37,7 +37,7 @@
 
 
 class SqlLink:
-    """See ``connection_pool.Link``."""
+    """See ``link.Link``."""
 
     def __init__(self, pool: SessionPool, retention_ms: float) -> None:
         self.closed = False
@@ -47,21 +47,21 @@
         self._retention_ms = retention_ms
         self._session: Session | None = None
 
-    def enter_idle(self, heard: Callable[[], None]) -> None:
-        """See ``connection_pool.Link``: a session is checked when it is acquired."""
+    def enter_idle(self, on_activity: Callable[[], None]) -> None:
+        """See ``link.Link``: a session is checked when it is acquired."""
 
     def leave_idle(self) -> bool:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         return not self._pool.closed
 
     def close(self) -> None:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         self.closed = True
         if self._session is not None:
             self._session.abort()
 
     async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
-        """See ``connection_pool.Link``."""
+        """See ``link.Link``."""
         self.may_have_run = False
         self.reusable = False
         deadline_ms = clock.now() + timeout
@@ -85,14 +85,14 @@
             self._log(str(error))
             if session.closed:
                 raise StreamClosedError from error
-            return AttemptResult(Outcome.ERROR, True)
+            return AttemptResult(Outcome.ERROR, may_have_run=True)
         finally:
             self._release()
         if not rows:
-            return AttemptResult(Outcome.ERROR, True)
+            return AttemptResult(Outcome.ERROR, may_have_run=True)
         body = rows[0][0]
         assert isinstance(body, bytes)
-        return AttemptResult(Outcome.OK, True, body)
+        return AttemptResult(Outcome.OK, may_have_run=True, body=body)
 
     # Writes.
 
@@ -142,7 +142,7 @@
         self._log(str(error))
         if session.closed:
             raise StreamClosedError from error
-        return AttemptResult(Outcome.REJECTED, False)
+        return AttemptResult(Outcome.REJECTED, may_have_run=False)
 
     # Writes in doubt.
 
@@ -164,11 +164,11 @@
         resolution = write.resolution
         self._log(f"lost a commit's answer: it {resolution.value} after {write.questions_asked} questions")
         if resolution is DoubtResolution.SERVED:
-            return AttemptResult(Outcome.OK, True, write.result)
+            return AttemptResult(Outcome.OK, may_have_run=True, body=write.result)
         if resolution is DoubtResolution.NEVER:
             self.may_have_run = False
-            return AttemptResult(Outcome.REJECTED, False)
-        return AttemptResult(Outcome.RESET, True)
+            return AttemptResult(Outcome.REJECTED, may_have_run=False)
+        return AttemptResult(Outcome.RESET, may_have_run=True)
 
     async def _ask(self, write: InDoubtWrite, name: str, question: DoubtQuestion) -> None:
         self._session = await self._pool.acquire()
@@ -205,7 +205,7 @@
 
 
 class SqlDialer:
-    """Opens links to the nodes that are databases; see ``connection_pool.Dial``.
+    """Opens links to the nodes that are databases; see ``link.Dial``.
 
     Attributes:
         settings: The settings in force.
@@ -218,12 +218,12 @@
         self._retention_ms = retention_ms
         self._pools: dict[NodeId, SessionPool] = {}
 
-    async def dial(self, node: NodeId, address: Address, patience: float) -> SqlLink:
-        """See ``connection_pool.Dial``."""
+    async def dial(self, node: NodeId, address: Address, _timeout_ms: float) -> SqlLink:
+        """See ``link.Dial``."""
         sql_node = self.nodes[node]
         target = sql_node.target
         if not target.path:
-            target = replace(target, host=address[0], port=address[1])
+            target = replace(target, host=address.host, port=address.port)
         pool = self._pools.get(node)
         if pool is None or pool.target != target:
             if pool is not None:
@@ -248,7 +248,7 @@
 def _ended_by_key(rows: list[Row]) -> AttemptResult:
     """Return what the key says after the transaction: done by this attempt, or by whichever was first."""
     if not rows or rows[0][1] != "done":
-        return AttemptResult(Outcome.ERROR, True)
+        return AttemptResult(Outcome.ERROR, may_have_run=True)
     result = rows[0][2]
     assert isinstance(result, bytes)
-    return AttemptResult(Outcome.OK, True, result)
+    return AttemptResult(Outcome.OK, may_have_run=True, body=result)
