--- a/sabledyke/core/core.py
+++ b/sabledyke/core/core.py
@@ -174,7 +174,7 @@
             return
         assert request is not None
         attempt = request.in_flight.pop(number)
-        self.metrics.count_attempt(end.outcome, end.may_have_run)
+        self.metrics.count_attempt(end.outcome, may_have_run=end.may_have_run)
         if end.may_have_run and request.first_execution is None:
             request.first_execution = PossibleExecution(*attempt)
         if end.outcome is Outcome.OK and not request.answered:
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -21,10 +21,10 @@
 
 def test_the_example_file_is_valid() -> None:
     loaded = operator_config.read(EXAMPLE, EXAMPLE_DEPLOYMENT)
-    assert loaded.listen == ("127.0.0.1", 4420)
-    assert loaded.boxes[0][0] == b"s-00000001"
+    assert loaded.nvme.listen == ("127.0.0.1", 4420)
+    assert loaded.nvme.nodes[0].node == b"s-00000001"
     assert loaded.store
-    volume = loaded.volumes[0]
+    volume = loaded.nvme.volumes[0]
     assert volume.plan_index == 1
     assert volume.write_class == 1
     assert volume.stripe_shards == (0, 3)
--- a/tests/tls/tls_server_rig.py
+++ b/tests/tls/tls_server_rig.py
@@ -174,11 +174,12 @@
         operator_settings = operator_config.OperatorConfig()
         if self._operator_text:
             operator_settings = operator_config.read(self._operator_text, DEPLOYMENT)
-        nvme_address = ("127.0.0.1", 0) if operator_settings.listen else None
+        nvme_address = ("127.0.0.1", 0) if operator_settings.nvme.listen else None
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         discovery_address = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), discovery_address, 1, 256, 1 << 22, known, DEPLOYMENT)
-        return config, replace(operator_settings, tls=tls, listen=nvme_address)
+        nvme = replace(operator_settings.nvme, listen=nvme_address)
+        return config, replace(operator_settings, tls=tls, nvme=nvme)
 
 
 Scenario = Callable[[TlsServerRig], Awaitable[None]]
