--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -12,10 +12,11 @@
 from sabledyke import log
 from sabledyke.core import AttemptResult, ClientRequest
 from sabledyke.net import streams
-from sabledyke.net.connection_pool import Address, Connect, PeerProtocolError, connect_plain
+from sabledyke.net.link import Connect, PeerProtocolError, connect_plain
 from sabledyke.policy.events import Outcome
 from sabledyke.policy.nodes import NodeId
 from sabledyke.policy.settings import Settings
+from sabledyke.protocol.discovery import Address
 from sabledyke.protocol.nvme import (
     DYNAMIC_CONTROLLER_ID,
     MAX_IO_QUEUES,
@@ -65,14 +66,14 @@
     ) -> None:
         self.settings = settings
         self._translator = translator
-        self._nqn_by_node = nqn_by_node
+        self.nqn_by_node = nqn_by_node
         self._host = HostIdentity(uuid.uuid4().bytes, host_nqn)
         self._connect = connect
         self._slack_ms = slack_ms
         self._associations: dict[NodeId, _Association] = {}
 
     async def dial(self, node: NodeId, address: Address, timeout_ms: float) -> NvmeLink:
-        """See ``connection_pool.Dial``."""
+        """See ``link.Dial``."""
         association = self._associations.get(node)
         if association is None or association.address != address:
             if association is not None:
@@ -100,7 +101,7 @@
     def _associate(self, node: NodeId, address: Address) -> _Association:
         association = _Association(
             address,
-            self._nqn_by_node[node],
+            self.nqn_by_node[node],
             self._host,
             lambda where, ms: self._connect(node, where, self.settings.connect_timeout_ms, ms),
         )
@@ -109,7 +110,7 @@
 
 
 class NvmeLink(streams.StreamLink):
-    """An I/O queue; see ``connection_pool.Link``."""
+    """An I/O queue; see ``link.Link``."""
 
     def __init__(self, channel: _Channel, translator: Translator) -> None:
         super().__init__(channel.stream, channel.read_ahead)
@@ -131,8 +132,8 @@
             return self._channel.initiator.write_data_sent
         return written.done() and written.exception() is None
 
-    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
-        """See ``connection_pool.Link``; the time-out is the pool's, NVMe states none."""
+    async def exchange(self, work: ClientRequest, _timeout: float) -> AttemptResult:
+        """See ``link.Link``; the time-out is the pool's, NVMe states none."""
         self.reusable = False
         self._work = work
         self._channel.written = None
@@ -141,7 +142,7 @@
         except NoPlaceError as error:
             log.emit("box", str(error))
             self.reusable = True
-            return AttemptResult(Outcome.ERROR, False)
+            return AttemptResult(Outcome.ERROR, may_have_run=False)
         completion, data = await self._channel.execute(command, payload)
         self.reusable = not self._channel.initiator.has_surplus_input
         return self._translator.from_node_completion(work, completion, data)
--- a/tests/core/test_answers.py
+++ b/tests/core/test_answers.py
@@ -37,7 +37,7 @@
     assert not bench.answers
     bench.advance(2000)
     assert not bench.answers
-    assert not bench.core.open_request_ids
+    assert not bench.core.open_requests
 
 
 def test_a_policy_that_remains_silent_costs_no_client_its_answer(violations: Counter[str]) -> None:
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sabledyke.policy.actions import Fail, Reject, StartAttempt
-from sabledyke.policy.events import Outcome
+from sabledyke.policy.events import Outcome, PossibleExecution
 from sabledyke.policy.retry import WRITE_DELAY_MS
 from sabledyke.policy.settings import DeduplicationScope, RepeatSafety, RequestClass
 from tests.support.nodes import node_entry
@@ -103,7 +103,7 @@
     )
     for age_ms, shard, is_sent in ((100, 1, True), (500, 1, False), (100, 2, False)):
         rig = SchedulerRig(node_entry(1), node_entry(2), classes=(deduplicated,))
-        execution = rig.now_ms - age_ms, node_entry(1)
+        execution = PossibleExecution(rig.now_ms - age_ms, node_entry(1))
         rig.handle(new_request(1, remaining_ms=2000, shard=shard, write=True, possible_execution=execution))
         assert rig.was_sent(1) is is_sent
         if age_ms == 500:  # nothing can change: it fails at once
--- a/tests/support/core_bench.py
+++ b/tests/support/core_bench.py
@@ -33,17 +33,12 @@
 
 
 class ExposedCore(Core):
-    """A core that carries out single actions for a test, and shows what it has not forgotten yet."""
+    """A core that carries out single actions for a test."""
 
     def carry_out(self, now_ms: float, action: Action) -> None:
         """Carry out an action as if the policy had decided it."""
         self._carry_out(now_ms, action)
 
-    @property
-    def open_request_ids(self) -> list[int]:
-        """The requests that are not forgotten yet."""
-        return list(self._open)
-
 
 class CoreBench:
     """A core, and what it requested of its transport.
@@ -53,6 +48,7 @@
         started: The attempts that it started.
         cancelled: Request and number of each attempt that it cancelled.
         answers: The answers to clients.
+        watches: The core watches the endpoint list.
         now_ms: The clock.
     """
 
@@ -61,6 +57,7 @@
         self.started: list[StartedAttempt] = []
         self.cancelled: list[tuple[int, int]] = []
         self.answers: list[Answer] = []
+        self.watches = False
         self.now_ms = START_MS
         self.core = ExposedCore(SETTINGS, 1, self, self, lambda: None)
         if decide is not None:
@@ -121,8 +118,9 @@
 
     # Discovery.
 
-    def watch(self, _on: object) -> None:
-        """Accept: endpoint lists are pushed here."""
+    def watch(self, *, on: bool) -> None:
+        """Note whether the list is watched; endpoint lists are pushed here."""
+        self.watches = on
 
     def fetch(self) -> None:
         """Fail: endpoint lists are pushed here."""
--- a/tests/support/scheduler_rig.py
+++ b/tests/support/scheduler_rig.py
@@ -7,7 +7,7 @@
 from typing import Any, TypeVar
 
 from sabledyke.policy.actions import Action, Fail, Reject, SetTimer, StartAttempt
-from sabledyke.policy.events import AttemptCompleted, Event, Outcome, Request, TimerFired
+from sabledyke.policy.events import AttemptCompleted, Event, Outcome, PossibleExecution, Request, TimerFired
 from sabledyke.policy.nodes import ListKind, NodeEntry, NodeId
 from sabledyke.policy.scheduler import Scheduler
 from sabledyke.policy.state import NodeRecord
@@ -166,7 +166,7 @@
     shard: int = 1,
     scheduler_count: float = 1,
     write: bool = False,
-    possible_execution: tuple[float, NodeEntry] | None = None,
+    possible_execution: PossibleExecution | None = None,
 ) -> Request:
     """Return a client's request."""
     return Request(
