--- a/sabledyke/core/core.py
+++ b/sabledyke/core/core.py
@@ -22,7 +22,7 @@
     EndpointSource,
     Transport,
 )
-from sabledyke.invariants import check
+from sabledyke.invariants import check, report_violation
 from sabledyke.metrics import Metrics
 from sabledyke.policy.actions import (
     Action,
@@ -262,7 +262,7 @@
             return self.scheduler.handle(now_ms, events)
         except Exception:  # guards against a fault in a decision ending the program with all that it accepted
             log.emit("fault", traceback.format_exc())
-            check(False, "the module decides without a fault")
+            report_violation("the module decides without a fault")
             return []
 
     def _carry_out(self, now_ms: float, action: Action) -> None:
@@ -288,7 +288,7 @@
             case Log(text):
                 log.emit("module", text)
             case _:
-                check(False, "the module asks only for what is allowed here", repr(action))
+                report_violation("the module asks only for what is allowed here", repr(action))
 
     def _start_attempt(self, now_ms: float, request_id: int, node: NodeId, timeout_ms: float) -> None:
         request = self._requests.get(request_id)
@@ -348,7 +348,7 @@
             return
         self._answer(request_id, Answer(AnswerStatus.FAILED))
         self._close_request(request_id)
-        check(False, "every request is answered by the module in time", f"request {request_id}")
+        report_violation("every request is answered by the module in time", f"request {request_id}")
 
     def _retry_after_ms(self, now_ms: float, advised_ms: float) -> float:
         """Return the policy's advice, or in a shutdown when a server is here again, if that is later."""
--- a/sabledyke/invariants.py
+++ b/sabledyke/invariants.py
@@ -24,10 +24,22 @@
     Raises:
         AssertionError: It does not, in a debug run.
     """
-    if condition:
-        return True
+    if not condition:
+        report_violation(name, detail)
+    return bool(condition)
+
+
+def report_violation(name: str, detail: str = "") -> None:
+    """Report that an invariant does not hold.
+
+    Args:
+        name: The invariant's name, for the log and the count of violations.
+        detail: What was found instead.
+
+    Raises:
+        AssertionError: In a debug run.
+    """
     violations[name] += 1
     if __debug__:
         raise AssertionError(f"{name}: {detail}")
     log.emit("invariant", f"{name} does not hold ({violations[name]} times so far) {detail}".rstrip())
-    return False
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from sabledyke import log
-from sabledyke.invariants import check
+from sabledyke.invariants import report_violation
 from sabledyke.net import streams
 from sabledyke.policy.settings import Settings
 from sabledyke.protocol.discovery import EndpointListing, ListError, list_target, parse_listing
@@ -224,4 +224,4 @@
 def _log_unexpected(error: Exception) -> None:
     """Log a fault of this program with its stack, and count the invariant that it breaks."""
     log.emit("fault", "".join(traceback.format_exception(error)))
-    check(False, "a call for the list ends as expected", repr(error))
+    report_violation("a call for the list ends as expected", repr(error))
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -104,7 +104,7 @@
                 self._log_change()
                 await asyncio.sleep(RETRY_INTERVAL_S)
             except Exception as fault:  # shares expire by themselves, but a task is not to end silently
-                invariants.check(False, "a turn of shares", repr(fault))
+                invariants.report_violation("a turn of shares", repr(fault))
                 await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _step(self) -> None:
--- a/sabledyke/rollout/periodic.py
+++ b/sabledyke/rollout/periodic.py
@@ -40,5 +40,5 @@
             log.emit("fleet", str(fault), **fault.fields)
         except Exception as fault:
             # A task that ended silently would leave a member that sends heartbeats and never moves.
-            invariants.check(False, "a turn in the fleet", repr(fault))
+            invariants.report_violation("a turn in the fleet", repr(fault))
         await asyncio.sleep(max(MIN_PAUSE_S, interval_s() - (time.monotonic() - started_s)))
--- a/sabledyke/store/batch_writer.py
+++ b/sabledyke/store/batch_writer.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 
 from sabledyke import log
-from sabledyke.invariants import check
+from sabledyke.invariants import report_violation
 from sabledyke.net import clock
 from sabledyke.store import startup, statements
 from sabledyke.store.connect import CONNECT_TIMEOUT_S, START_PATIENCE_S, retry_while_transient
@@ -130,7 +130,7 @@
             self._carry_out(self._intents.on_batch_failed(now_ms, failure))
         else:
             self._carry_out(self._intents.on_unreachable(now_ms, failure))
-        check(False, "the record's driver works without a fault")
+        report_violation("the record's driver works without a fault")
 
     def _on_tick(self) -> None:
         self._tick_timer = None
