--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tests.test_outside import nested
+from tests.support.platform_config import platform_settings
 
 NODE_COUNT = 4
 MEMORY_MB = 192
@@ -31,7 +31,7 @@
 
 def settings() -> dict[str, Any]:
     """Return the platform's settings."""
-    values = nested()
+    values = platform_settings()
     base_class = values["profiles"][0]
     values["profiles"] = [base_class | READ_CLASS, base_class | WRITE_CLASS]
     values["family_info"]["changes_data"] = [False, True]
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -15,7 +15,7 @@
 import orjson
 
 from benchmarks.deployment import NODE_COUNT
-from tests.standins import Discovery, HttpBox, Service, http
+from tests.standins import Discovery, HttpNode, Service, http
 
 ROOT = Path(__file__).resolve().parent.parent
 RESPONSE_DELAY_S = 0.005
@@ -23,7 +23,7 @@
 MAX_LIFETIME_S = 3600
 
 
-class SlowNode(HttpBox):
+class SlowNode(HttpNode):
     """Responds to every request after a few milliseconds."""
 
     def __init__(self) -> None:
--- a/benchmarks/tls_persistent.py
+++ b/benchmarks/tls_persistent.py
@@ -12,12 +12,12 @@
 from benchmarks.nodes import RESPONSE, RESPONSE_DELAY_S, ROOT, NodeProcess
 from benchmarks.program import start_program
 from benchmarks.tls_keys import SERVER_CONTEXT
-from tests.standins.tls import TlsBox
+from tests.standins.tls import TlsNode
 
 WARM_UP_S = 1.0
 
 
-class SlowTlsNode(TlsBox):
+class SlowTlsNode(TlsNode):
     """Responds to every request after a few milliseconds, over TLS."""
 
     def __init__(self) -> None:
--- a/benchmarks/tls_resumption.py
+++ b/benchmarks/tls_resumption.py
@@ -7,7 +7,7 @@
 from sabledyke.tls.connector import TlsConnector
 from sabledyke.tls.handshake_admission import HandshakeBudget
 from sabledyke.tls.section import KeyPaths, TlsSection
-from tests.standins.tls import TlsBox
+from tests.standins.tls import TlsNode
 
 NODE = NodeEntry(NODE_NAME.encode(), 0, 0, 0, 0.0, 1.0, NodeState.READY)
 UNLIMITED = HandshakeBudget(scheduler_count=1, handshake_share=1.0, cores=1000.0)
@@ -16,7 +16,7 @@
 
 async def resumed_fraction(count: int) -> float:
     """Connect once, then so many times again."""
-    node = TlsBox(SERVER_CONTEXT)
+    node = TlsNode(SERVER_CONTEXT)
     await node.open()
     connector = TlsConnector(TlsSection(KeyPaths(), name_template=NODE_NAME), UNLIMITED, 1)
     connector.use_generation(make_keyring().generation)
