--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -120,8 +120,8 @@
             VOLUME.format(4, "held", 1),
         )
         text = NVME + "".join(volumes) + f'[store]\npath = "{self._store}"\n'
-        loaded = operator_config.read(text, DEPLOYMENT)
-        return replace(loaded, nvme=replace(loaded.nvme, listen=("127.0.0.1", 0)))
+        operator = operator_config.read(text, DEPLOYMENT)
+        return replace(operator, nvme=replace(operator.nvme, listen=("127.0.0.1", 0)))
 
 
 def play(scenario: Callable[[Rig], Awaitable[None]], store: str = "", *, console: bool = False) -> None:
--- a/tests/tls/tls_server_rig.py
+++ b/tests/tls/tls_server_rig.py
@@ -130,7 +130,7 @@
     @property
     def open_connections(self) -> int:
         """Connections to the storage node that are open."""
-        return self.server.pool.open_connections
+        return self.server.pool._open_count
 
     @property
     def idle_connections(self) -> int:
@@ -174,12 +174,12 @@
         operator_settings = operator_config.OperatorConfig()
         if self._operator_text:
             operator_settings = operator_config.read(self._operator_text, DEPLOYMENT)
-        nvme_address = ("127.0.0.1", 0) if operator_settings.nvme.listen else None
+        nvme = operator_settings.nvme
+        nvme_address = ("127.0.0.1", 0) if nvme.listen else None
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
         discovery_address = ("127.0.0.1", self.discovery.port)
         config = Config("n0", ("127.0.0.1", 0), discovery_address, 1, 256, 1 << 22, known, DEPLOYMENT)
-        nvme = replace(operator_settings.nvme, listen=nvme_address)
-        return config, replace(operator_settings, tls=tls, nvme=nvme)
+        return config, replace(operator_settings, tls=tls, nvme=replace(nvme, listen=nvme_address))
 
 
 Scenario = Callable[[TlsServerRig], Awaitable[None]]
