--- a/sabledyke/core/open_request.py
+++ b/sabledyke/core/open_request.py
@@ -7,6 +7,7 @@
 from typing import NamedTuple
 
 from sabledyke.core.types import Answer, ClientRequest
+from sabledyke.policy.events import PossibleExecution
 from sabledyke.policy.nodes import NodeEntry, NodeId
 from sabledyke.policy.retry import may_repeat
 from sabledyke.policy.settings import RepeatSafety, RequestClass
@@ -41,7 +42,7 @@
     answered: bool = False
     attempt_count: int = 0
     in_flight: dict[int, SentAttempt] = field(default_factory=dict)
-    first_execution: tuple[float, NodeEntry] | None = None
+    first_execution: PossibleExecution | None = None
 
     @property
     def finished(self) -> bool:
@@ -66,17 +67,18 @@
             now_ms: The time.
             besides: The number of an attempt in flight that is not counted.
         """
-        first = self.first_execution
+        first = self.first_execution or self._first_in_flight(besides)
         if first is None:
-            others = [attempt for number, attempt in self.in_flight.items() if number != besides]
-            if not others:
-                return True
-            first = min(others, key=_sent_at_ms)
+            return True
         sent_at_ms, sent_to = first
         return may_repeat(
             self.request_class, sent_at_ms, (sent_to.shard, sent_to.zone), now_ms, (node.shard, node.zone)
         )
 
+    def _first_in_flight(self, besides: int | None) -> SentAttempt | None:
+        others = [attempt for number, attempt in self.in_flight.items() if number != besides]
+        return min(others, key=_sent_at_ms) if others else None
+
 
 def _sent_at_ms(attempt: SentAttempt) -> float:
     return attempt.sent_at_ms
