--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -103,8 +103,8 @@
         self.parts = self._make_extensions(operator, control)
         report = self._chain_reports()
         self.dialers: dict[NodeId, Dial] = {}
-        for part in self.parts:
-            self.dialers.update(part.dialers())
+        for extension in self.parts:
+            self.dialers.update(extension.dialers())
         self._submit = self._chain_submit()
         self._connect = self._chain_connect()
         self.pool = ConnectionPool(settings, report, 0, self._dial, self.driver.may_send)
@@ -126,15 +126,15 @@
             self.core.on_endpoint_list(EndpointList(ListKind.FAILED, 0, ()))
             return
         update = listing.update
-        for part in self.parts:
-            update = part.adjust_endpoint_list(update)
+        for extension in self.parts:
+            update = extension.adjust_endpoint_list(update)
         self._apply_list(update, listing.addresses)
 
     def _apply_list(self, update: EndpointList, addresses: dict[NodeId, Address]) -> None:
         removed = self.core.on_endpoint_list(update)
         self.pool.update_addresses(addresses, removed)
-        for part in self.parts:
-            part.on_nodes_removed(removed)
+        for extension in self.parts:
+            extension.on_nodes_removed(removed)
 
     def _make_watch(self, config: Config) -> EndpointWatch:
         version = config.known.update.version if config.known else None
@@ -146,7 +146,7 @@
         host = self._make_host(control)
         wanted = [factory for factory in EXTENSIONS if factory.is_configured(operator)]
         made = [factory.load(host, operator) for factory in wanted]
-        return [part for part in made if part is not None]
+        return [extension for extension in made if extension is not None]
 
     def _make_host(self, control: ServerControl) -> ServerContext:
         """Return what extensions see of the server; what is not made yet is looked up when it is used."""
@@ -171,35 +171,35 @@
 
     def _chain_submit(self) -> Submit:
         submit: Submit = self.driver.submit
-        for part in reversed(self.parts):
-            submit = functools.partial(_submit_through, part, submit)
+        for extension in reversed(self.parts):
+            submit = functools.partial(_submit_through, extension, submit)
         return submit
 
     def _chain_connect(self) -> Connect:
         connect: Connect = connect_plain
-        for part in reversed(self.parts):
-            connect = part.wrap_connect(connect)
+        for extension in reversed(self.parts):
+            connect = extension.wrap_connect(connect)
         return connect
 
     def _chain_reports(self) -> ReportAttempt:
         report: ReportAttempt = self.driver.on_attempt_completed
-        for part in self.parts:
-            report = part.wrap_report(report)
+        for extension in self.parts:
+            report = extension.wrap_report(report)
         return report
 
     def _chain_transports(self) -> Transport:
         transport: Transport = self.pool
-        for part in reversed(self.parts):
-            transport = part.wrap_transport(transport)
+        for extension in reversed(self.parts):
+            transport = extension.wrap_transport(transport)
         return transport
 
     def _add_frontends(self, config: Config) -> None:
         self._add_frontend(self._make_http_frontend(), config.listen)
-        for part in self.parts:
-            for frontend, address in part.frontends():
+        for extension in self.parts:
+            for frontend, address in extension.frontends():
                 self._add_frontend(frontend, address)
         for frontend in self.fronts:
-            guards = [part.connection_guard(frontend.name) for part in self.parts]
+            guards = [extension.connection_guard(frontend.name) for extension in self.parts]
             frontend.guard = next((guard for guard in guards if guard is not None), None)
 
     def _add_frontend(self, frontend: Frontend, address: tuple[str, int]) -> None:
@@ -217,8 +217,8 @@
         return Frontend("HTTP", 0, make, self.response_memory)
 
     def _on_client_gone(self, request_id: int) -> None:
-        for part in self.parts:
-            part.on_client_disconnected(request_id)
+        for extension in self.parts:
+            extension.on_client_disconnected(request_id)
         self.core.on_client_disconnected(request_id)
 
     async def _connect_through_all(
@@ -230,5 +230,5 @@
         return await self.dialers.get(node, self.http_dialer.dial)(node, address, timeout_ms)
 
 
-def _submit_through(part: Extension, onward: Submit, work: ClientRequest, done: Done) -> int:
-    return part.submit(work, done, onward)
+def _submit_through(extension: Extension, onward: Submit, work: ClientRequest, done: Done) -> int:
+    return extension.submit(work, done, onward)
--- a/sabledyke/application/lifecycle.py
+++ b/sabledyke/application/lifecycle.py
@@ -66,7 +66,7 @@
         await self.open()
         if not self.stop_requested:  # else it was told to stop before it accepted anything
             self._begin()
-            if any(part.waits_for_budget for part in self._assembly.parts):
+            if any(extension.waits_for_budget for extension in self._assembly.parts):
                 await self._await_first_list()
             self._open_listeners()
             gc.collect()
@@ -76,8 +76,8 @@
 
     async def open(self) -> None:
         """Open the extensions; a ConfigError where one cannot be."""
-        for part in self._assembly.parts:
-            await part.open()
+        for extension in self._assembly.parts:
+            await extension.open()
 
     def start(self) -> None:
         """Begin to watch the endpoint list, and open the listeners."""
@@ -173,8 +173,8 @@
         if self._console_listener is not None and self._console is not None:
             self._console_listener.close()
             self._console.close()
-        for part in self._assembly.parts:
-            await part.close()
+        for extension in self._assembly.parts:
+            await extension.close()
         self._assembly.driver.cancel_timer()
         broken = ", ".join(f"{name}: {count}" for name, count in invariants.violations.items()) or "none"
         name = self._assembly.config.name
--- a/sabledyke/application/reload.py
+++ b/sabledyke/application/reload.py
@@ -73,8 +73,8 @@
             return None
         operator = self._read_operator(config.settings)
         if operator is not None:
-            for part in self._assembly.parts:
-                part.check_operator_config(operator)
+            for extension in self._assembly.parts:
+                extension.check_operator_config(operator)
         return operator
 
     def _move_listener(self, config: Config) -> None:
@@ -93,10 +93,10 @@
         assembly.reader.apply_settings(settings)
         assembly.http_dialer.settings = settings
         assembly.pool.settings = settings
-        for part in assembly.parts:
-            part.apply_config(config)
+        for extension in assembly.parts:
+            extension.apply_config(config)
             if operator is not None:
-                part.apply_operator_config(operator)
+                extension.apply_operator_config(operator)
         assembly.apply_limits()
         assembly.watch.adopt(config.discovery, settings)
 
--- a/sabledyke/lease/extension.py
+++ b/sabledyke/lease/extension.py
@@ -70,24 +70,24 @@
         self._restart: asyncio.Task[None] | None = None  # a reference, so that it is not collected
 
     async def open(self) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         await self._authority.open()
         self._start()
 
     def check_operator_config(self, operator: OperatorConfig) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         new = operator.lease
         if new is None or not new.uses_authority_of(self._section):
             raise ConfigError("the lease authority differs, which takes a restart")
 
     def apply_operator_config(self, operator: OperatorConfig) -> None:
-        """See ``extensions.Part``: what is held is released, and acquired again under the new times."""
+        """See ``Extension``: what is held is released, and acquired again under the new times."""
         if operator.lease is not None and operator.lease != self._section:
             self._section = operator.lease
             self._restart = asyncio.get_running_loop().create_task(self._run_new_section())
 
     async def close(self) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         await self._stop()
         await self._authority.close()
 
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -86,7 +86,7 @@
 
     def _begin(self, token: int) -> None:
         self._token = token
-        self._pen = self._board.writer(PLACEMENTS_TOPIC, COORDINATOR, token)
+        self._writer = self._board.writer(PLACEMENTS_TOPIC, COORDINATOR, token)
         self._baseline = Baseline()
         self._observed_step = ("", 0)
 
@@ -109,7 +109,7 @@
 
     async def _write(self, batch: PlacementBatch) -> None:
         drafts = [Draft(placement.volume, evacuation.encode(placement)) for placement in batch.placements]
-        await self._pen.append(drafts, end=self._reader.position)
+        await self._writer.append(drafts, end=self._reader.position)
 
     def _survivors_well(self, plan: Plan, view: FleetView, registers: Mapping[str, bytes]) -> bool:
         """Return whether members of other sites reject and fail no more, since the last step, than before."""
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -32,7 +32,7 @@
 
 
 class QuotaExtension(Extension):
-    """See ``extensions.Part``."""
+    """See ``Extension``."""
 
     def __init__(
         self,
@@ -61,16 +61,16 @@
         self.apply_config(host.config)
 
     async def open(self) -> None:
-        """See ``extensions.Part``: shares begin once the log answers; the program does not wait for it."""
+        """See ``Extension``: shares begin once the log answers; the program does not wait for it."""
         self._task = asyncio.get_running_loop().create_task(self._run())
         log.emit("fleet", f"{self._name}: {self._section}")
 
     def apply_config(self, config: Config) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         self._plans = config.settings.plans
 
     def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
-        """See ``extensions.Part``: work of a volume that is shared gets this member's share."""
+        """See ``Extension``: work of a volume that is shared gets this member's share."""
         plan = self._plans[work.plan_index]
         if plan.limit > 0 or plan.reservation > 0:
             now_ms = self._clock()
@@ -79,12 +79,12 @@
         return onward(work, done)
 
     def check_operator_config(self, operator: OperatorConfig) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         if operator.fleet != self._section:
             raise ConfigError("fleet differs, which takes a restart")
 
     async def close(self) -> None:
-        """See ``extensions.Part``: what it published counts for the others until they know that it ended."""
+        """See ``Extension``: what it published counts for the others until they know that it ended."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -20,7 +20,7 @@
 """Name of the writer."""
 
 
-async def append_move(pen: LogWriter, move: Move) -> None:
+async def append_move(writer: LogWriter, move: Move) -> None:
     """Write a move to the log.
 
     Raises:
@@ -29,7 +29,7 @@
     """
     drafts = [Draft(key_of(record), encode(record)) for record in move.records]
     drafts += [Draft(key, None) for key in move.deleted_keys]
-    await pen.append(drafts, dict(move.expected_offsets), move.expected_end)
+    await writer.append(drafts, dict(move.expected_offsets), move.expected_end)
 
 
 async def read_view(board: CompactedLog, reader: LogReader) -> FleetView:
@@ -52,16 +52,17 @@
     """
     while True:
         move = decide(await read_view(board, reader))
-        pen = await board.claim_writer(FLEET_TOPIC, OPERATOR)  # takes over from an operator that wrote before
-        if await _written(pen, move, retries):
+        # Takes over from an operator that wrote before.
+        writer = await board.claim_writer(FLEET_TOPIC, OPERATOR)
+        if await _written(writer, move, retries):
             return move
 
 
-async def _written(pen: LogWriter, move: Move, retries: int) -> bool:
+async def _written(writer: LogWriter, move: Move, retries: int) -> bool:
     """Return whether the move was written; False where it is to be decided anew."""
     for retries_left in reversed(range(retries + 1)):
         try:
-            await append_move(pen, move)
+            await append_move(writer, move)
             return True
         except WriteConflictError:
             return False
--- a/sabledyke/rollout/coordinator_driver.py
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -71,7 +71,7 @@
         self._sites = sites
         self._heartbeat_interval_ms = heartbeat_interval_ms
         self._token = 0
-        self._pen: LogWriter | None = None
+        self._writer: LogWriter | None = None
         self._tracker = ChangeTracker()
         self._baseline = Baseline()
         self._registers: dict[str, bytes] = {}
@@ -85,7 +85,7 @@
         """
         if self._host.is_shutting_down():
             return
-        pen = self._pen_of(self._lease.current_token())
+        writer = self._writer_for(self._lease.current_token())
         await self._read_registers()
         for _ in range(self._fleet_log.record_count + 1):
             view = await self._fleet_log.read()
@@ -102,7 +102,7 @@
                 move = done
             if move is None:
                 return
-            await self._write(pen, move)
+            await self._write(writer, move)
 
     async def clean_topics(self) -> None:
         """Compact the topics that the coordinator is responsible for.
@@ -115,13 +115,13 @@
                 topic, self._board_section.compaction, self._lease.current_token, boottime_ms
             )
 
-    def _pen_of(self, token: int) -> LogWriter:
-        if token != self._token or self._pen is None:
+    def _writer_for(self, token: int) -> LogWriter:
+        if token != self._token or self._writer is None:
             self._token = token
             self._tracker = ChangeTracker()
             self._baseline = Baseline()
-            self._pen = self._board.writer(FLEET_TOPIC, COORDINATOR, token)
-        return self._pen
+            self._writer = self._board.writer(FLEET_TOPIC, COORDINATOR, token)
+        return self._writer
 
     async def _read_registers(self) -> None:
         if boottime_ms() - self._registers_read_at_ms >= self._heartbeat_interval_ms / 2:
@@ -142,11 +142,11 @@
         nodes = self._nodes.by_name()
         return node_drain.decide(view, self._token, now_ms, self._tracker, self.timeouts, nodes)
 
-    async def _write(self, pen: LogWriter, move: Move) -> None:
+    async def _write(self, writer: LogWriter, move: Move) -> None:
         """Write a move; after a conflict the next one is decided at once, as a fleet is never still."""
         self._lease.current_token()
         try:
-            await append_move(pen, move)
+            await append_move(writer, move)
         except WriteConflictError:
             return
         log.emit("fleet", move.description, token=self._token)
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -45,7 +45,7 @@
 
 
 class RolloutExtension(Extension):
-    """See ``extensions.Part``."""
+    """See ``Extension``."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         self.apply_config(host.config)
 
     async def open(self) -> None:
-        """See ``extensions.Part``: returns once the log answers and this incarnation has begun."""
+        """See ``Extension``: returns once the log answers and this incarnation has begun."""
         await self._authority.open()
         while (view := await self.member.join()) is None:
             if self._host.is_shutting_down():
@@ -102,26 +102,26 @@
         log.emit("fleet", f"{self._identity} is a member, incarnation {incarnation}, {self._section}")
 
     def apply_config(self, config: Config) -> None:
-        """See ``extensions.Part``: how long a node warms up is the deployment's setting."""
+        """See ``Extension``: how long a node warms up is the deployment's setting."""
         self._coordinator.timeouts = replace(self._section.timeouts, warm_up_ms=config.settings.warm_up_ms)
 
     def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
-        """See ``extensions.Part``: the load of each volume is published with the heartbeats."""
+        """See ``Extension``: the load of each volume is published with the heartbeats."""
         if self._loads is not None:
             self._loads.add(work.volume, work.units)
         return onward(work, done)
 
-    def adjust_endpoint_list(self, news: EndpointList) -> EndpointList:
-        """See ``extensions.Part``: nodes that are drained by a plan are draining."""
-        return self._nodes.on_update(news)
+    def adjust_endpoint_list(self, update: EndpointList) -> EndpointList:
+        """See ``Extension``: nodes that are drained by a plan are draining."""
+        return self._nodes.on_update(update)
 
     def check_operator_config(self, operator: OperatorConfig) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         if operator.board != self._board_section:
             raise ConfigError("the board differs, which takes a restart")
 
     async def close(self) -> None:
-        """See ``extensions.Part``: the member writes that it is out, and gives its lease up."""
+        """See ``Extension``: the member writes that it is out, and gives its lease up."""
         if self._tasks:
             lease_task, *tasks = self._tasks
             for task in tasks:
--- a/sabledyke/rollout/member_driver.py
+++ b/sabledyke/rollout/member_driver.py
@@ -80,7 +80,7 @@
     @property
     def incarnation(self) -> int:
         """The incarnation that this process has joined as."""
-        return self._pen.identity.incarnation
+        return self._writer.identity.incarnation
 
     async def join(self) -> FleetView | None:
         """Begin a new incarnation on the log, and return the view that it finds.
@@ -95,13 +95,13 @@
         """
         try:
             await self._board.backend.open()
-            self._pen = await self._board.claim_writer(FLEET_TOPIC, self._name)
+            self._writer = await self._board.claim_writer(FLEET_TOPIC, self._name)
             heartbeats = await self._board.claim_writer(HEARTBEATS_TOPIC, self._name)
             self._heartbeats = registers.RegisterWriter(
                 self._board.backend, HEARTBEATS_TOPIC, heartbeats.identity
             )
             # It writes that it lives before it reads for the first time: see ``node_drain``.
-            await append_move(self._pen, Move("warming", (self._record(MemberState.WARMING),)))
+            await append_move(self._writer, Move("warming", (self._record(MemberState.WARMING),)))
             return await self._fleet_log.read()
         except StaleWriterError as fault:
             raise ConfigError(f"board {self._board_section}: {fault}") from None
@@ -132,7 +132,7 @@
         view = await self._fleet_log.read()
         state = self._state()
         if self._record_differs(view, state):
-            await append_move(self._pen, Move(state.value, (self._record(state),)))
+            await append_move(self._writer, Move(state.value, (self._record(state),)))
             view = await self._fleet_log.read()
         due = self._participant.due_settings(view)
         if due is not None:
@@ -164,7 +164,7 @@
         try:
             async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
                 state = MemberState.RETIRED if self._retires else MemberState.OUT
-                await append_move(self._pen, Move("out", (self._record(state),)))
+                await append_move(self._writer, Move("out", (self._record(state),)))
         except (CompactedLogError, TimeoutError) as fault:
             log.emit("fleet", f"{self._name} could not say that it is out: {fault or 'no answer'}")
 
@@ -180,12 +180,12 @@
         done = replace(ticket, settings_result=reason or SETTINGS_APPLIED)
         description = f"settings {ticket.target}: {done.settings_result}"
         expected = ((key_of(ticket), ticket.offset),)
-        await append_move(self._pen, Move(description, (done,), expected_offsets=expected))
+        await append_move(self._writer, Move(description, (done,), expected_offsets=expected))
         log.emit("fleet", description, member=self._name)
 
     async def _write(self, move: Move, view: FleetView) -> None:
         self._check_version_file(move, view)
-        await append_move(self._pen, move)
+        await append_move(self._writer, move)
         goes_out = move.description == GOES_OUT
         message = f"{self._name} goes out" if goes_out else move.description
         log.emit("fleet", message, member=self._name)
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -56,25 +56,25 @@
         self._target = target
 
     def wrap_report(self, onward: ReportAttempt) -> ReportAttempt:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         self.recording_transport.report = onward
         return self.recording_transport.on_attempt_ended
 
     def wrap_transport(self, inner: Transport) -> Transport:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         self.recording_transport.inner = inner
         return self.recording_transport
 
     def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         return self.recording_transport.submit(work, done, onward)
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         self.recording_transport.on_client_departed(request_id)
 
     async def open(self) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         try:
             await self.recording_transport.open()
         except DatabaseError as error:
@@ -84,11 +84,11 @@
         log.emit("store", f"{self._target} is open; incarnation {position.incarnation}, {entries}")
 
     def apply_config(self, config: Config) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         self.recording_transport.settings = config.settings
 
     async def close(self) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         await self.recording_transport.close()
 
 
@@ -104,18 +104,18 @@
         self.dialer = SqlDialer(host.config.settings, nodes, section.retention_ms)
 
     def dialers(self) -> dict[NodeId, Dial]:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         return dict.fromkeys(self.dialer.nodes, self.dialer.dial)
 
     def apply_config(self, config: Config) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         self.dialer.settings = config.settings
 
     def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         for node in gone:
             self.dialer.on_node_removed(node)
 
     async def close(self) -> None:
-        """See ``extensions.Part``."""
+        """See ``Extension``."""
         self.dialer.close()
