--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -28,14 +28,14 @@
 class EvacuationDriver:
     """Evacuations of one coordinator; what it has observed is begun anew with each token."""
 
-    def __init__(self, board: CompactedLog, site_map: SiteMap) -> None:
+    def __init__(self, compacted_log: CompactedLog, site_map: SiteMap) -> None:
         """Create a driver that has read nothing yet.
 
         Args:
-            board: The log.
+            compacted_log: The log.
             site_map: Capacities and distances of sites.
         """
-        self._board = board
+        self._compacted_log = compacted_log
         self._site_map = site_map
         self._reader = LogReader()
         self._token = 0
@@ -67,7 +67,7 @@
         """
         if token != self._token:
             self._begin(token)
-        await self._board.catch_up(PLACEMENTS_TOPIC, self._reader)
+        await self._compacted_log.catch_up(PLACEMENTS_TOPIC, self._reader)
         placements = evacuation.decode_placements(self._reader.latest)
         plans = [plan for plan in view.active if plan.retiring_site]
         batch = self._next_batch(view, plans, placements, decode_loads(registers))
@@ -86,7 +86,7 @@
 
     def _begin(self, token: int) -> None:
         self._token = token
-        self._writer = self._board.writer(PLACEMENTS_TOPIC, COORDINATOR, token)
+        self._writer = self._compacted_log.writer(PLACEMENTS_TOPIC, COORDINATOR, token)
         self._baseline = Baseline()
         self._observed_step = ("", 0)
 
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -12,7 +12,7 @@
 from sabledyke import invariants, log
 from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
 from sabledyke.compacted_log.client import CompactedLog
-from sabledyke.compacted_log.section import LogSection as BoardSection
+from sabledyke.compacted_log.section import LogSection
 from sabledyke.config import Config, ConfigError
 from sabledyke.core import ClientRequest
 from sabledyke.errors import CompactedLogError, StaleWriterError
@@ -38,7 +38,7 @@
         self,
         host: ServerContext,
         section: Section,
-        board_section: BoardSection,
+        log_section: LogSection,
         clock: Callable[[], float] = boottime_ms,
     ) -> None:
         """Set up a member that has not begun yet.
@@ -46,16 +46,16 @@
         Args:
             host: The server around it.
             section: The operator's section of shares.
-            board_section: The operator's section of the log.
+            log_section: The operator's section of the log.
             clock: Returns the time in ms.
         """
         self._section = section
         self._clock = clock
         self._name = host.config.name
-        self._board = CompactedLog(board_section.create_backend(), host.config.seed)
+        self._compacted_log = CompactedLog(log_section.create_backend(), host.config.seed)
         self._allocator = QuotaAllocator(section.policy, section.timing)
         self.meter = DemandMeter(clock())
-        self.publisher = DemandPublisher(self._name, self._board, self._allocator, self.meter, clock)
+        self.publisher = DemandPublisher(self._name, self._compacted_log, self._allocator, self.meter, clock)
         self._is_sharing = False  # it took more than its floor when last checked
         self._task: asyncio.Task[None] | None = None
         self.apply_config(host.config)
@@ -88,7 +88,7 @@
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-        await self._board.backend.close()
+        await self._compacted_log.backend.close()
 
     async def _run(self) -> None:
         poll_interval_s = self._section.timing.max_poll_gap_ms / POLLS_PER_GAP / 1000
--- a/sabledyke/quota_sharing/publisher.py
+++ b/sabledyke/quota_sharing/publisher.py
@@ -24,7 +24,7 @@
     def __init__(
         self,
         name: str,
-        board: CompactedLog,
+        compacted_log: CompactedLog,
         allocator: QuotaAllocator,
         meter: DemandMeter,
         clock: Callable[[], float],
@@ -33,7 +33,7 @@
 
         Args:
             name: The member's name.
-            board: The log.
+            compacted_log: The log.
             allocator: Gets what stands on the log.
             meter: Says what to publish.
             clock: Returns the time in ms.
@@ -43,8 +43,8 @@
         self.confirmed_at_ms = NEVER
         """Since when the publication that stands is known to stand."""
         self._name = name
-        self._board = board
-        self._shelf = board.backend
+        self._compacted_log = compacted_log
+        self._backend = compacted_log.backend
         self._allocator = allocator
         self._meter = meter
         self._clock = clock
@@ -68,9 +68,9 @@
             CompactedLogError: The log does not answer.
             StaleWriterError: Another incarnation of this name took over.
         """
-        await self._shelf.open()
-        self._nonce = (await self._board.claim_writer(SHARES_TOPIC, self._name)).identity.nonce
-        cells = await self._shelf.get([self._writer_key, self._register_key])
+        await self._backend.open()
+        self._nonce = (await self._compacted_log.claim_writer(SHARES_TOPIC, self._name)).identity.nonce
+        cells = await self._backend.get([self._writer_key, self._register_key])
         self._check_writer(cells.get(self._writer_key))
         self._on_register(cells.get(self._register_key))
         self._number = self._standing_number
@@ -79,7 +79,7 @@
     async def poll(self) -> None:
         """Read what all members have published."""
         started_at_ms = self._clock()
-        cells = await registers.read_cells(self._shelf, SHARES_TOPIC)
+        cells = await registers.read_cells(self._backend, SHARES_TOPIC)
         known = self._polled
         self._on_register(cells.pop(self._name, None))
         self._polled = {
@@ -105,14 +105,14 @@
         self.is_quiet = False  # it may stand
         self._allocator.on_publishing(number, demands, now_ms, self._standing_number)
         checks = {self._writer_key: self._writer_version, self._register_key: self._register_version}
-        if await self._shelf.commit(checks, {self._register_key: encode_demands(number, demands)}):
+        if await self._backend.commit(checks, {self._register_key: encode_demands(number, demands)}):
             self._standing_number = number
             self.confirmed_at_ms = self._clock()
             self._allocator.on_published(number, self.confirmed_at_ms)
             self.is_quiet = not demands  # the next poll finds the version that the next one is written over
         else:
             self._allocator.on_rejected(number)
-            self._check_writer((await self._shelf.get([self._writer_key])).get(self._writer_key))
+            self._check_writer((await self._backend.get([self._writer_key])).get(self._writer_key))
 
     def _check_writer(self, cell: Cell | None) -> None:
         written = decode_writer_state(cell)
--- a/sabledyke/rollout/__init__.py
+++ b/sabledyke/rollout/__init__.py
@@ -1,4 +1,5 @@
 """Drains and releases agreed across a fleet: tickets to go out, inside a budget, with a halt and a way back.
 
-It stands on the board and on a lease; it knows members, plans and tickets, never volumes or sites' homes.
+It stands on the compacted log and on a lease; it knows members, plans and tickets, never volumes or their
+placements.
 """
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -32,28 +32,28 @@
     await writer.append(drafts, dict(move.expected_offsets), move.expected_end)
 
 
-async def read_view(board: CompactedLog, reader: LogReader) -> FleetView:
+async def read_view(compacted_log: CompactedLog, reader: LogReader) -> FleetView:
     """Read the log to its end, and return all records that hold there."""
-    await board.catch_up(FLEET_TOPIC, reader)
+    await compacted_log.catch_up(FLEET_TOPIC, reader)
     return view_of(reader.latest, reader.position)
 
 
 async def apply(
-    board: CompactedLog, reader: LogReader, decide: Callable[[FleetView], Move], retries: int = 0
+    compacted_log: CompactedLog, reader: LogReader, decide: Callable[[FleetView], Move], retries: int = 0
 ) -> Move:
     """Write the move that is decided by the current view, and return it.
 
     Args:
-        board: The log.
+        compacted_log: The log.
         reader: A reader of the fleet's topic.
         decide: Called with the view, again after a conflict; what it raises ends the call.
         retries: How often one move is tried again after a CompactedLogError, after which it may have been
         written; it takes effect once.
     """
     while True:
-        move = decide(await read_view(board, reader))
+        move = decide(await read_view(compacted_log, reader))
         # Takes over from an operator that wrote before.
-        writer = await board.claim_writer(FLEET_TOPIC, OPERATOR)
+        writer = await compacted_log.claim_writer(FLEET_TOPIC, OPERATOR)
         if await _written(writer, move, retries):
             return move
 
--- a/sabledyke/rollout/coordinator_driver.py
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -8,7 +8,7 @@
 from sabledyke.application.extensions import ServerContext
 from sabledyke.compacted_log import registers
 from sabledyke.compacted_log.client import CompactedLog, LogWriter
-from sabledyke.compacted_log.section import LogSection as BoardSection
+from sabledyke.compacted_log.section import LogSection
 from sabledyke.errors import WriteConflictError
 from sabledyke.lease.manager import LeaseManager, boottime_ms
 from sabledyke.placement.evacuation import PLACEMENTS_TOPIC, PlacementBatch
@@ -39,8 +39,8 @@
         self,
         host: ServerContext,
         name: str,
-        board: CompactedLog,
-        board_section: BoardSection,
+        compacted_log: CompactedLog,
+        log_section: LogSection,
         fleet_log: FleetLog,
         lease: LeaseManager,
         nodes: NodeList,
@@ -52,8 +52,8 @@
         Args:
             host: The server around it.
             name: Name of this coordinator, different in each incarnation.
-            board: The log.
-            board_section: The operator's section of the log.
+            compacted_log: The log.
+            log_section: The operator's section of the log.
             fleet_log: The fleet's topic as this process reads it.
             lease: The coordinator's lease.
             nodes: Storage nodes as discovery has them.
@@ -63,8 +63,8 @@
         self.timeouts = Timeouts()
         self._host = host
         self._name = name
-        self._board = board
-        self._board_section = board_section
+        self._compacted_log = compacted_log
+        self._log_section = log_section
         self._fleet_log = fleet_log
         self._lease = lease
         self._nodes = nodes
@@ -110,9 +110,9 @@
         Raises:
             Lost: The lease is another's.
         """
-        for topic in (FLEET_TOPIC, PLACEMENTS_TOPIC, *self._board_section.topics):
-            await self._board.compact(
-                topic, self._board_section.compaction, self._lease.current_token, boottime_ms
+        for topic in (FLEET_TOPIC, PLACEMENTS_TOPIC, *self._log_section.topics):
+            await self._compacted_log.compact(
+                topic, self._log_section.compaction, self._lease.current_token, boottime_ms
             )
 
     def _writer_for(self, token: int) -> LogWriter:
@@ -120,12 +120,12 @@
             self._token = token
             self._tracker = ChangeTracker()
             self._baseline = Baseline()
-            self._writer = self._board.writer(FLEET_TOPIC, COORDINATOR, token)
+            self._writer = self._compacted_log.writer(FLEET_TOPIC, COORDINATOR, token)
         return self._writer
 
     async def _read_registers(self) -> None:
         if boottime_ms() - self._registers_read_at_ms >= self._heartbeat_interval_ms / 2:
-            self._registers = await registers.read_values(self._board.backend, HEARTBEATS_TOPIC)
+            self._registers = await registers.read_values(self._compacted_log.backend, HEARTBEATS_TOPIC)
             self._registers_read_at_ms = boottime_ms()
 
     def _decide(self, view: FleetView, now_ms: float) -> Move | None:
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -14,7 +14,7 @@
 from sabledyke import log
 from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
 from sabledyke.compacted_log.client import CompactedLog
-from sabledyke.compacted_log.section import LogSection as BoardSection
+from sabledyke.compacted_log.section import LogSection
 from sabledyke.config import Config, ConfigError
 from sabledyke.core import ClientRequest
 from sabledyke.lease.extension import create_authority
@@ -51,7 +51,7 @@
         self,
         host: ServerContext,
         section: Section,
-        board_section: BoardSection,
+        log_section: LogSection,
         lease: LeaseSection,
         sites: SiteMap | None = None,
     ) -> None:
@@ -60,27 +60,27 @@
         Args:
             host: The server around it.
             section: The operator's section of releases.
-            board_section: The operator's section of the log.
+            log_section: The operator's section of the log.
             lease: The operator's section of the coordinator's lease.
             sites: Capacities and distances of sites; None where the operator names none.
         """
         self._host = host
         self._section = section
-        self._board_section = board_section
+        self._log_section = log_section
         self._identity = f"{host.config.name}.{uuid4().hex[:12]}"
         self._authority = create_authority(lease)
         self._tasks: list[asyncio.Task[None]] = []
         self._nodes = NodeList(lambda entries: host.apply_node_entries(entries))
         self._loads = VolumeLoads() if sites is not None else None
-        self.board = CompactedLog(board_section.create_backend(), host.config.seed)
-        self._fleet_log = FleetLog(self.board, board_section.max_keys, self._on_view)
+        self.board = CompactedLog(log_section.create_backend(), host.config.seed)
+        self._fleet_log = FleetLog(self.board, log_section.max_keys, self._on_view)
         self._lease = LeaseManager(LEASE_NAME, self._identity, self._authority, lease.times, host.config.seed)
-        self.member = MemberDriver(host, section, self.board, board_section, self._fleet_log, self._loads)
+        self.member = MemberDriver(host, section, self.board, log_section, self._fleet_log, self._loads)
         self._coordinator = CoordinatorDriver(
             host=host,
             name=self._identity,
-            board=self.board,
-            board_section=board_section,
+            compacted_log=self.board,
+            log_section=log_section,
             fleet_log=self._fleet_log,
             lease=self._lease,
             nodes=self._nodes,
@@ -117,7 +117,7 @@
 
     def check_operator_config(self, operator: OperatorConfig) -> None:
         """See ``Extension``."""
-        if operator.board != self._board_section:
+        if operator.board != self._log_section:
             raise ConfigError("the board differs, which takes a restart")
 
     async def close(self) -> None:
@@ -141,7 +141,7 @@
             (self.member.step, self._poll_interval_s),
             (self.member.send_heartbeat, lambda: heartbeat_s),
             (self._coordinator.step, self._poll_interval_s),
-            (self._coordinator.clean_topics, lambda: self._board_section.compaction_interval_s),
+            (self._coordinator.clean_topics, lambda: self._log_section.compaction_interval_s),
         ):
             self._tasks.append(loop.create_task(run_periodically(action, interval_s)))
 
--- a/sabledyke/rollout/fleet_log.py
+++ b/sabledyke/rollout/fleet_log.py
@@ -13,16 +13,18 @@
 class FleetLog:
     """Reads the topic for all tasks of a process."""
 
-    def __init__(self, board: CompactedLog, max_keys: int, on_change: Callable[[FleetView], None]) -> None:
+    def __init__(
+        self, compacted_log: CompactedLog, max_keys: int, on_change: Callable[[FleetView], None]
+    ) -> None:
         """Create a reader that has read nothing yet.
 
         Args:
-            board: The log.
+            compacted_log: The log.
             max_keys: Keys that the topic may hold.
             on_change: Called with each new view before anything is decided by it.
         """
         self.view = FleetView(0)
-        self._board = board
+        self._compacted_log = compacted_log
         self._reader = LogReader(max_keys)
         self._on_change = on_change
 
@@ -33,7 +35,7 @@
 
     async def read(self) -> FleetView:
         """Read the topic to its end, and return the view; it is made anew only where something changed."""
-        has_changed = await self._board.catch_up(FLEET_TOPIC, self._reader)
+        has_changed = await self._compacted_log.catch_up(FLEET_TOPIC, self._reader)
         if has_changed or self.view.next_offset != self._reader.position:
             self.view = view_of(self._reader.latest, self._reader.position)
             self._on_change(self.view)
--- a/sabledyke/rollout/member_driver.py
+++ b/sabledyke/rollout/member_driver.py
@@ -10,7 +10,7 @@
 from sabledyke.application.extensions import ServerContext
 from sabledyke.compacted_log import registers
 from sabledyke.compacted_log.client import CompactedLog
-from sabledyke.compacted_log.section import LogSection as BoardSection
+from sabledyke.compacted_log.section import LogSection
 from sabledyke.config import PREFIX, ConfigError
 from sabledyke.errors import CompactedLogError, StaleWriterError
 from sabledyke.lease.manager import boottime_ms
@@ -51,8 +51,8 @@
         self,
         host: ServerContext,
         section: Section,
-        board: CompactedLog,
-        board_section: BoardSection,
+        compacted_log: CompactedLog,
+        log_section: LogSection,
         fleet_log: FleetLog,
         loads: VolumeLoads | None,
     ) -> None:
@@ -61,15 +61,15 @@
         Args:
             host: The server around it.
             section: The operator's section of releases.
-            board: The log.
-            board_section: The operator's section of the log, for messages.
+            compacted_log: The log.
+            log_section: The operator's section of the log, for messages.
             fleet_log: The fleet's topic as this process reads it.
             loads: Loads of volumes to publish; None where the operator names no sites.
         """
         self._host = host
         self._section = section
-        self._board = board
-        self._board_section = board_section
+        self._compacted_log = compacted_log
+        self._log_section = log_section
         self._fleet_log = fleet_log
         self._loads = loads
         self._name = host.config.name
@@ -94,17 +94,17 @@
             ConfigError: Another incarnation of this name took over.
         """
         try:
-            await self._board.backend.open()
-            self._writer = await self._board.claim_writer(FLEET_TOPIC, self._name)
-            heartbeats = await self._board.claim_writer(HEARTBEATS_TOPIC, self._name)
+            await self._compacted_log.backend.open()
+            self._writer = await self._compacted_log.claim_writer(FLEET_TOPIC, self._name)
+            heartbeats = await self._compacted_log.claim_writer(HEARTBEATS_TOPIC, self._name)
             self._heartbeats = registers.RegisterWriter(
-                self._board.backend, HEARTBEATS_TOPIC, heartbeats.identity
+                self._compacted_log.backend, HEARTBEATS_TOPIC, heartbeats.identity
             )
             # It writes that it lives before it reads for the first time: see ``node_drain``.
             await append_move(self._writer, Move("warming", (self._record(MemberState.WARMING),)))
             return await self._fleet_log.read()
         except StaleWriterError as fault:
-            raise ConfigError(f"board {self._board_section}: {fault}") from None
+            raise ConfigError(f"board {self._log_section}: {fault}") from None
         except CompactedLogError as fault:
             message = f"{self._name} waits for the board, its listeners are closed: {fault}"
             log.emit("fleet", message, **fault.fields)
