--- a/tests/tls/test_handshake_load.py
+++ b/tests/tls/test_handshake_load.py
@@ -22,7 +22,7 @@
 
 def restart_node(rig: TlsServerRig) -> None:
     """Have a scheduler believe that its node started just now, and that there are many schedulers."""
-    rig.server.watch.watch = lambda *, on: None  # type: ignore[method-assign] # the start is set by hand
+    rig.server.watch.watch = lambda **_: None  # type: ignore[method-assign] # the start is set by hand
     nodes = rig.server.core.nodes
     nodes[NODE] = replace(nodes[NODE], started_ms=time.time() * 1000)
     admission = rig.extension.connector.admission
--- a/tests/tls/tls_server_rig.py
+++ b/tests/tls/tls_server_rig.py
@@ -130,7 +130,7 @@
     @property
     def open_connections(self) -> int:
         """Connections to the storage node that are open."""
-        return self.server.pool._open_count
+        return self.server.pool.open_connections
 
     @property
     def idle_connections(self) -> int:
