--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -230,7 +230,7 @@
     async def story(fleet: Fleet) -> None:
         for i in range(min(size, 5)):
             downs, began = len(fleet.seen[i].downs), time.monotonic()
-            fleet.cluster.tell(i, signal.SIGTERM)
+            fleet.cluster.send_signal(i, signal.SIGTERM)
             while len(fleet.seen[i].downs) == downs:
                 await asyncio.sleep(0.005)
             cycles.append(time.monotonic() - began)
--- a/sabledyke/testbed/etcd_server.py
+++ b/sabledyke/testbed/etcd_server.py
@@ -1,8 +1,8 @@
 """A stand-in of etcd's lease and transaction API over its JSON gateway, written from the published API.
 
-One member, in memory, with a clock that may run fast or slow. ``restart`` does what a member that leads
-anew does: keys stay, connections are reset, and every lease has its whole time again. Bounded by the duties
-of the experiment.
+One member, in memory, with a clock that may run fast or slow. ``restart`` does what a newly elected leader
+does: keys stay, connections are reset, and every lease has its full time to live again. Bounded by the leader
+tasks of the experiment.
 """
 
 from __future__ import annotations
@@ -18,156 +18,185 @@
 
 from sabledyke.testbed.http_service import Service
 
+GRPC_NOT_FOUND = 5
+
 
 @dataclass(slots=True)
 class _Key:
     value: str
-    created: int
-    modified: int
+    create_revision: int
+    mod_revision: int
     version: int
     lease: str
 
+    def encode(self, name: str) -> dict[str, Any]:
+        return {
+            "key": name,
+            "value": self.value,
+            "create_revision": str(self.create_revision),
+            "mod_revision": str(self.mod_revision),
+            "version": str(self.version),
+            "lease": self.lease,
+        }
+
 
 @dataclass(slots=True)
 class _Lease:
-    ttl: int
-    ends: float
+    ttl_s: int
+    expires_at_s: float
     keys: set[str] = field(default_factory=set)
 
 
 class Etcd(Service):
-    """Grant, keep-alive, revoke and time-to-live of leases; range and txn on keys."""
+    """Grant, keep-alive, revoke and time-to-live of leases; range and txn on keys.
 
-    def __init__(self, rate: float = 1.0) -> None:
+    Attributes:
+        calls: How many requests it got.
+    """
+
+    def __init__(self, clock_rate: float = 1.0) -> None:
         super().__init__()
-        self._rate, self._revision, self._ids = rate, 1, 1000
+        self.calls = 0
+        self._clock_rate = clock_rate
+        self._revision = 1
+        self._last_lease_id = 1000
         self._keys: dict[str, _Key] = {}
-        self._names: list[tuple[bytes, str]] = []  # raw and encoded, in the order of their bytes
+        self._names: list[tuple[bytes, str]] = []  # decoded and encoded, in the order of their bytes
         self._leases: dict[str, _Lease] = {}
-        self.calls = 0
-
-    def _now(self) -> float:
-        return time.monotonic() * self._rate
 
     async def restart(self, down_s: float) -> None:
-        """End, and come back after so long."""
+        """Stop, and start again after so many seconds."""
         await self.close()
         await asyncio.sleep(down_s)
-        await self.come_back()
+        await self.reopen()
 
-    async def come_back(self) -> None:
-        """After ``close``: keys are as they were, leases have their whole time again."""
+    async def reopen(self) -> None:
+        """Start again after ``close``: keys are as they were, leases have their full time to live again."""
         for lease in self._leases.values():
-            lease.ends = self._now() + lease.ttl
+            lease.expires_at_s = self._now_s() + lease.ttl_s
         await self.open()
 
-    async def answer(self, path: str, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
-        """See ``Service``."""
+    async def answer(self, path: str, _headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
+        """Answer one call of the API; see ``Service``."""
         self.calls += 1
-        self._expire()
+        self._expire_leases()
         try:
-            said = self._do(path, orjson.loads(body))
-        except KeyError as fault:
-            return 404, orjson.dumps({"code": 5, "message": f"not found: {fault}"})
-        return 200, orjson.dumps(said)
+            response = self._dispatch(path, orjson.loads(body))
+        except KeyError as error:
+            return 404, orjson.dumps({"code": GRPC_NOT_FOUND, "message": f"not found: {error}"})
+        return 200, orjson.dumps(response)
 
-    def _do(self, path: str, ask: dict[str, Any]) -> dict[str, Any]:
+    def _dispatch(self, path: str, request: dict[str, Any]) -> dict[str, Any]:
         match path.removeprefix("/v3/"):
             case "lease/grant":
-                self._ids += 1
-                ttl = int(ask["TTL"])
-                self._leases[str(self._ids)] = _Lease(ttl, self._now() + ttl)
-                return self._headed({"ID": str(self._ids), "TTL": str(ttl)})
+                return self._grant(int(request["TTL"]))
             case "lease/keepalive":
-                lease = self._leases.get(str(ask["ID"]))
-                if lease is None:  # as published: an answer without TTL, not an error
-                    return {"result": self._headed({"ID": str(ask["ID"])})}
-                lease.ends = self._now() + lease.ttl
-                return {"result": self._headed({"ID": str(ask["ID"]), "TTL": str(lease.ttl)})}
+                return {"result": self._keep_alive(str(request["ID"]))}
             case "lease/revoke":
-                self._drop(str(ask["ID"]))
-                return self._headed({})
+                self._revoke(str(request["ID"]))
+                return self._with_header({})
             case "lease/timetolive":
-                lease = self._leases[str(ask["ID"])]
-                return self._headed({"TTL": str(int(lease.ends - self._now()))})
+                lease = self._leases[str(request["ID"])]
+                return self._with_header({"TTL": str(int(lease.expires_at_s - self._now_s()))})
             case "kv/range":
-                return self._range(ask)
+                return self._range(request)
             case "kv/txn":
-                return self._txn(ask)
+                return self._commit(request)
         raise KeyError(path)
 
-    def _range(self, ask: dict[str, Any]) -> dict[str, Any]:
-        first, last = ask["key"], ask.get("range_end", "")
-        names = [first] if first in self._keys else []
-        if last:  # in the order of their bytes
-            begin, end = (bisect_left(self._names, (_raw(at), "")) for at in (first, last))
-            names = [n for _, n in self._names[begin:end]]
-        kvs = [
-            {
-                "key": n,
-                "value": k.value,
-                "create_revision": str(k.created),
-                "mod_revision": str(k.modified),
-                "version": str(k.version),
-                "lease": k.lease,
-            }
-            for n in names[: int(ask.get("limit", 0)) or None]
-            for k in (self._keys[n],)
+    def _grant(self, ttl_s: int) -> dict[str, Any]:
+        self._last_lease_id += 1
+        lease_id = str(self._last_lease_id)
+        self._leases[lease_id] = _Lease(ttl_s, self._now_s() + ttl_s)
+        return self._with_header({"ID": lease_id, "TTL": str(ttl_s)})
+
+    def _keep_alive(self, lease_id: str) -> dict[str, Any]:
+        lease = self._leases.get(lease_id)
+        if lease is None:  # as published: an answer without TTL, not an error
+            return self._with_header({"ID": lease_id})
+        lease.expires_at_s = self._now_s() + lease.ttl_s
+        return self._with_header({"ID": lease_id, "TTL": str(lease.ttl_s)})
+
+    def _revoke(self, lease_id: str) -> None:
+        lease = self._leases.pop(lease_id)
+        self._revision += bool(lease.keys)
+        for name in lease.keys:
+            self._delete(name)
+
+    def _expire_leases(self) -> None:
+        expired = [
+            lease_id for lease_id, lease in self._leases.items() if lease.expires_at_s <= self._now_s()
         ]
-        return self._headed({"kvs": kvs, "count": str(len(kvs))} if kvs else {})
+        for lease_id in expired:
+            self._revoke(lease_id)
 
-    def _txn(self, ask: dict[str, Any]) -> dict[str, Any]:
-        well = all(self._compare(c) for c in ask.get("compare", ()))
-        operations = ask.get("success" if well else "failure", ())
-        dropped = [o["request_delete_range"]["key"] for o in operations if "request_delete_range" in o]
-        if any("request_put" in o for o in operations) or any(key in self._keys for key in dropped):
+    def _range(self, request: dict[str, Any]) -> dict[str, Any]:
+        first = request["key"]
+        end = request.get("range_end", "")
+        limit = int(request.get("limit", 0)) or None
+        names = [first] if first in self._keys else []
+        if end:
+            begin_index, end_index = (bisect_left(self._names, (_decode(name), "")) for name in (first, end))
+            names = [name for _, name in self._names[begin_index:end_index]]
+        rows = [self._keys[name].encode(name) for name in names[:limit]]
+        return self._with_header({"kvs": rows, "count": str(len(rows))} if rows else {})
+
+    def _commit(self, request: dict[str, Any]) -> dict[str, Any]:
+        succeeded = all(self._compare(compare) for compare in request.get("compare", ()))
+        operations = request.get("success" if succeeded else "failure", ())
+        if any(self._changes_data(operation) for operation in operations):
             self._revision += 1
-        answers = [self._operate(o) for o in operations]
-        return self._headed({**({"succeeded": True} if well else {}), "responses": answers})
+        responses = [self._operate(operation) for operation in operations]
+        return self._with_header({**({"succeeded": True} if succeeded else {}), "responses": responses})
+
+    def _changes_data(self, operation: dict[str, Any]) -> bool:
+        if "request_delete_range" in operation:
+            return operation["request_delete_range"]["key"] in self._keys
+        return "request_put" in operation
 
     def _compare(self, compare: dict[str, Any]) -> bool:
         key = self._keys.get(compare["key"])
         if compare["target"] not in ("CREATE", "MOD") or compare["result"] != "EQUAL":
             raise KeyError(f"{compare['target']} {compare['result']}")
         if compare["target"] == "MOD":
-            return (key.modified if key else 0) == int(compare["mod_revision"])
-        return (key.created if key else 0) == int(compare["create_revision"])
+            return (key.mod_revision if key else 0) == int(compare["mod_revision"])
+        return (key.create_revision if key else 0) == int(compare["create_revision"])
 
     def _operate(self, operation: dict[str, Any]) -> dict[str, Any]:
         if "request_range" in operation:
             return {"response_range": self._range(operation["request_range"])}
         if "request_delete_range" in operation:
-            gone = self._forget(operation["request_delete_range"]["key"])
-            return {"response_delete_range": self._headed({"deleted": "1"} if gone else {})}
+            deleted = self._delete(operation["request_delete_range"]["key"])
+            return {"response_delete_range": self._with_header({"deleted": "1"} if deleted else {})}
         put = operation["request_put"]
-        name, lease, old = put["key"], str(put.get("lease", "0")), self._keys.get(put["key"])
-        if lease != "0":
-            self._leases[lease].keys.add(name)
-        created, version = (old.created, old.version + 1) if old else (self._revision, 1)
-        if not old:
-            insort(self._names, (_raw(name), name))
-        self._keys[name] = _Key(put["value"], created, self._revision, version, lease)
-        return {"response_put": self._headed({})}
-
-    def _expire(self) -> None:
-        for name in [n for n, lease in self._leases.items() if lease.ends <= self._now()]:
-            self._drop(name)
-
-    def _drop(self, name: str) -> None:
-        lease = self._leases.pop(name)
-        self._revision += bool(lease.keys)
-        for key in lease.keys:
-            self._forget(key)
-
-    def _forget(self, key: str) -> bool:
-        if self._keys.pop(key, None) is None:
+        self._put(put["key"], put["value"], str(put.get("lease", "0")))
+        return {"response_put": self._with_header({})}
+
+    def _put(self, name: str, value: str, lease_id: str) -> None:
+        previous = self._keys.get(name)
+        if lease_id != "0":
+            self._leases[lease_id].keys.add(name)
+        if previous is None:
+            insort(self._names, (_decode(name), name))
+            self._keys[name] = _Key(value, self._revision, self._revision, 1, lease_id)
+            return
+        self._keys[name] = _Key(
+            value, previous.create_revision, self._revision, previous.version + 1, lease_id
+        )
+
+    def _delete(self, name: str) -> bool:
+        """Delete a key, and return whether there was one."""
+        if self._keys.pop(name, None) is None:
             return False
-        del self._names[bisect_left(self._names, (_raw(key), key))]
+        del self._names[bisect_left(self._names, (_decode(name), name))]
         return True
 
-    def _headed(self, answer: dict[str, Any]) -> dict[str, Any]:
-        return {"header": {"revision": str(self._revision)}, **answer}
+    def _now_s(self) -> float:
+        return time.monotonic() * self._clock_rate
+
+    def _with_header(self, response: dict[str, Any]) -> dict[str, Any]:
+        return {"header": {"revision": str(self._revision)}, **response}
 
 
-def _raw(key: str) -> bytes:
-    return base64.b64decode(key)
+def _decode(name: str) -> bytes:
+    return base64.b64decode(name)
--- a/sabledyke/testbed/experiment.py
+++ b/sabledyke/testbed/experiment.py
@@ -18,7 +18,7 @@
 import orjson
 from msgspec import Meta
 
-from sabledyke.testbed.cluster import MOST, Cluster
+from sabledyke.testbed.cluster import MAX_PROCESSES, Cluster
 from sabledyke.testbed.etcd_server import Etcd
 from sabledyke.testbed.fault_proxy import Proxy
 from sabledyke.testbed.fenced_resource import Resource, Verdict, judge
@@ -92,7 +92,7 @@
 class ClockRow(Table, frozen=True, kw_only=True):
     """How an instance's clock goes."""
 
-    who: Annotated[int, Meta(ge=0, lt=MOST)]
+    who: Annotated[int, Meta(ge=0, lt=MAX_PROCESSES)]
     offset_ms: Annotated[float, Meta(ge=-1e9, le=1e9)] = 0.0
     rate: Annotated[float, Meta(ge=0.5, le=2)] = 1.0
 
@@ -123,7 +123,7 @@
     """As the file has it."""
 
     name: str
-    instances: Annotated[int, Meta(ge=1, le=MOST)] = PLAIN.instances
+    instances: Annotated[int, Meta(ge=1, le=MAX_PROCESSES)] = PLAIN.instances
     length_s: Annotated[float, Meta(ge=1, le=LONGEST)] = PLAIN.length
     authority: Literal["table", "etcd"]
     ttl_ms: Annotated[int, Meta(ge=100, le=60_000)] = PLAIN.ttl
@@ -195,7 +195,7 @@
         finally:
             for task in self._tasks:
                 task.cancel()
-            statuses = await self.cluster.end()
+            statuses = await self.cluster.stop()
             for pair in self._proxies:
                 for proxy in pair:
                     if proxy is not None:
@@ -272,20 +272,20 @@
             case "pause":
                 await self.cluster.pause(who)
                 await self._outlast(fault, who)
-                self.cluster.tell(who, signal.SIGCONT)
+                self.cluster.send_signal(who, signal.SIGCONT)
             case "lock":  # it is stopped in the middle of a transaction, and killed: its end frees the table
                 await self.cluster.pause(who, locking=True)
                 await asyncio.sleep(fault.lasts)
-                self.cluster.tell(who, signal.SIGKILL)
+                self.cluster.send_signal(who, signal.SIGKILL)
             case "kill" | "term":
-                self.cluster.tell(who, signal.SIGKILL if fault.what == "kill" else signal.SIGTERM)
+                self.cluster.send_signal(who, signal.SIGKILL if fault.what == "kill" else signal.SIGTERM)
                 await asyncio.sleep(fault.lasts)
                 if fault.lasts:
                     await self.cluster.start(who)
             case "restart_authority" if self._etcd is not None:
                 await self._etcd.restart(fault.lasts)
             case "hold_acts":  # the network keeps what it was given, and delivers it late
-                act.part(back=False)
+                act.partition(to_client=False)
                 await asyncio.sleep(fault.lasts)
                 act.heal()
             case "late":  # it stands still behind an act that the network keeps until another has acted
@@ -293,9 +293,9 @@
                 await asyncio.sleep(fault.lasts)
                 await self._until(lambda: self._holder() != who)
                 act.heal()  # while it stands still, and cannot close what the act is on its way on
-                await self._until(lambda: act.to.held == 0)
+                await self._until(lambda: act.to_server.pending_reads == 0)
                 await asyncio.sleep(1)
-                self.cluster.tell(who, signal.SIGCONT)
+                self.cluster.send_signal(who, signal.SIGCONT)
                 await asyncio.sleep(1)
             case _ if ahead is not None:
                 await self._between(fault, who, ahead)
@@ -318,26 +318,29 @@
         """
 
         def kept_or_moved() -> bool:
-            return act.to.held > 0 or self._holder() != who
+            return act.to_server.pending_reads > 0 or self._holder() != who
 
         while True:
             who = self._holder()
             act = self._proxies[who][1]
-            act.part(back=False)
+            act.partition(to_client=False)
             await self._until(kept_or_moved)
-            if act.to.held or self._holder() == who:
+            if act.to_server.pending_reads or self._holder() == who:
                 return who
             act.heal()
 
     async def _between(self, fault: Fault, who: int, proxy: Proxy) -> None:
         """A fault of the network between an instance and the authority."""
         if fault.what == "slow":  # nobody loses a lease by it
-            for way in (proxy.to, proxy.back):
-                way.delay, way.jitter = self._e.renew / 4, self._e.renew / 2
+            for direction in (proxy.to_server, proxy.to_client):
+                direction.delay_ms = self._e.renew / 4
+                direction.jitter_ms = self._e.renew / 2
         elif fault.what == "cut":
-            proxy.to.cut = proxy.back.cut = self._random.randrange(400)
+            reset_after = self._random.randrange(400)
+            proxy.to_server.bytes_until_reset = reset_after
+            proxy.to_client.bytes_until_reset = reset_after
         else:
-            proxy.part(to=fault.what != "part_from", back=fault.what != "part_to")
+            proxy.partition(to_server=fault.what != "part_from", to_client=fault.what != "part_to")
         if fault.what in ("slow", "cut"):
             await asyncio.sleep(fault.lasts)
         else:
--- a/sabledyke/testbed/fault_proxy.py
+++ b/sabledyke/testbed/fault_proxy.py
@@ -1,7 +1,7 @@
-"""A fault proxy on loopback: bytes between two processes, delayed, held back one way or both, or cut.
+"""A fault proxy on loopback: delays, holds back or cuts off the bytes between two processes.
 
-Told by the experiment when which fault begins and ends. Draws nothing by itself but jitter, from the seed
-that is passed in. Bounded: at most ``MOST`` connections, and ``ROOM`` bytes a read.
+The experiment says when which fault begins and ends. The proxy itself draws nothing but jitter, from the seed
+that it is given. Bounded: at most ``MAX_CONNECTIONS`` connections, and ``READ_BYTES`` bytes a read.
 """
 
 from __future__ import annotations
@@ -10,93 +10,137 @@
 from dataclasses import dataclass, field
 from random import Random
 
-MOST, ROOM = 256, 65536
+MAX_CONNECTIONS = 256
+READ_BYTES = 65536
 
 
 @dataclass(slots=True)
-class Way:
-    """What happens to bytes that go one way."""
-
-    delay: float = 0.0  # ms, and up to ``jitter`` more
-    jitter: float = 0.0
-    held: int = 0  # reads that wait for that, now
-    cut: int = -1  # the connection is reset after so many more bytes; -1 for never
-    passes: asyncio.Event = field(default_factory=asyncio.Event)  # held back while it is not set
+class Direction:
+    """What happens to the bytes that go one way.
+
+    Attributes:
+        delay_ms: How long each read is delayed.
+        jitter_ms: The longest random time on top of that.
+        pending_reads: Reads that are held back now.
+        bytes_until_reset: The connection is reset after so many more bytes; None for never.
+        passing: Bytes are held back while this is not set.
+    """
+
+    delay_ms: float = 0.0
+    jitter_ms: float = 0.0
+    pending_reads: int = 0
+    bytes_until_reset: int | None = None
+    passing: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
-        self.passes.set()
+        self.passing.set()
+
+    def heal(self) -> None:
+        """End every fault of this direction."""
+        self.delay_ms = 0.0
+        self.jitter_ms = 0.0
+        self.bytes_until_reset = None
+        self.passing.set()
 
 
 class Proxy:
-    """Listens on a port of its own, for one process on its way to one other."""
+    """Listens on a port of its own, between one process and one server.
 
-    def __init__(self, port: int, seed: int) -> None:
-        self._port, self._random = port, Random(seed)
-        self.to, self.back = Way(), Way()
-        self._writers: set[asyncio.StreamWriter] = set()
+    Attributes:
+        to_server: What happens to the process's bytes.
+        to_client: What happens to the server's answers.
+        port: Where it listens; 0 until it is open.
+    """
+
+    def __init__(self, server_port: int, seed: int) -> None:
+        self.to_server = Direction()
+        self.to_client = Direction()
         self.port = 0
+        self._server_port = server_port
+        self._random = Random(seed)
+        self._listener: asyncio.Server | None = None
+        self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> None:
         """Begin to listen."""
-        self._server = await asyncio.start_server(self._client, "127.0.0.1", 0)
-        self.port = int(self._server.sockets[0].getsockname()[1])
+        self._listener = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
+        self.port = int(self._listener.sockets[0].getsockname()[1])
 
-    def part(self, to: bool = True, back: bool = True) -> None:
-        """Hold back what goes to the far side, what comes from it, or both; nothing is lost until ``cut``."""
-        for way, held in ((self.to, to), (self.back, back)):
-            if held:
-                way.passes.clear()
+    def partition(self, *, to_server: bool = True, to_client: bool = True) -> None:
+        """Hold back the bytes of one direction or both; none are lost unless the connection is reset."""
+        if to_server:
+            self.to_server.passing.clear()
+        if to_client:
+            self.to_client.passing.clear()
 
     def heal(self) -> None:
-        """Let all pass, late bytes first, without delay or cut."""
-        for way in (self.to, self.back):
-            way.delay, way.jitter, way.cut = 0.0, 0.0, -1
-            way.passes.set()
+        """Let everything pass again, bytes that were held back first."""
+        self.to_server.heal()
+        self.to_client.heal()
 
-    def cut(self) -> None:
-        """Reset what is open; what was held back on it is lost."""
+    def reset_connections(self) -> None:
+        """Reset all open connections; bytes that were held back on them are lost."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def close(self) -> None:
-        """Stop listening, and reset what is open."""
-        self._server.close()
-        self.cut()
+        """Stop listening, and reset all open connections."""
+        if self._listener is not None:
+            self._listener.close()
+        self.reset_connections()
 
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._writers) >= 2 * MOST:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self._writers) >= 2 * MAX_CONNECTIONS:
             writer.transport.abort()
             return
         self._writers.add(writer)
-        far: asyncio.StreamWriter | None = None
+        server_writer: asyncio.StreamWriter | None = None
         try:
-            answers, far = await asyncio.open_connection("127.0.0.1", self._port)
-            self._writers.add(far)
+            server_reader, server_writer = await asyncio.open_connection("127.0.0.1", self._server_port)
+            self._writers.add(server_writer)
             async with asyncio.TaskGroup() as both:
-                both.create_task(self._carry(reader, far, self.to))
-                both.create_task(self._carry(answers, writer, self.back))
+                both.create_task(self._forward(reader, server_writer, self.to_server))
+                both.create_task(self._forward(server_reader, writer, self.to_client))
         except* (ConnectionError, OSError):
             pass
         finally:
-            for end in (writer, far):
+            for end in (writer, server_writer):
                 if end is not None:
                     self._writers.discard(end)
                     end.transport.abort()
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way) -> None:
-        while data := await reader.read(ROOM):
-            if way.delay or way.jitter:
-                await asyncio.sleep((way.delay + self._random.random() * way.jitter) / 1000)
-            way.held += 1
-            await way.passes.wait()
-            way.held -= 1
-            if 0 <= way.cut < len(data):
-                writer.write(data[: way.cut])
-                await writer.drain()
-                way.cut = -1
-                raise ConnectionResetError("cut in the middle of a message")
-            way.cut -= len(data) if way.cut >= 0 else 0
-            writer.write(data)
-            await writer.drain()
+    async def _forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
+    ) -> None:
+        while data := await reader.read(READ_BYTES):
+            await self._hold_back(direction)
+            await _write(data, writer, direction)
         if writer.can_write_eof():
             writer.write_eof()
+
+    async def _hold_back(self, direction: Direction) -> None:
+        """Wait for the direction's delay, and until it lets bytes pass."""
+        if direction.delay_ms or direction.jitter_ms:
+            jitter_ms = self._random.random() * direction.jitter_ms
+            await asyncio.sleep((direction.delay_ms + jitter_ms) / 1000)
+        direction.pending_reads += 1
+        await direction.passing.wait()
+        direction.pending_reads -= 1
+
+
+async def _write(data: bytes, writer: asyncio.StreamWriter, direction: Direction) -> None:
+    """Write the data, or as much of it as goes through before the connection is reset.
+
+    Raises:
+        ConnectionResetError: The connection is to be reset now.
+    """
+    remaining = direction.bytes_until_reset
+    if remaining is not None and remaining < len(data):
+        writer.write(data[:remaining])
+        await writer.drain()
+        direction.bytes_until_reset = None
+        raise ConnectionResetError("cut in the middle of a message")
+    if remaining is not None:
+        direction.bytes_until_reset = remaining - len(data)
+    writer.write(data)
+    await writer.drain()
--- a/sabledyke/testbed/fleet_release.py
+++ b/sabledyke/testbed/fleet_release.py
@@ -135,10 +135,10 @@
         if self.setting.clients:
             self.boxes.open()
             times = {"warm_up": self.setting.warm, "stop_sending_within": GRACE, "tip_multiple": TIP}
-            settings = {**SETTINGS, "invariants": {**cluster.SETTINGS["invariants"], **times}}
+            settings = {**SETTINGS, "invariants": {**cluster.DEFAULT_SETTINGS["invariants"], **times}}
             if limit := self.setting.limit:
                 capped = {"name": "capped", "usual_rate": limit, "ceiling_rate": limit, "limit_burst": limit}
-                settings["grades"] = [*cluster.SETTINGS["grades"], capped]
+                settings["grades"] = [*cluster.DEFAULT_SETTINGS["grades"], capped]
             more = {"settings": settings, "discovery": f"127.0.0.1:{self.boxes.discovery}"}
         for i in range(self.setting.size):
             if self.setting.between:
@@ -188,7 +188,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        self.statuses = await self.cluster.end()
+        self.statuses = await self.cluster.stop()
         for client in self.clients:
             client.close()
         await self.boxes.close()
@@ -366,16 +366,16 @@
         """
         match what:
             case "kill":
-                self.cluster.tell(who, signal.SIGKILL)
+                self.cluster.send_signal(who, signal.SIGKILL)
             case "pause":
                 await self.cluster.pause(who)
                 await asyncio.sleep(lasts)
-                self.cluster.tell(who, signal.SIGCONT)
+                self.cluster.send_signal(who, signal.SIGCONT)
             case "stall":
                 async with self.stalled():
                     await asyncio.sleep(lasts)
             case _:
-                self.proxies[who].part(to=what != "part_from", back=what != "part_to")
+                self.proxies[who].partition(to_server=what != "part_from", to_client=what != "part_to")
                 await asyncio.sleep(lasts)
                 self.proxies[who].heal()
 
@@ -387,7 +387,7 @@
             try:
                 yield
             finally:
-                await self.etcd.come_back()
+                await self.etcd.reopen()
         else:
             lock = sqlite3.connect(self._folder / "board.sqlite3", isolation_level=None, timeout=5)
             lock.execute("BEGIN EXCLUSIVE")
--- a/tests/rollout/node_scenarios.py
+++ b/tests/rollout/node_scenarios.py
@@ -91,7 +91,7 @@
 async def drain_with_partitioned_member(made: Fleet) -> None:
     """A member that cannot hear of a drain still sends there: the box is not taken away before it can."""
     who = (await made.coordinator() + 1) % made.setting.size
-    made.proxies[who].part()
+    made.proxies[who].partition()
     await made.until(lambda v: v.members[f"n{who}"].state is MemberState.SILENT)
     await made.begin(Plan("p", (), nodes=("box0",)))
     await made.until(
--- a/tests/rollout/release_scenarios.py
+++ b/tests/rollout/release_scenarios.py
@@ -123,7 +123,7 @@
         puts = [o.get("request_put", {}) for o in orjson.loads(body).get("success", ())]
         values = [base64.b64decode(put.get("value", "")) for put in puts]
         if not heard.is_set() and any(b'"going":true' in v and b'"name":"n%d"' % who in v for v in values):
-            made.proxies[who].part(to=False)
+            made.proxies[who].partition(to_server=False)
             heard.set()
         return said
 
