--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -50,7 +50,8 @@
     TicketRequest,
 )
 from sabledyke.rollout.timeouts import Timeouts
-from sabledyke.testbed.fleet_release import Fleet, Setting, plan, play
+from sabledyke.testbed.fleet import Fleet, plan_for_all, play
+from sabledyke.testbed.fleet_settings import FleetSettings
 
 KEYS, VALUE = 10_000, b"x" * 100
 WARM, STEADY = 15.0, 30.0  # seconds: boxes are learnt, and service is counted before anything happens
@@ -162,7 +163,9 @@
         seen.members[name] = Member(name, 1, "1", f"s{i % 10}", MemberState.READY, i + 2)
         seen.requests[name] = TicketRequest(name, "p", 1, 1, i + 5000)
     first = tuple(f"n{i}" for i in range(min(100, members // 2)))
-    seen.plans["p"] = replace(plan("p", members, max_out=5, max_out_per_site=1), released=first, offset=9000)
+    seen.plans["p"] = replace(
+        plan_for_all("p", members, max_out=5, max_out_per_site=1), released=first, offset=9000
+    )
     began = time.perf_counter()
     for _ in range(200):
         assert planner.decide(seen, "c", 1, 0.0, ChangeTracker(), Timeouts()) is not None
@@ -192,32 +195,41 @@
     async def story(fleet: Fleet) -> None:
         async def through(what: Awaitable[object]) -> tuple[float, float, float]:
             """Seconds that it takes, the share served meanwhile, and their p99."""
-            count = fleet.count
-            served, asked = count.ends["served"], count.asked
-            count.begin()
+            metrics = fleet.metrics
+            served, asked = metrics.outcomes["served"], metrics.request_count
+            metrics.reset_latencies()
             took = await timed(what)
-            return took, (count.ends["served"] - served) / (count.asked - asked), count.p99()
+            share = (metrics.outcomes["served"] - served) / (metrics.request_count - asked)
+            return took, share, metrics.p99_s()
 
-        await fleet.until(lambda v: len(fleet.homes()) >= 20)
+        await fleet.wait_until(lambda v: len(fleet.placements()) >= 20)
         await asyncio.sleep(WARM)
         _, before, p99 = await through(asyncio.sleep(STEADY))
         if what == "release":
-            await fleet.begin(plan("p", size))
+            await fleet.add_plan(plan_for_all("p", size))
         else:
             gone = tuple(f"n{i}" for i in range(0, size, 3))
-            await fleet.begin(Plan("p", gone, retiring_site="s0"))
-        over = fleet.until(lambda v: v.plans["p"].stage is PlanStage.DONE, 600)
+            await fleet.add_plan(Plan("p", gone, retiring_site="s0"))
+        over = fleet.wait_until(lambda v: v.plans["p"].stage is PlanStage.DONE, 600)
         took, share, slow = await through(over)
         lost = 1 - share / before
         print(f"a {what} in a fleet of {size}, {took:.1f} s: {lost:.2%} lost of a steady {before:.2%}")
-        print(f"  p99 {slow / p99:.2f} times that before; {fleet.count.ends['cut']} answers cut off")
+        print(f"  p99 {slow / p99:.2f} times that before; {fleet.metrics.outcomes['cut']} answers cut off")
         if what != "release":
-            homes = fleet.homes().values()
+            homes = fleet.placements().values()
             least = sum(h.origin_site == "s0" for h in homes)
             print(f"  volumes moved {sum(h.move_count for h in homes) / least:.2f} times the least")
 
     with tempfile.TemporaryDirectory() as folder:
-        made = Setting(size, clients=8, sites=3, copies=2, silent=8000, ttl=3000, every=200)
+        made = FleetSettings(
+            size,
+            client_count=8,
+            site_count=3,
+            nodes_per_shard=2,
+            heartbeat_timeout_ms=8000,
+            lease_ttl_ms=3000,
+            poll_interval_ms=200,
+        )
         await play(made, Path(folder), story)
 
 
@@ -229,20 +241,20 @@
 
     async def story(fleet: Fleet) -> None:
         for i in range(min(size, 5)):
-            downs, began = len(fleet.seen[i].downs), time.monotonic()
+            downs, began = len(fleet.availability[i].outages), time.monotonic()
             fleet.cluster.send_signal(i, signal.SIGTERM)
-            while len(fleet.seen[i].downs) == downs:
+            while len(fleet.availability[i].outages) == downs:
                 await asyncio.sleep(0.005)
             cycles.append(time.monotonic() - began)
-            await fleet.until(lambda v: not disruption_budget.members_out(v))
+            await fleet.wait_until(lambda v: not disruption_budget.members_out(v))
         began = time.monotonic()
-        await fleet.begin(plan("p", size))
-        await fleet.until(lambda v: v.plans["p"].stage is PlanStage.DONE, 600)
+        await fleet.add_plan(plan_for_all("p", size))
+        await fleet.wait_until(lambda v: v.plans["p"].stage is PlanStage.DONE, 600)
         took.append(time.monotonic() - began)
-        assert fleet.most_out() == 1
+        assert fleet.max_out() == 1
 
     with tempfile.TemporaryDirectory() as folder:
-        await play(Setting(size, silent=4000), Path(folder), story)
+        await play(FleetSettings(size, heartbeat_timeout_ms=4000), Path(folder), story)
     cycle = sum(cycles) / len(cycles)
     times = took[0] / size / cycle
     print(f"a release of {size}: {took[0]:.1f} s, {times:.2f} times its cycles of {cycle:.2f} s")
@@ -256,15 +268,15 @@
     async def story(fleet: Fleet) -> None:
         pids = [one.process.pid for one in fleet.cluster.instances if one.process is not None]
         before = [cpu(pid) for pid in pids]
-        for task in fleet._tasks:
-            task.cancel()  # no probes meanwhile
+        fleet.stop_watching()  # no probes meanwhile
         await asyncio.sleep(10)
         spent = [cpu(pid) - b for pid, b in zip(pids, before, strict=True)]
         most, low = max(spent) / 10, min(spent) / 10
         print(f"a member at rest, looking every 200 ms: {low:.2%} to {most:.2%} of a core")
 
     with tempfile.TemporaryDirectory() as folder:
-        await play(Setting(3, every=200, silent=8000, ttl=3000), Path(folder), story)
+        settings = FleetSettings(3, poll_interval_ms=200, heartbeat_timeout_ms=8000, lease_ttl_ms=3000)
+        await play(settings, Path(folder), story)
 
 
 def cpu(pid: int) -> float:
--- a/sabledyke/cli/lab.py
+++ b/sabledyke/cli/lab.py
@@ -76,10 +76,10 @@
 
 
 def _run_release(path: str, folder: Path, seed: int) -> bool:
-    from sabledyke.testbed import scenario
+    from sabledyke.testbed import scenario, scenario_run
 
     described = scenario.load(path)
-    report = asyncio.run(scenario.run(described, folder, seed))
+    report = asyncio.run(scenario_run.run(described, folder, seed))
     return _print_report(described.name, seed, report.lines, report.wrong)
 
 
--- a/sabledyke/testbed/etcd_server.py
+++ b/sabledyke/testbed/etcd_server.py
@@ -11,6 +11,7 @@
 import base64
 import time
 from bisect import bisect_left, insort
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -52,11 +53,13 @@
 
     Attributes:
         calls: How many requests it got.
+        before_answer: Called with each request's body when it is executed, and not yet answered.
     """
 
     def __init__(self, clock_rate: float = 1.0) -> None:
         super().__init__()
         self.calls = 0
+        self.before_answer: Callable[[bytes], None] | None = None
         self._clock_rate = clock_rate
         self._revision = 1
         self._last_lease_id = 1000
@@ -80,11 +83,16 @@
         """Answer one call of the API; see ``Service``."""
         self.calls += 1
         self._expire_leases()
+        status, response = self._execute(path, body)
+        if self.before_answer is not None:
+            self.before_answer(body)
+        return status, orjson.dumps(response)
+
+    def _execute(self, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
         try:
-            response = self._dispatch(path, orjson.loads(body))
+            return 200, self._dispatch(path, orjson.loads(body))
         except KeyError as error:
-            return 404, orjson.dumps({"code": GRPC_NOT_FOUND, "message": f"not found: {error}"})
-        return 200, orjson.dumps(response)
+            return 404, {"code": GRPC_NOT_FOUND, "message": f"not found: {error}"}
 
     def _dispatch(self, path: str, request: dict[str, Any]) -> dict[str, Any]:
         match path.removeprefix("/v3/"):
--- a/sabledyke/testbed/shared_limits.py
+++ b/sabledyke/testbed/shared_limits.py
@@ -18,9 +18,12 @@
 
 from msgspec import Meta
 
-from sabledyke.testbed.fleet_release import Fleet, Setting, play
+from sabledyke.testbed.deployment import SHARD_COUNT
+from sabledyke.testbed.fleet import Fleet, play
+from sabledyke.testbed.fleet_faults import FleetFault
+from sabledyke.testbed.fleet_settings import FleetSettings
 from sabledyke.testbed.scenario import Report
-from sabledyke.testbed.workload import SHARDS, Client, Count
+from sabledyke.testbed.workload import Client, ClientMetrics
 from sabledyke.toml_tables import Table, convert, from_file, parsed
 
 LEANING, SPREAD = 1000, 1001  # volumes: one whose clients all come to one member, one whose come to all
@@ -93,22 +96,22 @@
 async def run(what: Experiment, folder: Path, seed: int) -> Report:
     """Play it, and judge it."""
     report, random, told = Report(), Random(seed), _Play()
-    setting = Setting(
+    setting = FleetSettings(
         what.instances,
         what.backend,
-        clients=1,
-        limit=what.limit,
-        shares=what.shares,
-        beat=what.beat_ms,
-        ttl=3000,
-        silent=8000,
-        every=200,
-        between=any("part" in f.what for f in what.fault),
+        client_count=1,
+        volume_limit=what.limit,
+        shares_quotas=what.shares,
+        quota_report_interval_ms=what.beat_ms,
+        lease_ttl_ms=3000,
+        heartbeat_timeout_ms=8000,
+        poll_interval_ms=200,
+        has_proxies=any("part" in f.what for f in what.fault),
     )
 
     async def story(fleet: Fleet) -> None:
-        ports = [one.port.getsockname()[1] for one in fleet.cluster.instances if one.port is not None]
-        counts, clients = {LEANING: Count(), SPREAD: Count()}, list[Client]()
+        ports = [instance.port_number for instance in fleet.cluster.instances]
+        counts, clients = {LEANING: ClientMetrics(), SPREAD: ClientMetrics()}, list[Client]()
         for n in range(max(1, round(OFFERED * what.limit / RATE))):
             for volume, count in counts.items():
                 door = partial(_door, ports, told, n if volume == SPREAD else -1)
@@ -150,17 +153,17 @@
 
 async def _fault(fleet: Fleet, row: FaultRow, told: _Play, random: Random) -> None:
     await asyncio.sleep(row.at)
-    began, size = time.monotonic(), fleet.setting.size
+    began, size = time.monotonic(), fleet.settings.size
     others = [i for i in range(size) if i != told.leans]
     if row.what == "hang":
-        came = await fleet.boxes.hang(SPREAD % SHARDS, row.for_s)
+        came = await fleet.nodes.hang(SPREAD % SHARD_COUNT, row.for_s)
         told.hung.append((began, time.monotonic(), came))
     elif row.what == "kill_part":
         some = random.sample(range(size), max(1, int(size * row.share)))
-        await asyncio.gather(*(fleet.fault("kill", i) for i in some))
+        await asyncio.gather(*(fleet.inject(FleetFault.KILL, i) for i in some))
     else:
         who = told.leans if row.who == "leaning" or not others else random.choice(others)
-        await fleet.fault(row.what, who, row.for_s)
+        await fleet.inject(FleetFault(row.what), who, row.for_s)
     told.disturbed.append((began, time.monotonic() + 2 * SETTLES))
 
 
@@ -169,12 +172,12 @@
     fleet: Fleet,
     told: _Play,
     span: tuple[float, float],
-    counts: dict[int, Count],
+    counts: dict[int, ClientMetrics],
     report: Report,
 ) -> None:
     slack = max(LARGEST, SLACK * what.limit)
     for volume, name in {LEANING: "leaning", SPREAD: "spread"}.items():
-        times, ends = fleet.boxes.units.get(f"{volume:016x}", []), counts[volume].ends
+        times, ends = fleet.nodes.unit_times.get(f"{volume:016x}", []), counts[volume].outcomes
         least = least_store(times, what.limit)
         inside = (t for t in times if span[0] <= t <= span[1])
         calm = [t for t in inside if not any(a <= t <= b for a, b in told.disturbed)]
@@ -194,7 +197,7 @@
 
     for began, ended, came in told.hung:
         tried = sum(t > (began + ended) / 2 for t in came) / (ended - began) * 2
-        times = fleet.boxes.units.get(f"{SPREAD:016x}", [])
+        times = fleet.nodes.unit_times.get(f"{SPREAD:016x}", [])
         enough = what.limit * FEW * BACK
         later = [t for t in times if t > ended]
         back = next((t - ended for t in later if sum(t <= u < t + FEW for u in later) >= enough), 1e9)
--- /dev/null
+++ b/sabledyke/testbed/storage_nodes.py
@@ -0,0 +1,195 @@
+"""Storage nodes and their discovery for a fleet of processes; they record what reaches them.
+
+They stand on Tornado's own server and know PROTOCOL's pages alone. Bounded by the clients.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import time
+from collections import Counter
+from typing import Any
+
+import orjson
+from tornado.httpserver import HTTPServer
+from tornado.netutil import bind_sockets
+from tornado.web import Application, RequestHandler
+
+from sabledyke.net import clock
+from sabledyke.testbed.deployment import SHARD_COUNT
+from sabledyke.testbed.traffic_checks import DeduplicationCheck, SlowStartCheck
+
+SERVICE_TIME_S = 0.005
+
+
+class StorageNodes:
+    """Some nodes for each of ``SHARD_COUNT`` shards and their discovery, each on a port of its own.
+
+    Attributes:
+        deduplication: What is checked of writes.
+        slow_start: What is checked of nodes that were started again.
+        request_count: How many requests came.
+        unit_times: When each unit came, by volume.
+        draining: The nodes that are said to be drained, and are not back yet.
+        requests_while_draining: How many requests were at one of them, or came to one.
+        discovery_port: Where the discovery listens.
+        list_version: The version of the discovery's list.
+    """
+
+    def __init__(self, nodes_per_shard: int = 1, warm_up_s: float = 0.5) -> None:
+        self.deduplication = DeduplicationCheck()
+        self.slow_start = SlowStartCheck(warm_up_s)
+        self.request_count = 0
+        self.unit_times: dict[str, list[float]] = {}
+        self.draining: set[int] = set()
+        self.requests_while_draining = 0
+        self.discovery_port = 0
+        self.list_version = 1
+        self._list_changed = asyncio.Event()
+        self._size = nodes_per_shard * SHARD_COUNT
+        self._servers: dict[int, HTTPServer] = {}
+        self._discovery: HTTPServer | None = None
+        self._ports: dict[int, int] = {}  # of the nodes that are listed
+        self._started_at_ms: Counter[int] = Counter()  # of later starts
+        self._in_flight: Counter[int] = Counter()  # by node
+        self._hung: dict[int, list[float]] = {}  # nodes that do not answer: when each request came
+        self._hang_ended = asyncio.Event()
+
+    def open(self) -> None:
+        """Begin to serve."""
+        for number in range(self._size):
+            self._start(number)
+        self._discovery, self.discovery_port = _listen(_DiscoveryHandler, nodes=self)
+
+    async def close(self) -> None:
+        """Stop everything."""
+        servers = [*self._servers.values()]
+        if self._discovery is not None:
+            servers.append(self._discovery)
+        for server in servers:
+            server.stop()
+            await server.close_all_connections()
+
+    async def hang(self, number: int, duration_s: float) -> list[float]:
+        """Let a node accept requests and answer none for a while, and return when each came."""
+        arrivals: list[float] = []
+        self._hung[number] = arrivals
+        await asyncio.sleep(duration_s)
+        del self._hung[number]
+        self._hang_ended.set()
+        self._hang_ended = asyncio.Event()
+        return arrivals
+
+    async def replace(self, number: int, down_s: float) -> None:
+        """Take a node away, and bring it back at another port as a later start."""
+        self.remove(number)
+        await asyncio.sleep(down_s)
+        self._servers[number].stop()
+        await self._servers[number].close_all_connections()
+        self.draining.discard(number)
+        self._started_at_ms[number] = int(clock.now())
+        self.slow_start.on_restart(number, time.monotonic())
+        self._start(number)
+        self._publish_list()
+
+    def remove(self, number: int) -> None:
+        """Take a node off the list for good."""
+        self.draining.add(number)
+        self.requests_while_draining += self._in_flight[number]
+        del self._ports[number]
+        self._publish_list()
+
+    def endpoints(self) -> list[dict[str, Any]]:
+        """Return the nodes as discovery lists them."""
+        return [
+            {
+                "host": f"box{number}",
+                "dial": f"127.0.0.1:{port}",
+                "block": number % SHARD_COUNT,
+                "site": "z",
+                "class": "m",
+                "health": "ready",
+                "share": 1.0,
+                "born_ms": self._started_at_ms[number],
+            }
+            for number, port in self._ports.items()
+        ]
+
+    async def wait_for_list_change(self, timeout_s: float) -> None:
+        """Wait until the list changes, or the time is over."""
+        with contextlib.suppress(TimeoutError):
+            await asyncio.wait_for(self._list_changed.wait(), timeout_s)
+
+    async def handle(self, number: int, path: str, key: str) -> bool:
+        """Handle a request to a node; return False where the node hung, and does not answer."""
+        self.request_count += 1
+        self.slow_start.on_request(number, time.monotonic())
+        if number in self._hung:
+            self._hung[number].append(time.monotonic())
+            await self._hang_ended.wait()
+            return False
+        volume = path.split("/")[2]
+        self.unit_times.setdefault(volume, []).append(time.monotonic())
+        if number in self.draining:
+            self.requests_while_draining += 1
+        self._in_flight[number] += 1
+        await asyncio.sleep(SERVICE_TIME_S)
+        self._in_flight[number] -= 1
+        if key:
+            self.deduplication.on_run(key, number % SHARD_COUNT, time.monotonic())
+        return True
+
+    def _start(self, number: int) -> None:
+        self._servers[number], self._ports[number] = _listen(_NodeHandler, nodes=self, number=number)
+
+    def _publish_list(self) -> None:
+        self.list_version += 1
+        self._list_changed.set()
+        self._list_changed = asyncio.Event()
+
+
+class _NodeHandler(RequestHandler):
+    """One node: every request takes a few milliseconds."""
+
+    def initialize(self, nodes: StorageNodes, number: int) -> None:
+        self._nodes = nodes
+        self._number = number
+
+    async def get(self) -> None:
+        key = self.request.headers.get("Idempotency-Key", "")
+        answered = await self._nodes.handle(self._number, self.request.path, key)
+        if answered:
+            self.finish(self.request.path.encode())
+        else:
+            self.detach().close()
+
+    put = get
+
+    def log_exception(self, *_: Any) -> None:
+        """A client that closed its connection is no fault here."""
+
+
+class _DiscoveryHandler(RequestHandler):
+    """The discovery: the whole list, or a watch that waits for the next one until its time is over."""
+
+    def initialize(self, nodes: StorageNodes) -> None:
+        self._nodes = nodes
+
+    async def get(self) -> None:
+        since = self.get_argument("since", "")
+        timeout_ms = float(self.get_argument("timeout_ms", "0"))
+        if since == str(self._nodes.list_version):
+            await self._nodes.wait_for_list_change(timeout_ms / 1000)
+        changed = since != str(self._nodes.list_version)
+        endpoints = self._nodes.endpoints() if changed else []
+        self.finish(orjson.dumps({"seq": self._nodes.list_version, "whole": changed, "hosts": endpoints}))
+
+
+def _listen(handler: type[RequestHandler], **arguments: Any) -> tuple[HTTPServer, int]:
+    """Start a server for this handler on a port of its own, and return both."""
+    application = Application([(".*", handler, arguments)], log_function=lambda _: None)
+    server = HTTPServer(application)
+    (listener,) = bind_sockets(0, "127.0.0.1")
+    server.add_sockets([listener])
+    return server, int(listener.getsockname()[1])
--- /dev/null
+++ b/sabledyke/testbed/traffic_checks.py
@@ -0,0 +1,87 @@
+"""What is checked of the requests that reach storage nodes: nothing runs twice, no cold node is overloaded.
+
+Pure: the caller says when each request came.
+"""
+
+from __future__ import annotations
+
+from collections import Counter, deque
+from dataclasses import dataclass, field
+
+from sabledyke.testbed.deployment import (
+    DEDUPLICATION_WINDOW_MS,
+    NODE_CAPACITY_UNITS_PER_S,
+    OVERLOAD_MULTIPLE,
+    SLOW_START_FRACTION,
+    SLOW_START_MIN_REQUESTS,
+    SLOW_START_WINDOW_S,
+)
+
+
+@dataclass(slots=True, frozen=True)
+class _FirstRun:
+    at_s: float
+    shard: int
+
+
+class DeduplicationCheck:
+    """Counts how often each idempotency key ran, and where.
+
+    Attributes:
+        runs: How often, by key.
+        violations: How many runs were repeats at another shard or after the window, which no node drops.
+    """
+
+    def __init__(self) -> None:
+        self.runs: Counter[str] = Counter()
+        self.violations = 0
+        self._first_runs: dict[str, _FirstRun] = {}
+
+    def on_run(self, key: str, shard: int, now_s: float) -> None:
+        """Count a run; the nodes of its shard drop a repeat within the window together."""
+        first = self._first_runs.setdefault(key, _FirstRun(now_s, shard))
+        self.runs[key] += 1
+        if first.shard != shard or now_s > first.at_s + DEDUPLICATION_WINDOW_MS / 1000:
+            self.violations += 1
+
+
+@dataclass(slots=True)
+class _ColdNode:
+    started_at_s: float
+    recent_s: deque[float] = field(default_factory=deque)  # when its latest requests came
+
+
+class SlowStartCheck:
+    """Compares what nodes are sent after a restart with what would overload them.
+
+    Attributes:
+        max_load: The most that a cold node was sent, over what makes it fail; 1 or more is a failure.
+    """
+
+    def __init__(self, warm_up_s: float) -> None:
+        self.max_load = 0.0
+        self._warm_up_s = warm_up_s
+        self._cold_nodes: dict[int, _ColdNode] = {}
+
+    def on_restart(self, number: int, now_s: float) -> None:
+        """A node started again, and is cold."""
+        self._cold_nodes[number] = _ColdNode(now_s)
+
+    def on_request(self, number: int, now_s: float) -> None:
+        """A request reached a node."""
+        node = self._cold_nodes.get(number)
+        if node is None:
+            return
+        node.recent_s.append(now_s)
+        while node.recent_s[0] < now_s - SLOW_START_WINDOW_S:
+            node.recent_s.popleft()
+        self.max_load = max(self.max_load, len(node.recent_s) / self._max_requests(node))
+        if now_s > node.started_at_s + self._warm_up_s + SLOW_START_WINDOW_S:
+            del self._cold_nodes[number]
+
+    def _max_requests(self, node: _ColdNode) -> float:
+        """Return the number of requests in the window at which the node fails."""
+        warm_up = (node.recent_s[0] - node.started_at_s) / self._warm_up_s
+        fraction = min(1.0, SLOW_START_FRACTION + (1 - SLOW_START_FRACTION) * warm_up)
+        capacity = NODE_CAPACITY_UNITS_PER_S * SLOW_START_WINDOW_S
+        return max(SLOW_START_MIN_REQUESTS, OVERLOAD_MULTIPLE * capacity * fraction)
--- a/sabledyke/testbed/workload.py
+++ b/sabledyke/testbed/workload.py
@@ -1,352 +1,237 @@
-"""Boxes, discovery and clients round a fleet of processes, and what they count: a judge of service.
+"""Clients of a fleet of processes, and how their requests ended.
 
-Boxes and discovery stand on Tornado's own server and know PROTOCOL's pages alone. Clients keep a connection
-each, come to a member that answers, and follow their requests to the end: served, refused, failed, crossed
-by a close between requests (sent once more, as PROTOCOL says), or lost. Reads and keyed writes; a box counts
-how often each key ran. Open loop: a client begins its next request when its time has come, late ones are
-counted. Bounded by the clients.
+A client keeps a connection to each member, goes to one that answers, and follows each request to its end.
+Reads and keyed writes. Open loop: a client begins its next request when its time has come, and late ones
+count.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import time
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 from random import Random
-from typing import Any
 
-import orjson
 from hdrh.histogram import HdrHistogram
-from tornado.httpserver import HTTPServer
-from tornado.netutil import bind_sockets
-from tornado.web import Application, RequestHandler
-
-from sabledyke.net import clock
-
-SHARDS, AIM, DEADLINE, WINDOW = 4, 300, 1000, 2000  # of the deployment; times in ms
-GIVES_UP = DEADLINE / 1000 + 0.5  # seconds that a client waits for an answer
-LONGEST = 600_000_000  # microseconds that a histogram holds, to three figures
-YOUNG, TIP, COLD, FALL = 20, 2.0, 0.25, 2.0  # PROTOCOL's rule on cold boxes; seconds
-CAPACITY = 30.0  # units a second that a warm box is taken to bear, where that rule is judged
-SETTINGS: dict[str, Any] = {  # what a fleet with traffic needs beside the cluster's own
-    "kinds": ["m"],
-    "zones": ["z"],
-    "ceilings": {"try_limit": 3, "retry_after": True, "max_retry_after": 300, "cancel": True},
-    "family_info": {
-        "usual_units": 1,
-        "units_top": 4,
-        "fair_worth": 0.3,
-        "spare_worth": 0.1,
-        "young_limit": 20,
-        "changes_data": [False, True],
-    },
-    "profiles": [
-        {"name": "read", "aim": AIM, "hard_limit": DEADLINE, "credit": 2, "semantics": "idempotent"},
-        {
-            "name": "write",
-            "aim": AIM,
-            "hard_limit": DEADLINE,
-            "credit": 2,
-            "semantics": "deduplicated",
-            "group": "cell",
-            "window": WINDOW,
-        },
-    ],
-}
-
-
-class _Serves(RequestHandler):
-    """A box: every request takes a few milliseconds; a key's second run is dropped, and counted."""
-
-    def initialize(self, boxes: Boxes, number: int) -> None:
-        self._boxes, self._number = boxes, number
-
-    async def _do(self) -> None:
-        boxes, token = self._boxes, self.request.headers.get("Idempotency-Key", "")
-        boxes.asked += 1
-        boxes.came(self._number)
-        if self._number in boxes.hung:
-            boxes.hung[self._number].append(time.monotonic())
-            await boxes.changed_hung.wait()
-            return self.detach().close()
-        boxes.units.setdefault(self.request.path.split("/")[2], []).append(time.monotonic())
-        boxes.late += self._number in boxes.drained
-        boxes.busy[self._number] += 1
-        await asyncio.sleep(boxes.takes)
-        boxes.busy[self._number] -= 1
-        if token:
-            boxes.run(token, self._number % SHARDS)
-        self.finish(self.request.path.encode())
-
-    get = put = _do
-
-    def log_exception(self, *_: Any) -> None:
-        """A client that is gone is nobody's fault here."""
-
-
-class _Tells(RequestHandler):
-    """Discovery: the whole list, and a watch that waits for the next one, or its time out."""
-
-    def initialize(self, boxes: Boxes) -> None:
-        self._boxes = boxes
-
-    async def get(self) -> None:
-        since, wait = self.get_argument("since", ""), float(self.get_argument("timeout_ms", "0"))
-        boxes = self._boxes
-        if since == str(boxes.version):
-            with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(boxes.changed.wait(), wait / 1000)
-        whole = since != str(boxes.version)
-        hosts = boxes.hosts() if whole else []
-        self.finish(orjson.dumps({"seq": boxes.version, "whole": whole, "hosts": hosts}))
-
-
-class Boxes:
-    """``copies`` boxes for each of ``SHARDS`` shards and their discovery, each on a port of its own."""
-
-    def __init__(self, copies: int = 1, takes: float = 0.005, warm: float = 0.5) -> None:
-        self.takes, self.asked, self._warm = takes, 0, warm  # seconds until a new start is warm
-        self.units: dict[str, list[float]] = {}  # by volume: when each unit came
-        self.hung: dict[int, list[float]] = {}  # boxes that answer nobody: when each request came
-        self.changed_hung = asyncio.Event()  # set for those that wait at a box which answers again
-        self.pressed = 0.0  # the most that a cold box was sent, over what has it fall
-        self._young: dict[int, tuple[float, deque[float]]] = {}  # of later starts: when, and what came lately
-        self.ran: Counter[str] = Counter()  # by key
-        self.beyond = 0  # keys that came again at another shard, or after their window
-        self.drained: set[int] = set()  # said to be drained, and not back yet
-        self.late = 0  # requests that came to one of them
-        self.busy: Counter[int] = Counter()  # requests in work, by box
-        self.version, self.changed = 1, asyncio.Event()
-        self.discovery = 0
-        self._size = copies * SHARDS
-        self._first: dict[str, tuple[float, int]] = {}  # by key: when it first ran, and at which shard
-        self._servers: dict[int, HTTPServer] = {}
-        self._ports: dict[int, int] = {}  # of those that are listed
-        self._born: Counter[int] = Counter()
-
-    def open(self) -> None:
-        """Begin to serve."""
-        for i in range(self._size):
-            self._servers[i], self._ports[i] = self._serve(_Serves, number=i)
-        self._servers[-1], self.discovery = self._serve(_Tells)
-
-    def _serve(self, handler: type[RequestHandler], **more: int) -> tuple[HTTPServer, int]:
-        app = Application([(".*", handler, {"boxes": self, **more})], log_function=lambda _: None)
-        server, (sock,) = HTTPServer(app), bind_sockets(0, "127.0.0.1")
-        server.add_sockets([sock])
-        return server, int(sock.getsockname()[1])
-
-    def hosts(self) -> list[dict[str, Any]]:
-        """As discovery lists them."""
-        about = {"site": "z", "class": "m", "health": "ready", "share": 1.0}
-        return [
-            {"host": f"box{i}", "dial": f"127.0.0.1:{p}", "block": i % SHARDS, **about}
-            | {"born_ms": self._born[i]}
-            for i, p in self._ports.items()
-        ]
 
-    def run(self, token: str, shard: int) -> None:
-        """A key runs; its shard's boxes drop a repeat in its window together."""
-        now = time.monotonic()
-        first, where = self._first.setdefault(token, (now, shard))
-        self.ran[token] += 1
-        self.beyond += where != shard or now > first + WINDOW / 1000
+from sabledyke.testbed.deployment import DEADLINE_MS, SHARD_COUNT
+
+ANSWER_TIMEOUT_S = DEADLINE_MS / 1000 + 0.5
+MAX_LATENCY_US = 600_000_000
+HISTOGRAM_DIGITS = 3
+WRITE_FRACTION = 0.4
+MAX_ATTEMPTS = 2  # as PROTOCOL says of a connection that is closed between two requests
+HEAD_END = b"\r\n\r\n"
+REJECTIONS = ("429", "503")
+
+
+class RequestOutcome(StrEnum):
+    """How a request ended; the values are printed."""
+
+    SERVED = "served"
+    WRONG_ANSWER = "wrong"
+    REJECTED = "refused"
+    FAILED = "failed"
+    CUT_OFF = "cut"  # in the middle of the answer
+    CONNECTION_CLOSED = "closed"  # before the answer
+    TIMED_OUT = "silence"
+    UNREACHABLE = "nobody"  # no member accepted a connection
 
-    def came(self, number: int) -> None:
-        """A request came; a cold box falls when it gets too many within ``FALL`` for its warmth then."""
-        if number not in self._young:
-            return
-        now, (since, lately) = time.monotonic(), self._young[number]
-        lately.append(now)
-        while lately[0] < now - FALL:
-            lately.popleft()
-        warmth = min(1.0, COLD + (1 - COLD) * (lately[0] - since) / self._warm)
-        self.pressed = max(self.pressed, len(lately) / max(YOUNG, TIP * CAPACITY * FALL * warmth))
-        if now > since + self._warm + FALL:
-            del self._young[number]
-
-    async def hang(self, number: int, lasts: float) -> list[float]:
-        """It takes what comes and answers nobody for so many seconds; when each request came."""
-        came = self.hung[number] = list[float]()
-        await asyncio.sleep(lasts)
-        del self.hung[number]
-        self.changed_hung.set()
-        self.changed_hung = asyncio.Event()
-        return came
-
-    async def replace(self, number: int, away: float) -> None:
-        """Take a box away, and bring it back at another port as a later start."""
-        self.drained.add(number)
-        self.late += self.busy[number]
-        del self._ports[number]
-        self._tell()
-        await asyncio.sleep(away)
-        self._servers[number].stop()
-        await self._servers[number].close_all_connections()
-        self.drained.discard(number)
-        self._born[number], self._young[number] = int(clock.now()), (time.monotonic(), deque())
-        self._servers[number], self._ports[number] = self._serve(_Serves, number=number)
-        self._tell()
-
-    async def remove(self, number: int) -> None:
-        """Take a box away for good."""
-        self.drained.add(number)
-        self.late += self.busy[number]
-        del self._ports[number]
-        self._tell()
-
-    def _tell(self) -> None:
-        self.version += 1
-        self.changed.set()
-        self.changed = asyncio.Event()
-
-    async def close(self) -> None:
-        """Stop."""
-        for server in self._servers.values():
-            server.stop()
-            await server.close_all_connections()
+
+def _new_histogram() -> HdrHistogram:
+    return HdrHistogram(1, MAX_LATENCY_US, HISTOGRAM_DIGITS)
 
 
 @dataclass(slots=True)
-class Count:
-    """What clients saw; ``took`` in microseconds, of those served since the histogram was last taken."""
+class ClientMetrics:
+    """What clients saw.
+
+    Attributes:
+        outcomes: How many requests ended in which way, by the outcome's value.
+        latencies_us: The latencies of those served, since the last ``reset_latencies``.
+        served_keys: The idempotency keys of writes that were served.
+    """
 
-    ends: Counter[str] = field(default_factory=Counter)
-    took: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, LONGEST, 3))
-    keys: list[str] = field(default_factory=list)  # of writes that were served
+    outcomes: Counter[str] = field(default_factory=Counter)
+    latencies_us: HdrHistogram = field(default_factory=_new_histogram)
+    served_keys: list[str] = field(default_factory=list)
 
     @property
-    def asked(self) -> int:
-        """All requests that came to an end."""
-        return self.ends.total()
+    def request_count(self) -> int:
+        """All requests that ended."""
+        return self.outcomes.total()
+
+    def on_end(self, outcome: RequestOutcome, key: str, latency_s: float) -> None:
+        """Count a request; ``key`` is "" for a read."""
+        self.outcomes[outcome.value] += 1
+        if outcome is not RequestOutcome.SERVED:
+            return
+        self.latencies_us.record_value(max(1, round(latency_s * 1e6)))
+        if key:
+            self.served_keys.append(key)
+
+    def p99_s(self) -> float:
+        """Return the 99th percentile of latencies; 0 where nothing was served."""
+        return float(self.latencies_us.get_value_at_percentile(99)) / 1e6
 
-    def share(self) -> float:
-        """Served of those asked."""
-        return self.ends["served"] / max(1, self.asked)
+    def reset_latencies(self) -> None:
+        """Begin a new histogram."""
+        self.latencies_us = _new_histogram()
 
-    def p99(self) -> float:
-        """Seconds; 0 where nothing was served."""
-        return float(self.took.get_value_at_percentile(99)) / 1e6
 
-    def begin(self) -> None:
-        """Forget how long those served took so far."""
-        self.took = HdrHistogram(1, LONGEST, 3)
+@dataclass(slots=True)
+class _Connection:
+    port: int
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+    used: bool = False  # a request was sent on it
 
 
 class Client:
-    """One client, which asks ``every`` seconds on the average; ``doors`` are ports, the best first for a
-    volume.
+    """One client.
+
+    Attributes:
+        metrics: Where its requests are counted.
     """
 
     def __init__(
         self,
         name: str,
-        doors: Callable[[int], Sequence[int]],
+        ports_of: Callable[[int], Sequence[int]],
         volumes: Sequence[int],
-        every: float,
-        count: Count,
+        mean_interval_s: float,
+        metrics: ClientMetrics,
         tier: str = "base",
-        hosts: int = 1,
+        scheduler_count: int = 1,
     ) -> None:
-        self._tier, self._hosts = tier, hosts
-        self._name, self._doors, self._volumes, self._every, self.count = name, doors, volumes, every, count
-        self._random, self._number = Random(name), 0
-        self._open: dict[int, tuple[asyncio.StreamReader, asyncio.StreamWriter]] = {}  # by port
+        """Prepare a client.
+
+        Args:
+            name: Its name, and the seed of its choices.
+            ports_of: Returns the ports of members for a volume, the preferred one first.
+            volumes: The volumes that it uses.
+            mean_interval_s: The mean time between two requests.
+            metrics: Where its requests are counted.
+            tier: The plan that it is on.
+            scheduler_count: How many schedulers there are, as the platform says it.
+        """
+        self.metrics = metrics
+        self._name = name
+        self._ports_of = ports_of
+        self._volumes = volumes
+        self._mean_interval_s = mean_interval_s
+        self._tier = tier
+        self._scheduler_count = scheduler_count
+        self._random = Random(name)
+        self._request_number = 0
+        self._connections: dict[int, _Connection] = {}  # by port
 
     async def run(self) -> None:
-        """Until it is cancelled; a request that has begun is followed to its end first."""
+        """Send requests until it is cancelled; a request that has begun is followed to its end first."""
         due = time.monotonic()
         while True:
-            due += self._random.expovariate(1 / self._every)
+            due += self._random.expovariate(1 / self._mean_interval_s)
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            await asyncio.shield(self.ask(self._random.choice(self._volumes)))
-
-    async def ask(self, volume: int) -> None:
-        """One request, to its end."""
-        self._number += 1
-        write = self._random.random() < 0.4
-        token = f"{self._name}-{self._number}" if write else ""
-        began = time.monotonic()
-        end = await self._end(volume, token)
-        self.count.ends[end] += 1
-        if end == "served":
-            self.count.took.record_value(max(1, round((time.monotonic() - began) * 1e6)))
-            self.count.keys += [token] * write
-
-    async def _end(self, volume: int, token: str) -> str:
-        for tries in range(2):
-            line, fresh, port = await self._line(volume)
-            if line is None:
-                return "nobody"
-            said = await self._exchange(line, volume, token, tries)
-            if said != "crossed":
-                return said
-            self._open.pop(port, None)
-            if fresh:  # a new connection that was closed with no answer
-                return "closed"
-        return "closed"
-
-    async def _line(
-        self, volume: int
-    ) -> tuple[tuple[asyncio.StreamReader, asyncio.StreamWriter] | None, bool, int]:
-        for port in self._doors(volume):
-            if port in self._open and not self._open[port][0].at_eof():
-                return self._open[port], False, port
+            await asyncio.shield(self._request(self._random.choice(self._volumes)))
+
+    def close(self) -> None:
+        """Close all connections."""
+        for connection in self._connections.values():
+            connection.writer.transport.abort()
+
+    async def _request(self, volume: int) -> None:
+        """Send one request, and count its end."""
+        self._request_number += 1
+        is_write = self._random.random() < WRITE_FRACTION
+        key = f"{self._name}-{self._request_number}" if is_write else ""
+        started_at = time.monotonic()
+        outcome = await self._send_until_answered(volume, key)
+        self.metrics.on_end(outcome, key, time.monotonic() - started_at)
+
+    async def _send_until_answered(self, volume: int, key: str) -> RequestOutcome:
+        for attempt in range(MAX_ATTEMPTS):
+            connection = await self._connect(volume)
+            if connection is None:
+                return RequestOutcome.UNREACHABLE
+            was_used = connection.used
+            connection.used = True
+            outcome = await self._exchange(connection, volume, key, attempt)
+            if outcome is not None:
+                return outcome
+            self._forget(connection)
+            if not was_used:  # a new connection that was closed without an answer
+                return RequestOutcome.CONNECTION_CLOSED
+        return RequestOutcome.CONNECTION_CLOSED
+
+    async def _connect(self, volume: int) -> _Connection | None:
+        """Return a connection to the first member that accepts one, None where none does."""
+        for port in self._ports_of(volume):
+            connection = self._connections.get(port)
+            if connection is not None and not connection.reader.at_eof():
+                return connection
             try:
-                self._open[port] = await asyncio.open_connection("127.0.0.1", port)
-                return self._open[port], True, port
+                reader, writer = await asyncio.open_connection("127.0.0.1", port)
             except OSError:
                 continue
-        return None, False, 0
+            self._connections[port] = _Connection(port, reader, writer)
+            return self._connections[port]
+        return None
 
     async def _exchange(
-        self, line: tuple[asyncio.StreamReader, asyncio.StreamWriter], volume: int, token: str, tries: int
-    ) -> str:
-        """How it ended; ``crossed`` where the connection ended before a byte of the answer."""
-        (reader, writer), got = line, b""
-        path, ident = f"/api/{volume:016x}/{self._number:016x}", f"{self._name}-{self._number}-{tries}"
+        self, connection: _Connection, volume: int, key: str, attempt: int
+    ) -> RequestOutcome | None:
+        """Send a request and read its answer; None where the connection ended before a byte of it."""
+        path = f"/api/{volume:016x}/{self._request_number:016x}"
+        head = b""
+        try:
+            connection.writer.write(self._request_head(path, volume, key, attempt))
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                head = await connection.reader.readuntil(HEAD_END)
+                status, headers = _parse_head(head)
+                body = await connection.reader.readexactly(int(headers.get("content-length", 0)))
+        except TimeoutError:  # what came too late must not be taken for the next request's answer
+            self._forget(connection)
+            connection.writer.transport.abort()
+            return RequestOutcome.TIMED_OUT
+        except (asyncio.IncompleteReadError, OSError) as error:
+            received = head or getattr(error, "partial", b"")
+            return RequestOutcome.CUT_OFF if received else None
+        if headers.get("connection") == "close":
+            self._forget(connection)
+            connection.writer.close()
+        return _outcome_of(status, is_expected=body == path.encode())
+
+    def _request_head(self, path: str, volume: int, key: str, attempt: int) -> bytes:
         lines = [
-            f"{'PUT' if token else 'GET'} {path} HTTP/1.1",
+            f"{'PUT' if key else 'GET'} {path} HTTP/1.1",
             "Host: x",
-            f"Req-Id: {ident}",
-            f"Req-Kind: {'write' if token else 'read'}",
+            f"Req-Id: {self._name}-{self._request_number}-{attempt}",
+            f"Req-Kind: {'write' if key else 'read'}",
             f"Tier: {self._tier}",
-            f"Req-Deadline: {DEADLINE / 1000:.3f}",
-            f"IO-Info: units=1,shard={volume % SHARDS},hosts={self._hosts}",
+            f"Req-Deadline: {DEADLINE_MS / 1000:.3f}",
+            f"IO-Info: units=1,shard={volume % SHARD_COUNT},hosts={self._scheduler_count}",
             "Content-Length: 0",
-            *([f"Idempotency-Key: {token}"] if token else []),
+            *([f"Idempotency-Key: {key}"] if key else []),
             "",
             "",
         ]
-        try:
-            writer.write("\r\n".join(lines).encode())
-            async with asyncio.timeout(GIVES_UP):
-                got = await reader.readuntil(b"\r\n\r\n")
-                status, *headers = got.decode().split("\r\n")
-                about = {n.lower(): v.strip() for n, _, v in (h.partition(":") for h in headers)}
-                body = await reader.readexactly(int(about.get("content-length", 0)))
-        except TimeoutError:  # what came too late must not be taken for the next one's answer
-            self._drop(writer)
-            writer.transport.abort()
-            return "silence"
-        except (asyncio.IncompleteReadError, OSError) as fault:
-            partial = got or getattr(fault, "partial", b"")
-            return "cut" if partial else "crossed"
-        if about.get("connection") == "close":
-            self._drop(writer)
-            writer.close()
-        code = status.split()[1]
-        if code == "200":
-            return "served" if body == path.encode() else "wrong"
-        return "refused" if code in ("429", "503") else "failed"
-
-    def _drop(self, writer: asyncio.StreamWriter) -> None:
-        self._open = {port: line for port, line in self._open.items() if line[1] is not writer}
+        return "\r\n".join(lines).encode()
 
-    def close(self) -> None:
-        """Leave."""
-        for _, writer in self._open.values():
-            writer.transport.abort()
+    def _forget(self, connection: _Connection) -> None:
+        self._connections.pop(connection.port, None)
+
+
+def _parse_head(head: bytes) -> tuple[str, dict[str, str]]:
+    """Return the status and the headers, their names in lower case."""
+    status_line, *lines = head.decode().split("\r\n")
+    fields = (line.partition(":") for line in lines)
+    return status_line.split()[1], {name.lower(): value.strip() for name, _, value in fields}
+
+
+def _outcome_of(status: str, *, is_expected: bool) -> RequestOutcome:
+    if status == "200":
+        return RequestOutcome.SERVED if is_expected else RequestOutcome.WRONG_ANSWER
+    return RequestOutcome.REJECTED if status in REJECTIONS else RequestOutcome.FAILED
--- a/tests/rollout/node_scenarios.py
+++ b/tests/rollout/node_scenarios.py
@@ -7,99 +7,126 @@
 import pytest
 
 from sabledyke.errors import PlanError
-from sabledyke.rollout import (
-    disruption_budget,
-    node_drain,
-)
-from sabledyke.rollout.records import (
-    MemberState,
-    Plan,
-    PlanStage,
-)
-from sabledyke.testbed.fleet_release import Fleet
-from tests.rollout.release_scenarios import release_everybody
+from sabledyke.rollout import disruption_budget, node_drain
+from sabledyke.rollout.fleet_view import FleetView
+from sabledyke.rollout.records import MemberState, Plan, PlanStage
+from sabledyke.testbed.fleet import Fleet
+from sabledyke.testbed.workload import RequestOutcome
+from tests.rollout.release_scenarios import ReleaseFault, inject_all, release_everybody
 from tests.rollout.support import READY, RETIRED
 
+MIN_PLACED_VOLUMES = 20
+MAX_LOST_FRACTION = 0.05
 
-def nobody_lost_anything(made: Fleet) -> None:
+
+def assert_nothing_was_lost(fleet: Fleet) -> None:
     """Every request had its one end, none was cut off, and no key ran twice.
 
-    On a busy machine a few may find a door that closes, or nobody in time; none may get half an answer or a
-    wrong one.
+    On a busy machine a few may find a listener that closes, or no member in time; none may get half an answer
+    or a wrong one.
     """
-    ends = made.count.ends
-    assert not ends["cut"] and not ends["wrong"] and ends["served"] > ends.total() / 2, ends
-    assert ends["closed"] + ends["silence"] + ends["nobody"] <= 0.05 * ends.total(), ends
-    assert not made.boxes.beyond and not made.boxes.late and made.boxes.pressed < 1
-    assert made.setting.copies > 1 or max(made.boxes.ran.values()) == 1
-    assert all(made.boxes.ran[key] for key in made.count.keys)
+    outcomes = fleet.metrics.outcomes
+    lost = (
+        outcomes[RequestOutcome.CONNECTION_CLOSED]
+        + outcomes[RequestOutcome.TIMED_OUT]
+        + outcomes[RequestOutcome.UNREACHABLE]
+    )
+    assert not outcomes[RequestOutcome.CUT_OFF], outcomes
+    assert not outcomes[RequestOutcome.WRONG_ANSWER], outcomes
+    assert outcomes[RequestOutcome.SERVED] > outcomes.total() / 2, outcomes
+    assert lost <= MAX_LOST_FRACTION * outcomes.total(), outcomes
+    nodes = fleet.nodes
+    assert not nodes.deduplication.violations
+    assert not nodes.requests_while_draining
+    assert nodes.slow_start.max_load < 1
+    assert fleet.settings.nodes_per_shard > 1 or max(nodes.deduplication.runs.values()) == 1
+    assert all(nodes.deduplication.runs[key] for key in fleet.metrics.served_keys)
+
+
+async def wait_for_placements(fleet: Fleet) -> None:
+    """Wait until clients have used enough volumes."""
+    await fleet.wait_until(lambda _: len(fleet.placements()) >= MIN_PLACED_VOLUMES)
 
 
-async def release_under_load(made: Fleet) -> None:
-    await release_everybody(made)
-    nobody_lost_anything(made)
+async def release_under_load(fleet: Fleet) -> None:
+    """A release loses no request of the clients."""
+    await release_everybody(fleet)
+    assert_nothing_was_lost(fleet)
 
 
-async def retire_site(made: Fleet) -> None:
+async def retire_site(fleet: Fleet) -> None:
     """A site hands its clients over and goes for good; its volumes move once each."""
-    await made.until(lambda v: len(made.homes()) >= 20)
-    gone = ("box0", "box5")
-    await made.begin(Plan("p", ("n0", "n2"), retiring_site="s0", nodes_removed_next=gone))
-    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
-    await made.until(lambda v: v.plans["p.boxes"].stage is PlanStage.DONE)
-    assert made.replaced == list(gone) and not {"box0", "box5"} & {h["host"] for h in made.boxes.hosts()}
-    assert {m.name: m.state for m in seen.members.values()} == {
+    await wait_for_placements(fleet)
+    nodes = ("box0", "box5")
+    await fleet.add_plan(Plan("p", ("n0", "n2"), retiring_site="s0", nodes_removed_next=nodes))
+    view = await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.DONE)
+    await fleet.wait_until(lambda view: view.plans["p.boxes"].stage is PlanStage.DONE)
+    assert fleet.replaced_nodes == list(nodes)
+    assert not {*nodes} & {endpoint["host"] for endpoint in fleet.nodes.endpoints()}
+    assert {member.name: member.state for member in view.members.values()} == {
         "n0": RETIRED,
         "n1": READY,
         "n2": RETIRED,
         "n3": READY,
     }
-    assert not disruption_budget.members_out(seen) and {h.site for h in made.homes().values()} == {"s1"}
-    assert all(h.move_count == (h.origin_site == "s0") for h in made.homes().values())
-    nobody_lost_anything(made)
+    assert not disruption_budget.members_out(view)
+    placements = fleet.placements().values()
+    assert {placement.site for placement in placements} == {"s1"}
+    assert all(placement.move_count == (placement.origin_site == "s0") for placement in placements)
+    assert_nothing_was_lost(fleet)
     with pytest.raises(PlanError, match="no such member: n7"):
-        await made.begin(Plan("q", ("n7",)))
-
-
-async def retirement_taken_back(made: Fleet) -> None:
-    """A retirement that an operator takes back in the middle: all volumes are at home again, nobody went."""
-    await made.until(lambda v: len(made.homes()) >= 20)
-    await made.begin(Plan("p", ("n0", "n2"), retiring_site="s0"))
-    await made.until(lambda v: v.plans["p"].step >= 2)
-    await made.word("p", PlanStage.ROLLING_BACK)
-    await made.until(lambda v: v.plans["p"].stage is PlanStage.ROLLED_BACK)
-    await made.until(lambda v: all(h.site == h.origin_site for h in made.homes().values()))
-    assert {h.move_count for h in made.homes().values()} == {0, 2} and made.most_out() == 0
-    assert [one.starts for one in made.cluster.instances] == [1, 1, 1, 1]
-    nobody_lost_anything(made)
+        await fleet.add_plan(Plan("q", ("n7",)))
+
+
+async def retirement_taken_back(fleet: Fleet) -> None:
+    """An operator takes a retirement back in the middle: volumes are placed as before, no member went out."""
+    await wait_for_placements(fleet)
+    await fleet.add_plan(Plan("p", ("n0", "n2"), retiring_site="s0"))
+    await fleet.wait_until(lambda view: view.plans["p"].step >= 2)
+    await fleet.change_stage("p", PlanStage.ROLLING_BACK)
+    await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.ROLLED_BACK)
+    await fleet.wait_until(
+        lambda _: all(placement.site == placement.origin_site for placement in fleet.placements().values())
+    )
+    assert {placement.move_count for placement in fleet.placements().values()} == {0, 2}
+    assert fleet.max_out() == 0
+    assert [instance.starts for instance in fleet.cluster.instances] == [1, 1, 1, 1]
+    assert_nothing_was_lost(fleet)
 
 
-async def drain_nodes(made: Fleet, *faults: tuple[str, bool, float]) -> None:
-    """Boxes are taken away one after the other of a kind, as long as all members agree."""
+async def drain_nodes(fleet: Fleet, *faults: ReleaseFault) -> None:
+    """Nodes are taken away one after the other of a shard, as long as all members agree."""
     names = ("box0", "box1", "box4", "box5")
-    await made.begin(Plan("p", (), max_out=2, nodes=names))
-    await made.until(lambda v: len(v.plans["p"].released) >= 1)
-    leads = await made.coordinator()
-    other = (leads + 1) % made.setting.size
-    await asyncio.gather(*(made.fault(what, leads if lead else other, lasts) for what, lead, lasts in faults))
-    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
-    assert sorted(made.replaced) == sorted(names) == sorted(seen.plans["p"].released) and not seen.drains
-    assert made.most_out() <= len(faults)
-    nobody_lost_anything(made)
-
-
-async def drain_with_partitioned_member(made: Fleet) -> None:
-    """A member that cannot hear of a drain still sends there: the box is not taken away before it can."""
-    who = (await made.coordinator() + 1) % made.setting.size
-    made.proxies[who].partition()
-    await made.until(lambda v: v.members[f"n{who}"].state is MemberState.SILENT)
-    await made.begin(Plan("p", (), nodes=("box0",)))
-    await made.until(
-        lambda v: node_drain.unacknowledged_by(v, v.drains["box0"]) == [f"n{who}"] if v.drains else False
-    )
-    asked = made.boxes.asked
+    await fleet.add_plan(Plan("p", (), max_out=2, nodes=names))
+    await fleet.wait_until(lambda view: len(view.plans["p"].released) >= 1)
+    coordinator = await fleet.coordinator()
+    await inject_all(fleet, faults, coordinator, (coordinator + 1) % fleet.settings.size)
+    view = await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.DONE)
+    assert sorted(fleet.replaced_nodes) == sorted(names)
+    assert sorted(view.plans["p"].released) == sorted(names)
+    assert not view.drains
+    assert fleet.max_out() <= len(faults)
+    assert_nothing_was_lost(fleet)
+
+
+async def drain_with_partitioned_member(fleet: Fleet) -> None:
+    """A member that cannot read of a drain still sends there: the node is not taken away before it can."""
+    number = (await fleet.coordinator() + 1) % fleet.settings.size
+    member = f"n{number}"
+
+    def only_it_has_not_acknowledged(view: FleetView) -> bool:
+        if not view.drains:
+            return False
+        return node_drain.unacknowledged_by(view, view.drains["box0"]) == [member]
+
+    fleet.storage.proxies[number].partition()
+    await fleet.wait_until(lambda view: view.members[member].state is MemberState.SILENT)
+    await fleet.add_plan(Plan("p", (), nodes=("box0",)))
+    await fleet.wait_until(only_it_has_not_acknowledged)
+    request_count = fleet.nodes.request_count
     await asyncio.sleep(1)
-    assert made.boxes.asked > asked and not made.replaced
-    made.proxies[who].heal()
-    await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
-    nobody_lost_anything(made)
+    assert fleet.nodes.request_count > request_count
+    assert not fleet.replaced_nodes
+    fleet.storage.proxies[number].heal()
+    await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.DONE)
+    assert_nothing_was_lost(fleet)
--- a/tests/rollout/release_scenarios.py
+++ b/tests/rollout/release_scenarios.py
@@ -4,153 +4,190 @@
 
 import asyncio
 import base64
+from dataclasses import dataclass
 from typing import Any
 
 import orjson
 import pytest
 
-from sabledyke.compacted_log.client import RETRY_TIMEOUT_S as ASKED_AGAIN
+from sabledyke.compacted_log.client import RETRY_TIMEOUT_S
 from sabledyke.errors import PlanError
-from sabledyke.rollout import (
-    disruption_budget,
-)
+from sabledyke.rollout import disruption_budget
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.records import (
-    Plan,
-    PlanStage,
-)
-from sabledyke.testbed.fleet_release import Fleet, plan
+from sabledyke.rollout.records import Plan, PlanStage
+from sabledyke.testbed.fleet import Fleet, plan_for_all
+from sabledyke.testbed.fleet_faults import FleetFault
 
+LOG_WAIT_S = 120
 
-async def release_everybody(made: Fleet, name: str = "p", **of: Any) -> FleetView:
+
+@dataclass(frozen=True)
+class ReleaseFault:
+    """What happens in a release, whether to the coordinator (else to another member), and for how long."""
+
+    kind: FleetFault
+    on_coordinator: bool = True
+    duration_s: float = 0.0
+
+
+async def inject_all(fleet: Fleet, faults: tuple[ReleaseFault, ...], coordinator: int, other: int) -> None:
+    """Inject all faults at once, and wait until they are over."""
+    await asyncio.gather(
+        *(
+            fleet.inject(fault.kind, coordinator if fault.on_coordinator else other, fault.duration_s)
+            for fault in faults
+        )
+    )
+
+
+async def release_everybody(fleet: Fleet, name: str = "p", **fields: Any) -> FleetView:
     """Release everybody, and wait for it."""
-    await made.begin(plan(name, made.setting.size, **of))
-    return await made.until(lambda v: v.plans[name].stage is PlanStage.DONE)
+    await fleet.add_plan(plan_for_all(name, fleet.settings.size, **fields))
+    return await fleet.wait_until(lambda view: view.plans[name].stage is PlanStage.DONE)
+
+
+async def resume_when_all_are_back(fleet: Fleet, name: str) -> None:
+    """Resume a halted plan, as an operator does."""
+    await fleet.wait_until(lambda view: not disruption_budget.members_out(view))
+    await fleet.change_stage(name, PlanStage.RUNNING)
 
 
-async def release_under_faults(made: Fleet, *faults: tuple[str, bool, float], most: int) -> None:
-    """Release everybody with faults that come once the second ticket is out; ``most`` may be out at once.
+async def release_under_faults(fleet: Fleet, *faults: ReleaseFault, max_out: int) -> None:
+    """Release everybody with faults that come once the second ticket is granted.
 
-    A fault is what happens, whether to the coordinator (else to the last member), and for how long.
+    Faults that are not on the coordinator hit the last of the other members.
     """
-    await made.begin(plan("p", made.setting.size, target="2", previous="1"))
-    await made.until(lambda v: v.tickets and v.plans["p"].released)
-    leads = await made.coordinator()
-    last = made.setting.size - 1 - (leads == made.setting.size - 1)
-    await asyncio.gather(*(made.fault(what, leads if lead else last, lasts) for what, lead, lasts in faults))
-    seen = await made.until(lambda v: v.plans["p"].stage is not PlanStage.RUNNING)
-    while (
-        seen.plans["p"].stage is PlanStage.HALTED
-    ):  # by itself, while too many are out: an operator goes on with it
-        assert "unplanned" in seen.plans["p"].reason or "not back" in seen.plans["p"].reason
-        await made.until(lambda v: not disruption_budget.members_out(v))
-        await made.word("p", PlanStage.RUNNING)
-        seen = await made.until(lambda v: v.plans["p"].stage is not PlanStage.RUNNING)
-    assert {m.version for m in seen.members.values()} == {"2"} and not seen.tickets
-    assert made.most_out() <= most, [one.downs for one in made.seen]
-    assert await made.late() == await made.look()
-
-
-async def restart_everybody(made: Fleet) -> None:
-    seen = await release_everybody(made)
-    assert seen.plans["p"].released == ("n0", "n1", "n2") and not seen.tickets
-    assert [one.starts for one in made.cluster.instances] == [2, 2, 2]
-    assert made.most_out() == 1
-
-
-async def roll_back_canary(made: Fleet) -> None:
-    """The canary goes, an operator halts and has it go back, twice: each word changes something once."""
-    await made.begin(plan("p", 3, target="2", previous="1", canary=True))
-    seen = await made.until(lambda v: v.plans["p"].released)
-    assert [m.version for _, m in sorted(seen.members.items())] == ["2", "1", "1"]
+    size = fleet.settings.size
+    await fleet.add_plan(plan_for_all("p", size, target="2", previous="1"))
+    await fleet.wait_until(lambda view: view.tickets and view.plans["p"].released)
+    coordinator = await fleet.coordinator()
+    last = size - 1 - (coordinator == size - 1)
+    await inject_all(fleet, faults, coordinator, last)
+    view = await fleet.wait_until(lambda view: view.plans["p"].stage is not PlanStage.RUNNING)
+    while view.plans["p"].stage is PlanStage.HALTED:  # by itself, while too many are out
+        reason = view.plans["p"].reason
+        assert "unplanned" in reason or "not back" in reason
+        await resume_when_all_are_back(fleet, "p")
+        view = await fleet.wait_until(lambda view: view.plans["p"].stage is not PlanStage.RUNNING)
+    assert {member.version for member in view.members.values()} == {"2"}
+    assert not view.tickets
+    assert fleet.max_out() <= max_out, [member.outages for member in fleet.availability]
+    assert await fleet.read_view_anew() == await fleet.read_view()
+
+
+async def restart_everybody(fleet: Fleet) -> None:
+    """A release without a new version starts each member again, one after the other."""
+    view = await release_everybody(fleet)
+    assert view.plans["p"].released == ("n0", "n1", "n2")
+    assert not view.tickets
+    assert [instance.starts for instance in fleet.cluster.instances] == [2, 2, 2]
+    assert fleet.max_out() == 1
+
+
+async def roll_back_canary(fleet: Fleet) -> None:
+    """An operator halts after the canary and rolls back, each command twice: it changes something once."""
+    await fleet.add_plan(plan_for_all("p", 3, target="2", previous="1", canary=True))
+    view = await fleet.wait_until(lambda view: view.plans["p"].released)
+    assert [member.version for _, member in sorted(view.members.items())] == ["2", "1", "1"]
     for _ in range(2):
-        await made.word("p", PlanStage.HALTED)
+        await fleet.change_stage("p", PlanStage.HALTED)
     await asyncio.sleep(1)
-    assert not (await made.look()).tickets
+    assert not (await fleet.read_view()).tickets
     for _ in range(2):
-        await made.word("p", PlanStage.ROLLING_BACK)
-    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.ROLLED_BACK)
-    assert {m.version for m in seen.members.values()} == {"1"} and made.most_out() == 1
+        await fleet.change_stage("p", PlanStage.ROLLING_BACK)
+    view = await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.ROLLED_BACK)
+    assert {member.version for member in view.members.values()} == {"1"}
+    assert fleet.max_out() == 1
     with pytest.raises(PlanError, match="is undone"):
-        await made.word("p", PlanStage.RUNNING)
+        await fleet.change_stage("p", PlanStage.RUNNING)
 
 
-async def starter_keeps_old_version(made: Fleet) -> None:
-    """Whoever starts them goes on with the old version: the first one shows it, and no other goes out."""
-    made.stubborn = True
-    await made.begin(plan("p", 3, target="2", previous="1"))
-    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.HALTED)
-    assert seen.plans["p"].reason == "n0 came back as 1, not 2"
-    assert [one.starts for one in made.cluster.instances] == [2, 1, 1] and sum(made.outs()) <= 1
+async def starter_keeps_old_version(fleet: Fleet) -> None:
+    """The supervisor starts the old version again: the first member shows it, and no other is released."""
+    fleet.supervisor.ignores_versions = True
+    await fleet.add_plan(plan_for_all("p", 3, target="2", previous="1"))
+    view = await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.HALTED)
+    assert view.plans["p"].reason == "n0 came back as 1, not 2"
+    assert [instance.starts for instance in fleet.cluster.instances] == [2, 1, 1]
+    assert sum(member.outage_count for member in fleet.availability) <= 1
 
 
-async def killed_while_log_stalls(made: Fleet) -> None:
-    """Members that die while the board stands still wait for it, and come back at their first start."""
-    lives = {name: m.incarnation for name, m in (await made.look()).members.items()}
-    logs = [made.cluster.instances[i].folder / "log.2" for i in (1, 2)]
-    async with made.stalled(), asyncio.timeout(120):
-        await asyncio.gather(*(made.fault("kill", i) for i in (1, 2)))
+async def killed_while_log_stalls(fleet: Fleet) -> None:
+    """Members that die while the log stalls wait for it, and come back at their first start."""
+    incarnations = {name: member.incarnation for name, member in (await fleet.read_view()).members.items()}
+    logs = [fleet.cluster.instances[number].folder / "log.2" for number in (1, 2)]
+    async with fleet.storage.stalled(), asyncio.timeout(LOG_WAIT_S):
+        await asyncio.gather(*(fleet.inject(FleetFault.KILL, number) for number in (1, 2)))
         while not all(log.exists() and "waits for the board" in log.read_text() for log in logs):
             await asyncio.sleep(0.1)
-    await made.until(
-        lambda v: all(v.members[n].incarnation > lives[n] for n in ("n1", "n2"))
-        and not disruption_budget.members_out(v)
+    await fleet.wait_until(
+        lambda view: all(view.members[name].incarnation > incarnations[name] for name in ("n1", "n2"))
+        and not disruption_budget.members_out(view)
     )
-    assert [one.starts for one in made.cluster.instances] == [1, 2, 2]
+    assert [instance.starts for instance in fleet.cluster.instances] == [1, 2, 2]
 
 
-async def members_without_request(made: Fleet) -> None:
-    """Members that cannot tell their starter what to start keep nobody, and go once that is mended."""
-    blocked = [made.cluster.instances[i].folder / "wants.working" for i in (0, 1)]
+async def members_without_request(fleet: Fleet) -> None:
+    """Members that cannot say which version to start hold nobody up, and follow once that is mended."""
+    blocked = [fleet.cluster.instances[number].folder / "wants.working" for number in (0, 1)]
     for path in blocked:
         path.mkdir()
-    await made.begin(plan("p", 4, target="2", previous="1"))
-    seen = await made.until(lambda v: len(v.plans["p"].released) == 2)
-    assert set(seen.plans["p"].released) == {"n2", "n3"} and {"n0", "n1"} <= set(seen.plans["p"].deferred)
+    await fleet.add_plan(plan_for_all("p", 4, target="2", previous="1"))
+    view = await fleet.wait_until(lambda view: len(view.plans["p"].released) == 2)
+    assert set(view.plans["p"].released) == {"n2", "n3"}
+    assert {"n0", "n1"} <= set(view.plans["p"].deferred)
     assert all('"code":"wants"' in path.with_name("log.1").read_text().replace(": ", ":") for path in blocked)
     for path in blocked:
         path.rmdir()
-    seen = await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
-    assert {m.version for m in seen.members.values()} == {"2"} and made.most_out() == 1
-
-
-async def answer_of_used_ticket_lost(made: Fleet) -> None:
-    """A member's word that it goes is written, and no answer to it comes for longer than it asks again."""
-    answer, who, heard = made.etcd.answer, made.setting.size - 1, asyncio.Event()
-
-    async def once(path: str, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
-        said = await answer(path, headers, body)
-        puts = [o.get("request_put", {}) for o in orjson.loads(body).get("success", ())]
-        values = [base64.b64decode(put.get("value", "")) for put in puts]
-        if not heard.is_set() and any(b'"going":true' in v and b'"name":"n%d"' % who in v for v in values):
-            made.proxies[who].partition(to_server=False)
-            heard.set()
-        return said
-
-    setattr(made.etcd, "answer", once)  # noqa: B010
-    await made.begin(plan("p", made.setting.size, target="2", previous="1"))
-    await heard.wait()
-    await asyncio.sleep(ASKED_AGAIN + 3)
-    assert (await made.look()).tickets[f"n{who}"].used and made.cluster.instances[who].starts == 1
-    made.proxies[who].heal()
-    seen = await made.until(lambda v: v.plans["p"].stage is not PlanStage.RUNNING)
-    assert seen.plans["p"].stage is PlanStage.DONE and made.most_out() == 1
-
-
-async def two_plans_at_once(made: Fleet) -> None:
+    view = await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.DONE)
+    assert {member.version for member in view.members.values()} == {"2"}
+    assert fleet.max_out() == 1
+
+
+async def answer_of_used_ticket_lost(fleet: Fleet) -> None:
+    """A member writes that it goes out, and gets no answer to it for longer than it retries."""
+    member = fleet.settings.size - 1
+    was_written = asyncio.Event()
+
+    def hold_back_answer(request: bytes) -> None:
+        if not was_written.is_set() and uses_ticket(request, member):
+            fleet.storage.proxies[member].partition(to_server=False)
+            was_written.set()
+
+    fleet.storage.etcd.before_answer = hold_back_answer
+    await fleet.add_plan(plan_for_all("p", fleet.settings.size, target="2", previous="1"))
+    await was_written.wait()
+    await asyncio.sleep(RETRY_TIMEOUT_S + 3)
+    assert (await fleet.read_view()).tickets[f"n{member}"].used
+    assert fleet.cluster.instances[member].starts == 1
+    fleet.storage.proxies[member].heal()
+    view = await fleet.wait_until(lambda view: view.plans["p"].stage is not PlanStage.RUNNING)
+    assert view.plans["p"].stage is PlanStage.DONE
+    assert fleet.max_out() == 1
+
+
+def uses_ticket(request: bytes, member: int) -> bool:
+    """Return whether a request to etcd writes that this member uses its ticket."""
+    operations = orjson.loads(request).get("success", ())
+    puts = [operation.get("request_put", {}) for operation in operations]
+    values = [base64.b64decode(put.get("value", "")) for put in puts]
+    return any(b'"going":true' in value and b'"name":"n%d"' % member in value for value in values)
+
+
+async def two_plans_at_once(fleet: Fleet) -> None:
+    """Two plans at once keep to one budget."""
     for name, members in (("p", ("n0", "n1")), ("q", ("n2", "n3"))):
-        await made.begin(Plan(name, members))
-    await made.until(lambda v: all(p.stage is PlanStage.DONE for p in v.plans.values()))
-    assert made.most_out() == 1
+        await fleet.add_plan(Plan(name, members))
+    await fleet.wait_until(lambda view: all(plan.stage is PlanStage.DONE for plan in view.plans.values()))
+    assert fleet.max_out() == 1
 
 
-async def all_killed_midway(made: Fleet) -> None:
+async def all_killed_midway(fleet: Fleet) -> None:
     """All of them are killed in the middle, and come back."""
-    await made.begin(plan("p", 4))
-    await made.until(lambda v: v.plans["p"].released)
-    await asyncio.gather(*(made.fault("kill", i) for i in range(4)))
-    seen = await made.until(lambda v: v.plans["p"].stage is not PlanStage.RUNNING)
-    if seen.plans["p"].stage is PlanStage.HALTED:
-        await made.until(lambda v: not disruption_budget.members_out(v))
-        await made.word("p", PlanStage.RUNNING)
-    await made.until(lambda v: v.plans["p"].stage is PlanStage.DONE)
+    await fleet.add_plan(plan_for_all("p", 4))
+    await fleet.wait_until(lambda view: view.plans["p"].released)
+    await asyncio.gather(*(fleet.inject(FleetFault.KILL, number) for number in range(4)))
+    view = await fleet.wait_until(lambda view: view.plans["p"].stage is not PlanStage.RUNNING)
+    if view.plans["p"].stage is PlanStage.HALTED:
+        await resume_when_all_are_back(fleet, "p")
+    await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.DONE)
--- a/tests/rollout/test_experiments.py
+++ b/tests/rollout/test_experiments.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import time
 from pathlib import Path
 from typing import Any
 
@@ -10,12 +11,19 @@
 
 from sabledyke.errors import OperatorError
 from sabledyke.testbed import scenario
-from sabledyke.testbed.fleet_release import Seen, most_out
-from sabledyke.testbed.workload import CAPACITY, COLD, FALL, TIP, YOUNG, Boxes
+from sabledyke.testbed.availability import Availability, max_out_at_once
+from sabledyke.testbed.deployment import (
+    NODE_CAPACITY_UNITS_PER_S,
+    OVERLOAD_MULTIPLE,
+    SLOW_START_FRACTION,
+    SLOW_START_MIN_REQUESTS,
+    SLOW_START_WINDOW_S,
+)
+from sabledyke.testbed.storage_nodes import StorageNodes
 
 
 @pytest.mark.parametrize(
-    "change, said",
+    ("change", "message"),
     [
         ({}, ""),
         ({"instances": 65}, "file.instances must be a whole number <= 64, not 65"),
@@ -25,32 +33,43 @@
         ({"times": {"soon_ms": 3}}, "times.soon_ms is not known"),
     ],
 )
-def test_an_experiments_file_is_read_whole_or_not_at_all(change: dict[str, Any], said: str) -> None:
+def test_an_experiments_file_is_read_whole_or_not_at_all(change: dict[str, Any], message: str) -> None:
     data = {"name": "x", "instances": 3, "plan": {"to": "2", "before": "1"}, "step": [{"what": "halt"}]}
-    if said:
-        with pytest.raises(OperatorError, match=said):
+    if message:
+        with pytest.raises(OperatorError, match=message):
             scenario.read(data | change)
         return
     assert scenario.read(data).plan.members == ("n0", "n1", "n2")
     files = [
         file for file in Path(__file__).parents[2].glob("experiments/*.toml") if "[plan]" in file.read_text()
     ]
-    assert len(files) >= 5 and all(scenario.load(str(file)).steps for file in files)
+    assert len(files) >= 5
+    assert all(scenario.load(str(file)).steps for file in files)
 
 
 def test_the_judge_counts_who_does_not_answer_at_the_same_time() -> None:
-    seen = [Seen([(1, 2), (5, 6)]), Seen([(2.5, 5.5)]), Seen([], 9.0, True), Seen([(9.5, 9.6)])]
-    assert most_out(seen[:1], 10) == 1 and most_out(seen[:2], 10) == 2 and most_out(seen, 10) == 2
+    members = [
+        Availability([(1, 2), (5, 6)]),
+        Availability([(2.5, 5.5)]),
+        Availability([], out_since=9.0, was_up=True),
+        Availability([(9.5, 9.6)]),
+    ]
+    assert max_out_at_once(members[:1], 10) == 1
+    assert max_out_at_once(members[:2], 10) == 2
+    assert max_out_at_once(members, 10) == 2
 
 
 def test_the_judge_finds_a_cold_box_that_is_pushed_over() -> None:
-    async def story() -> float:
-        made = Boxes(2, warm=60.0)
-        made.open()
-        await made.replace(3, 0.0)
-        for n in [2] * 99 + [3] * (YOUNG + 10):  # a warm one bears more; COLD of CAPACITY is 30 in FALL
-            made.came(n)
-        await made.close()
-        return made.pressed
-
-    assert asyncio.run(story()) == pytest.approx((YOUNG + 10) / (TIP * CAPACITY * FALL * COLD), rel=0.1)
+    requests = SLOW_START_MIN_REQUESTS + 10
+
+    async def max_load() -> float:
+        nodes = StorageNodes(2, warm_up_s=60.0)
+        nodes.open()
+        await nodes.replace(3, 0.0)
+        for number in [2] * 99 + [3] * requests:  # a warm node bears more
+            nodes.slow_start.on_request(number, time.monotonic())
+        await nodes.close()
+        return nodes.slow_start.max_load
+
+    bears = NODE_CAPACITY_UNITS_PER_S * SLOW_START_WINDOW_S * SLOW_START_FRACTION
+    assert asyncio.run(max_load()) == pytest.approx(requests / (OVERLOAD_MULTIPLE * bears), rel=0.1)
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import signal
 import traceback
 from collections.abc import Awaitable, Callable
 from concurrent.futures import ProcessPoolExecutor
@@ -12,12 +13,14 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from sabledyke.testbed.fleet_release import Fleet, Setting, play, transcript
+from sabledyke.testbed.fleet import Fleet, play
+from sabledyke.testbed.fleet_faults import FleetFault
+from sabledyke.testbed.fleet_settings import FleetSettings
+from sabledyke.testbed.fleet_transcript import transcript
 from tests.rollout.member_scenarios import (
     coordinator_killed_midway,
     member_never_returns,
     switch_settings,
-    topic_of_an_operator,
 )
 from tests.rollout.node_scenarios import (
     drain_nodes,
@@ -27,6 +30,7 @@
     retirement_taken_back,
 )
 from tests.rollout.release_scenarios import (
+    ReleaseFault,
     all_killed_midway,
     answer_of_used_ticket_lost,
     killed_while_log_stalls,
@@ -37,6 +41,7 @@
     starter_keeps_old_version,
     two_plans_at_once,
 )
+from tests.rollout.topic_scenarios import topic_of_an_operator
 
 Scenario = Callable[[Fleet], Awaitable[None]]
 Run = tuple[str, str, int]
@@ -44,44 +49,86 @@
 BACKENDS = ("table", "etcd")
 MAX_PROCESSES = 5
 TIMEOUT_S = 400
-CALM = Setting(lag=1000, ttl=5000, silent=20_000, valid=60_000)  # nothing is given up on a busy machine
-GENTLE = Setting(4, clients=8, copies=2, silent=4000)
-SCENARIOS: dict[str, tuple[Setting, Scenario]] = {
-    "plain": (CALM, restart_everybody),
-    "back": (replace(CALM, soak=60_000), roll_back_canary),
-    "stubborn": (CALM, starter_keeps_old_version),
-    "lost": (CALM, coordinator_killed_midway),
-    "settings": (CALM, switch_settings),
-    "young": (CALM, killed_while_log_stalls),
-    "mute": (Setting(4, silent=8000), members_without_request),
-    "part_goes": (replace(CALM, back=60_000), answer_of_used_ticket_lost),
-    "two": (Setting(4), two_plans_at_once),
-    "dead": (Setting(3, silent=1000), member_never_returns),
-    "drained": (replace(GENTLE, silent=20_000, lag=1000), drain_nodes),
-    "drained_kill": (GENTLE, lambda f: drain_nodes(f, ("kill", True, 0))),
-    "drained_stall": (GENTLE, lambda f: drain_nodes(f, ("stall", True, 3.0))),
-    "drained_two": (GENTLE, lambda f: drain_nodes(f, ("kill", False, 0), ("pause", True, 2.5))),
-    "unheard_part": (replace(GENTLE, silent=1000), drain_with_partitioned_member),
-    "anew": (Setting(4), all_killed_midway),
-    "prices": (replace(CALM, lag=20, ttl=1000, topics=("prices",), clean=0.5), topic_of_an_operator),
-    "served": (Setting(4, clients=8), release_under_load),
-    "retires": (replace(CALM, size=4, clients=8, copies=2, sites=2, soak=100, silent=8000), retire_site),
-    "stays": (Setting(4, clients=8, sites=2, soak=300), retirement_taken_back),
+
+KILL_COORDINATOR = ReleaseFault(FleetFault.KILL)
+KILL_OTHER = ReleaseFault(FleetFault.KILL, on_coordinator=False)
+PAUSE_COORDINATOR = ReleaseFault(FleetFault.PAUSE, duration_s=2.5)
+STALL_LOG = ReleaseFault(FleetFault.STALL_LOG, duration_s=3.0)
+PARTITION_COORDINATOR = ReleaseFault(FleetFault.PARTITION, duration_s=3.0)
+PARTITION_REQUESTS = ReleaseFault(FleetFault.PARTITION_REQUESTS, duration_s=3.0)
+PARTITION_ANSWERS = ReleaseFault(FleetFault.PARTITION_ANSWERS, duration_s=3.0)
+
+FOUR = FleetSettings(4)
+PATIENT = FleetSettings(  # nobody is given up on a busy machine
+    min_lag_messages=1000,
+    lease_ttl_ms=5000,
+    heartbeat_timeout_ms=20_000,
+    request_validity_ms=60_000,
+)
+WITH_NODES = FleetSettings(4, client_count=8, nodes_per_shard=2, heartbeat_timeout_ms=4000)
+RETIRING = replace(
+    PATIENT,
+    size=4,
+    client_count=8,
+    nodes_per_shard=2,
+    site_count=2,
+    canary_soak_ms=100,
+    heartbeat_timeout_ms=8000,
+)
+WITH_TOPIC = replace(
+    PATIENT, min_lag_messages=20, lease_ttl_ms=1000, topics=("prices",), compaction_interval_s=0.5
+)
+
+
+def under(*faults: ReleaseFault, max_out: int) -> Scenario:
+    """A release under these faults."""
+    return lambda fleet: release_under_faults(fleet, *faults, max_out=max_out)
+
+
+def drained_under(*faults: ReleaseFault) -> Scenario:
+    """Drained nodes under these faults."""
+    return lambda fleet: drain_nodes(fleet, *faults)
+
+
+SCENARIOS: dict[str, tuple[FleetSettings, Scenario]] = {
+    "plain": (PATIENT, restart_everybody),
+    "back": (replace(PATIENT, canary_soak_ms=60_000), roll_back_canary),
+    "stubborn": (PATIENT, starter_keeps_old_version),
+    "lost": (PATIENT, coordinator_killed_midway),
+    "settings": (PATIENT, switch_settings),
+    "young": (PATIENT, killed_while_log_stalls),
+    "mute": (FleetSettings(4, heartbeat_timeout_ms=8000), members_without_request),
+    "part_goes": (replace(PATIENT, return_timeout_ms=60_000), answer_of_used_ticket_lost),
+    "two": (FOUR, two_plans_at_once),
+    "dead": (FleetSettings(3, heartbeat_timeout_ms=1000), member_never_returns),
+    "drained": (replace(WITH_NODES, heartbeat_timeout_ms=20_000, min_lag_messages=1000), drain_nodes),
+    "drained_kill": (WITH_NODES, drained_under(KILL_COORDINATOR)),
+    "drained_stall": (WITH_NODES, drained_under(STALL_LOG)),
+    "drained_two": (WITH_NODES, drained_under(KILL_OTHER, PAUSE_COORDINATOR)),
+    "unheard_part": (replace(WITH_NODES, heartbeat_timeout_ms=1000), drain_with_partitioned_member),
+    "anew": (FOUR, all_killed_midway),
+    "prices": (WITH_TOPIC, topic_of_an_operator),
+    "served": (FleetSettings(4, client_count=8), release_under_load),
+    "retires": (RETIRING, retire_site),
+    "stays": (FleetSettings(4, client_count=8, site_count=2, canary_soak_ms=300), retirement_taken_back),
     "kill": (
-        Setting(12, silent=8000, ttl=2000),
-        lambda f: release_under_faults(f, ("kill", True, 0), most=2),
+        FleetSettings(12, heartbeat_timeout_ms=8000, lease_ttl_ms=2000),
+        under(KILL_COORDINATOR, max_out=2),
     ),
-    "pause": (Setting(5), lambda f: release_under_faults(f, ("pause", True, 2.5), most=2)),
-    "third": (Setting(6), lambda f: release_under_faults(f, ("kill", True, 0), ("kill", False, 0), most=3)),
-    "stall": (Setting(4), lambda f: release_under_faults(f, ("stall", True, 3.0), most=1)),
-    "part": (Setting(4), lambda f: release_under_faults(f, ("part", True, 3.0), most=1)),
-    "part_to": (Setting(4), lambda f: release_under_faults(f, ("part_to", True, 3.0), most=1)),
-    "part_from": (Setting(4), lambda f: release_under_faults(f, ("part_from", True, 3.0), most=1)),
+    "pause": (FleetSettings(5), under(PAUSE_COORDINATOR, max_out=2)),
+    "third": (FleetSettings(6), under(KILL_COORDINATOR, KILL_OTHER, max_out=3)),
+    "stall": (FOUR, under(STALL_LOG, max_out=1)),
+    "part": (FOUR, under(PARTITION_COORDINATOR, max_out=1)),
+    "part_to": (FOUR, under(PARTITION_REQUESTS, max_out=1)),
+    "part_from": (FOUR, under(PARTITION_ANSWERS, max_out=1)),
 }
 
 
 ALL_RUNS = [
-    (b, n, seed) for seed, b in enumerate(BACKENDS, 1) for n in SCENARIOS if "part" not in n or b == "etcd"
+    (backend, name, seed)
+    for seed, backend in enumerate(BACKENDS, 1)
+    for name in SCENARIOS
+    if "part" not in name or backend == "etcd"
 ]
 WITH_APPROVED_EXCHANGE = (
     "plain",
@@ -97,18 +144,19 @@
 def run_in_process(run: Run, folder: str) -> tuple[str, str]:
     """Run one of them, and return its transcript, and what went wrong."""
     backend, name, seed = run
-    setting, scenario = SCENARIOS[name]
+    settings, scenario = SCENARIOS[name]
     exchange = ""
 
     async def record(fleet: Fleet) -> None:
         nonlocal exchange
         await scenario(fleet)
-        exchange = transcript(await fleet.log(), fleet.parts)
+        exchange = transcript(await fleet.read_messages(), fleet.transcript_names)
 
     async def play_to_end() -> None:
         async with asyncio.timeout(TIMEOUT_S):
-            fleet = await play(replace(setting, backend=backend), Path(folder), record, seed)
-        assert set(fleet.statuses) <= ({0, -9} if fleet.held else {0}), fleet.statuses
+            fleet = await play(replace(settings, backend=backend), Path(folder), record, seed)
+        allowed = {0, -signal.SIGKILL} if fleet.supervisor.suspended else {0}
+        assert set(fleet.statuses) <= allowed, fleet.statuses
 
     try:
         asyncio.run(play_to_end())
@@ -125,7 +173,7 @@
         return dict(zip(ALL_RUNS, pool.map(run_in_process, ALL_RUNS, folders), strict=True))
 
 
-@pytest.mark.parametrize("backend, name, seed", ALL_RUNS)
+@pytest.mark.parametrize(("backend", "name", "seed"), ALL_RUNS)
 def test_processes_keep_to_the_budget_whatever_breaks(runs: Runs, backend: str, name: str, seed: int) -> None:
     assert not runs[backend, name, seed][1], runs[backend, name, seed][1]
 
@@ -133,6 +181,6 @@
 @pytest.mark.parametrize("name", WITH_APPROVED_EXCHANGE)
 def test_the_whole_exchange_is_as_it_was_approved(runs: Runs, name: str, snapshot: SnapshotAssertion) -> None:
     """Approved on purpose: read the difference, then pytest --snapshot-update."""
-    exchanges = {runs[b, n, s][0] for b, n, s in ALL_RUNS if n == name}
+    exchanges = {runs[run][0] for run in ALL_RUNS if run[1] == name}
     assert len(exchanges) == 1, exchanges
     assert exchanges.pop() == snapshot
