--- a/sabledyke/testbed/fleet.py
+++ b/sabledyke/testbed/fleet.py
@@ -22,7 +22,7 @@
 from sabledyke.rollout import commands, disruption_budget, plan_changes
 from sabledyke.rollout.fleet_view import FleetView, view_of
 from sabledyke.rollout.moves import Move
-from sabledyke.rollout.records import FLEET_TOPIC, DrainPhase, Plan, PlanStage
+from sabledyke.rollout.records import FLEET_TOPIC, Plan, PlanStage
 from sabledyke.testbed import fleet_faults
 from sabledyke.testbed.availability import Availability, max_out_at_once, probe_until
 from sabledyke.testbed.cluster import Cluster
@@ -30,6 +30,7 @@
 from sabledyke.testbed.fleet_faults import FleetFault
 from sabledyke.testbed.fleet_settings import FleetSettings, operator_file
 from sabledyke.testbed.fleet_storage import FleetStorage
+from sabledyke.testbed.node_operator import NodeOperator
 from sabledyke.testbed.storage_nodes import StorageNodes
 from sabledyke.testbed.supervisor import FIRST_VERSION, Supervisor
 from sabledyke.testbed.workload import Client, ClientMetrics
@@ -37,7 +38,6 @@
 WAIT_TIMEOUT_S = 180.0  # that a busy machine may take for what a scenario waits for
 POLL_S = 0.05  # between two polls of the log
 PLACEMENT_POLL_S = 0.1
-NODE_DOWN_S = 0.3  # for which a drained storage node is away
 VOLUMES_PER_CLIENT = 40
 REQUEST_INTERVAL_S = 0.2  # of one client, on average
 COMMAND_RETRIES = 20  # of an operator's command, while the log stalls
@@ -55,7 +55,7 @@
         nodes: The storage nodes.
         availability: What the probes of each member showed.
         metrics: What its clients saw.
-        replaced_nodes: The storage nodes that were taken away, in order.
+        node_operator: Whoever takes drained storage nodes away.
         transcript_names: What members are called in the transcript, where their roles matter.
         log: The compacted log, once the fleet has started.
         statuses: The exit statuses of the processes, once it has ended.
@@ -69,7 +69,7 @@
         self.nodes = StorageNodes(settings.nodes_per_shard, settings.node_warm_up_ms / 1000)
         self.availability = [Availability() for _ in range(settings.size)]
         self.metrics = ClientMetrics()
-        self.replaced_nodes: list[str] = []
+        self.node_operator = NodeOperator(self.nodes)
         self.transcript_names: dict[str, str] = {}
         self.log: CompactedLog
         self.statuses: list[int] = []
@@ -94,7 +94,7 @@
             self._run_in_background(self._probe(number))
         await self.wait_until(self._is_complete)
         if self.settings.nodes_per_shard > 1:
-            self._run_in_background(self._replace_drained_nodes())
+            self._run_in_background(self.node_operator.run(self.log))
         if self.settings.site_count > 1:
             self._run_in_background(self._follow_placements())
         self._start_clients()
@@ -265,28 +265,6 @@
                 await self.log.catch_up(evacuation.PLACEMENTS_TOPIC, self._placement_reader)
             await asyncio.sleep(PLACEMENT_POLL_S)
 
-    async def _replace_drained_nodes(self) -> None:
-        """Replace or remove each drained node, once for each drain, as the operators of nodes do."""
-        handled: set[int] = set()
-        reader = LogReader()
-        while True:
-            with contextlib.suppress(CompactedLogError):
-                await self.log.catch_up(FLEET_TOPIC, reader)
-            view = view_of(reader.latest, reader.position)
-            for drain in view.drains.values():
-                if drain.phase is DrainPhase.DRAINED and drain.begun_offset not in handled:
-                    handled.add(drain.begun_offset)
-                    self._take_node_away(drain.name, is_removal=bool(view.plans[drain.plan].removes_nodes))
-            await asyncio.sleep(POLL_S)
-
-    def _take_node_away(self, name: str, *, is_removal: bool) -> None:
-        self.replaced_nodes.append(name)
-        number = int(name.removeprefix("box"))
-        if is_removal:
-            self.nodes.remove(number)
-        else:
-            self._run_in_background(self.nodes.replace(number, NODE_DOWN_S))
-
 
 def plan_for_all(name: str, size: int, **fields: Any) -> Plan:
     """Return a plan for all members of a fleet of this size."""
--- a/sabledyke/testbed/scenario_run.py
+++ b/sabledyke/testbed/scenario_run.py
@@ -132,13 +132,13 @@
     plan = view.plans[scenario.plan.name]
     metrics = fleet.metrics
     out_s = sum(end - begin for member in fleet.availability for begin, end in member.outages)
-    replaced_count = len(fleet.replaced_nodes)
+    replaced_count = len(fleet.node_operator.replaced)
     lines = [
         f"plan {plan.stage.value} in {took_s:.1f} s, {len(plan.released)} released; "
         f"doors were out {out_s:.1f} s in all",
         f"most out at once {fleet.max_out()} (may be {scenario.max_out}); {replaced_count} boxes replaced",
     ]
-    if fleet.replaced_nodes:
+    if fleet.node_operator.replaced:
         lines.append(f"a cold box was sent {fleet.nodes.slow_start.max_load:.2f} of what has it fall")
     if scenario.settings.client_count:
         served = metrics.outcomes[RequestOutcome.SERVED] / max(1, metrics.request_count)
@@ -197,7 +197,7 @@
         violations.append(f"{nodes.requests_while_draining} requests were at a drained box")
     if nodes.deduplication.violations:
         violations.append(f"{nodes.deduplication.violations} keys ran beyond their window or shard")
-    if len(set(fleet.replaced_nodes)) < len(fleet.replaced_nodes):
+    if len(set(fleet.node_operator.replaced)) < len(fleet.node_operator.replaced):
         violations.append("a box was taken away twice")
     return violations
 
--- a/tests/rollout/node_scenarios.py
+++ b/tests/rollout/node_scenarios.py
@@ -61,7 +61,7 @@
     await fleet.add_plan(Plan("p", ("n0", "n2"), retiring_site="s0", nodes_removed_next=nodes))
     view = await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.DONE)
     await fleet.wait_until(lambda view: view.plans["p.boxes"].stage is PlanStage.DONE)
-    assert fleet.replaced_nodes == list(nodes)
+    assert fleet.node_operator.replaced == list(nodes)
     assert not {*nodes} & {endpoint["host"] for endpoint in fleet.nodes.endpoints()}
     assert {member.name: member.state for member in view.members.values()} == {
         "n0": RETIRED,
@@ -102,7 +102,7 @@
     coordinator = await fleet.coordinator()
     await inject_all(fleet, faults, coordinator, (coordinator + 1) % fleet.settings.size)
     view = await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.DONE)
-    assert sorted(fleet.replaced_nodes) == sorted(names)
+    assert sorted(fleet.node_operator.replaced) == sorted(names)
     assert sorted(view.plans["p"].released) == sorted(names)
     assert not view.drains
     assert fleet.max_out() <= len(faults)
@@ -126,7 +126,7 @@
     request_count = fleet.nodes.request_count
     await asyncio.sleep(1)
     assert fleet.nodes.request_count > request_count
-    assert not fleet.replaced_nodes
+    assert not fleet.node_operator.replaced
     fleet.storage.proxies[number].heal()
     await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.DONE)
     assert_nothing_was_lost(fleet)
