--- a/sabledyke/testbed/fleet.py
+++ b/sabledyke/testbed/fleet.py
@@ -250,13 +250,15 @@
             self._run_in_background(client.run())
 
     def _ports_of(self, volume: int) -> list[int]:
-        """Return where clients go for a volume: to the members that it is placed at, then to all in turn."""
+        """Return where clients go for a volume: to the members that it is placed at, then to all others."""
         size = self.settings.size
         placement = self.placements().get(f"{volume:016x}")
         names = [placement.member, placement.previous_member] if placement is not None else []
         placed = [int(name.removeprefix("n")) for name in names if name]
-        in_turn = [(volume + i) % size for i in range(size)]
-        return [self.cluster.instances[number].port_number for number in dict.fromkeys([*placed, *in_turn])]
+        all_numbers = [(volume + i) % size for i in range(size)]
+        return [
+            self.cluster.instances[number].port_number for number in dict.fromkeys([*placed, *all_numbers])
+        ]
 
     async def _follow_placements(self) -> None:
         """Read where volumes are placed, as clients do."""
--- a/sabledyke/testbed/fleet_settings.py
+++ b/sabledyke/testbed/fleet_settings.py
@@ -78,7 +78,15 @@
 [log]
 format = "json"
 
-[board]
+{_storage_sections(settings, storage)}
+{_rollout_section(settings, number, version)}
+{_sites_section(settings)}
+{_quota_section(settings)}
+"""
+
+
+def _storage_sections(settings: FleetSettings, storage: StorageKeys) -> str:
+    return f"""[board]
 {storage.log}
 lag = {settings.min_lag_messages}
 tomb_s = {TOMBSTONE_RETENTION_S}
@@ -90,8 +98,11 @@
 ttl_ms = {settings.lease_ttl_ms}
 renew_ms = {settings.lease_ttl_ms // 5}
 margin_ms = {settings.lease_ttl_ms // 4}
+"""
+
 
-[rollout]
+def _rollout_section(settings: FleetSettings, number: int, version: str) -> str:
+    return f"""[rollout]
 site = "s{number % settings.site_count}"
 version = "{version}"
 wants = "wants"
@@ -100,10 +111,7 @@
 silent_ms = {settings.heartbeat_timeout_ms}
 back_ms = {settings.return_timeout_ms}
 soak_ms = {settings.canary_soak_ms}
-valid_ms = {settings.request_validity_ms}
-{_sites_section(settings)}
-{_quota_section(settings)}
-"""
+valid_ms = {settings.request_validity_ms}"""
 
 
 def _sites_section(settings: FleetSettings) -> str:
--- a/sabledyke/testbed/fleet_transcript.py
+++ b/sabledyke/testbed/fleet_transcript.py
@@ -27,7 +27,7 @@
     lines = writer.lines
     first = next((i for i, line in enumerate(lines) if line.startswith("plan ")), 0)
     text = "\n".join(filter(None, lines[first:]))
-    return re.sub(r"\w+", lambda word: (names or {}).get(word[0], word[0]), text)
+    return re.sub(r"\w+", lambda match: (names or {}).get(match[0], match[0]), text)
 
 
 class _TranscriptWriter:
--- a/sabledyke/testbed/lease_faults.py
+++ b/sabledyke/testbed/lease_faults.py
@@ -21,7 +21,7 @@
 MAX_BYTES_UNTIL_RESET = 400
 LATE_ACT_PAUSE_S = 1.0  # for the resource to get the late act, and for the instance to see that it is late
 
-LEAVES_HOLDER_ALONE = {FaultKind.RESTART_AUTHORITY, FaultKind.SLOW_NETWORK, FaultKind.DELAY_ACTS}
+KEEPS_HOLDER = {FaultKind.RESTART_AUTHORITY, FaultKind.SLOW_NETWORK, FaultKind.DELAY_ACTS}
 
 
 @dataclass(slots=True, frozen=True)
@@ -99,7 +99,7 @@
         target = self._holder() if fault.target is None else fault.target
         if fault.kind is FaultKind.ACT_AFTER_TAKEOVER:
             target = await self._delay_act_of_holder()
-        if target == self._holder() and fault.kind not in LEAVES_HOLDER_ALONE:
+        if target == self._holder() and fault.kind not in KEEPS_HOLDER:
             self.holder_losses.append(HolderLoss(time.monotonic() * 1000, self._resource.last))
         await self._handlers[fault.kind](fault, target)
 
@@ -168,14 +168,14 @@
         is held back.
         """
 
-        def delayed_or_taken_over() -> bool:
+        def delayed_or_holder_changed() -> bool:
             return proxy.to_server.pending_reads > 0 or self._holder() != target
 
         while True:
             target = self._holder()
             proxy = self._proxies[target].to_resource
             proxy.partition(to_client=False)
-            await wait_until(delayed_or_taken_over)
+            await wait_until(delayed_or_holder_changed)
             if proxy.to_server.pending_reads or self._holder() == target:
                 return target
             proxy.heal()
--- a/sabledyke/testbed/node_operator.py
+++ b/sabledyke/testbed/node_operator.py
@@ -8,8 +8,8 @@
 from sabledyke.compacted_log.client import CompactedLog
 from sabledyke.compacted_log.reader import LogReader
 from sabledyke.errors import CompactedLogError
-from sabledyke.rollout.fleet_view import view_of
-from sabledyke.rollout.records import FLEET_TOPIC, DrainPhase
+from sabledyke.rollout.fleet_view import FleetView, view_of
+from sabledyke.rollout.records import FLEET_TOPIC, Drain, DrainPhase
 from sabledyke.testbed.storage_nodes import StorageNodes
 
 POLL_S = 0.05  # between two polls of the log
@@ -26,20 +26,17 @@
     def __init__(self, nodes: StorageNodes) -> None:
         self.replaced: list[str] = []
         self._nodes = nodes
+        self._handled: set[int] = set()  # offsets at which the drains began
 
     async def run(self, log: CompactedLog) -> None:
         """Take drained nodes away until it is cancelled."""
-        handled: set[int] = set()
         reader = LogReader()
         async with asyncio.TaskGroup() as replacements:
             while True:
                 with contextlib.suppress(CompactedLogError):
                     await log.catch_up(FLEET_TOPIC, reader)
                 view = view_of(reader.latest, reader.position)
-                for drain in view.drains.values():
-                    if drain.phase is not DrainPhase.DRAINED or drain.begun_offset in handled:
-                        continue
-                    handled.add(drain.begun_offset)
+                for drain in self._new_drains(view):
                     self.replaced.append(drain.name)
                     number = int(drain.name.removeprefix("box"))
                     if view.plans[drain.plan].removes_nodes:
@@ -47,3 +44,13 @@
                     else:
                         replacements.create_task(self._nodes.replace(number, DOWN_S))
                 await asyncio.sleep(POLL_S)
+
+    def _new_drains(self, view: FleetView) -> list[Drain]:
+        """Return the drains that have come to their end since the last call."""
+        drains = [
+            drain
+            for drain in view.drains.values()
+            if drain.phase is DrainPhase.DRAINED and drain.begun_offset not in self._handled
+        ]
+        self._handled.update(drain.begun_offset for drain in drains)
+        return drains
--- a/sabledyke/testbed/storage_nodes.py
+++ b/sabledyke/testbed/storage_nodes.py
@@ -54,7 +54,7 @@
         self._started_at_ms: Counter[int] = Counter()  # of later starts
         self._in_flight: Counter[int] = Counter()  # by node
         self._hung: dict[int, list[float]] = {}  # nodes that do not answer: when each request came
-        self._hang_ended = asyncio.Event()
+        self._hang_over = asyncio.Event()
 
     def open(self) -> None:
         """Begin to serve."""
@@ -77,8 +77,8 @@
         self._hung[number] = arrivals
         await asyncio.sleep(duration_s)
         del self._hung[number]
-        self._hang_ended.set()
-        self._hang_ended = asyncio.Event()
+        self._hang_over.set()
+        self._hang_over = asyncio.Event()
         return arrivals
 
     async def replace(self, number: int, down_s: float) -> None:
@@ -127,7 +127,7 @@
         self.slow_start.on_request(number, time.monotonic())
         if number in self._hung:
             self._hung[number].append(time.monotonic())
-            await self._hang_ended.wait()
+            await self._hang_over.wait()
             return False
         volume = path.split("/")[2]
         self.unit_times.setdefault(volume, []).append(time.monotonic())
--- a/sabledyke/testbed/traffic_checks.py
+++ b/sabledyke/testbed/traffic_checks.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class _ColdNode:
+class _WarmingNode:
     started_at_s: float
     recent_s: deque[float] = field(default_factory=deque)  # when its latest requests came
 
@@ -61,15 +61,15 @@
     def __init__(self, warm_up_s: float) -> None:
         self.max_load = 0.0
         self._warm_up_s = warm_up_s
-        self._cold_nodes: dict[int, _ColdNode] = {}
+        self._warming_nodes: dict[int, _WarmingNode] = {}
 
     def on_restart(self, number: int, now_s: float) -> None:
         """A node started again, and is cold."""
-        self._cold_nodes[number] = _ColdNode(now_s)
+        self._warming_nodes[number] = _WarmingNode(now_s)
 
     def on_request(self, number: int, now_s: float) -> None:
         """A request reached a node."""
-        node = self._cold_nodes.get(number)
+        node = self._warming_nodes.get(number)
         if node is None:
             return
         node.recent_s.append(now_s)
@@ -77,9 +77,9 @@
             node.recent_s.popleft()
         self.max_load = max(self.max_load, len(node.recent_s) / self._max_requests(node))
         if now_s > node.started_at_s + self._warm_up_s + SLOW_START_WINDOW_S:
-            del self._cold_nodes[number]
+            del self._warming_nodes[number]
 
-    def _max_requests(self, node: _ColdNode) -> float:
+    def _max_requests(self, node: _WarmingNode) -> float:
         """Return the number of requests in the window at which the node fails."""
         warm_up = (node.recent_s[0] - node.started_at_s) / self._warm_up_s
         fraction = min(1.0, SLOW_START_FRACTION + (1 - SLOW_START_FRACTION) * warm_up)
--- a/tests/rollout/node_scenarios.py
+++ b/tests/rollout/node_scenarios.py
@@ -78,7 +78,7 @@
         await fleet.add_plan(Plan("q", ("n7",)))
 
 
-async def retirement_taken_back(fleet: Fleet) -> None:
+async def retirement_rolled_back(fleet: Fleet) -> None:
     """An operator takes a retirement back in the middle: volumes are placed as before, no member went out."""
     await wait_for_placements(fleet)
     await fleet.add_plan(Plan("p", ("n0", "n2"), retiring_site="s0"))
--- a/tests/rollout/test_experiments.py
+++ b/tests/rollout/test_experiments.py
@@ -4,13 +4,14 @@
 
 import asyncio
 import time
+from enum import StrEnum
 from pathlib import Path
-from typing import Any
+from typing import Any, get_args, get_type_hints
 
 import pytest
 
 from sabledyke.errors import OperatorError
-from sabledyke.testbed import scenario
+from sabledyke.testbed import experiment, scenario
 from sabledyke.testbed.availability import Availability, max_out_at_once
 from sabledyke.testbed.deployment import (
     NODE_CAPACITY_UNITS_PER_S,
@@ -20,6 +21,7 @@
     SLOW_START_WINDOW_S,
 )
 from sabledyke.testbed.storage_nodes import StorageNodes
+from sabledyke.toml_tables import Table
 
 
 @pytest.mark.parametrize(
@@ -33,7 +35,7 @@
         ({"times": {"soon_ms": 3}}, "times.soon_ms is not known"),
     ],
 )
-def test_an_experiments_file_is_read_whole_or_not_at_all(change: dict[str, Any], message: str) -> None:
+def test_an_experiments_file_is_read_completely_or_not_at_all(change: dict[str, Any], message: str) -> None:
     data = {"name": "x", "instances": 3, "plan": {"to": "2", "before": "1"}, "step": [{"what": "halt"}]}
     if message:
         with pytest.raises(OperatorError, match=message):
@@ -47,7 +49,15 @@
     assert all(scenario.load(str(file)).steps for file in files)
 
 
-def test_the_judge_counts_who_does_not_answer_at_the_same_time() -> None:
+@pytest.mark.parametrize(
+    ("row", "kinds"),
+    [(experiment.FaultRow, experiment.FaultKind), (scenario.StepRow, scenario.StepKind)],
+)
+def test_files_may_name_exactly_the_kinds_that_can_be_played(row: type[Table], kinds: type[StrEnum]) -> None:
+    assert get_args(get_type_hints(row)["what"]) == tuple(kinds)
+
+
+def test_members_that_do_not_answer_at_the_same_time_are_counted() -> None:
     members = [
         Availability([(1, 2), (5, 6)]),
         Availability([(2.5, 5.5)]),
@@ -59,7 +69,7 @@
     assert max_out_at_once(members, 10) == 2
 
 
-def test_the_judge_finds_a_cold_box_that_is_pushed_over() -> None:
+def test_an_overload_of_a_node_in_slow_start_is_found() -> None:
     requests = SLOW_START_MIN_REQUESTS + 10
 
     async def max_load() -> float:
@@ -71,5 +81,5 @@
         await nodes.close()
         return nodes.slow_start.max_load
 
-    bears = NODE_CAPACITY_UNITS_PER_S * SLOW_START_WINDOW_S * SLOW_START_FRACTION
-    assert asyncio.run(max_load()) == pytest.approx(requests / (OVERLOAD_MULTIPLE * bears), rel=0.1)
+    capacity = NODE_CAPACITY_UNITS_PER_S * SLOW_START_WINDOW_S * SLOW_START_FRACTION
+    assert asyncio.run(max_load()) == pytest.approx(requests / (OVERLOAD_MULTIPLE * capacity), rel=0.1)
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -27,7 +27,7 @@
     drain_with_partitioned_member,
     release_under_load,
     retire_site,
-    retirement_taken_back,
+    retirement_rolled_back,
 )
 from tests.rollout.release_scenarios import (
     ReleaseFault,
@@ -110,7 +110,7 @@
     "prices": (WITH_TOPIC, topic_of_an_operator),
     "served": (FleetSettings(4, client_count=8), release_under_load),
     "retires": (RETIRING, retire_site),
-    "stays": (FleetSettings(4, client_count=8, site_count=2, canary_soak_ms=300), retirement_taken_back),
+    "stays": (FleetSettings(4, client_count=8, site_count=2, canary_soak_ms=300), retirement_rolled_back),
     "kill": (
         FleetSettings(12, heartbeat_timeout_ms=8000, lease_ttl_ms=2000),
         under(KILL_COORDINATOR, max_out=2),
