--- a/sabledyke/testbed/quota_model.py
+++ b/sabledyke/testbed/quota_model.py
@@ -1,227 +1,243 @@
-"""Shares of a limit in virtual time: members, their registers, and all that may come between them, by chance.
+"""Quota sharing in virtual time: members, their registers, and random faults between them.
 
-The members are ``fleet.shares`` itself. Looks and writes take time; a write takes effect at any moment until
-its answer, or long after it was given up, or never, but only over the word it rests on; answers get lost;
-members stand still, and die and come back as new lives; clocks run fast or slow within the bound. Demands
-jump. What must hold at every moment: what all processes together take of a volume beyond their floors is at
-most all of it. Deterministic from its seed; no clock, socket or file.
+The members are ``quota_sharing.allocation`` itself. Polls and writes take time; a write takes effect at any
+moment until its answer, or long after its timeout, or never, but only over the publication that it replaces;
+answers get lost; members are paused, or die and come back as new incarnations; clocks run fast or slow within
+the bound. Demands jump. What must hold at every moment: what all processes together take of a volume beyond
+their floors is at most all of it. Deterministic from its seed; no clock, socket or file.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from functools import partial
-from heapq import heappop, heappush
-from itertools import count
 from random import Random
 
 from sabledyke.quota_sharing.allocation import Demands, QuotaAllocator, QuotaPolicy, Timing
+from sabledyke.testbed.quota_member import (
+    ALL_SAFEGUARDS,
+    Member,
+    PartialAllocator,
+    Register,
+    Safeguards,
+    Write,
+)
+from sabledyke.testbed.virtual_time import Action, EventQueue
 
 VOLUME = 7
-SAMPLE = 7.0  # ms between looks at the sum
+SAMPLE_INTERVAL_MS = 7.0
+MAX_CLOCK_DRIFT = 0.02
+
+MAX_FIRST_POLL_MS = 100
+MAX_FIRST_FAULT_MS = 4000
+MEAN_FAULT_INTERVAL_MS = 12_000.0
+PAUSE_PROBABILITY = 0.5
+"""Else a fault is a death."""
+PAUSES_MS = (300.0, 1500.0, 2600.0, 5000.0)
+RESTARTS_MS = (50.0, 300.0, 3000.0)
+
+DEMANDS = (0.0, 1.0, 10.0, 100.0, 1000.0)
+MEAN_DEMAND_INTERVAL_MS = 1500.0
+
+POLL_TIMES_MS = (1.0, 5.0, 20.0)
+SLOW_POLL_MS = 150.0
+VERY_SLOW_POLL_MS = 500.0
+SLOW_POLL_PROBABILITY = 0.9
+"""Else the slowest polls are very slow."""
+POLLS_PER_MAX_GAP = 3
+
+WRITE_TIMES_MS = (1.0, 5.0, 60.0)
+LATE_WRITES_MS = (700.0, 2500.0)
+WRITE_TIMEOUT_MS = 1000.0
+ANSWERED_PROBABILITY = 0.8
+APPLIED_PROBABILITY = 0.95
+"""Of a write that it is answered, or takes effect without an answer."""
 
 
 @dataclass(slots=True, frozen=True)
-class Rules:
-    """What a member keeps to; each may be left out, to see that it is needed."""
+class SimulationResult:
+    """The sum of the shares of all members beyond their floors, of 1: its maximum and its mean."""
 
-    window: bool = True  # the least it told and the most that others did over a window, not the last
-    gap: bool = True  # who has not looked for long takes its floor alone
-    hold: bool = True  # who is not heard takes its floor alone by the time that others give it up
-    sure: bool = True  # a new life waits until a former one's share is certainly over
-    rests: bool = True  # a word is written only over the one it rests on
+    max_share_sum: float
+    mean_share_sum: float
 
 
-@dataclass(slots=True, frozen=True)
-class Found:
-    """The most that was taken at once, of 1; and the mean of what could have been."""
-
-    most: float
-    mean: float
-
-
-@dataclass(slots=True)
-class _Cell:
-    """A register as it stands."""
-
-    life: int = 1
-    number: int = 0
-    demands: Demands = field(default_factory=dict)
-
-
-@dataclass(slots=True, eq=False)
-class _Member:
-    """A process."""
-
-    name: str
-    rate: float
-    shares: QuotaAllocator
-    life: int = 1
-    number: int = 0
-    known: int = 0  # the number of the word that stands, as it knows
-    known_at: float = 0.0  # on its clock
-    up: bool = True
-    still: float = 0.0  # it stands still until then
-    busy: bool = False  # a write waits for its answer
-    demand: float = 0.0
+class QuotaSimulation:
+    """One run of a fleet that shares the limit of one volume."""
 
+    def __init__(
+        self,
+        seed: int,
+        member_count: int = 4,
+        safeguards: Safeguards = ALL_SAFEGUARDS,
+        fault_rate: float = 1.0,
+    ) -> None:
+        """Prepare a run.
+
+        Args:
+            seed: Seed of all that is random.
+            member_count: Members of the fleet.
+            safeguards: What the members keep to.
+            fault_rate: How often faults come, relative to ``MEAN_FAULT_INTERVAL_MS``.
+        """
+        self._random = Random(seed)
+        self._safeguards = safeguards
+        self._fault_rate = fault_rate
+        self._events = EventQueue()
+        self._policy = QuotaPolicy(member_count)
+        self._timing = Timing()
+        self._registers = {f"n{i}": Register() for i in range(member_count)}
+        clock_rates = [
+            1 + self._random.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) for _ in range(member_count)
+        ]
+        self._members = [
+            Member(name, rate, self._new_allocator())
+            for name, rate in zip(self._registers, clock_rates, strict=True)
+        ]
+        for member in self._members:
+            self._schedule_poll(member, self._random.random() * MAX_FIRST_POLL_MS)
+            self._events.schedule(0.0, partial(self._change_demand, member))
+            first_fault_ms = self._random.random() * MAX_FIRST_FAULT_MS
+            self._events.schedule(first_fault_ms, partial(self._inject_fault, member))
+
+    def run(self, duration_ms: float) -> SimulationResult:
+        """Run for so long, and sample the sum of all shares at regular times."""
+        samples: list[float] = []
+        sample_at_ms = 0.0
+        while sample_at_ms < duration_ms:
+            self._events.run_until(sample_at_ms)
+            samples.append(sum(self._share_beyond_floor(member) for member in self._running_members()))
+            sample_at_ms += SAMPLE_INTERVAL_MS
+        return SimulationResult(max(samples), sum(samples) / len(samples))
+
+    def _running_members(self) -> list[Member]:
+        now_ms = self._events.now_ms
+        return [member for member in self._members if member.is_up and now_ms >= member.paused_until_ms]
+
+    def _share_beyond_floor(self, member: Member) -> float:
+        share = member.allocator.share_of(VOLUME, self._clock_ms(member))
+        floor_fraction = self._policy.floor_fraction
+        return (share - floor_fraction / self._policy.members) / (1 - floor_fraction)
+
+    def _new_allocator(self) -> QuotaAllocator:
+        return PartialAllocator(self._safeguards, self._policy, self._timing)
+
+    def _clock_ms(self, member: Member) -> float:
+        return self._events.now_ms * member.clock_rate
+
+    def _run_awake(self, member: Member, incarnation: int, action: Action) -> None:
+        """Run an action of an incarnation at the end of its pause, and not at all once it has died."""
+        if member.incarnation != incarnation:
+            return
+        if self._events.now_ms < member.paused_until_ms:
+            remaining_ms = member.paused_until_ms - self._events.now_ms
+            self._events.schedule(remaining_ms, partial(self._run_awake, member, incarnation, action))
+            return
+        action()
 
-class Model:
-    """One run."""
+    def _change_demand(self, member: Member) -> None:
+        member.demand = self._random.choice(DEMANDS)
+        delay_ms = self._random.expovariate(1 / MEAN_DEMAND_INTERVAL_MS)
+        self._events.schedule(delay_ms, partial(self._change_demand, member))
 
-    def __init__(self, seed: int, size: int = 4, rules: Rules = Rules(), faults: float = 1.0) -> None:  # noqa: B008
-        self._random, self._rules, self._faults = Random(seed), rules, faults
-        self.now, self._due, self._order = 0.0, list[tuple[float, int, Callable[[], None]]](), count()
-        self._policy, self._times = QuotaPolicy(size), Timing()
-        self._cells = {f"n{i}": _Cell() for i in range(size)}
-        rates = [1 + self._random.uniform(-0.02, 0.02) for _ in range(size)]
-        self._members = [_Member(n, r, self._shares()) for n, r in zip(self._cells, rates, strict=True)]
-        for member in self._members:
-            self._at(self._random.random() * 100, partial(self._turn, member, member.life))
-            self._at(0.0, partial(self._jump, member))
-            self._at(self._random.random() * 4000, partial(self._break, member))
-
-    def _shares(self) -> QuotaAllocator:
-        made = _Lax(self._policy, self._times)
-        made.rules = self._rules
-        return made
-
-    def run(self, length: float) -> Found:
-        """So many ms."""
-        most, total, samples, next_ = 0.0, 0.0, 0, 0.0
-        while next_ < length:
-            while self._due and self._due[0][0] <= next_:
-                self.now, _, what = heappop(self._due)
-                what()
-            self.now = next_
-            taken = sum(self._taken(m) for m in self._members if m.up and self.now >= m.still)
-            most, total, samples = max(most, taken), total + taken, samples + 1
-            next_ += SAMPLE
-        return Found(most, total / samples)
-
-    def _taken(self, member: _Member) -> float:
-        part = member.shares.share_of(VOLUME, self._clock(member))
-        return (part - self._policy.floor_fraction / self._policy.members) / (1 - self._policy.floor_fraction)
-
-    def _clock(self, member: _Member) -> float:
-        return self.now * member.rate
-
-    def _at(self, after: float, what: Callable[[], None]) -> None:
-        heappush(self._due, (self.now + after, next(self._order), what))
-
-    def _jump(self, member: _Member) -> None:
-        """Its clients come and go."""
-        member.demand = self._random.choice([0.0, 1.0, 10.0, 100.0, 1000.0])
-        self._at(self._random.expovariate(1 / 1500.0), partial(self._jump, member))
-
-    def _break(self, member: _Member) -> None:
-        """It stands still for a while, or dies and comes back."""
-        if self._random.random() < 0.5:
-            member.still = self.now + self._random.choice([300.0, 1500.0, 2600.0, 5000.0])
+    def _inject_fault(self, member: Member) -> None:
+        """Pause the member for a while, or have it die and come back."""
+        if self._random.random() < PAUSE_PROBABILITY:
+            member.paused_until_ms = self._events.now_ms + self._random.choice(PAUSES_MS)
         else:
-            member.life, member.up, member.busy = member.life + 1, False, False
-            life = member.life
-            self._at(self._random.choice([50.0, 300.0, 3000.0]), partial(self._again, member, life))
-        self._at(self._random.expovariate(self._faults / 12_000.0), partial(self._break, member))
-
-    def _again(self, member: _Member, life: int) -> None:
-        if member.life == life:
-            cell = self._cells[member.name]
-            cell.life = life  # its claim: nothing of a former life is written any more
-            member.shares, member.up, member.known = self._shares(), True, 0
-            member.known_at, member.number = self._clock(member), cell.number
-            self._turn(member, life)
-
-    def _turn(self, member: _Member, life: int) -> None:
-        """A look now and then, and a write once it is time."""
-        if member.life != life:
+            member.incarnation += 1
+            member.is_up = False
+            member.is_writing = False
+            restart = partial(self._restart, member, member.incarnation)
+            self._events.schedule(self._random.choice(RESTARTS_MS), restart)
+        delay_ms = self._random.expovariate(self._fault_rate / MEAN_FAULT_INTERVAL_MS)
+        self._events.schedule(delay_ms, partial(self._inject_fault, member))
+
+    def _restart(self, member: Member, incarnation: int) -> None:
+        if member.incarnation != incarnation:
             return
-        if self.now < member.still:
-            self._at(member.still - self.now, partial(self._turn, member, life))
-            return
-        slow = 150.0 if self._random.random() < 0.9 else 500.0
-        began, took = self._clock(member), self._random.choice([1.0, 5.0, 20.0, slow])
+        register = self._registers[member.name]
+        register.incarnation = incarnation  # nothing of a former incarnation is written any more
+        member.allocator = self._new_allocator()
+        member.is_up = True
+        member.known_number = 0
+        member.known_at_ms = self._clock_ms(member)
+        member.last_number = register.number
+        self._run_awake(member, incarnation, partial(self._begin_poll, member))
+
+    def _schedule_poll(self, member: Member, delay_ms: float) -> None:
+        poll = partial(self._begin_poll, member)
+        self._events.schedule(delay_ms, partial(self._run_awake, member, member.incarnation, poll))
+
+    def _begin_poll(self, member: Member) -> None:
+        """Read all registers, each at some moment of the poll."""
+        slow_ms = SLOW_POLL_MS if self._random.random() < SLOW_POLL_PROBABILITY else VERY_SLOW_POLL_MS
+        duration_ms = self._random.choice((*POLL_TIMES_MS, slow_ms))
         found: dict[str, tuple[int, Demands]] = {}
-        for name in self._cells:
-            self._at(self._random.random() * took, partial(self._read, name, found))
-        self._at(took, partial(self._looked, member, life, began, found))
+        for name in self._registers:
+            self._events.schedule(self._random.random() * duration_ms, partial(self._read, name, found))
+        finish = partial(self._finish_poll, member, self._clock_ms(member), found)
+        self._events.schedule(duration_ms, partial(self._run_awake, member, member.incarnation, finish))
 
     def _read(self, name: str, found: dict[str, tuple[int, Demands]]) -> None:
-        found[name] = self._cells[name].number, self._cells[name].demands
+        register = self._registers[name]
+        found[name] = (register.number, register.demands)
 
-    def _looked(
-        self, member: _Member, life: int, began: float, found: dict[str, tuple[int, Demands]]
+    def _finish_poll(
+        self, member: Member, started_at_ms: float, found: dict[str, tuple[int, Demands]]
     ) -> None:
-        if member.life != life:
+        """Pass on what was read, and write once it is time."""
+        now_ms = self._clock_ms(member)
+        own_number, _ = found.pop(member.name)
+        if own_number >= member.known_number and own_number:
+            if own_number != member.known_number:
+                member.known_number = own_number
+                member.known_at_ms = now_ms
+            member.allocator.on_published(own_number, now_ms)
+        member.allocator.on_poll(started_at_ms, now_ms, found)
+        if not member.is_writing and now_ms - member.known_at_ms >= self._timing.beat_ms:
+            self._begin_write(member)
+        self._schedule_poll(member, self._timing.max_poll_gap_ms / POLLS_PER_MAX_GAP)
+
+    def _begin_write(self, member: Member) -> None:
+        member.last_number += 1
+        member.is_writing = True
+        demands = {VOLUME: member.demand}
+        write = Write(member, member.incarnation, member.last_number, demands, member.known_number)
+        member.allocator.on_publishing(write.number, demands, self._clock_ms(member), write.replaces)
+        fate = self._random.random()
+        duration_ms = self._random.choice(WRITE_TIMES_MS)
+        if fate < ANSWERED_PROBABILITY:
+            self._events.schedule(duration_ms * self._random.random(), partial(self._apply, write))
+            self._events.schedule(duration_ms, partial(self._answer, write))
+            return
+        if fate < APPLIED_PROBABILITY:
+            delay_ms = self._random.choice((duration_ms, *LATE_WRITES_MS))
+            self._events.schedule(delay_ms, partial(self._apply, write))
+        self._events.schedule(WRITE_TIMEOUT_MS, partial(self._time_out, write))
+
+    def _apply(self, write: Write) -> None:
+        register = self._registers[write.member.name]
+        if register.incarnation != write.incarnation:
             return
-        if self.now < member.still:
-            self._at(member.still - self.now, partial(self._looked, member, life, began, found))
+        if register.number != write.replaces and self._safeguards.writes_conditionally:
             return
-        now = self._clock(member)
-        mine = found.pop(member.name)[0]
-        if mine >= member.known and mine:
-            if mine != member.known:
-                member.known, member.known_at = mine, now
-            member.shares.on_published(mine, now)
-        member.shares.on_poll(began, now, found)
-        if not member.busy and now - member.known_at >= self._times.beat_ms:
-            self._write(member, life)
-        self._at(self._times.max_poll_gap_ms / 3, partial(self._turn, member, life))
-
-    def _write(self, member: _Member, life: int) -> None:
-        member.number += 1
-        number, told, rests = member.number, {VOLUME: member.demand}, member.known
-        member.shares.on_publishing(number, told, self._clock(member), rests)
-        fate, took = self._random.random(), self._random.choice([1.0, 5.0, 60.0])
-        done = [False]
-
-        def take() -> None:
-            cell = self._cells[member.name]
-            if cell.life == life and (cell.number == rests or not self._rules.rests):
-                cell.number, cell.demands, done[0] = number, told, True
-
-        def answer() -> None:
-            if member.life != life:
-                return
-            member.busy = False
-            if done[0]:
-                member.known, member.known_at = number, self._clock(member)
-                member.shares.on_published(number, self._clock(member))
-            else:
-                member.shares.on_rejected(number)
-
-        def lost() -> None:
-            if member.life == life:
-                member.busy = False
-
-        member.busy = True
-        if fate < 0.8:
-            self._at(took * self._random.random(), take)
-            self._at(took, answer)
-        else:  # no answer; it is done soon, late, or not at all
-            if fate < 0.95:
-                self._at(self._random.choice([took, 700.0, 2500.0]), take)
-            self._at(1000.0, lost)
-
-
-class _Lax(QuotaAllocator):
-    """Keeps to some of its rules."""
-
-    rules = Rules()
-
-    def _polls_in_time(self, now_ms: float) -> bool:
-        return not self.rules.gap or super()._polls_in_time(now_ms)
-
-    def _is_known_to_all(self, now_ms: float) -> bool:
-        return not self.rules.sure or super()._is_known_to_all(now_ms)
-
-    def _is_confirmed(self, now_ms: float) -> bool:
-        return not self.rules.hold or super()._is_confirmed(now_ms)
-
-    def _demand_share(self, volume: int, now_ms: float) -> float:
-        if self.rules.window:
-            return super()._demand_share(volume, now_ms)
-        own = self._publications[-1].demands.get(volume, 0.0)  # what was published last, and seen last
-        others = sum(other.seen[-1][1].get(volume, 0.0) for other in self._sharing_members(now_ms))
-        return own / (own + others) if own else 0.0
+        register.number = write.number
+        register.demands = write.demands
+        write.took_effect = True
+
+    def _answer(self, write: Write) -> None:
+        member = write.member
+        if member.incarnation != write.incarnation:
+            return
+        member.is_writing = False
+        if not write.took_effect:
+            member.allocator.on_rejected(write.number)
+            return
+        member.known_number = write.number
+        member.known_at_ms = self._clock_ms(member)
+        member.allocator.on_published(write.number, member.known_at_ms)
+
+    def _time_out(self, write: Write) -> None:
+        if write.member.incarnation == write.incarnation:
+            write.member.is_writing = False
--- /dev/null
+++ b/sabledyke/testbed/virtual_time.py
@@ -0,0 +1,29 @@
+"""Events in virtual time: a simulation schedules actions, and runs them in the order of their times."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from heapq import heappop, heappush
+from itertools import count
+
+Action = Callable[[], None]
+
+
+class EventQueue:
+    """A clock that moves from event to event; those of one time run in the order they were scheduled in."""
+
+    def __init__(self) -> None:
+        self.now_ms = 0.0
+        self._events: list[tuple[float, int, Action]] = []
+        self._numbers = count()
+
+    def schedule(self, delay_ms: float, action: Action) -> None:
+        """Have an action run after this delay."""
+        heappush(self._events, (self.now_ms + delay_ms, next(self._numbers), action))
+
+    def run_until(self, end_ms: float) -> None:
+        """Run all that is due by then, including what that schedules."""
+        while self._events and self._events[0][0] <= end_ms:
+            self.now_ms, _, action = heappop(self._events)
+            action()
+        self.now_ms = end_ms
--- a/tests/quota_sharing/test_shared_limits.py
+++ b/tests/quota_sharing/test_shared_limits.py
@@ -18,65 +18,103 @@
 from sabledyke.quota_sharing.allocation import MAX_PUBLISHED_VOLUMES, QuotaAllocator, QuotaPolicy, Timing
 from sabledyke.quota_sharing.demand import DemandMeter
 from sabledyke.testbed import shared_limits
-from sabledyke.testbed.quota_model import Model, Rules
+from sabledyke.testbed.quota_member import Safeguards
+from sabledyke.testbed.quota_model import QuotaSimulation
 from sabledyke.testbed.scenario import Report
 from tests.helpers import CAPPED, SETTINGS, Rig, of
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_whatever_comes_between_members_their_shares_never_add_up_to_more_than_all(seed: int) -> None:
-    found = Model(seed, 2 + seed % 5).run(60_000)
-    assert found.most <= 1 + 1e-9 and found.mean > 0.02
+    result = QuotaSimulation(seed, 2 + seed % 5).run(60_000)
+    assert result.max_share_sum <= 1 + 1e-9
+    assert result.mean_share_sum > 0.02
 
 
-@pytest.mark.parametrize("rule, seed", [("window", 0), ("gap", 90), ("hold", 2), ("sure", 2), ("rests", 44)])
-def test_without_each_of_its_rules_they_do(rule: str, seed: int) -> None:
-    assert Model(seed, rules=Rules(**{rule: False})).run(60_000).most > 1.1
+@pytest.mark.parametrize(
+    ("safeguard", "seed"),
+    [
+        ("counts_over_window", 0),
+        ("limits_poll_gap", 90),
+        ("expires_confirmation", 2),
+        ("waits_for_predecessor", 2),
+        ("writes_conditionally", 44),
+    ],
+)
+def test_without_each_of_their_safeguards_they_do(safeguard: str, seed: int) -> None:
+    simulation = QuotaSimulation(seed, safeguards=Safeguards(**{safeguard: False}))
+    assert simulation.run(60_000).max_share_sum > 1.1
 
 
-def test_who_leans_gets_nearly_all_and_who_is_cut_off_falls_to_its_floor() -> None:
-    times, shares, now = Timing(), QuotaAllocator(QuotaPolicy(10, 0.2)), 0.0
-    floor, leaning = 0.02, 0.02 + 0.8
+def test_the_only_member_with_demand_gets_nearly_all_and_one_cut_off_falls_to_its_floor() -> None:
+    timing = Timing()
+    allocator = QuotaAllocator(QuotaPolicy(10, 0.2))
+    now = 0.0
+    floor = 0.02
+    share_with_demand = 0.02 + 0.8
     for number in range(1, 21):
-        shares.on_publishing(number, {7: 30.0}, now, number - 1)
-        shares.on_published(number, now + 1)
+        allocator.on_publishing(number, {7: 30.0}, now, number - 1)
+        allocator.on_published(number, now + 1)
         for _ in range(4):
-            now += times.beat_ms / 4
-            shares.on_poll(now - 1, now, {"n1": (number, {8: 5.0}), "n2": (1, {7: 30.0})})
-    assert shares.share_of(7, now) == pytest.approx(leaning)  # n2's word has stood still: it is given up
-    assert shares.share_of(8, now) == floor and shares.share_of(9, now) == floor
-    assert shares.share_of(7, now + times.max_poll_gap_ms) == floor  # nothing was seen since
-    shares.on_poll(now, now + 1, {f"n{i}": (1, {7: 10.0}) for i in range(1, 40)})
-    assert shares.share_of(7, now + 1) == pytest.approx(0.2 / 40 + 0.8 * 30 / (30 + 38 * 10))
-
-
-def test_a_meter_tells_a_steady_demand_once_and_follows_a_jump_at_the_next_word() -> None:
-    random, meter, now, words = Random(3), DemandMeter(0.0), 0.0, list[dict[int, float]]()
+            now += timing.beat_ms / 4
+            allocator.on_poll(now - 1, now, {"n1": (number, {8: 5.0}), "n2": (1, {7: 30.0})})
+    # n2's publication has stood still: it counts as expired.
+    assert allocator.share_of(7, now) == pytest.approx(share_with_demand)
+    assert allocator.share_of(8, now) == floor
+    assert allocator.share_of(9, now) == floor
+    assert allocator.share_of(7, now + timing.max_poll_gap_ms) == floor  # nothing was polled since
+    allocator.on_poll(now, now + 1, {f"n{i}": (1, {7: 10.0}) for i in range(1, 40)})
+    assert allocator.share_of(7, now + 1) == pytest.approx(0.2 / 40 + 0.8 * 30 / (30 + 38 * 10))
+
+
+def test_a_meter_publishes_a_steady_demand_once_and_follows_a_jump_at_the_next_beat() -> None:
+    random = Random(3)
+    meter = DemandMeter(0.0)
+    now = 0.0
+    published: list[dict[int, float]] = []
     for beat in range(60):
         for _ in range(sum(random.random() < 0.2 for _ in range(100)) * (beat < 40)):  # 40 units a second
             meter.add(now, 7, 1.0, 1000.0)
             meter.add(now, 8, 100.0, 50.0)
         now += 500.0
-        words.append(meter.next_demands(now))
-    steady = {word[7] for word in words[5:40]}
-    assert len(steady) <= 3 and all(25 < rate < 60 for rate in steady)
-    assert {word[8] for word in words[5:40]} == {50.0}  # no more than there is
-    assert words[41].get(7, 0.0) < 8 and words[-1] == {} and not meter.has_demand
+        published.append(meter.next_demands(now))
+    steady = {demands[7] for demands in published[5:40]}
+    assert len(steady) <= 3
+    assert all(25 < rate < 60 for rate in steady)
+    assert {demands[8] for demands in published[5:40]} == {50.0}  # no more than there is
+    assert published[41].get(7, 0.0) < 8
+    assert published[-1] == {}
+    assert not meter.has_demand
     for volume in range(3 * MAX_PUBLISHED_VOLUMES):
         meter.add(now, volume, 1.0, 100.0)
     assert len(meter.next_demands(now + 500)) == MAX_PUBLISHED_VOLUMES
 
 
-def test_the_module_goes_by_the_part_that_it_is_told_and_else_by_hosts() -> None:
-    rig, plan = Rig(), SETTINGS.plans.index(CAPPED)
-    for number, (told, part) in enumerate([(0.0, 0.5), (0.9, 0.9), (0.05, 0.05), (0.0, 0.05)], 1):
-        rig.do(Request(number, 0, plan, 0, 1000.0, 1, 2.0, 1, 2, False, False, None, told))
-        assert [volume.quota_share for volume in rig.scheduler.quotas.volumes.values()] == [part]
+def test_the_scheduler_goes_by_the_share_that_a_request_names_and_else_by_scheduler_count() -> None:
+    rig = Rig()
+    plan = SETTINGS.plans.index(CAPPED)
+    for number, (named, expected) in enumerate([(0.0, 0.5), (0.9, 0.9), (0.05, 0.05), (0.0, 0.05)], 1):
+        request = Request(
+            number,
+            class_index=0,
+            plan_index=plan,
+            data_key=0,
+            remaining_ms=1000.0,
+            volume=1,
+            units=2.0,
+            shard=1,
+            scheduler_count=2,
+            repeated=False,
+            write=False,
+            quota_share=named,
+        )
+        rig.do(request)
+        assert [volume.quota_share for volume in rig.scheduler.quotas.volumes.values()] == [expected]
     assert not of(rig.log, Log)
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    ("text", "message"),
     [
         ("[fleet]\nmembers = 3", r"fleet wants \[board\]"),
         ('[board]\npath = "b"\n[fleet]\nfloor = 0.5', "fleet.members is missing"),
@@ -86,12 +124,12 @@
         ('[board]\npath = "b"\ntopics = ["shares"]', "is the fleet's"),
     ],
 )
-def test_a_section_that_cannot_be_is_one_plain_error(text: str, said: str) -> None:
-    with pytest.raises(OperatorError, match=said):
+def test_a_section_that_cannot_be_is_one_plain_error(text: str, message: str) -> None:
+    with pytest.raises(OperatorError, match=message):
         operator_config.read(text, SETTINGS)
 
 
-def story(backend: str, *faults: dict[str, Any], **of: Any) -> shared_limits.Experiment:
+def experiment(backend: str, *faults: dict[str, Any], **keys: Any) -> shared_limits.Experiment:
     return shared_limits.read(
         {
             "name": "x",
@@ -102,37 +140,37 @@
             "moves_s": 8.0,
             "beat_ms": 400,
             "fault": list(faults),
-            **of,
+            **keys,
         }
     )
 
 
-STORIES = {
+EXPERIMENTS = {
     # Four times what its floor gives: also on a machine that is too busy to look in time now and then.
-    "leans": story("table", beat_ms=1000, moves_s=16.0, least=0.2),
-    "kill": story("table", {"at": 5.0, "what": "kill_part"}),
-    "pause": story("table", {"at": 5.0, "what": "pause", "who": "leaning", "for_s": 2.5}),
-    "stall": story("etcd", {"at": 5.0, "what": "stall", "for_s": 3.0}),
-    "part": story("etcd", {"at": 6.5, "what": "part", "who": "leaning", "for_s": 3.0}),
-    "part_to": story("etcd", {"at": 6.5, "what": "part_to", "who": "leaning", "for_s": 3.0}),
-    "part_from": story("etcd", {"at": 6.5, "what": "part_from", "who": "leaning", "for_s": 3.0}),
+    "leans": experiment("table", beat_ms=1000, moves_s=16.0, least=0.2),
+    "kill": experiment("table", {"at": 5.0, "what": "kill_part"}),
+    "pause": experiment("table", {"at": 5.0, "what": "pause", "who": "leaning", "for_s": 2.5}),
+    "stall": experiment("etcd", {"at": 5.0, "what": "stall", "for_s": 3.0}),
+    "part": experiment("etcd", {"at": 6.5, "what": "part", "who": "leaning", "for_s": 3.0}),
+    "part_to": experiment("etcd", {"at": 6.5, "what": "part_to", "who": "leaning", "for_s": 3.0}),
+    "part_from": experiment("etcd", {"at": 6.5, "what": "part_from", "who": "leaning", "for_s": 3.0}),
 }
 
 
-def tell(name: str) -> Report:
-    """One of them, in a process of its own."""
+def run_experiment(name: str) -> Report:
+    """Run one of them, in a process of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(shared_limits.run(STORIES[name], Path(folder) / "run", 1))
+        return asyncio.run(shared_limits.run(EXPERIMENTS[name], Path(folder) / "run", 1))
 
 
 @pytest.fixture(scope="module")
 def reports() -> dict[str, Report]:
-    """All of them, some at a time, as most of it is waiting."""
+    """All of them, four at a time, as they mostly wait."""
     with ProcessPoolExecutor(4) as pool:
-        return dict(zip(STORIES, pool.map(tell, STORIES), strict=True))
+        return dict(zip(EXPERIMENTS, pool.map(run_experiment, EXPERIMENTS), strict=True))
 
 
-@pytest.mark.parametrize("name", STORIES)
+@pytest.mark.parametrize("name", EXPERIMENTS)
 def test_processes_together_keep_a_limit_whatever_breaks(reports: dict[str, Report], name: str) -> None:
     assert not reports[name].wrong, reports[name]
 
