--- a/sabledyke/cli/lab.py
+++ b/sabledyke/cli/lab.py
@@ -81,4 +81,4 @@
     report = asyncio.run(experiment.Run(what, folder, seed).play())
     print("\n".join([f"{what.name}, seed {seed}", *report.lines()]))
     verdict = report.verdict
-    return bool(verdict.acts) and not (verdict.overlaps or verdict.backwards)
+    return bool(verdict.act_count) and not (verdict.overlap_count or verdict.stale_count)
--- a/sabledyke/testbed/experiment.py
+++ b/sabledyke/testbed/experiment.py
@@ -21,7 +21,7 @@
 from sabledyke.testbed.cluster import MOST, Cluster
 from sabledyke.testbed.etcd_server import Etcd
 from sabledyke.testbed.fault_proxy import Proxy
-from sabledyke.testbed.fenced_resource import Resource, Verdict, judge
+from sabledyke.testbed.fenced_resource import ActEvaluation, FencedResource, evaluate
 from sabledyke.toml_tables import Table, convert, from_file, parsed
 
 LONGEST = 600.0  # seconds
@@ -64,7 +64,7 @@
 class Report:
     """What came of it. ``gaps``: ms from each fault that took the holder to the next act of another."""
 
-    verdict: Verdict
+    verdict: ActEvaluation
     refused: int
     gaps: list[float] = field(default_factory=list)
     statuses: list[int] = field(default_factory=list)
@@ -74,8 +74,9 @@
         """For people."""
         v = self.verdict
         return [
-            f"{v.acts} acts by {v.holders} holders; {v.overlaps} overlapped, {v.backwards} out of turn",
-            f"{self.refused} refused by their token; longest time without an act {v.gap:.0f} ms",
+            f"{v.act_count} acts by {v.holder_count} holders; {v.overlap_count} overlapped, "
+            f"{v.stale_count} out of turn",
+            f"{self.refused} refused by their token; longest time without an act {v.longest_gap_ms:.0f} ms",
             "to another holder after each fault: " + (", ".join(f"{g:.0f} ms" for g in self.gaps) or "none"),
         ]
 
@@ -171,7 +172,7 @@
 
     def __init__(self, experiment: Experiment, folder: Path, seed: int) -> None:
         self._e, self._folder, self._random = experiment, folder, Random(seed)
-        self.resource = Resource(experiment.act, fenced=experiment.fenced)
+        self.resource = FencedResource(experiment.act, fenced=experiment.fenced)
         self._etcd = Etcd() if experiment.authority == "etcd" else None
         self.cluster = Cluster(folder, experiment.instances)
         self._proxies: list[tuple[Proxy | None, Proxy]] = []  # by instance: to the authority, to the resource
@@ -203,7 +204,7 @@
             await self.resource.close()
             if self._etcd is not None:
                 await self._etcd.close()
-        verdict, refused = judge(self.resource.acts), self.resource.fence.rejected
+        verdict, refused = evaluate(self.resource.acts), self.resource.fence.rejected
         report = Report(verdict, refused, self._gaps(), statuses, self.cluster.timeline())
         lines = b"".join(orjson.dumps(line) + b"\n" for line in report.timeline)
         (self._folder / "timeline.jsonl").write_bytes(lines)
@@ -266,7 +267,7 @@
         if fault.what == "late":
             who = await self._kept_back()
         if who == self._holder() and fault.what not in ("restart_authority", "slow", "hold_acts"):
-            self._taken.append((time.monotonic() * 1000, self.resource.last))
+            self._taken.append((time.monotonic() * 1000, self.resource.last_holder))
         ahead, act = self._proxies[who]
         match fault.what:
             case "pause":
@@ -310,7 +311,7 @@
 
     def _holder(self) -> int:
         """Who acted last."""
-        return int(self.resource.last.partition(".")[0].removeprefix("n"))
+        return int(self.resource.last_holder.partition(".")[0].removeprefix("n"))
 
     async def _kept_back(self) -> int:
         """Whose act the network keeps: that of whoever holds the lease by then. On a busy machine it may move
@@ -345,6 +346,8 @@
         proxy.heal()
 
     def _gaps(self) -> list[float]:
-        acts = sorted(self.resource.acts, key=lambda act: act.start)
-        later = [[a.start - at for a in acts if a.start > at and a.holder != who] for at, who in self._taken]
+        acts = sorted(self.resource.acts, key=lambda act: act.start_ms)
+        later = [
+            [a.start_ms - at for a in acts if a.start_ms > at and a.holder != who] for at, who in self._taken
+        ]
         return [gaps[0] for gaps in later if gaps]
--- a/sabledyke/testbed/fenced_resource.py
+++ b/sabledyke/testbed/fenced_resource.py
@@ -1,8 +1,7 @@
-"""A resource that a duty acts on, and what its record of acts says: did two act at once, or one out of turn?
+"""A resource that a leader task acts on, and the check of its record of acts.
 
 Every act comes with its holder and token, takes a while, and is recorded with start and end on the resource's
-own clock. With ``fenced`` off it takes what comes: that is how the checker is shown to find what it looks
-for.
+own clock. Without fencing the resource accepts every act, which shows that the check finds what it is for.
 """
 
 from __future__ import annotations
@@ -11,65 +10,130 @@
 import time
 from collections.abc import Sequence
 from dataclasses import dataclass
+from http import HTTPStatus
 
 from sabledyke.lease.fencing import Fence
 from sabledyke.testbed.http_service import Service
 
+TASK_HEADER = "lease-duty"
+HOLDER_HEADER = "lease-holder"
+TOKEN_HEADER = "lease-token"
+
 
 @dataclass(slots=True, frozen=True)
 class Act:
-    """One act that was taken; times in ms on the resource's clock."""
+    """One act that was accepted; times are on the resource's clock.
+
+    Attributes:
+        task: The leader task.
+        holder: Who held its lease.
+        token: The lease's fencing token.
+        start_ms: When the act began.
+        end_ms: When it was done.
+    """
 
-    duty: str
+    task: str
     holder: str
     token: int
-    start: float
-    end: float
+    start_ms: float
+    end_ms: float
+
 
+class FencedResource(Service):
+    """Accepts ``POST`` with the headers of ``lease.leader_tasks``; 409 for a token older than one it knows.
 
-class Resource(Service):
-    """Takes ``POST`` with the headers of ``lease.duties``; 409 for an older token than one it has seen."""
+    Attributes:
+        fence: What it knows of tokens.
+        acts: The acts that were accepted, in the order in which they ended.
+        last_holder: The holder whose act was accepted last, "" for none.
+    """
 
-    def __init__(self, act_ms: float, *, fenced: bool = True) -> None:
+    def __init__(self, act_duration_ms: float, *, fenced: bool = True) -> None:
+        """Create a resource.
+
+        Args:
+            act_duration_ms: How long an act takes.
+            fenced: Whether acts under an older token are rejected.
+        """
         super().__init__()
-        self._takes, self._fenced, self.fence = act_ms / 1000, fenced, Fence()
+        self.fence = Fence()
         self.acts: list[Act] = []
-        self.last = ""  # who acted last
-
-    async def answer(self, path: str, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
-        """See ``Service``."""
-        duty, holder = headers["lease-duty"], headers["lease-holder"]
-        token, start = int(headers["lease-token"]), time.monotonic() * 1000
-        if not self.fence.accepts(duty, token) and self._fenced:
-            return 409, b""
-        self.last = holder
-        await asyncio.sleep(self._takes)
-        self.acts.append(Act(duty, holder, token, start, time.monotonic() * 1000))
-        return 200, b""
+        self.last_holder = ""
+        self._act_duration_s = act_duration_ms / 1000
+        self._fenced = fenced
+
+    async def answer(self, _path: str, headers: dict[str, str], _body: bytes) -> tuple[int, bytes]:
+        """Carry out an act; see ``Service``."""
+        task = headers[TASK_HEADER]
+        holder = headers[HOLDER_HEADER]
+        token = int(headers[TOKEN_HEADER])
+        start_ms = _now_ms()
+        if not self.fence.accepts(task, token) and self._fenced:
+            return HTTPStatus.CONFLICT, b""
+        self.last_holder = holder
+        await asyncio.sleep(self._act_duration_s)
+        self.acts.append(Act(task, holder, token, start_ms, _now_ms()))
+        return HTTPStatus.OK, b""
 
 
 @dataclass(slots=True, frozen=True)
-class Verdict:
-    """What a record of acts shows."""
-
-    acts: int
-    holders: int
-    overlaps: int  # pairs of acts of one duty by two holders at once
-    backwards: int  # acts taken under an older token than one before them
-    gap: float  # ms, the longest time between the end of an act and the start of the next
-
-
-def judge(acts: Sequence[Act]) -> Verdict:
-    """Look through the acts of one duty; () gives a verdict of no acts, which is no good one."""
-    ordered = sorted(acts, key=lambda act: act.start)
-    overlaps = backwards = highest = 0
-    gap, ended = 0.0, ordered[0].end if ordered else 0.0
-    for i, act in enumerate(ordered):
-        backwards += act.token < highest
-        highest = max(highest, act.token)
-        gap, ended = max(gap, act.start - ended), max(ended, act.end)
-        for other in ordered[i + 1 :]:
-            if other.start >= act.end:
-                break
-            overlaps += other.holder != act.holder
-    return Verdict(len(ordered), len({act.holder for act in acts}), overlaps, backwards, gap)
+class ActEvaluation:
+    """What a record of acts shows.
+
+    Attributes:
+        act_count: Acts that were accepted.
+        holder_count: Holders that acted.
+        overlap_count: Pairs of acts by two holders at once.
+        stale_count: Acts accepted under an older token than one before them.
+        longest_gap_ms: The longest time between the end of an act and the start of the next.
+    """
+
+    act_count: int
+    holder_count: int
+    overlap_count: int
+    stale_count: int
+    longest_gap_ms: float
+
+
+def evaluate(acts: Sequence[Act]) -> ActEvaluation:
+    """Check the acts of one leader task. No acts give an evaluation of none, which is not a good one."""
+    ordered = sorted(acts, key=lambda act: act.start_ms)
+    return ActEvaluation(
+        act_count=len(ordered),
+        holder_count=len({act.holder for act in ordered}),
+        overlap_count=sum(_overlaps(act, ordered[i + 1 :]) for i, act in enumerate(ordered)),
+        stale_count=_stale_count(ordered),
+        longest_gap_ms=_longest_gap_ms(ordered),
+    )
+
+
+def _overlaps(act: Act, later_acts: Sequence[Act]) -> int:
+    """Return how many acts of other holders begin before this one ends."""
+    overlaps = 0
+    for later in later_acts:
+        if later.start_ms >= act.end_ms:
+            break
+        overlaps += later.holder != act.holder
+    return overlaps
+
+
+def _stale_count(ordered: Sequence[Act]) -> int:
+    highest_token = 0
+    stale = 0
+    for act in ordered:
+        stale += act.token < highest_token
+        highest_token = max(highest_token, act.token)
+    return stale
+
+
+def _longest_gap_ms(ordered: Sequence[Act]) -> float:
+    longest_ms = 0.0
+    ended_ms = ordered[0].end_ms if ordered else 0.0
+    for act in ordered:
+        longest_ms = max(longest_ms, act.start_ms - ended_ms)
+        ended_ms = max(ended_ms, act.end_ms)
+    return longest_ms
+
+
+def _now_ms() -> float:
+    return time.monotonic() * 1000
--- a/sabledyke/testbed/http_service.py
+++ b/sabledyke/testbed/http_service.py
@@ -1,7 +1,4 @@
-"""What stand-ins of HTTP services share, on aiohttp's server.
-
-One JSON (or empty) body in, one out, and connections that stay open.
-"""
+"""What simulated HTTP services share, on aiohttp's server: bodies in and out, and persistent connections."""
 
 from __future__ import annotations
 
@@ -12,39 +9,57 @@
 
 from sabledyke.testbed.ports import hold_port
 
+HOST = "127.0.0.1"
+
 
 class Service:
-    """Listens on loopback; ``answer`` is called for each request with path, headers and body."""
+    """An HTTP service on a loopback port that stays its own while it is closed.
+
+    Attributes:
+        port: The port, 0 before it was opened for the first time.
+    """
 
     def __init__(self) -> None:
-        self._server: asyncio.Server | None = None
-        self._held: socket.socket | None = None  # keeps the port between two lives
-        self._protocols = web.Server(self._handle, access_log=None)
         self.port = 0
+        self._port_reservation: socket.socket | None = None
+        self._server: asyncio.Server | None = None
+        self._handlers = self._new_handlers()
 
     async def open(self) -> None:
-        """Begin to listen, on the port that it had before if it had one."""
-        if self._held is None:
-            self._held = hold_port()
-            self.port = int(self._held.getsockname()[1])
-        self._protocols = web.Server(self._handle, access_log=None)
+        """Begin to listen, on the same port as before."""
+        if self._port_reservation is None:
+            self._port_reservation = hold_port()
+            self.port = int(self._port_reservation.getsockname()[1])
+        self._handlers = self._new_handlers()
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(self._protocols, "127.0.0.1", self.port, reuse_port=True)
+        self._server = await loop.create_server(self._handlers, HOST, self.port, reuse_port=True)
 
     async def answer(self, path: str, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
-        """Status and body."""
+        """Answer a request; each service has its own.
+
+        Args:
+            path: The request's path.
+            headers: Its headers, by names in lower case.
+            body: Its body.
+
+        Returns:
+            The status and the body of the response.
+        """
         raise NotImplementedError
 
     async def close(self) -> None:
-        """Refuse what comes and reset what is open, as a process that dies does."""
+        """Reject new connections and reset open ones, as a process that dies does."""
         if self._server is not None:
             self._server.close()
-        for protocol in self._protocols.connections:
-            if protocol.transport is not None:
-                protocol.transport.abort()
-        await self._protocols.shutdown(0)
+        for connection in self._handlers.connections:
+            if connection.transport is not None:
+                connection.transport.abort()
+        await self._handlers.shutdown(0)
+
+    def _new_handlers(self) -> web.Server:
+        return web.Server(self._handle, access_log=None)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         headers = {name.lower(): value for name, value in request.headers.items()}
-        status, said = await self.answer(request.path, headers, await request.read())
-        return web.Response(status=status, body=said)
+        status, body = await self.answer(request.path, headers, await request.read())
+        return web.Response(status=status, body=body)
--- a/sabledyke/testbed/ports.py
+++ b/sabledyke/testbed/ports.py
@@ -1,4 +1,4 @@
-"""Ports on loopback that stay with whom they were given to."""
+"""Ports on loopback that are reserved for one process."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def hold_port() -> socket.socket:
-    """A socket that keeps a port for one process, for as long as it is open; it takes no connections.
+    """Return a socket that reserves a port for one process while it is open; it accepts no connections.
 
-    Guards against another connection being given the port before the process listens there, or between two of
-    its lives: who shares it must have SO_REUSEPORT too, as the program's doors have.
+    No other connection is given the port before the process listens there, or between two incarnations of
+    it. Whoever shares the port must set SO_REUSEPORT too, as the program's listeners do.
     """
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    held.bind(("127.0.0.1", 0))
-    return held
+    reservation = socket.socket()
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    reservation.bind(("127.0.0.1", 0))
+    return reservation
--- a/tests/lease/test_cluster.py
+++ b/tests/lease/test_cluster.py
@@ -84,14 +84,14 @@
 ) -> None:
     report = reports[backend, name, seed]
     evaluation = report.verdict
-    assert evaluation.acts > 10
-    assert evaluation.overlaps == 0
-    assert evaluation.backwards == 0
+    assert evaluation.act_count > 10
+    assert evaluation.overlap_count == 0
+    assert evaluation.stale_count == 0
     if ALL[backend, name].changes:
-        assert evaluation.holders >= 2
+        assert evaluation.holder_count >= 2
         assert report.gaps  # how soon: benchmarks/lease.py
     if name == "lock":
-        assert evaluation.gap > 1500  # nobody can act until its process has ended
+        assert evaluation.longest_gap_ms > 1500  # nobody can act until its process has ended
     if name == "late":
         assert report.refused >= 1  # what the network kept came after another's acts
         assert any("has seen a token after" in str(line.get("event")) for line in report.timeline)
@@ -101,4 +101,4 @@
 def test_without_the_fence_the_checker_finds_an_act_out_of_order(
     reports: dict[ReportKey, Report],
 ) -> None:
-    assert reports["table", "unfenced", 1].verdict.backwards >= 1
+    assert reports["table", "unfenced", 1].verdict.stale_count >= 1
