--- a/sabledyke/testbed/lease_model/symmetry.py
+++ b/sabledyke/testbed/lease_model/symmetry.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import replace
 from itertools import permutations
 
@@ -18,6 +19,7 @@
 from sabledyke.testbed.lease_model.state import RESTART_MARK, Instance, ModelState
 
 SortKey = tuple[object, ...]
+Renaming = Callable[[str], str]
 NEVER_SEEN = (-1, -1)
 NOT_ITS_LEASE = -1
 
@@ -94,27 +96,29 @@
         number = holder_id.rstrip(RESTART_MARK)
         return f"{places[number]}{holder_id[len(number) :]}"
 
-    def renamed_payload(payload: LeaseRequest | LeaseReply) -> LeaseRequest | LeaseReply:
-        return (
-            replace(payload, holder=renamed(payload.holder)) if isinstance(payload, LeaseStatus) else payload
-        )
-
-    def renamed_instance(instance: Instance) -> Instance:
-        holder_id = renamed(instance.holder.holder_id)
-        if holder_id == instance.holder.holder_id:
-            return instance
-        return instance._replace(holder=replace(instance.holder, holder_id=holder_id))
-
     in_flight = [
         message._replace(
             instance=places[str(message.instance)],
             incarnation=renamed(message.incarnation),
-            payload=renamed_payload(message.payload),
+            payload=_renamed_payload(message.payload, renamed),
         )
         for message in state.in_flight
     ]
     return state._replace(
-        instances=tuple(renamed_instance(state.instances[old]) for old in order),
+        instances=tuple(_renamed_instance(state.instances[old], renamed) for old in order),
         holder_id=renamed(state.holder_id),
         in_flight=tuple(sorted(in_flight, key=lambda message: (message.instance, message.is_awaited))),
     )
+
+
+def _renamed_instance(instance: Instance, renamed: Renaming) -> Instance:
+    holder_id = renamed(instance.holder.holder_id)
+    if holder_id == instance.holder.holder_id:
+        return instance
+    return instance._replace(holder=replace(instance.holder, holder_id=holder_id))
+
+
+def _renamed_payload(payload: LeaseRequest | LeaseReply, renamed: Renaming) -> LeaseRequest | LeaseReply:
+    if not isinstance(payload, LeaseStatus):
+        return payload
+    return replace(payload, holder=renamed(payload.holder))
--- a/sabledyke/testbed/quota_model.py
+++ b/sabledyke/testbed/quota_model.py
@@ -94,6 +94,9 @@
             Member(name, rate, self._new_allocator())
             for name, rate in zip(self._registers, clock_rates, strict=True)
         ]
+        self._schedule_first_events()
+
+    def _schedule_first_events(self) -> None:
         for member in self._members:
             self._schedule_poll(member, self._random.random() * MAX_FIRST_POLL_MS)
             self._events.schedule(0.0, partial(self._change_demand, member))
