--- a/sabledyke/cli/lab.py
+++ b/sabledyke/cli/lab.py
@@ -39,21 +39,24 @@
 
 def _check_leases(*, exhaustive: bool) -> bool:
     """Check each setup of the model, print its result, and return whether all hold."""
-    from sabledyke.testbed import lease_model
+    from sabledyke.testbed.lease_model import checker
+    from sabledyke.testbed.lease_model.state import PAIRS, THREES
 
     holds = True
     with ProcessPoolExecutor() as pool:
-        pairs = [*zip(lease_model.PAIRS, pool.map(lease_model.check, lease_model.PAIRS), strict=True)]
-    threes = ((setup, lease_model.check(setup, wide=True)) for setup in lease_model.THREES * exhaustive)
+        pairs = [*zip(PAIRS, pool.map(checker.check, PAIRS), strict=True)]
+    threes = ((setup, checker.check(setup, parallel=True)) for setup in THREES * exhaustive)
     for setup, found in chain(pairs, threes):
-        authority = "counting authority" if setup.counts else "table"
+        authority = "counting authority" if setup.authority_tracks_expiry else "table"
         budget = setup.budget._asdict().items()
         faults = ", ".join(f"{count} {fault}" for fault, count in budget if count) or "no faults"
-        result = found.broken or ("whole" if found.whole else "not whole")
-        print(f"{len(setup.rates)} processes, {authority}, {faults}: {found.states} states, {result}")
-        if found.broken or not found.whole:
+        result = found.violation or ("whole" if found.is_complete else "not whole")
+        print(
+            f"{len(setup.clock_rates)} processes, {authority}, {faults}: {found.state_count} states, {result}"
+        )
+        if found.violation or not found.is_complete:
             holds = False
-        for line in lease_model.describe(found) if found.broken else ():
+        for line in checker.describe(found) if found.violation else ():
             print(f"  {line}")
     return holds
 
@@ -84,10 +87,10 @@
 
 
 def _run_shared_limits(path: str, folder: Path, seed: int) -> bool:
-    from sabledyke.testbed import shared_limits
+    from sabledyke.testbed import shared_limits, shared_limits_run
 
     experiment = shared_limits.load(path)
-    report = asyncio.run(shared_limits.run(experiment, folder, seed))
+    report = asyncio.run(shared_limits_run.run(experiment, folder, seed))
     return _print_report(experiment.name, seed, report.lines, report.wrong)
 
 
@@ -103,5 +106,5 @@
     described = experiment.load(path)
     report = asyncio.run(lease_run.LeaseRun(described, folder, seed).play())
     print("\n".join([f"{described.name}, seed {seed}", *report.lines()]))
-    verdict = report.verdict
-    return bool(verdict.acts) and not (verdict.overlaps or verdict.backwards)
+    evaluation = report.evaluation
+    return bool(evaluation.act_count) and not (evaluation.overlap_count or evaluation.stale_count)
--- a/sabledyke/testbed/lease_faults.py
+++ b/sabledyke/testbed/lease_faults.py
@@ -14,7 +14,7 @@
 from sabledyke.testbed.etcd_server import Etcd
 from sabledyke.testbed.experiment import Experiment, Fault, FaultKind
 from sabledyke.testbed.fault_proxy import Proxy
-from sabledyke.testbed.fenced_resource import Resource
+from sabledyke.testbed.fenced_resource import FencedResource
 
 WAIT_TIMEOUT_S = 30.0  # that a busy machine may take for what an experiment waits for
 POLL_S = 0.01  # between two checks of a condition
@@ -51,7 +51,7 @@
         self,
         experiment: Experiment,
         cluster: Cluster,
-        resource: Resource,
+        resource: FencedResource,
         etcd: Etcd | None,
         proxies: list[InstanceProxies],
         random: Random,
@@ -100,12 +100,12 @@
         if fault.kind is FaultKind.ACT_AFTER_TAKEOVER:
             target = await self._delay_act_of_holder()
         if target == self._holder() and fault.kind not in KEEPS_HOLDER:
-            self.holder_losses.append(HolderLoss(time.monotonic() * 1000, self._resource.last))
+            self.holder_losses.append(HolderLoss(time.monotonic() * 1000, self._resource.last_holder))
         await self._handlers[fault.kind](fault, target)
 
     def _holder(self) -> int:
         """Return the number of the instance that acted last."""
-        return int(self._resource.last.partition(".")[0].removeprefix("n"))
+        return int(self._resource.last_holder.partition(".")[0].removeprefix("n"))
 
     async def _wait_for_takeover(self, target: int) -> None:
         await wait_until(lambda: self._holder() != target)
--- a/sabledyke/testbed/lease_run.py
+++ b/sabledyke/testbed/lease_run.py
@@ -18,7 +18,7 @@
 from sabledyke.testbed.etcd_server import Etcd
 from sabledyke.testbed.experiment import Experiment
 from sabledyke.testbed.fault_proxy import Proxy
-from sabledyke.testbed.fenced_resource import Resource, Verdict, judge
+from sabledyke.testbed.fenced_resource import ActEvaluation, FencedResource, evaluate
 from sabledyke.testbed.lease_faults import POLL_S, FaultInjector, InstanceProxies, wait_until
 
 MIN_ACTS = 20  # that a run waits for, also on a busy machine
@@ -31,14 +31,14 @@
     """The result of a run.
 
     Attributes:
-        verdict: What the resource's record of acts shows.
+        evaluation: What the resource's record of acts shows.
         rejected: How many acts the resource rejected by their token.
         takeover_gaps_ms: The time from each fault that hit the holder to the next act of another.
         statuses: The exit statuses of the processes.
         timeline: The log lines of all processes by wall time.
     """
 
-    verdict: Verdict
+    evaluation: ActEvaluation
     rejected: int
     takeover_gaps_ms: list[float] = field(default_factory=list)
     statuses: list[int] = field(default_factory=list)
@@ -46,12 +46,13 @@
 
     def lines(self) -> list[str]:
         """Return the lines that are printed for people."""
-        verdict = self.verdict
+        evaluation = self.evaluation
+        longest_gap_ms = evaluation.longest_gap_ms
         gaps = ", ".join(f"{gap:.0f} ms" for gap in self.takeover_gaps_ms) or "none"
         return [
-            f"{verdict.acts} acts by {verdict.holders} holders; {verdict.overlaps} overlapped, "
-            f"{verdict.backwards} out of turn",
-            f"{self.rejected} refused by their token; longest time without an act {verdict.gap:.0f} ms",
+            f"{evaluation.act_count} acts by {evaluation.holder_count} holders; "
+            f"{evaluation.overlap_count} overlapped, {evaluation.stale_count} out of turn",
+            f"{self.rejected} refused by their token; longest time without an act {longest_gap_ms:.0f} ms",
             f"to another holder after each fault: {gaps}",
         ]
 
@@ -65,7 +66,7 @@
     """
 
     def __init__(self, experiment: Experiment, folder: Path, seed: int) -> None:
-        self.resource = Resource(experiment.act_duration_ms, fenced=experiment.fenced)
+        self.resource = FencedResource(experiment.act_duration_ms, fenced=experiment.fenced)
         self.cluster = Cluster(folder, experiment.instance_count)
         self._experiment = experiment
         self._folder = folder
@@ -88,7 +89,7 @@
         finally:
             statuses = await self._stop()
         report = Report(
-            verdict=judge(self.resource.acts),
+            evaluation=evaluate(self.resource.acts),
             rejected=self.resource.fence.rejected,
             takeover_gaps_ms=self._takeover_gaps_ms(),
             statuses=statuses,
@@ -140,10 +141,12 @@
         return statuses
 
     def _takeover_gaps_ms(self) -> list[float]:
-        acts = sorted(self.resource.acts, key=lambda act: act.start)
+        acts = sorted(self.resource.acts, key=lambda act: act.start_ms)
         gaps_ms: list[float] = []
         for loss in self._injector.holder_losses:
-            takeovers = (act.start for act in acts if act.start > loss.at_ms and act.holder != loss.holder)
+            takeovers = (
+                act.start_ms for act in acts if act.start_ms > loss.at_ms and act.holder != loss.holder
+            )
             next_act_at = next(takeovers, None)
             if next_act_at is not None:
                 gaps_ms.append(next_act_at - loss.at_ms)
