--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -42,7 +42,7 @@
             share = (metrics.outcomes["served"] - served) / (metrics.request_count - asked)
             return took, share, metrics.p99_s()
 
-        await fleet.wait_until(lambda v: len(fleet.placements()) >= 20)
+        await fleet.wait_until(lambda _: len(fleet.placements()) >= 20)
         await asyncio.sleep(WARM)
         _, before, p99 = await through(asyncio.sleep(STEADY))
         if what == "release":
@@ -74,8 +74,9 @@
 
 
 async def release(size: int) -> None:
-    """The time of a rolling restart over the least: members times one member's cycle, by hand in the same
-    fleet, from SIGTERM until its door is open again.
+    """Print the time of a rolling restart over the least, which is members times one member's cycle.
+
+    A cycle is measured by hand in the same fleet, from SIGTERM until the member's listener is open again.
     """
     took, cycles = list[float](), list[float]()
 
@@ -101,9 +102,7 @@
 
 
 async def rest() -> None:
-    """What a member costs at rest: CPU seconds of its process, with and without the
-    parts, over ten seconds.
-    """
+    """Print what a member costs at rest: CPU seconds of its process over ten seconds."""
 
     async def story(fleet: Fleet) -> None:
         pids = [one.process.pid for one in fleet.cluster.instances if one.process is not None]
--- a/sabledyke/application/extensions.py
+++ b/sabledyke/application/extensions.py
@@ -116,7 +116,7 @@
         """Return how this extension connects to nodes, given the plain way."""
         return onward
 
-    def connection_guard(self, front: str) -> Guard | None:
+    def connection_guard(self, _front: str) -> Guard | None:
         """Return what a connection must pass before this front end sees it as a client; None for nothing."""
         return None
 
--- a/sabledyke/core/core.py
+++ b/sabledyke/core/core.py
@@ -275,21 +275,24 @@
             case Fail(request_id):
                 self._finish(request_id, Answer(AnswerStatus.FAILED))
             case CancelAttempt(request_id, number):
-                if request_id in self._requests and number in self._requests[request_id].in_flight:
-                    self.transport.cancel(request_id, number)
+                self._cancel_attempt(request_id, number)
             case SetTimer(token, delay_ms):
                 self._timers.add_policy_timer(now_ms + delay_ms, token)
-            case WatchList(on):
-                self.lists.watch(on=on)
-            case FetchList():
-                self.lists.fetch()
             case CloseIdle(node):
                 self.transport.close_idle(node)
             case Log(text):
                 log.emit("module", text)
+            case WatchList() | FetchList():
+                self._use_discovery(action)
             case _:
                 report_violation("the module asks only for what is allowed here", repr(action))
 
+    def _use_discovery(self, action: WatchList | FetchList) -> None:
+        if isinstance(action, WatchList):
+            self.lists.watch(on=action.on)
+        else:
+            self.lists.fetch()
+
     def _start_attempt(self, now_ms: float, request_id: int, node: NodeId, timeout_ms: float) -> None:
         request = self._requests.get(request_id)
         is_open = request is not None and not request.answered
@@ -313,6 +316,11 @@
         limit_ms = min(timeout_ms, remaining_ms) if timeout_ms else remaining_ms
         self.transport.start(request_id, number, node, request.client_request, limit_ms)
 
+    def _cancel_attempt(self, request_id: int, number: int) -> None:
+        request = self._requests.get(request_id)
+        if request is not None and number in request.in_flight:
+            self.transport.cancel(request_id, number)
+
     def _listed_entry(self, node: NodeId) -> NodeEntry:
         entry = self.nodes.get(node)
         if check(entry is not None, "no send to a box that is not listed", node_name(node)):
