--- a/sabledyke/core/__init__.py
+++ b/sabledyke/core/__init__.py
@@ -1,6 +1,7 @@
 """Requests, attempts and answers between front ends and storage nodes, in no wire's terms."""
 
-from sabledyke.core.core import ANSWER_GUARD_MS, ATTEMPT_GUARD_MS, Core
+from sabledyke.core.core import Core
+from sabledyke.core.open_request import ANSWER_GUARD_MS, ATTEMPT_GUARD_MS
 from sabledyke.core.types import (
     Answer,
     AnswerStatus,
--- a/sabledyke/core/core.py
+++ b/sabledyke/core/core.py
@@ -12,7 +12,8 @@
 from math import inf
 
 from sabledyke import log
-from sabledyke.core.open_request import OpenRequest, SentAttempt
+from sabledyke.core.known_nodes import listed_entry, takes_attempt, update_nodes
+from sabledyke.core.open_request import ANSWER_GUARD_MS, OpenRequest, SentAttempt, policy_request
 from sabledyke.core.timers import TimerQueue
 from sabledyke.core.types import (
     Answer,
@@ -42,21 +43,13 @@
     Event,
     Outcome,
     PossibleExecution,
-    Request,
     TimerFired,
 )
-from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeId, NodeState, node_name
+from sabledyke.policy.nodes import EndpointList, NodeEntry, NodeId, NodeState
 from sabledyke.policy.scheduler import Scheduler
 from sabledyke.policy.settings import Settings
 
-# The client must have its answer inside its deadline, which it counts from when it sent: the core answers
-# this long before, and attempts end earlier still, so that their timeouts reach the policy first.
-ANSWER_GUARD_MS = 30.0
-ATTEMPT_GUARD_MS = 60.0
 SHUTDOWN_POLL_MS = 10.0  # between looks at what still came, once the time of a shutdown is over
-# Part of the drain's grace in which an attempt may still be written that was decided before its node left the
-# list as ready; the policy uses up to half of the grace for its decisions.
-WRITE_GRACE_FRACTION = 0.25
 
 
 class Core:
@@ -156,7 +149,7 @@
             first_execution=client_request.possible_execution,
         )
         self._timers.add_answer_guard(now_ms + client_request.remaining_ms - ANSWER_GUARD_MS, request_id)
-        self._add_event(_policy_request(request_id, client_request))
+        self._add_event(policy_request(request_id, client_request))
         return request_id
 
     def on_client_disconnected(self, request_id: int) -> None:
@@ -195,23 +188,8 @@
         self._forget_if_finished(request_id)
 
     def on_endpoint_list(self, update: EndpointList) -> list[NodeId]:
-        """Process an update of the endpoint list.
-
-        Guards against growing with every node that ever was: attempts keep the entry that they need.
-
-        Returns:
-            The nodes that were removed.
-        """
-        self.nodes.update((entry.node_id, entry) for entry in update.entries)
-        is_partial = update.kind in (ListKind.DELTA, ListKind.FAILED)
-        named = self.nodes.keys() if is_partial else {entry.node_id for entry in update.entries}
-        removed = [
-            node_id
-            for node_id, entry in self.nodes.items()
-            if entry.state is NodeState.GONE or node_id not in named
-        ]
-        for node_id in removed:
-            del self.nodes[node_id]
+        """Process an update of the endpoint list; return the nodes that were removed."""
+        removed = update_nodes(self.nodes, update)
         self._add_event(update)
         return removed
 
@@ -225,10 +203,10 @@
         request = self._requests.get(request_id)
         if request is None or request.answered or number not in request.in_flight:
             return False
-        if now_ms >= request.deadline_ms - ATTEMPT_GUARD_MS or not request.client_request.client_connected():
+        if request.attempt_time_ms(now_ms) <= 0 or not request.client_request.client_connected():
             return False
         attempt = request.in_flight[number]
-        if not self._node_takes(attempt, now_ms):
+        if not takes_attempt(self.nodes, attempt, now_ms, self.settings.drain_grace_ms):
             return False
         return request.may_run_at(attempt.node, now_ms, besides=number)
 
@@ -299,14 +277,14 @@
         if not check(is_open, "no send after the end", f"{request_id}"):
             return
         assert request is not None
-        entry = self._listed_entry(node)
+        entry = listed_entry(self.nodes, node)
         number = request.attempt_count
         request.attempt_count += 1
         may_run = request.may_run_at(entry, now_ms)
         check(may_run, "no repeat beyond its key", f"request {request_id}")
         request.in_flight[number] = SentAttempt(now_ms, entry)
         request.client_request.last_node = entry
-        remaining_ms = request.deadline_ms - ATTEMPT_GUARD_MS - now_ms
+        remaining_ms = request.attempt_time_ms(now_ms)
         is_allowed = may_run and entry.state is not NodeState.GONE and number < self.settings.max_attempts
         if not is_allowed or remaining_ms <= 0:
             self.on_attempt_completed(
@@ -321,22 +299,6 @@
         if request is not None and number in request.in_flight:
             self.transport.cancel(request_id, number)
 
-    def _listed_entry(self, node: NodeId) -> NodeEntry:
-        entry = self.nodes.get(node)
-        if check(entry is not None, "no send to a box that is not listed", node_name(node)):
-            assert entry is not None
-            return entry
-        return NodeEntry(node, -1, -1, -1, 0.0, 0.0, NodeState.GONE)
-
-    def _node_takes(self, attempt: SentAttempt, now_ms: float) -> bool:
-        """Whether the attempt's node is as it was when the attempt was decided, or has only just changed."""
-        here = self.nodes.get(attempt.node.node_id)
-        if here is not None and here.started_ms != attempt.node.started_ms:
-            return False
-        if here is not None and here.state is NodeState.READY:
-            return True
-        return now_ms <= attempt.sent_at_ms + WRITE_GRACE_FRACTION * self.settings.drain_grace_ms
-
     def _answer_all(self, now_ms: float) -> None:
         """Answer every request that still waits, as the program ends."""
         unanswered = [number for number, request in self._requests.items() if not request.answered]
@@ -394,23 +356,3 @@
         if not self._events:
             self._wake()
         self._events.append(event)
-
-
-def _policy_request(request_id: int, client_request: ClientRequest) -> Request:
-    # A request whose attempts could not end in time any more has no time left for the policy.
-    has_time = client_request.remaining_ms > ATTEMPT_GUARD_MS
-    return Request(
-        id=request_id,
-        class_index=client_request.class_index,
-        plan_index=client_request.plan_index,
-        data_key=client_request.data_key,
-        remaining_ms=client_request.remaining_ms if has_time else 0.0,
-        volume=client_request.volume,
-        units=client_request.units,
-        shard=client_request.shard,
-        scheduler_count=client_request.scheduler_count,
-        repeated=client_request.repeated,
-        write=client_request.write,
-        possible_execution=client_request.possible_execution,
-        quota_share=client_request.quota_share,
-    )
--- a/sabledyke/core/open_request.py
+++ b/sabledyke/core/open_request.py
@@ -7,11 +7,16 @@
 from typing import NamedTuple
 
 from sabledyke.core.types import Answer, ClientRequest
-from sabledyke.policy.events import PossibleExecution
+from sabledyke.policy.events import PossibleExecution, Request
 from sabledyke.policy.nodes import NodeEntry, NodeId
 from sabledyke.policy.retry import may_repeat
 from sabledyke.policy.settings import RepeatSafety, RequestClass
 
+# The client must have its answer inside its deadline, which it counts from when it sent: the core answers
+# this long before, and attempts end earlier still, so that their timeouts reach the policy first.
+ANSWER_GUARD_MS = 30.0
+ATTEMPT_GUARD_MS = 60.0
+
 
 class SentAttempt(NamedTuple):
     """When an attempt was decided, and at which node."""
@@ -55,6 +60,10 @@
         may_have_run = self.first_execution is not None or bool(self.in_flight)
         return not may_have_run or self.request_class.repeat_safety is RepeatSafety.IDEMPOTENT
 
+    def attempt_time_ms(self, now_ms: float) -> float:
+        """Return how long an attempt may still take; 0 or less where none may be sent any more."""
+        return self.deadline_ms - ATTEMPT_GUARD_MS - now_ms
+
     def has_attempt_at(self, node: NodeId) -> bool:
         """Whether an attempt is in flight at a node."""
         return any(attempt.node.node_id == node for attempt in self.in_flight.values())
@@ -82,3 +91,23 @@
 
 def _sent_at_ms(attempt: SentAttempt) -> float:
     return attempt.sent_at_ms
+
+
+def policy_request(request_id: int, client_request: ClientRequest) -> Request:
+    """Return the policy's event for a request; one whose attempts could not end in time has no time left."""
+    has_time = client_request.remaining_ms > ATTEMPT_GUARD_MS
+    return Request(
+        id=request_id,
+        class_index=client_request.class_index,
+        plan_index=client_request.plan_index,
+        data_key=client_request.data_key,
+        remaining_ms=client_request.remaining_ms if has_time else 0.0,
+        volume=client_request.volume,
+        units=client_request.units,
+        shard=client_request.shard,
+        scheduler_count=client_request.scheduler_count,
+        repeated=client_request.repeated,
+        write=client_request.write,
+        possible_execution=client_request.possible_execution,
+        quota_share=client_request.quota_share,
+    )
