--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -35,6 +35,7 @@
 MANAGER_TIMES = LeaseTimes(ttl_ms=1000, renew_interval_ms=20, safety_margin_ms=100)
 MANAGER_RUN_S = 3
 CHECKPOINT_WAIT_S = 0.2
+HOLDER_KILLS = (Fault(FaultKind.KILL, at_s=1.0), Fault(FaultKind.KILL, at_s=3.5))
 
 
 async def main(seeds: int) -> None:
@@ -50,7 +51,7 @@
         await etcd.close()
         await measure_lease_size(folder)
         for backend in ("table", "etcd"):
-            await takeover(backend, folder, seeds)
+            await measure_takeover(backend, folder, seeds)
 
 
 async def measure_authority(name: str, authority: Authority) -> None:
@@ -110,26 +111,30 @@
     print(f"table: {growth_bytes / LEASES_PER_FILE_GROWTH:.0f} bytes a lease")
 
 
-async def takeover(backend: str, folder: Path, seeds: int) -> None:
-    """From SIGKILL of the holder to another's act, as parts of lease and renew interval together."""
-    faults = (Fault(FaultKind.KILL, at_s=1.0), Fault(FaultKind.KILL, at_s=3.5))
-    plain = Experiment(
+async def measure_takeover(backend: str, folder: Path, seed_count: int) -> None:
+    """Print the time from SIGKILL of the holder until another acts, over lease plus renew interval."""
+    experiment = Experiment(
         "",
         length_s=6.0,
         authority=backend,
         ttl_ms=1000,
         renew_interval_ms=200,
         safety_margin_ms=300,
-        faults=faults,
+        faults=HOLDER_KILLS,
+    )
+    gaps_ms: list[float] = []
+    for seed in range(seed_count):
+        run_folder = folder / f"{backend}{seed}"
+        run_folder.mkdir()
+        report = await LeaseRun(experiment, run_folder, seed).play()
+        gaps_ms += report.takeover_gaps_ms
+    unit_ms = experiment.ttl_ms + experiment.renew_interval_ms
+    ratios = sorted(gap_ms / unit_ms for gap_ms in gaps_ms)
+    median = statistics.median(ratios)
+    print(
+        f"{backend}: a new holder acts after median {median:.2f}, least {ratios[0]:.2f},"
+        f" most {ratios[-1]:.2f} of lease plus renew interval ({len(ratios)} kills)"
     )
-    gaps: list[float] = []
-    for seed in range(seeds):
-        at = folder / f"{backend}{seed}"
-        at.mkdir()
-        gaps += (await LeaseRun(plain, at, seed).play()).takeover_gaps_ms
-    parts = sorted(gap / (plain.ttl_ms + plain.renew_interval_ms) for gap in gaps)
-    told = f"median {statistics.median(parts):.2f}, least {parts[0]:.2f}, most {parts[-1]:.2f}"
-    print(f"{backend}: a new holder acts after {told} of lease plus renew interval ({len(parts)} kills)")
 
 
 if __name__ == "__main__":
