--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -50,3 +50,9 @@
     assert EXAMPLE.count(old)
     with pytest.raises((operator_config.OperatorError, ListError), match=expected_text):
         operator_config.read(EXAMPLE.replace(old, new, 1), EXAMPLE_DEPLOYMENT)
+
+
+def test_a_value_of_the_wrong_type_in_a_later_row_is_rejected_with_its_place() -> None:
+    rows = [f'[[store.box]]\nhost = "{host}"\npath = {path}\n' for host, path in (("a", '"a.db"'), ("b", 5))]
+    with pytest.raises(operator_config.OperatorError, match=r"store\.box\[1\]\.path must be a text, not 5"):
+        operator_config.read("".join(rows), EXAMPLE_DEPLOYMENT)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -91,3 +91,14 @@
     _, last_lines = program.communicate(timeout=20)
     assert program.returncode == 0
     assert last_lines.endswith("invariants broken: none\n")
+
+
+def test_lab_run_plays_an_experiment_on_leases(tmp_path: Path) -> None:
+    experiment = tmp_path / "experiment.toml"
+    experiment.write_text('name = "two"\ninstances = 2\nlength_s = 1\nauthority = "table"\n')
+    completed = subprocess.run(
+        [*PROGRAM, "lab", "run", str(experiment), "--seed", "1"], cwd=ROOT, capture_output=True, text=True
+    )
+    assert not completed.stderr
+    assert completed.returncode == 0
+    assert completed.stdout.startswith("two, seed 1\n")
