--- a/sabledyke/store/in_doubt.py
+++ b/sabledyke/store/in_doubt.py
@@ -43,7 +43,7 @@
         deadline_ms: Until when to ask, on the clock that ``next_question`` is called with.
         resolution: What is known so far.
         result: The first result, where the write was served.
-        questions_asked: How many questions were asked, answered or not.
+        question_count: How many questions were asked, answered or not.
     """
 
     MAX_QUESTIONS: ClassVar[int] = 6
@@ -52,23 +52,23 @@
     deadline_ms: float
     resolution: DoubtResolution = DoubtResolution.MAY_HAVE_RUN
     result: bytes = b""
-    questions_asked: int = 0
+    question_count: int = 0
     _fenced: bool = False
     _resolved: bool = False
 
     def next_question(self, now_ms: float) -> DoubtQuestion:
         """Return the next question."""
-        if self._resolved or self.questions_asked >= self.MAX_QUESTIONS:
+        if self._resolved or self.question_count >= self.MAX_QUESTIONS:
             return DoubtQuestion.NOTHING
         if self.deadline_ms - now_ms < MIN_REMAINING_MS:
             return DoubtQuestion.NOTHING
-        if self._fenced or not self.questions_asked:
+        if self._fenced or not self.question_count:
             return DoubtQuestion.LOOK_UP
         return DoubtQuestion.FENCE
 
     def on_key_found(self, attempt: str, state: str, result: bytes) -> None:
         """Note that the key is there: done by whichever attempt was first, or fenced."""
-        self.questions_asked += 1
+        self.question_count += 1
         if state == "done":
             self._resolve(DoubtResolution.SERVED)
             self.result = result
@@ -80,17 +80,17 @@
 
     def on_key_absent(self) -> None:
         """Note that the key is not there, which proves nothing by itself."""
-        self.questions_asked += 1
+        self.question_count += 1
         self._fenced = False
 
     def on_fence_committed(self) -> None:
         """Note that the fence was committed, or found the row present; a further look-up tells which."""
-        self.questions_asked += 1
+        self.question_count += 1
         self._fenced = True
 
     def on_question_failed(self) -> None:
         """Note that the question was not answered."""
-        self.questions_asked += 1
+        self.question_count += 1
 
     def _resolve(self, resolution: DoubtResolution) -> None:
         self._resolved = True
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -162,7 +162,7 @@
             finally:
                 self._release()
         resolution = write.resolution
-        self._log(f"lost a commit's answer: it {resolution.value} after {write.questions_asked} questions")
+        self._log(f"lost a commit's answer: it {resolution.value} after {write.question_count} questions")
         if resolution is DoubtResolution.SERVED:
             return AttemptResult(Outcome.OK, may_have_run=True, body=write.result)
         if resolution is DoubtResolution.NEVER:
--- a/tests/application/test_console.py
+++ b/tests/application/test_console.py
@@ -11,7 +11,7 @@
 from sabledyke.net.console import MAX_CONNECTIONS
 from tests.standins import ask, http, read_http
 from tests.support.console_calls import call, stats
-from tests.support.server_rig import GET, INFO, PUT, Rig, held_back, play
+from tests.support.server_rig import GET, INFO, PUT, Rig, hold_answers, play
 
 
 def test_the_console_answers_each_call_and_turns_down_the_wrong_ones() -> None:
@@ -68,23 +68,23 @@
 
 def test_a_call_is_answered_while_the_data_path_is_full() -> None:
     async def scenario(rig: Rig) -> None:
-        asked, go = held_back(rig)
-        figures, open_ = rig.server.metrics, list[int]()
+        arrived, release = hold_answers(rig)
+        metrics, open_ = rig.server.metrics, list[int]()
 
         def read() -> list[str]:  # requests end by their deadlines while the call is under way
             open_.append(rig.server.core.unanswered)
-            return figures()
+            return metrics()
 
         setattr(rig.server, "metrics", read)  # noqa: B010
         asks = [GET.format(1, f"i{n}", INFO) for n in range(100)]
         waiting = [asyncio.create_task(ask(rig.port, text)) for text in asks]
-        await asked.wait()
+        await arrived.wait()
         while rig.server.core.unanswered + rig.server.core.metrics.answer_totals[0] < 40:
             await asyncio.sleep(0.01)
         status, body, _ = await call(rig.server.console_port, "GET", "/admin/stats")
         assert status == 200
         assert [stats(body)["svc.concurrent"]] == open_ != [0]
-        go.set()
+        release.set()
         assert {s for s, _, _ in await asyncio.gather(*waiting)} <= {200, 503}
 
     play(scenario, console=True)
@@ -106,14 +106,14 @@
             status, _, _ = await ask(rig.port, text.format(1, f"{kind}-{n}", headers))
             verdict = {200: "success", 503: "overload", 500: "error"}[status]
             seen[f"svc.{verdict}.{'read' if kind == 'read' else 'write'}"] += 1
-        figures = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
+        metrics = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
         for name, count in seen.items():
-            assert figures[name] == count, (name, figures)
-        assert sum(v for k, v in figures.items() if k.split(".")[1] in ("success", "overload", "error")) == 16
-        assert figures["svc.dispatches"] == len(rig.http.seen)
-        assert figures["svc.concurrent"] == 0
-        assert figures["svc.targets"] == 2
-        assert figures["svc.reload_success"] == figures["svc.reload_failure"] == 0
+            assert metrics[name] == count, (name, metrics)
+        assert sum(v for k, v in metrics.items() if k.split(".")[1] in ("success", "overload", "error")) == 16
+        assert metrics["svc.dispatches"] == len(rig.http.seen)
+        assert metrics["svc.concurrent"] == 0
+        assert metrics["svc.targets"] == 2
+        assert metrics["svc.reload_success"] == metrics["svc.reload_failure"] == 0
         rig.server.reload()
         after = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
         assert after["svc.reload_success"] == 1
@@ -127,18 +127,18 @@
         idle_reader, idle = await asyncio.open_connection("127.0.0.1", rig.port)
         idle.write(one.format("before").encode())
         assert (await read_http(idle_reader))[0].startswith("HTTP/1.1 200")
-        asked, go = held_back(rig)
+        arrived, release = hold_answers(rig)
         busy_reader, busy = await asyncio.open_connection("127.0.0.1", rig.port)
         busy.write(one.format("busy").encode())
         piped_reader, piped = await asyncio.open_connection("127.0.0.1", rig.port)
         piped.write((one.format("p1") + one.format("p2")).encode())
-        await asked.wait()
+        await arrived.wait()
         while rig.server.core.unanswered < 2:
             await asyncio.sleep(0.01)
         assert (await call(rig.server.console_port, "POST", "/admin/quiesce"))[0] == 200
         assert await idle_reader.read() == b""  # closed at once
         assert (await ask(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 503
-        go.set()
+        release.set()
         first, headers, _ = await read_http(busy_reader)
         assert first.startswith("HTTP/1.1 200")
         assert headers["connection"] == "close"
--- a/tests/application/test_reload.py
+++ b/tests/application/test_reload.py
@@ -13,7 +13,7 @@
 from sabledyke.settings import MAX_CLASSES, SettingsError, merge
 from tests.standins import Discovery, ask
 from tests.support.console_calls import call, stats
-from tests.support.server_rig import DEPLOYMENT, GET, INFO, Rig, held_back, play
+from tests.support.server_rig import DEPLOYMENT, GET, INFO, Rig, hold_answers, play
 from tests.support.settings import HELD
 
 
@@ -27,9 +27,9 @@
                 await asyncio.sleep(0.001)
 
         run = asyncio.create_task(rig.server.run())
-        asked, go = held_back(rig)
+        arrived, release = hold_answers(rig)
         one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
-        await asked.wait()
+        await arrived.wait()
         old, new = rig.config, Discovery()
         await new.open()
         new.add("plain", rig.http.port, 0)
@@ -50,7 +50,7 @@
         assert next(iter(scheduler.quotas.volumes.values())).plan.weight == 9
         assert b"plain" in scheduler.nodes
         assert rig.server.pool.max_connections == 32
-        go.set()
+        release.set()
         assert (await one)[::2] == (200, b"late")
         os.kill(os.getpid(), signal.SIGTERM)
         await run
@@ -80,9 +80,9 @@
 def test_a_class_added_then_removed_binds_new_requests_and_spares_open_ones() -> None:
     async def scenario(rig: Rig) -> None:
         read, write = DEPLOYMENT.classes
-        asked, go = held_back(rig)
+        arrived, release = hold_answers(rig)
         open_read = asyncio.create_task(ask(rig.port, GET.format(1, "before", INFO)))
-        await asked.wait()
+        await arrived.wait()
         rig.config = replace(
             rig.config,
             settings=replace(
@@ -98,12 +98,12 @@
         rig.server.reload()
         assert (await ask(rig.port, GET.format(1, "gone", INFO)))[0] == 400  # "read" takes no new request
         assert (await ask(rig.port, named.format("new-2")))[0] == 200
-        go.set()
+        release.set()
         assert (await open_read)[0] == 200  # it kept its class through both
-        figures = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
-        assert figures["svc.success.fresh"] == 2
-        assert figures["svc.success.read"] == 1
-        assert figures["svc.reload_success"] == 2
+        metrics = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
+        assert metrics["svc.success.fresh"] == 2
+        assert metrics["svc.success.read"] == 1
+        assert metrics["svc.reload_success"] == 2
         assert rig.server.core.settings.max_attempts == 3
 
     play(scenario, console=True)
@@ -119,7 +119,7 @@
         rig.server.reload()
         assert rig.server.core.settings is before
         assert capfd.readouterr().err.count("reload: the new configuration is not used") == 1
-        figures = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
-        assert (figures["svc.reload_failure"], figures["svc.reload_success"]) == (1, 0)
+        metrics = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
+        assert (metrics["svc.reload_failure"], metrics["svc.reload_success"]) == (1, 0)
 
     play(scenario, console=True)
--- a/tests/application/test_shutdown.py
+++ b/tests/application/test_shutdown.py
@@ -9,14 +9,14 @@
 import pytest
 
 from tests.standins import Reader, Writer, ask, http, read_http
-from tests.support.server_rig import GET, INFO, PUT, SHORT_SHUTDOWN, Rig, held_back, play
+from tests.support.server_rig import GET, INFO, PUT, SHORT_SHUTDOWN, Rig, hold_answers, play
 
 
 def test_a_shutdown_waits_for_accepted_requests() -> None:
     async def scenario(rig: Rig) -> None:
-        asked, go = held_back(rig)
+        arrived, release = hold_answers(rig)
         one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
-        await asked.wait()
+        await arrived.wait()
         rig.server.leave()
         end = asyncio.create_task(rig.server.finish())
         while not rig.server.fronts[0].shutting_down:
@@ -30,7 +30,7 @@
         assert "connection" not in two[1]  # it stays as long as it may
         assert (await asyncio.to_thread(waiting.recv, 99)).startswith(b"HTTP/1.1 200")
         waiting.close()
-        go.set()
+        release.set()
         status, headers, body = await one
         assert (status, "connection" in headers, body) == (200, False, b"late")
         await end
@@ -99,10 +99,10 @@
 
 def test_requests_at_an_unresponsive_node_are_answered_before_the_end() -> None:
     async def scenario(rig: Rig) -> None:
-        asked, _ = held_back(rig)  # never let go
+        arrived, _ = hold_answers(rig)  # never let go
         texts = [GET.format(1, "r", INFO), PUT.format(1, "w", INFO + "Content-Length: 0\n")]
         owed = [asyncio.create_task(ask(rig.port, text)) for text in texts]
-        await asked.wait()
+        await arrived.wait()
         while rig.server.core.unanswered < 2:
             await asyncio.sleep(0.01)
         await (await leave(rig))
--- a/tests/net/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -29,14 +29,14 @@
 
     def __init__(self, rig: Rig) -> None:
         self._dial = rig.server.assembly.http_dialer.dial
-        self.asked, self.go = asyncio.Event(), asyncio.Event()
+        self.arrived, self.release = asyncio.Event(), asyncio.Event()
         rig.server.pool.close_idle(b"plain")
         rig.server.assembly.dialers[b"plain"] = self
 
     async def __call__(self, node: NodeId, address: Address, patience: float) -> Any:
         link = await self._dial(node, address, patience)
-        self.asked.set()
-        await self.go.wait()
+        self.arrived.set()
+        await self.release.wait()
         return link
 
 
@@ -96,11 +96,11 @@
 
         rig.server.pool.report = note
         line.socket.sendall(request("late"))
-        await dial.asked.wait()
+        await dial.arrived.wait()
         seen = len(rig.http.seen)
         meanwhile(rig, line)
-        dial.go.set()  # in this very turn: nobody has looked at what the client did
-        line.go.set()
+        dial.release.set()  # in this very turn: nobody has looked at what the client did
+        line.release.set()
         if goes:
             await until(lambda: len(rig.http.seen) > seen)
             assert 0 < float(rig.http.seen[-1][1]["req-deadline"]) < 0.45  # of 0.94 s: half a second is gone
@@ -170,7 +170,7 @@
             # not known to be a client's later try
             rig.server.core.scheduler.demand.longest_remaining_ms.clear()
             rig.server.core.scheduler.nodes[b"plain"].latency_ms = 1.0  # it could be served so soon
-            line.go.set()
+            line.release.set()
             line.socket.sendall(request(left).replace(b"Deadline: 1.0", f"Deadline: {left}".encode()))
             assert (await line.answer()).startswith(b"HTTP/1.1 503")
             assert not attempts
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -94,8 +94,8 @@
         await until(lambda: seen)
         for _ in range(50):
             await asyncio.sleep(0.001)
-        told = [listing.update.entries[0].state.name for listing in seen if listing is not None]
-        assert told == ["DRAINING"]
+        states = [listing.update.entries[0].state.name for listing in seen if listing is not None]
+        assert states == ["DRAINING"]
         assert len(seen) == 1
         new.die()
 
@@ -107,8 +107,8 @@
     """Told 6 s after discovery can be reached, and 2 s of grace; a call takes up to 3 s, and 0.15 s go by."""
     rig = SchedulerRig(polls_endpoint_list=True, scheduler_count=hosts)
     for _ in range(60):
-        told = rig.handle(EndpointList(ListKind.FAILED, 0, ()))
-        (timer,) = actions_of(told, SetTimer)
+        actions = rig.handle(EndpointList(ListKind.FAILED, 0, ()))
+        (timer,) = actions_of(actions, SetTimer)
         assert 0 < timer.delay_ms <= 6000 + 2000 - 3000 - 150 - 350
         rig.now_ms += timer.delay_ms
     rig.scheduler.apply_settings(replace(rig.scheduler.context.settings, mean_units=3))
@@ -121,11 +121,11 @@
 def test_a_silent_call_is_repeated_before_what_it_missed_counts_as_delivered() -> None:
     for seed in range(200):
         line, at = WatchTimeout(seed), 0.0
-        for terms, told in (
+        for terms, max_ms in (
             (POLLED_DISCOVERY, max(6.0, POLLED_DISCOVERY.wait_s + 2)),
             (LOCAL_AGENT, 2.0),
         ):  # at once, 2 s to drain
-            assert terms.wait_s + terms.response_margin_s + line.on_timeout(terms) <= told
+            assert terms.wait_s + terms.response_margin_s + line.on_timeout(terms) <= max_ms
             line.on_response()
         pauses = [line.on_timeout(POLLED_DISCOVERY) for _ in range(50)]
         assert max(pauses) <= 2 * POLLED_DISCOVERY.jitter_s
@@ -191,8 +191,8 @@
         await asyncio.sleep(0.1)
         watch.stop()
         agent.die()
-        told = [e for s in seen for e in ([None] if s is None else s.update.entries)]
-        assert [None if e is None else e.state.name for e in told] == states
+        entries = [e for s in seen for e in ([None] if s is None else s.update.entries)]
+        assert [None if e is None else e.state.name for e in entries] == states
         assert pushed or not agent.calls
 
     asyncio.run(run())
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -46,7 +46,7 @@
         line = await Line.open(rig)
         await line.reach(step)
         act(rig, line)
-        line.go.set()
+        line.release.set()
         said = await line.answer()
         if step in (Step.ARRIVED, Step.READ, Step.IN_WORK, Step.ANSWERED):
             assert said.startswith(b"HTTP/1.1 200")
@@ -124,9 +124,9 @@
         fits = MAX_INPUT_BYTES // len(request("00-" + "x" * 1900))
         loop, answers = asyncio.get_running_loop(), b""
         sent = asyncio.create_task(loop.sock_sendall(line.socket, whole))
-        await line.asked.wait()
+        await line.arrived.wait()
         await sent
-        line.go.set()
+        line.release.set()
         while answers.count(b"late") < min(many, fits):
             data = await loop.sock_recv(line.socket, 1 << 20)
             assert data, f"closed after {answers.count(b'late')} answers"
@@ -153,7 +153,7 @@
         rig.server.pool.report = note
         whole = b"".join(request(f"{n}-" + "x" * 1900) for n in range(behind + 1))
         sent = asyncio.create_task(asyncio.get_running_loop().sock_sendall(line.socket, whole))
-        await line.asked.wait()
+        await line.arrived.wait()
         await sent
         line.close()
         asked = len(rig.http.seen)
@@ -174,9 +174,9 @@
         line = await Line.open(rig)
         closing = request("last").replace(b"Req-Kind", b"Connection: close\r\nReq-Kind")
         line.socket.sendall(closing)
-        await line.asked.wait()
+        await line.arrived.wait()
         seen = len(rig.http.seen)
-        line.go.set()
+        line.release.set()
         await until(lambda: line.client.busy and line.client._last_answer_written)  # type: ignore[attr-defined]
         line.socket.sendall(request("behind"))
         if read:
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -9,7 +9,7 @@
 from sabledyke.core import AttemptResult
 from sabledyke.policy.events import Outcome
 from tests.standins import ask, http
-from tests.support.server_rig import GET, INFO, PUT, Rig, held_back, play
+from tests.support.server_rig import GET, INFO, PUT, Rig, hold_answers, play
 
 
 def test_requests_pass_unchanged_and_answers_come_back() -> None:
@@ -109,11 +109,11 @@
 
 def test_an_id_in_use_is_not_accepted_again() -> None:
     async def scenario(rig: Rig) -> None:
-        asked, go = held_back(rig)
+        arrived, release = hold_answers(rig)
         one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
-        await asked.wait()
+        await arrived.wait()
         assert (await ask(rig.port, GET.format(1, "i", INFO)))[0] == 409
-        go.set()
+        release.set()
         assert (await one)[::2] == (200, b"late")
         assert len(rig.http.seen) == 1
 
--- a/tests/placement/test_evacuation.py
+++ b/tests/placement/test_evacuation.py
@@ -70,11 +70,13 @@
     there = Counter(made[n].site for n in moved)
     assert set(there) == {"b", "c"}
     assert min(there.values()) > 30  # both are as near, d is farther
-    held = {m: 0.0 for m in seen.members if m[0] in "bc"}
+    load_by_member = {m: 0.0 for m in seen.members if m[0] in "bc"}
     for home in made.values():
         if home.site in "bc":
-            held[home.member] += loads[home.volume]
-    assert max(held.values()) < 1.5 * sum(held.values()) / len(held)  # loads are bounded
+            load_by_member[home.member] += loads[home.volume]
+    assert max(load_by_member.values()) < 1.5 * sum(load_by_member.values()) / len(
+        load_by_member
+    )  # loads are bounded
     back = play(replace(plan, stage=PlanStage.ROLLING_BACK), seen, made, loads, where)
     assert back.step == -1
     assert all(made[n].site == first[n].site for n in made)
--- a/tests/shutdown/test_graceful_shutdown.py
+++ b/tests/shutdown/test_graceful_shutdown.py
@@ -94,10 +94,10 @@
     for _ in range(20):  # an answer takes 100 ms
         rig.complete(rig.submit(), elapsed_ms=100)
         rig.advance(100)
-    held = [rig.submit() for _ in range(40)]
+    submitted = [rig.submit() for _ in range(40)]
     rig.scheduler.shut_down_by(rig.now_ms + 150)
     rig.advance(20)
-    early = [r for r in held if rig.answers(r)]
+    early = [r for r in submitted if rig.answers(r)]
     rig.advance(90)
     late = rig.submit()
     rig.advance(20)
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from sabledyke.net.client_connection import ClientConnection
-from tests.support.server_rig import GET, INFO, Rig, held_back
+from tests.support.server_rig import GET, INFO, Rig, hold_answers
 
 READ_SIZE = 65536
 HALF_SIZE = 20  # bytes of a request
@@ -61,7 +61,7 @@
         self.socket = sock
         self.client = client
         self.number = next(_numbers)
-        self.asked, self.go = held_back(rig)
+        self.arrived, self.release = hold_answers(rig)
 
     @classmethod
     async def open(cls, rig: Rig) -> Line:
@@ -72,11 +72,11 @@
         sock.setblocking(False)
         await until(lambda: set(clients) - known)
         line = cls(rig, sock, (set(clients) - known).pop())
-        line.go.set()
+        line.release.set()
         sock.sendall(request(f"{line.number}-first"))
         assert (await line.answer()).startswith(b"HTTP/1.1 200")
         await until(lambda: line.client.closable)
-        line.asked, line.go = held_back(rig)
+        line.arrived, line.release = hold_answers(rig)
         return line
 
     async def reach(self, step: Step) -> None:
@@ -91,9 +91,9 @@
             # The stream's read ends in the iteration before ``serve`` goes on; this task wakes ahead of it.
             await until(lambda: self.client.has_unprocessed)
         elif step in (Step.IN_WORK, Step.ANSWERED):
-            await self.asked.wait()
+            await self.arrived.wait()
         if step is Step.ANSWERED:
-            self.go.set()
+            self.release.set()
             await until(lambda: not self.client.busy)
 
     async def answer(self) -> bytes:
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -135,7 +135,7 @@
     asyncio.run(run())
 
 
-def held_back(rig: Rig) -> tuple[asyncio.Event, asyncio.Event]:
+def hold_answers(rig: Rig) -> tuple[asyncio.Event, asyncio.Event]:
     """Have the HTTP node answer ``late`` once the second event is set; the first is set by its request."""
     requested = asyncio.Event()
     released = asyncio.Event()
