--- a/sabledyke/policy/__init__.py
+++ b/sabledyke/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler's decisions, a module for each question; no I/O and no clock, the time is passed in."""
+"""The scheduler's decisions, one module for each. They do no I/O and read no clock: the time is passed in."""
--- a/sabledyke/policy/actions.py
+++ b/sabledyke/policy/actions.py
@@ -1,4 +1,4 @@
-"""What ``Scheduler.handle`` asks a driver to do. Durations are milliseconds."""
+"""Actions that ``Scheduler.handle`` returns for a driver to carry out. Durations are milliseconds."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class RejectReason(Enum):
-    """Why a request is given up; the values are names of metrics."""
+    """Reasons for which a request is rejected or failed; the values are names of metrics."""
 
-    LIMIT = "limit"  # its volume's limit would let it go too late
+    LIMIT = "limit"  # its volume's limit would delay it past its full value
     ADMISSION = "admission"  # its node's capacity is kept for requests of a higher value
-    TOO_LATE = "too_late"  # no answer could come in time for its full value
-    SLOW_START = "slow_start"  # the node that warms up admits it at no time
-    QUEUE = "queue"  # it was worth the least in a queue that answers too late
-    CROWD = "crowd"  # nearly all places for open requests were taken
+    TOO_LATE = "too_late"  # no answer could arrive in time for its full value
+    SLOW_START = "slow_start"  # a node that is warming up will not admit it before its full value ends
+    QUEUE = "queue"  # it had the lowest value in a queue whose answers would be too late
+    CROWD = "crowd"  # the number of open requests was close to its maximum
     NO_NODE = "no_node"  # no node may serve it
-    ATTEMPTS = "attempts"  # its last attempt failed, and there is no retry
-    SHUTDOWN = "shutdown"  # the program ended
-    GUARD = "guard"  # the policy was silent until its deadline
+    ATTEMPTS = "attempts"  # its last attempt failed, and no retry is allowed
+    SHUTDOWN = "shutdown"  # the process is shutting down
+    GUARD = "guard"  # the policy made no decision before its deadline
 
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Send the request to a node; a timeout of 0 lets the attempt run until the client gives up."""
+    """Send the request to a node; a timeout of 0 lets the attempt run until the client's deadline."""
 
     request_id: int
     node_id: NodeId
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: rejected without effect, so that a retry is harmless."""
+    """Reject a request as its final answer: for its client it had no effect, and a retry is harmless."""
 
     request_id: int
     retry_after_ms: float = 0.0
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed; it may have had its effect."""
+    """Fail a request as its final answer: it may have had its effect."""
 
     request_id: int
     reason: RejectReason = field(kw_only=True)
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Give up one attempt."""
+    """Cancel one attempt of a request."""
 
     request_id: int
     attempt: int
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchList:
-    """Start to watch the endpoint list for changes, or stop."""
+    """Start or stop watching the endpoint list for changes."""
 
     on: bool = True
 
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendToPeer:
-    """Send bytes to another scheduler, or to all where ``peer`` is None."""
+    """Send bytes to another scheduler, or to all of them if ``peer`` is None."""
 
     peer: int | None
     data: bytes
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """Write a line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/sabledyke/policy/admission.py
+++ b/sabledyke/policy/admission.py
@@ -1,8 +1,8 @@
-"""Whether a volume that becomes active at a node is admitted.
+"""Admission of volumes that become active at a storage node.
 
-From the design's source: the mean load for each admitted volume over the lookback, times the number of
-volumes that there would be, must stay below a safety margin. The test applies only while the node is
-strained.
+The test, taken from the source of the design: the mean load per admitted volume over the lookback period,
+multiplied by the number of volumes including the new one, must stay below a safety margin. The test applies
+only while the node is strained.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 from sabledyke.policy.context import Context
 from sabledyke.policy.state import NodeRecord, PendingRequest
 
-# Load at which no further volume is admitted.
+# Predicted load of a node at which no further volume is admitted.
 SAFETY_MARGIN = 1.0
 
 
 class AdmissionControl:
-    """Opens sessions of volumes at nodes."""
+    """Admits volumes to storage nodes and opens their sessions there."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
 
     def admit(self, pending: PendingRequest, node: NodeRecord) -> bool:
-        """Opens or renews the volume's session, unless the admission test turns it away."""
+        """Opens or renews the volume's session at the node; returns False if the test rejects the volume."""
         volume = pending.request.volume
         active = active_volumes(self._context, node)
         if not self._exempt(pending, node, active) and node.strained:
@@ -33,6 +33,10 @@
         return True
 
     def _exempt(self, pending: PendingRequest, node: NodeRecord, active: list[int]) -> bool:
-        """Whether the request is inside its reservation, its volume active, or there is no history yet."""
+        """Returns whether the request skips the admission test.
+
+        It does inside its volume's reservation, while the volume is active at the node, and as long as the
+        node has no history of the volume or of loads.
+        """
         volume = pending.request.volume
         return pending.reserved or volume in active or volume not in node.sessions or not node.period_loads
--- a/sabledyke/policy/attempts.py
+++ b/sabledyke/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: their start, and what their outcomes tell of the node and decide for the request."""
+"""Attempts: their start, and the effect of their outcomes on the node's statistics and on the request."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 # Outcomes after which the request may still be running at the node.
 MAY_STILL_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
-# Outcomes with which a draining node turns work away or breaks it off.
-TURNED_AWAY = (Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.RESET)
-# Outcomes that a node answered with.
+# Outcomes with which a draining node refuses or interrupts requests: it is then sent no more of them.
+DRAIN_ENDING = (Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.RESET)
+# Outcomes in which the node itself responded.
 RESPONSES = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)
 MIN_TIMEOUT_MS = 1.0
 
 
 class AttemptTracker:
-    """Starts attempts and takes in their outcomes."""
+    """Starts attempts and processes their outcomes."""
 
     def __init__(self, collaborators: Collaborators) -> None:
         self._context = collaborators.context
@@ -32,10 +32,10 @@
         self._outliers = collaborators.outliers
 
     def start(self, pending: PendingRequest, node: NodeRecord) -> None:
-        """Starts an attempt, and counts it wherever attempts are counted.
+        """Starts an attempt and adds it to the statistics, budgets and limits that count attempts.
 
-        What waits past its full value is worth little and stands before others: the attempt's timeout ends
-        it.
+        The attempt times out when the request's full value ends: a later answer earns little, and the attempt
+        would take up capacity that other requests can use.
         """
         now_ms = self._context.now_ms
         units = pending.request.units
@@ -58,7 +58,7 @@
         self._context.emit(StartAttempt(pending.request.id, node.entry.node_id, timeout_ms))
 
     def on_completed(self, event: AttemptCompleted) -> None:
-        """Takes in an attempt's outcome; one that is not open any more is ignored."""
+        """Processes an attempt's outcome; the outcome of an attempt that is no longer open is ignored."""
         pending = self._requests.requests.get(event.request_id)
         if pending is None or event.attempt not in pending.open_attempts:
             return
@@ -69,14 +69,14 @@
         self._concurrency.close_period(node)
         self._note_possible_execution(pending, node, event.outcome, sent_ms)
         self._note_response(node, event.outcome)
-        self._learn(pending, node, event, sent_ms, units)
+        self._update_estimates(pending, node, event, sent_ms, units)
         self._decide(pending, node, event)
         self._directory.mark_active(node)
 
     def _note_possible_execution(
         self, pending: PendingRequest, node: NodeRecord, outcome: Outcome, sent_ms: float
     ) -> None:
-        if outcome in TURNED_AWAY:
+        if outcome in DRAIN_ENDING:
             node.draining_since_ms = -inf
         if outcome in MAY_STILL_RUN:
             self._requests.delay_order(pending)
@@ -90,10 +90,10 @@
         node.error_rate += weight * ((outcome is Outcome.ERROR) - node.error_rate)
         self._outliers.on_response(node)
 
-    def _learn(
+    def _update_estimates(
         self, pending: PendingRequest, node: NodeRecord, event: AttemptCompleted, sent_ms: float, units: float
     ) -> None:
-        """Updates what is known of the node's speed and of lost answers."""
+        """Updates the estimates of the node's latency and of the rate of lost answers."""
         outcome = event.outcome
         if outcome is Outcome.OK:
             self._on_success(pending, node, event, sent_ms, units)
@@ -108,7 +108,7 @@
     def _on_success(
         self, pending: PendingRequest, node: NodeRecord, event: AttemptCompleted, sent_ms: float, units: float
     ) -> None:
-        # While this scheduler stood still, the answer may have been waiting for it.
+        # The answer may have waited while this scheduler was stalled; the stall is no latency of the node.
         without_stall_ms = event.elapsed_ms - self._context.batch_lateness_ms
         elapsed_ms = max(min(node.latency_ms, event.elapsed_ms), without_stall_ms)
         self._concurrency.on_answer(node, elapsed_ms, units)
--- a/sabledyke/policy/collaborators.py
+++ b/sabledyke/policy/collaborators.py
@@ -1,4 +1,4 @@
-"""What the scheduler's parts have in common: the state and the policies that each of them consults."""
+"""The state and the policies that the scheduler's components share."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Collaborators:
-    """The collaborators of ``AttemptTracker``, ``NodeSelector`` and ``Dispatcher``; one set for a scheduler.
+    """The collaborators of ``AttemptTracker``, ``NodeSelector`` and ``Dispatcher``; one set per scheduler.
 
-    Each of these takes the collaborators that it needs when it is created, so that a request costs no
-    look-up here.
+    Each of the three copies the references that it needs when it is created, so that handling a request
+    needs no extra attribute look-ups.
     """
 
     context: Context
--- a/sabledyke/policy/demand.py
+++ b/sabledyke/policy/demand.py
@@ -1,4 +1,4 @@
-"""What clients request through this scheduler: arrivals and the usual value."""
+"""Demand at this scheduler: recent arrivals of requests and their usual value."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Demand:
-    """Recent arrivals and what follows from them."""
+    """Recent arrivals, and the usual value and the rate derived from them."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -16,12 +16,12 @@
         self.usual_value = 0.0
 
     def on_arrival(self) -> None:
-        """Counts a request."""
+        """Records the arrival of a request and drops arrivals that are no longer needed."""
         self.arrivals.append(self._context.now_ms)
         forget_before(self.arrivals, retained_since_ms(self._context))
 
     def on_value(self, value: float) -> None:
-        """Updates the usual value of a request, which was counted before."""
+        """Updates the usual value with that of a request whose arrival is already recorded."""
         self.usual_value += (value - self.usual_value) / len(self.arrivals)
 
     def units_per_ms(self) -> float:
@@ -32,7 +32,7 @@
 
 
 def retained_since_ms(context: Context) -> float:
-    """Returns since when arrivals and retries are remembered."""
+    """Returns the time from which arrivals and retries are kept."""
     return context.now_ms - max(LOOKBACK_MS, context.settings.retry_budget_window_ms)
 
 
--- a/sabledyke/policy/events.py
+++ b/sabledyke/policy/events.py
@@ -1,4 +1,4 @@
-"""What a driver reports to ``Scheduler.handle``.
+"""Events that a driver reports to ``Scheduler.handle``.
 
 Times are milliseconds on the clock passed to ``handle``; sizes are units.
 """
@@ -13,7 +13,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended."""
+    """Outcomes of attempts and probes."""
 
     OK = 1
     ERROR = 2
@@ -26,7 +26,7 @@
 
 
 class PossibleExecution(NamedTuple):
-    """The first send of a request that may have run: when, and to which node."""
+    """Time and node of the first send of a request after which the request may have run."""
 
     sent_at_ms: float
     node: NodeEntry
@@ -40,13 +40,13 @@
         class_index: Index into ``Settings.classes``.
         plan_index: Index into ``Settings.plans``.
         data_key: The piece of data that it reads or writes; 0 for none.
-        remaining_ms: For how long its client still waits.
+        remaining_ms: Time for which its client still waits.
         shard: The shard that holds the data; -1 for a new object, which any node may take.
         scheduler_count: Schedulers through which the volume's requests come.
-        repeated: The client has sent it before.
-        possible_execution: When and where an earlier incarnation sent it, so that it may have run already.
-        quota_share: This scheduler's share of the volume's limit and reservation, as shared out by demand;
-            0 for an even share.
+        repeated: True if the client has sent the request before.
+        possible_execution: Time and node of a send by an earlier incarnation; the request may have run then.
+        quota_share: This scheduler's share of the volume's limit and reservation, as quota sharing allocates
+            it by demand; 0 for an even share.
     """
 
     id: int
@@ -66,26 +66,26 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that was set with ``SetTimer`` came due."""
+    """A timer that was set by ``SetTimer`` is due."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client left, or its answer is overdue: the request is over."""
+    """The client disconnected or its answer is overdue, so the request needs no answer any more."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptCompleted:
-    """The one outcome of an attempt.
+    """The one outcome that is reported for an attempt.
 
     Attributes:
-        request_completed: The request already has its final answer.
-        used_percent: The volume's total service in the last finished period, in percent of its rate.
-        other_schedulers_units: What the node served the volume through other schedulers in the meantime.
+        request_completed: True if the request already has its final answer.
+        used_percent: Total service that the volume got in the last complete period, in percent of its rate.
+        other_schedulers_units: Units served to the volume through other schedulers in the meantime.
         load_report: The node's load, in the order of ``Settings.report_fields``.
     """
 
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerStarted:
-    """A streamed answer began to reach the client."""
+    """The first part of a streamed answer reached the client."""
 
     request_id: int
     node_id: NodeId
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
-    """The outcome of a health check."""
+    """The outcome of a node's health check."""
 
     node_id: NodeId
     outcome: Outcome
@@ -122,7 +122,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Bytes from another scheduler."""
+    """Bytes that another scheduler sent with ``SendToPeer``."""
 
     sender: int
     data: bytes
--- a/sabledyke/policy/nodes.py
+++ b/sabledyke/policy/nodes.py
@@ -1,4 +1,4 @@
-"""Storage nodes as discovery lists them."""
+"""Storage nodes and updates of the endpoint list, as discovery reports them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def node_name(node_id: NodeId) -> str:
-    """Returns a node's id for the log: as text where it is printable, else in hex."""
+    """Returns a node's id for the log: as text if it is printable, else in hexadecimal."""
     if node_id.isascii() and node_id.decode().isprintable():
         return node_id.decode()
     return node_id.hex()
 
 
 class NodeState(Enum):
-    """What discovery says of a node."""
+    """State of a node as discovery lists it; ``GONE`` means that the node has been removed."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -24,7 +24,7 @@
 
 
 class ListKind(Enum):
-    """How an ``EndpointList`` relates to what was known before."""
+    """Kind of an ``EndpointList``: changes only, the complete list, a stored list, or a failed call."""
 
     DELTA = "delta"
     FULL = "full"
@@ -37,11 +37,11 @@
     """One listed storage node.
 
     Attributes:
-        shard: The shard whose data it holds.
+        shard: The shard whose data the node holds.
         zone: Index into ``Settings.zones``.
         kind: Index into ``Settings.node_kinds``.
-        started_ms: When its process started; 0 for long ago.
-        weight: Its relative capacity, as discovery states it.
+        started_ms: Start time of the node's process; 0 for long ago.
+        weight: The node's relative capacity, as discovery states it.
     """
 
     node_id: NodeId
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """An update of the list of storage nodes, or (``FAILED``) the failure of a call for it."""
+    """An update of the list of storage nodes, or the failure of a call for the list (``FAILED``)."""
 
     kind: ListKind
     version: int
--- a/sabledyke/policy/outlier.py
+++ b/sabledyke/policy/outlier.py
@@ -1,8 +1,9 @@
-"""Nodes that do not respond, and attempts that are overdue.
+"""Detection of unresponsive nodes and of overdue attempts.
 
-A node without a sign of life is sent single requests as probes, at growing intervals, until it responds. An
-attempt that is overdue, or was overtaken by a later one while answers get lost, no longer counts against the
-node's in-flight limit and is made again where its class allows.
+An unresponsive node is sent single requests as probes, at growing intervals, until it responds. An attempt is
+overdue if its answer takes too long and either a later attempt at the node was answered first or answers get
+lost at a high rate. It no longer counts against the node's in-flight limit, and is repeated if the class of
+its request allows that.
 """
 
 from __future__ import annotations
@@ -17,22 +18,23 @@
 from sabledyke.policy.retry import RetryPolicy
 from sabledyke.policy.state import NodeRecord, PendingRequest
 
-# An attempt is overdue after this many shortest objectives, and this many answer times.
+# An attempt is overdue at the earliest after the longer of these two times: in shortest objectives, and in
+# answer times of its node.
 OVERDUE_OBJECTIVES = 0.4
 OVERDUE_LATENCIES = 2.5
-# Fraction of lost answers above which attempts that were overtaken are made again.
+# Fraction of lost answers from which attempts are overdue even if no later attempt was answered before them.
 LOSSY_FRACTION = 0.05
 LOSS_SMOOTHING = 0.15
-# A node is unresponsive after this many shortest objectives without a sign of life.
+# A node is unresponsive after this many shortest objectives without a response.
 RESPONSE_TIMEOUT_OBJECTIVES = 2.0
 # Longest interval between probes of an unresponsive node, in shortest objectives.
 MAX_PROBE_INTERVAL_OBJECTIVES = 4 / 3
-# Part of a probe interval that is certain; the rest is random.
+# Fixed fraction of a probe interval; the rest is random.
 MIN_PROBE_INTERVAL_FRACTION = 0.5
 
 
 class OutlierDetector:
-    """Watches the attempts in flight at each node."""
+    """Monitors the attempts in flight at each node."""
 
     def __init__(self, context: Context, requests: RequestTable, retries: RetryPolicy) -> None:
         self._context = context
@@ -42,28 +44,28 @@
 
     @property
     def response_timeout_ms(self) -> float:
-        """How long a node with attempts in flight may give no sign of life."""
+        """Time in milliseconds that a node with attempts in flight may take until its next response."""
         return RESPONSE_TIMEOUT_OBJECTIVES * self._context.shortest_objective_ms
 
     def on_response(self, node: NodeRecord) -> None:
-        """Notes a sign of life: the node may be sent requests again."""
+        """Records a response of the node; an unresponsive node is available again."""
         node.last_response_ms = self._context.now_ms
         node.attempts_since_response = 0
         if node.unresponsive:
-            silent_ms = self._context.now_ms - node.unresponsive_since_ms
-            self._context.log(f"node {node_name(node.entry.node_id)} back after {silent_ms:.0f} ms")
+            unresponsive_ms = self._context.now_ms - node.unresponsive_since_ms
+            self._context.log(f"node {node_name(node.entry.node_id)} back after {unresponsive_ms:.0f} ms")
             node.unresponsive_since_ms = inf
 
     def on_answer_received(self) -> None:
-        """Lowers the rate of lost answers."""
+        """Updates the rate of lost answers with an answer that was received."""
         self._loss_rate -= LOSS_SMOOTHING * self._loss_rate
 
     def on_answer_lost(self) -> None:
-        """Raises the rate of lost answers."""
+        """Updates the rate of lost answers with an answer that was lost."""
         self._loss_rate += LOSS_SMOOTHING * (1 - self._loss_rate)
 
     def schedule_probe(self, node: NodeRecord) -> None:
-        """Counts an attempt, and sets when the next one may go should the node not respond."""
+        """Counts an attempt, and sets the time of the next probe in case the node does not respond."""
         node.attempts_since_response += 1
         interval_ms = min(
             self.response_timeout_ms * 2**node.attempts_since_response / 2,
@@ -73,7 +75,7 @@
         node.next_probe_ms = self._context.now_ms + interval_ms * jitter
 
     def check_overdue(self, node: NodeRecord) -> None:
-        """Releases overdue attempts, and marks the node where it gives no sign of life."""
+        """Releases the node's overdue attempts, and marks the node as unresponsive if it does not respond."""
         while node.in_flight:
             (request_id, number), (sent_ms, units) = next(iter(node.in_flight.items()))
             if not self._is_overdue(node, sent_ms, units):
@@ -90,7 +92,7 @@
                 self.mark_unresponsive(node)
 
     def mark_unresponsive(self, node: NodeRecord) -> None:
-        """Sends the node single probes only, and moves what other nodes can serve."""
+        """Limits the node to single probes, and moves queued requests that other nodes can serve."""
         if node.unresponsive:
             return
         now_ms = self._context.now_ms
@@ -104,11 +106,11 @@
 
     def _is_overdue(self, node: NodeRecord, sent_ms: float, units: float) -> bool:
         context = self._context
-        patience_ms = max(
+        overdue_after_ms = max(
             OVERDUE_OBJECTIVES * context.shortest_objective_ms,
             OVERDUE_LATENCIES * node.latency_ms * max(1.0, units / context.mean_units),
         )
-        if context.now_ms - sent_ms <= patience_ms:
+        if context.now_ms - sent_ms <= overdue_after_ms:
             return False
         return sent_ms < node.overtaken_ms or self._loss_rate >= LOSSY_FRACTION
 
--- a/sabledyke/policy/quota.py
+++ b/sabledyke/policy/quota.py
@@ -1,7 +1,7 @@
-"""Token buckets of volumes: the reservation that a plan guarantees and the limit that it sets.
+"""Token buckets of volumes, for the reservation that a plan guarantees and for the limit that the plan sets.
 
-A scheduler holds its share of each bucket: an even one over the schedulers that the volume uses, or the one
-that quota sharing assigned. The shares of all schedulers never add up to more than the plan grants.
+Each scheduler holds a share of both buckets: an even share among the schedulers that the volume uses, or the
+share that quota sharing assigned to the scheduler. All shares together never exceed what the plan grants.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from sabledyke.policy.state import PendingRequest, VolumeState
 
 MS_PER_SECOND = 1000
-# For how long after the last request that stated it a smaller share stays in force.
+# Time for which a smaller share stays in force after the last request that stated it.
 SHARE_RETENTION_MS = 60_000.0
 
 
 class VolumeQuotas:
-    """The buckets of all volumes, by volume and plan."""
+    """Token buckets of all volumes, by volume and plan."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -27,22 +27,23 @@
         self._handed_over_at_ms = inf
 
     def hand_over(self, now_ms: float) -> None:
-        """Leaves the limits to the process that replaces this one; a later call changes nothing.
+        """Stops refilling the limits, as another process replaces this one; a later call changes nothing.
 
-        The successor may run already, and its buckets fill from its start on: what they gain is taken from
-        what this process may still spend, so that both together stay within each limit.
+        The successor may already be running, with buckets that fill from its start. The tokens that it gains
+        are deducted from those that this process may still spend: both together stay within each limit.
         """
         self._handed_over_at_ms = min(self._handed_over_at_ms, now_ms)
 
     def apply_settings(self, old: Settings, new: Settings) -> None:
-        """Gives each volume its plan's new terms; plans keep their positions."""
+        """Replaces the plan of each volume with the new plan at the same position."""
         for volume in self.volumes.values():
             volume.plan = new.plans[old.plans.index(volume.plan)]
 
     def volume_of(self, request: Request) -> VolumeState:
-        """Returns the request's volume with its buckets refilled, under the share that now holds.
+        """Returns the state of the request's volume, with its share updated and its buckets refilled.
 
-        A request that names another plan of the same volume spends nothing of this one's.
+        Each plan of a volume has buckets of its own: a request that names another plan takes no tokens from
+        those of this plan.
         """
         key = request.volume, request.plan_index
         share = request.quota_share or 1 / max(1.0, request.scheduler_count)
@@ -59,39 +60,40 @@
         return volume
 
     def _update_share(self, volume: VolumeState, share: float, *, assigned: bool) -> None:
-        """Takes on an assigned share, or the smallest of those that requests stated lately.
+        """Adopts an assigned share, or the smallest share that requests stated recently.
 
-        Other schedulers may go on for a while with the larger number of schedulers, and what they saved up; a
-        number that one client stated, and no other, is forgotten in time.
+        The share grows only after the smaller one has not been stated for ``SHARE_RETENTION_MS``: when the
+        number of schedulers drops, the others may still use the larger number and have tokens saved. This
+        also ends the effect of a number that only a single client stated.
         """
         now_ms = self._context.now_ms
         expired = now_ms >= volume.share_stated_ms + SHARE_RETENTION_MS
         if share > volume.quota_share and not assigned and not expired:
             return
         if share > volume.quota_share:
-            self.refill(volume)  # what has passed counts at the smaller share
+            self.refill(volume)  # the elapsed time counts at the smaller share
         volume.quota_share = share
         volume.share_stated_ms = now_ms
 
     def reserve(self, volume: VolumeState, units: float) -> bool:
-        """Takes the units from the reservation where it covers them; returns whether it does."""
+        """Takes the units from the volume's reservation if it covers them; returns whether it does."""
         covered = volume.reserved_tokens >= units and volume.plan.reservation > 0
         if covered:
             volume.reserved_tokens -= units
         return covered
 
-    def give_back(self, pending: PendingRequest) -> None:
-        """Returns what a request took from the reservation and never used."""
+    def refund_reservation(self, pending: PendingRequest) -> None:
+        """Puts back the units that a request took from the reservation, if no attempt of it was started."""
         if pending.reserved and not pending.attempts_started:
             pending.volume.reserved_tokens += pending.request.units
 
     def charge_limit(self, pending: PendingRequest) -> None:
-        """Takes a first attempt's units from the volume's limit."""
+        """Takes the units of a request's first attempt from the volume's limit."""
         if pending.volume.plan.limit > 0:
             pending.volume.limit_tokens -= pending.request.units
 
     def wait_for_limit_ms(self, pending: PendingRequest) -> float:
-        """Returns how long the limit holds this request back: 0 for not at all, inf for for ever."""
+        """Returns the time until the limit allows this request: 0 if it does now, inf if it never will."""
         volume = pending.volume
         plan = volume.plan
         units = pending.request.units
@@ -103,7 +105,7 @@
         return (units - volume.limit_tokens) / (plan.limit * volume.quota_share) * MS_PER_SECOND
 
     def refill(self, volume: VolumeState) -> None:
-        """Brings both buckets up to the present."""
+        """Refills both buckets of a volume up to the present."""
         plan = volume.plan
         now_ms = self._context.now_ms
         elapsed = (now_ms - volume.refilled_ms) / MS_PER_SECOND * volume.quota_share
@@ -122,7 +124,7 @@
         volume.limit_tokens = max(0.0, min(volume.limit_tokens + plan.limit * elapsed, capacity))
 
     def evict_full(self, idle_since_ms: float) -> None:
-        """Forgets idle volumes whose buckets are full: a new record would equal theirs."""
+        """Drops idle volumes with full buckets, as new records would have the same state."""
         for key, volume in list(self.volumes.items()):
             if volume.refilled_ms >= idle_since_ms:
                 continue
@@ -132,7 +134,11 @@
                 del self.volumes[key]
 
     def _create(self, request: Request, share: float) -> VolumeState:
-        """An earlier incarnation, or other schedulers, may have spent the limit: it starts empty."""
+        """Returns a new volume state.
+
+        The limit's bucket starts empty, as an earlier incarnation or other schedulers may have used the limit
+        up. The reservation's bucket starts with the tokens of the scheduler's uptime.
+        """
         context = self._context
         plan = context.settings.plans[request.plan_index]
         uptime_s = (context.now_ms - context.started_at_ms) / MS_PER_SECOND
--- a/sabledyke/policy/scheduler.py
+++ b/sabledyke/policy/scheduler.py
@@ -1,9 +1,9 @@
-"""The scheduler of one storage gateway: takes batches of events and returns the actions that follow.
+"""The scheduler of one storage gateway: it takes batches of events and returns actions.
 
-It decides nothing itself: each decision has a module of its own, and the scheduler says in which order they
-are asked. On the ordinary path, requests go to their node at once while its budget for the period has room;
-the excess is queued and leaves by earliest due time (arrival plus latency objective, capped by the
-deadline), and a volume newly active at a node passes an admission test. Times are milliseconds, sizes units.
+Each decision is made in a module of its own; the scheduler calls these modules in order. Normally a request
+is sent to its node at once while the node's budget for the period has room. Further requests are queued and
+sent by earliest due time (arrival plus latency objective, capped by the deadline). A volume that becomes
+active at a node must pass an admission test. Times are milliseconds, sizes units.
 """
 
 from __future__ import annotations
@@ -38,17 +38,17 @@
 from sabledyke.policy.slow_start import SlowStart
 from sabledyke.policy.state import NodeRecord, PendingRequest
 
-# Fraction of the allowed open requests above which queued requests of the least value are rejected.
+# Fraction of the allowed open requests above which queued requests of the lowest value are rejected.
 CROWDED_FRACTION = 0.7
-# Value factor that a retry keeps where a late answer earns nothing, so that an idle node serves it.
+# Lowest value factor of a retry whose late answer earns nothing, so that an idle node still serves it.
 MIN_RETRY_VALUE_FACTOR = 0.05
-# Interval between searches for records that can be forgotten, and how long these must have been idle.
+# Interval between evictions of idle records, and the idle time after which records may be evicted.
 EVICTION_INTERVAL_MS = 10_000.0
 # Timer tokens.
 WAKE_TOKEN = 1
 WATCH_TOKEN = 2
-# Endpoint updates count before anything is judged or sent, since a scheduler that stood still finds all that
-# happened meanwhile in one batch. Events of other types come last.
+# Order of event types in a batch; other types come last. Endpoint lists and outcomes are processed before
+# requests, as after a stall of the scheduler a single batch contains everything that happened meanwhile.
 EVENT_ORDER = {
     event_type: order
     for order, event_type in enumerate((EndpointList, AnswerStarted, AttemptCompleted, Request))
@@ -56,7 +56,7 @@
 
 
 class Scheduler:
-    """Decides for one scheduler process. ``seed`` makes its random choices repeatable."""
+    """Policy of one scheduler process. ``seed`` makes its random choices repeatable."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.context = context = Context(settings, seed)
@@ -87,13 +87,13 @@
 
     @property
     def nodes(self) -> dict[NodeId, NodeRecord]:
-        """All known nodes."""
+        """All known nodes, by id."""
         return self.directory.nodes
 
     def apply_settings(self, settings: Settings) -> None:
-        """Decides by these settings from now on; classes and plans must keep their positions.
+        """Puts new settings into force; classes and plans must keep their positions.
 
-        What was learnt of nodes and volumes stays.
+        The state of nodes and volumes is kept.
         """
         self.quotas.apply_settings(self.context.settings, settings)
         self.context.apply_settings(settings)
@@ -101,19 +101,19 @@
         self.directory.renumber_periods()
 
     def shut_down_by(self, now_ms: float, when_ms: float) -> None:
-        """Ends the scheduler by then: what would be due later is due by then.
+        """Limits all due times to ``when_ms``, at which the scheduler ends.
 
-        Limits are left to the process that replaces it.
+        The process that replaces this one takes over the limits of volumes.
         """
         self.quotas.hand_over(now_ms)
         self.context.shutdown_at_ms = min(self.context.shutdown_at_ms, when_ms)
         self.requests.shut_down_by(self.context.shutdown_at_ms)
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Takes the events that came by ``now_ms``, and returns what is to be done.
+        """Processes the events that arrived by ``now_ms``, and returns the actions to carry out.
 
         Raises:
-            ValueError: The clock went back, or a request id was used twice.
+            ValueError: ``now_ms`` is before that of the last batch, or a request id is used twice.
         """
         self._begin_batch(now_ms)
         for event in sorted(events, key=lambda event: EVENT_ORDER.get(type(event), len(EVENT_ORDER))):
@@ -171,7 +171,7 @@
         self.requests.unassigned += self.directory.on_endpoint_list(update)
 
     def _accept(self, request: Request) -> None:
-        """Registers a request; rejects it where its volume's limit would let it go too late."""
+        """Registers a request, and rejects it if its volume's limit would delay it past its full value."""
         if request.id in self.requests.requests:
             raise ValueError(f"request {request.id} was given twice")
         self.demand.on_arrival()
@@ -209,19 +209,21 @@
         return pending
 
     def _missed_objective(self, request: Request, request_class: RequestClass) -> bool:
-        """Whether it is a client's retry that can earn no more than the value of a late answer.
+        """Returns whether the request is a client's retry that can only earn the value of a late answer.
 
-        A retry is what its client marked as one; its wait so far is bounded by the class's deadline. This
-        lowers its value, and never rejects it: it may be served by a node that has nothing better to do.
+        Only a request that its client marked as a retry counts as one, and its wait so far counts as at most
+        the class's deadline. A missed objective lowers the value of the request but never rejects it: a node
+        without more valuable requests may still serve it.
         """
         if not (request.repeated and self.context.settings.clients_mark_retries):
             return False
         return request_class.deadline_ms - request.remaining_ms >= request_class.latency_objective_ms
 
     def _shed_lowest_value(self) -> None:
-        """Rejects queued requests of the least value while nearly all places for open requests are taken.
+        """Rejects queued requests of the lowest value while the open requests are close to their maximum.
 
-        Each open request takes a connection: those that wait must not keep more valuable ones out.
+        Each open request takes up a client connection: waiting requests must not keep more valuable ones from
+        being accepted.
         """
         allowed = CROWDED_FRACTION * self.context.settings.max_open_requests
         if len(self.requests.requests) <= allowed:
@@ -235,7 +237,7 @@
             self.requests.reject(pending, RejectReason.CROWD)
 
     def _evict_idle(self) -> None:
-        """Forgets volumes and nodes whose records a new one would equal, so that memory stays bounded."""
+        """Drops records of idle volumes, data keys and removed nodes, so that memory stays bounded."""
         now_ms = self.context.now_ms
         if now_ms < self._last_eviction_ms + EVICTION_INTERVAL_MS:
             return
--- a/sabledyke/policy/selection.py
+++ b/sabledyke/policy/selection.py
@@ -1,4 +1,4 @@
-"""Which node a request is queued at."""
+"""Selection of the storage node at which a request is queued."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from sabledyke.policy.context import TICK_MS
 from sabledyke.policy.state import NodeRecord, PendingRequest
 
-# Fraction of its capacity below which a warming node is a last choice for new objects.
+# Fraction of the full capacity below which a warming node is selected only if there is no better one.
 MIN_PREFERRED_WARM_UP = 0.6
-# Keeps the expected wait at a node that answers with nothing but errors finite.
+# Keeps the expected wait finite at a node that answers with errors only.
 SUCCESS_RATE_OFFSET = 1.01
-# A request without a node waits while this many batches fit before its full value ends.
+# A request without a node is kept while at least this many batches fit before its full value ends.
 MIN_BATCHES_TO_WAIT = 2
 
 
 class NodeSelector:
-    """Queues requests at nodes."""
+    """Selects a node for each request and queues the request there."""
 
     def __init__(self, collaborators: Collaborators, admission: AdmissionControl) -> None:
         self._context = collaborators.context
@@ -29,7 +29,7 @@
         self._slow_start = collaborators.slow_start
 
     def select(self, pending: PendingRequest) -> None:
-        """Queues the request at the best node that can serve it, or keeps it while one may still come."""
+        """Queues the request at the best node that can serve it, or waits while such a node may appear."""
         candidates = self._candidates(pending)
         if not candidates:
             self._wait_or_reject(pending)
@@ -60,12 +60,12 @@
             self._requests.reject(pending, RejectReason.NO_NODE)
 
     def _preference(self, pending: PendingRequest, node: NodeRecord) -> tuple[bool, float, float]:
-        """Sort key: last choices last, then by expected wait, ties by chance."""
+        """Returns a sort key: nodes to avoid come last, then shorter expected waits first, ties at random."""
         fraction = self._slow_start.fraction(node)
         last_choice = (
             fraction < MIN_PREFERRED_WARM_UP
             or node.unresponsive
-            or self._slow_start.chances(pending, node).now <= pending.admission_draw
+            or self._slow_start.probabilities(pending, node).now <= pending.admission_draw
         )
         ahead = node.window_units + node.in_flight_units + len(node.queue)
         expected_wait = (
--- a/sabledyke/policy/settings.py
+++ b/sabledyke/policy/settings.py
@@ -1,4 +1,4 @@
-"""What a scheduler is told at its start and on each reload: classes, plans, limits.
+"""Settings of a scheduler, given at its start and on each reload: classes, plans and limits.
 
 Durations are milliseconds, sizes units. ``sabledyke.settings`` builds these from the platform's names.
 """
@@ -11,7 +11,7 @@
 
 
 class RepeatSafety(Enum):
-    """Whether a request of a class may run more than once."""
+    """Rule for repeats of a class's requests: always safe, safe where deduplicated, or never allowed."""
 
     IDEMPOTENT = "idempotent"
     DEDUPLICATED = "deduplicated"
@@ -19,7 +19,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which nodes drop repeats of a deduplicated request."""
+    """Nodes that drop repeats of a deduplicated request: all, those of one zone, or those of one shard."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,13 +32,13 @@
 
     Attributes:
         latency_objective_ms: An answer within this time earns the full value.
-        deadline_ms: The client gives up after this time.
-        value: What an answer within the objective earns, per unit.
-        late_value: The part of ``value`` that a later answer earns.
-        deduplication_window_ms: For how long nodes recognise a repeat.
-        streamed: Answers begin before they are complete.
-        ordered: Requests with the same data key must run in order of arrival.
-        writes: Requests change data.
+        deadline_ms: The client stops waiting after this time.
+        value: Value of an answer within the objective, per unit.
+        late_value: Fraction of ``value`` that a later answer earns.
+        deduplication_window_ms: Time for which nodes recognise a repeat.
+        streamed: True if answers begin before they are complete.
+        ordered: True if requests with the same data key must run in order of arrival.
+        writes: True if requests change data.
     """
 
     name: str
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """What a volume on this plan is promised; rates in units a second, 0 for none."""
+    """Service levels and limits of the volumes on a plan; rates are in units per second, 0 for none."""
 
     name: str
     usual_rate: float
@@ -70,26 +70,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything a scheduler is told at its start.
+    """All settings of a scheduler.
 
     Attributes:
-        polls_endpoint_list: Discovery is asked for the list; else lists are pushed.
-        max_retry_after_ms: The longest Retry-After that clients accept; 0 where they take none.
+        polls_endpoint_list: True if the scheduler calls discovery for the list, False if lists are pushed.
+        max_retry_after_ms: Longest Retry-After that clients accept; 0 if they accept none.
         share_value: Value factor of units beyond the reservation and inside the volume's weighted share.
         surplus_value: Value factor of units beyond that share.
-        slow_start_units: Units that a node which has just started bears, from all schedulers together.
-        slow_start_fraction: Fraction of its capacity that a node has at its start.
+        slow_start_units: Units per overload window that a node can serve right after its start, from all
+            schedulers together.
+        slow_start_fraction: Fraction of the full capacity that a node has at its start.
         overload_window_ms: Period over which the load of a warming node is judged.
-        drain_grace_ms: For how long a draining node may still be sent requests.
-        max_open_requests: Requests that clients may have open at this scheduler.
-        connect_timeout_ms: A connection that is not up by then has failed.
+        drain_grace_ms: Time for which a draining node may still be sent requests.
+        max_open_requests: Number of requests that clients may have open at this scheduler.
+        connect_timeout_ms: A connection that is not established within this time has failed.
         overload_multiple: A warming node overloads at this multiple of its capacity; 0 if not stated.
         idle_timeout_ms: Nodes close connections that are idle for this long.
-        clients_mark_retries: Clients say of a request that it is a retry.
+        clients_mark_retries: True if clients mark requests that are retries.
         retired_classes: Classes that accept no more requests but keep their positions for open ones.
 
     Raises:
-        ValueError: A value is out of range; the text names the first such value.
+        ValueError: A value is out of range; the message names the first such value.
     """
 
     scheduler_index: int
@@ -137,7 +138,7 @@
             raise ValueError(f"setting cold_share must be at most 1, not {self.slow_start_fraction}")
 
     def _positive_values(self) -> list[tuple[str, float]]:
-        """Returns what must be above 0, under the names that error texts use."""
+        """Returns the values that must be above 0, with the names that error messages use for them."""
         return [
             ("hosts", self.scheduler_count),
             ("classes", len(self.classes)),
@@ -148,8 +149,8 @@
             ("cold_share", self.slow_start_fraction),
             ("warm_up", self.warm_up_ms),
             ("fall_window", self.overload_window_ms),
-            *((f"aim of {known.name}", known.latency_objective_ms) for known in self.classes),
-            *((f"deadline of {known.name}", known.deadline_ms) for known in self.classes),
-            *((f"worth of {known.name}", known.value) for known in self.classes),
+            *((f"aim of {item.name}", item.latency_objective_ms) for item in self.classes),
+            *((f"deadline of {item.name}", item.deadline_ms) for item in self.classes),
+            *((f"worth of {item.name}", item.value) for item in self.classes),
             *((f"weight of {plan.name}", plan.weight) for plan in self.plans),
         ]
--- a/sabledyke/policy/state.py
+++ b/sabledyke/policy/state.py
@@ -1,7 +1,7 @@
-"""What the scheduler remembers of volumes, requests and storage nodes.
+"""Records of volumes, requests and storage nodes that the scheduler keeps between batches.
 
-These records hold no decisions; each is changed by the module that owns the decision it serves. Times are
-milliseconds on the scheduler's clock, sizes units.
+They make no decisions: each field is updated by the module whose decisions use it. Times are milliseconds on
+the scheduler's clock, sizes units.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
     """A volume's token buckets at this scheduler: its share of the plan's reservation and limit.
 
     Attributes:
-        quota_share: The share of both that this scheduler has.
-        refilled_ms: Up to when the buckets were filled.
-        share_stated_ms: When a request last stated this share.
+        quota_share: This scheduler's share of the reservation and of the limit.
+        refilled_ms: Time up to which the buckets are refilled.
+        share_stated_ms: Time at which a request last stated this share.
     """
 
     plan: Plan
@@ -35,17 +35,17 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that was accepted and is not forgotten yet.
+    """An accepted request that is unanswered or still has open attempts.
 
     Attributes:
         due_ms: Queue order: arrival plus latency objective, capped by the deadline.
-        full_value_until_ms: Until when an answer earns the full value, counted from the client's first try.
-        admission_draw: Its random draw from 0 to 1 where admission to a warming node is by chance.
-        value: What a timely answer earns, per unit.
+        full_value_until_ms: Latest time at which an answer earns the full value; initially ``due_ms``.
+        admission_draw: Random number from 0 to 1 to compare with admission probabilities of warming nodes.
+        value: Value of a timely answer, per unit.
         open_attempts: Attempts that have not ended, by number.
-        possible_execution: When and where it was first sent such that it may have run.
-        waiting: It is queued at a node, or waits for a node to be selected.
-        completed: It has its final answer, or needs none any more.
+        possible_execution: Time and node of the first send after which the request may have run.
+        waiting: True while the request is queued at a node or waits for the selection of one.
+        completed: True once the request has its final answer or needs none any more.
     """
 
     request: Request
@@ -64,7 +64,7 @@
 
     @property
     def order_key(self) -> int:
-        """The data key by which it must run in order; 0 for none."""
+        """Data key for which the request must run in order of arrival; 0 for none."""
         return self.request.data_key if self.request_class.ordered else 0
 
 
@@ -76,40 +76,41 @@
     latency_ms: float
     budget_units: float
     latency_updated_ms: float
-    requested_units: float = 0.0  # from warm nodes, over their recent periods
-    served_units: float = 0.0  # of those, within the latency objective
+    requested_units: float = 0.0  # units requested from warm nodes in recent periods
+    served_units: float = 0.0  # units that warm nodes served within the latency objective in these periods
 
 
 @dataclass(slots=True, eq=False)
 class NodeRecord:
-    """What this scheduler knows of a storage node.
+    """State of a storage node, as this scheduler knows it.
 
     Attributes:
-        budget_units: What may be sent in one period.
+        budget_units: Units that may be sent to the node in one period.
         window_units: The in-flight limit.
         latency_ms: Smoothed answer time.
-        period_number: The current period.
-        latency_updated_ms: When an answer last updated ``latency_ms``.
-        decayed_ms: Up to when old statistics have decayed towards those of the kind.
-        listed_ms: When it was first listed, or listed with a new start.
-        warming_since_ms: When its warm-up began.
-        sent_units: Sent in this period.
-        requested_units: Requested in this period, or carried over in the queue.
-        served_units: Served in this period within the latency objective.
-        answer_count: Successful answers in this period; ``late_count`` of them came past their due time.
-        strained: In the last period the budget was used up and answers were late.
+        period_number: Number of the node's current period.
+        latency_updated_ms: Time at which an answer last updated ``latency_ms``.
+        decayed_ms: Time up to which old statistics have decayed towards those of the kind.
+        listed_ms: Time at which the node was first listed, or listed with a new start time.
+        warming_since_ms: Start time of the node's warm-up.
+        sent_units: Units sent to the node in this period.
+        requested_units: Units requested in this period, or carried over in the queue.
+        served_units: Units served in this period within the latency objective.
+        answer_count: Successful answers in this period.
+        late_count: Successful answers in this period that were received after the due time.
+        strained: True if the budget was used up and answers were late in the last period.
         recent_served_units: ``served_units`` of the last periods.
-        period_loads: Load for each active volume, of the periods in the admission lookback.
-        sessions: When each active volume last sent a request here.
-        in_flight: Start time and units of attempts, by request id and attempt number.
-        recent_sends: Time and units of what was sent within the overload window.
-        attempts_since_response: Attempts since the last sign that the node responds.
-        error_rate: Smoothed fraction of its answers that were errors.
-        overtaken_ms: Attempts sent before this were overtaken by a later one that was answered.
-        window_reduced_ms: When the in-flight limit last shrank.
-        unresponsive_since_ms: Since when it has not responded; inf while it responds.
-        next_probe_ms: When an unresponsive node may next be sent a request.
-        draining_since_ms: When it was listed as draining, while it still serves.
+        period_loads: Load per active volume, for each period in the admission lookback.
+        sessions: Time of each volume's last request at the node, by volume.
+        in_flight: Start time and units of attempts in flight, by request id and attempt number.
+        recent_sends: Time and units of each send within the overload window.
+        attempts_since_response: Attempts since the last response of the node.
+        error_rate: Smoothed fraction of errors among the node's answers.
+        overtaken_ms: Latest send time of an answered attempt; attempts sent earlier have been overtaken.
+        window_reduced_ms: Time at which the in-flight limit was last reduced.
+        unresponsive_since_ms: Time at which the node was marked as unresponsive; inf while it responds.
+        next_probe_ms: Time from which an unresponsive node may be sent another request.
+        draining_since_ms: Start of the drain; -inf if the node may not be sent requests while it drains.
     """
 
     entry: NodeEntry
@@ -145,15 +146,15 @@
 
     @property
     def ready(self) -> bool:
-        """Whether discovery lists it as ready."""
+        """True if discovery lists the node as ready."""
         return self.entry.state is NodeState.READY
 
     @property
     def unresponsive(self) -> bool:
-        """Whether it has stopped responding."""
+        """True if the node is marked as unresponsive."""
         return self.unresponsive_since_ms < inf
 
     @property
     def busy(self) -> bool:
-        """Whether requests are queued or in flight here."""
+        """True if requests are queued or attempts in flight at the node."""
         return bool(self.queue or self.in_flight)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: which volumes may start a session at a storage node whose capacity is used up."""
+"""Admission of volumes that start a session at a storage node whose capacity is used up."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def admits(loads: list[float], session_count: int, *, strained: bool = True) -> bool:
-    """Return whether a volume that was here before is admitted to a node with these loads and sessions."""
+    """Return whether a volume with an earlier session is admitted to a node with these loads and sessions."""
     rig = SchedulerRig()
     for volume in range(session_count):
         rig.complete(rig.submit(volume=volume))
@@ -25,7 +25,7 @@
     return len(rig.sent) > sent_before
 
 
-def test_admission_agrees_with_numbers_worked_out_by_hand() -> None:
+def test_admission_agrees_with_values_calculated_by_hand() -> None:
     # A session's mean load over the two periods is (0.2 + 0.4) / 2 = 0.3. As the third session the volume is
     # admitted, since 0.3 * 3 = 0.9 < SAFETY_MARGIN; as the fourth it is not, since 0.3 * 4 = 1.2.
     assert SAFETY_MARGIN == 1.0
@@ -46,7 +46,7 @@
     assert rig.attempt_count(rig.submit(volume=60, plan_index=RESERVED_PLAN)) == 1
 
 
-def test_with_200_schedulers_as_with_3_the_budget_holds_and_admission_rejects() -> None:
+def test_the_budget_and_the_admission_test_hold_with_3_and_with_200_schedulers() -> None:
     for scheduler_count in (3, 200):
         rig = rig_with_small_budget(scheduler_count)
         request_ids = [rig.submit() for _ in range(6)]
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Concurrency: the budget of units a period, and the window of units in flight, of each storage node."""
+"""Concurrency: each storage node's budget of units per period, and its window of units in flight."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from tests.support.scheduler_rig import SchedulerRig
 from tests.support.settings import SETTINGS
 
-MAX_OBJECTIVE_REQUESTS = 150  # what a node can serve within a latency objective
+MAX_OBJECTIVE_REQUESTS = 150  # requests that a node can serve within a latency objective
 
 
 def close_period(rig: SchedulerRig) -> None:
-    """Let the period of node 1 end."""
+    """Advance the clock past the end of node 1's period, and close the period."""
     rig.now_ms = (rig.node().period_number + 1.001) * rig.scheduler.context.period_ms
     rig.scheduler.context.now_ms = rig.now_ms
     rig.scheduler.concurrency.close_period(rig.node())
@@ -80,8 +80,8 @@
     assert scheduler_count * MIN_BUDGET_REQUESTS / objectives_per_period <= MAX_OBJECTIVE_REQUESTS
 
 
-def test_a_period_is_as_long_as_the_deployment_is_slow() -> None:
-    """A budget is in requests: those of a deployment four times as fast must fit a quarter of the time."""
+def test_the_length_of_a_period_is_proportional_to_the_latency_objectives() -> None:
+    """A budget counts requests: in a deployment four times as fast it must last for a quarter of the time."""
     fast = tuple(
         replace(request_class, latency_objective_ms=request_class.latency_objective_ms / 4)
         for request_class in SETTINGS.classes
@@ -90,7 +90,7 @@
     assert fast_period_ms == SchedulerRig().scheduler.context.period_ms / 4
 
 
-def test_a_new_node_starts_with_the_budget_that_its_kind_has() -> None:
+def test_a_new_node_starts_with_the_budget_of_its_kind() -> None:
     rig = SchedulerRig()
     rig.node().budget_units = MAX_BUDGET_REQUESTS * 2.0
     for _ in range(50):
--- a/tests/policy/test_discovery_schedule.py
+++ b/tests/policy/test_discovery_schedule.py
@@ -1,4 +1,4 @@
-"""When schedulers call discovery, so that all of them together do not overload it."""
+"""Schedule of calls to discovery, which keeps all schedulers together from overloading it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.scheduler_rig import SchedulerRig, actions_of
 
 SCHEDULER_COUNT = 40
-CALL_MS = 160.0  # what a call costs discovery
+CALL_MS = 160.0  # time that discovery takes for a call
 CALL_TIMEOUT_MS = 2000.0
 STEP_MS = 10
 FAILED_CALL = EndpointList(ListKind.FAILED, 0, ())
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryAnswer:
-    """What a scheduler will get for its call, and when."""
+    """Result of a scheduler's call to discovery, and the time at which the scheduler gets it."""
 
     at_ms: float
     scheduler_index: int
@@ -42,12 +42,12 @@
 
 
 class SlowDiscovery:
-    """Serves calls one after the other, also those that the caller has given up.
+    """Discovery that serves calls one after the other, including those that have timed out at the caller.
 
     Attributes:
-        answers: The answers that are due.
-        failed_calls: How many calls have failed.
-        served: The schedulers that have got a list.
+        answers: Answers that are not delivered yet.
+        failed_calls: Number of calls that have failed.
+        served: Indices of the schedulers that have got a list.
     """
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         self._free_at_ms = 0.0
 
     def call(self, now_ms: float, scheduler_index: int) -> None:
-        """Accept a call."""
+        """Accept a scheduler's call and schedule its answer."""
         self._free_at_ms = max(self._free_at_ms, now_ms) + CALL_MS
         timeout_at_ms = now_ms + CALL_TIMEOUT_MS
         succeeds = self._free_at_ms <= timeout_at_ms
@@ -81,7 +81,7 @@
 
 
 def test_schedulers_that_all_start_together_get_their_list_from_one_slow_discovery() -> None:
-    """Guards against calls that come at once and again at once: discovery serves abandoned ones, too."""
+    """Guards against simultaneous calls and retries: discovery also serves calls that have timed out."""
     rigs = [
         SchedulerRig(scheduler_count=SCHEDULER_COUNT, polls_endpoint_list=True)
         for _ in range(SCHEDULER_COUNT)
--- a/tests/policy/test_dispatch.py
+++ b/tests/policy/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Each node's queue: what is sent next, what waits, and what is rejected for it."""
+"""Queues of storage nodes: the requests that are sent next, kept waiting or rejected."""
 
 from __future__ import annotations
 
@@ -52,8 +52,8 @@
     last = rig.submit(class_index=WRITE_CLASS)
     assert not rig.answers(high_value)
     rejected = [request_id for request_id in (*low_value, last) if rig.answers(request_id)]
-    assert len(rejected) == 2  # one for each above the bound
-    assert last in rejected  # the one that is due last
+    assert len(rejected) == 2  # one for each open request above the bound
+    assert last in rejected  # the request that is due last
     rig.complete(first)
     rig.advance(100)
     assert rig.attempt_count(high_value) == 1
@@ -78,19 +78,19 @@
     rig = SchedulerRig(clients_mark_retries=True)
     in_flight = rig.submit()
     assert rig.attempt_count(in_flight) == 1
-    late = rig.submit(remaining_ms=300, repeated=True)  # 700 of 1000 ms are over, the objective was 200
+    late = rig.submit(remaining_ms=300, repeated=True)  # 700 of 1000 ms have passed, the objective is 200
     assert rig.attempt_count(late) == 0
     first_try = rig.submit(remaining_ms=300)
-    assert rig.attempt_count(first_try) == 1  # it passes the one that came before it
+    assert rig.attempt_count(first_try) == 1  # it overtakes the late retry
     rig.complete(in_flight)
     assert rig.attempt_count(late) == 0
     rig.complete(first_try)
-    assert rig.attempt_count(late) == 1  # the node has nothing better to do
+    assert rig.attempt_count(late) == 1  # the node has no other requests
 
 
 @pytest.mark.parametrize("marked", [False, True])
-def test_no_client_has_others_rejected_by_what_it_states_of_its_time(marked: bool) -> None:
-    """Guards against a long deadline by which shorter ones are taken for retries, and against marks."""
+def test_requests_are_sent_at_once_for_any_stated_remaining_time_and_retry_mark(marked: bool) -> None:
+    """Guards against taking short deadlines for retries after longer ones, and against rejection by marks."""
     rig = SchedulerRig(clients_mark_retries=marked)
     for remaining_ms in (1000, 300, 150, 1000, 300):
         request_id = rig.submit(remaining_ms=remaining_ms, repeated=marked)
@@ -99,7 +99,7 @@
         rig.advance(100)
 
 
-def test_a_rejection_is_given_at_once_and_says_when_to_retry_if_clients_accept_that() -> None:
+def test_a_rejection_is_immediate_and_advises_a_retry_delay_if_clients_accept_one() -> None:
     rig = SchedulerRig(node_entry(1))
     actions_before = len(rig.actions)
     without_time = rig.submit(remaining_ms=5)
--- a/tests/policy/test_drain.py
+++ b/tests/policy/test_drain.py
@@ -1,4 +1,4 @@
-"""Storage nodes that drain or are removed: what may still be sent to them, and for how long."""
+"""Draining and removed storage nodes: the requests that they may still be sent, and until when."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from sabledyke.policy.actions import StartAttempt
 from sabledyke.policy.events import Outcome
-from sabledyke.policy.node_directory import USED_DRAIN_GRACE
+from sabledyke.policy.node_directory import DRAIN_SEND_FRACTION
 from sabledyke.policy.nodes import NodeState
 from tests.support.nodes import endpoint_change, endpoint_list, node_entry
 from tests.support.scheduler_rig import SchedulerRig, actions_of, new_request
@@ -43,14 +43,14 @@
     rig.complete(first, outcome)
     rig.advance(50)
     assert rig.attempt_count(rig.submit()) == int(outcome is Outcome.OK)
-    rig.advance(USED_DRAIN_GRACE * 2000)
-    rig.handle(DRAINING)  # announced again, which does not lengthen it
+    rig.advance(DRAIN_SEND_FRACTION * 2000)
+    rig.handle(DRAINING)  # a repeated listing does not extend the grace
     late = rig.submit()
     assert not rig.was_sent(late)
     rig.handle(endpoint_change(node_entry(1)))
     assert rig.attempt_count(late) == 1
-    rig.handle(endpoint_list(node_entry(2)))  # node 1 is missing, and so removed
-    rig.handle(DRAINING)  # an outdated update, which gives it no new grace
+    rig.handle(endpoint_list(node_entry(2)))  # node 1 is not listed, and so is removed
+    rig.handle(DRAINING)  # an outdated update starts no new grace
     rig.complete(late)
     assert not rig.was_sent(rig.submit())
 
@@ -63,6 +63,6 @@
     queued = rig.submit(class_index=1)
     assert rig.attempt_count(first) == 1
     assert not rig.was_sent(queued)
-    rig.advance(USED_DRAIN_GRACE * 200 + 1)
+    rig.advance(DRAIN_SEND_FRACTION * 200 + 1)
     rig.complete(first)
     assert not rig.was_sent(queued)
--- a/tests/policy/test_latency_estimates.py
+++ b/tests/policy/test_latency_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of nodes' latency: what is measured, and what is taken from other nodes of the kind."""
+"""Latency estimates of storage nodes, from their own answers and from other nodes of their kind."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     assert rig.node().latency_ms < latency_before_ms + 20
 
 
-def test_an_outdated_estimate_gives_way_to_what_other_nodes_of_the_kind_show() -> None:
+def test_an_outdated_estimate_decays_towards_the_latency_of_other_nodes_of_the_kind() -> None:
     rig = SchedulerRig(node_entry(1), node_entry(2))
     rig.node(1).latency_ms = 180.0
     for _ in range(60):
@@ -34,7 +34,7 @@
 
 
 def test_a_node_that_has_not_answered_yet_is_estimated_by_its_kind() -> None:
-    """Guards against rejections at idle nodes that a scheduler happens not to have sent anything yet."""
+    """Guards against rejections at idle nodes to which a scheduler has not sent any request yet."""
     rig = SchedulerRig(node_entry(1), node_entry(2), scheduler_count=SCHEDULER_COUNT)
     for _ in range(40):
         rig.complete(rig.submit(), elapsed_ms=20)
@@ -43,13 +43,13 @@
     unknown = rig.node(2)
     difference_before_ms = unknown.latency_ms - kind.latency_ms
     rig.submit(shard=2)
-    # 2 s have passed; a measured estimate gives way by half in 10 s.
+    # 2 s have passed; the half-life of a measured estimate is 10 s.
     assert unknown.latency_ms - kind.latency_ms < difference_before_ms / 3
 
 
 @pytest.mark.parametrize("value", [3.0, 0.5])
 def test_slow_answers_of_one_class_do_not_keep_another_from_an_idle_node_for_good(value: float) -> None:
-    """Guards against an estimate that rejects what alone could correct it."""
+    """Guards against a latency estimate that rejects the requests whose answers could correct it."""
     slow = replace(WRITE, latency_objective_ms=1500, deadline_ms=5000, value=3, writes=False)
     rig = SchedulerRig(classes=(replace(READ, value=value), slow))
     slow_requests = [rig.submit(class_index=1) for _ in range(5)]
--- a/tests/policy/test_node_directory.py
+++ b/tests/policy/test_node_directory.py
@@ -1,4 +1,4 @@
-"""The directory of storage nodes: replacement, removal, and what is forgotten."""
+"""The directory of storage nodes: replacement, removal, and eviction of records."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.support.settings import SETTINGS
 
 
-def test_a_node_missing_from_a_complete_list_is_removed_and_its_replacement_takes_over() -> None:
+def test_a_node_missing_from_a_complete_list_is_removed_and_its_replacement_serves_its_shard() -> None:
     rig = SchedulerRig(node_entry(1), node_entry(2))
     rig.handle(endpoint_list(node_entry(2)))
     request_id = rig.submit()
@@ -18,7 +18,7 @@
     assert rig.sent[-1].node_id == node_id(3)
 
 
-def test_removed_nodes_and_idle_volumes_are_forgotten() -> None:
+def test_records_of_removed_nodes_and_idle_volumes_are_evicted() -> None:
     rig = SchedulerRig()
     for number in range(2, 200):
         rig.handle(endpoint_list(node_entry(number)))
--- a/tests/policy/test_ordering.py
+++ b/tests/policy/test_ordering.py
@@ -26,7 +26,7 @@
     assert rig.attempt_count(second) == 1
 
 
-def test_an_ordered_request_waits_for_the_outcome_of_one_that_is_already_over() -> None:
+def test_an_ordered_request_waits_for_the_attempt_of_an_earlier_one_whose_client_disconnected() -> None:
     rig = SchedulerRig(classes=(ORDERED,))
     first = rig.submit(data_key=9)
     second = rig.submit(data_key=9)
@@ -43,4 +43,4 @@
     for data_key in range(1, 21):
         rig.complete(rig.submit(data_key=data_key), Outcome.RESET, request_completed=True)
         rig.advance(1000)
-    assert len(rig.scheduler.requests._order_settled_ms) <= 11  # searched each 10 s
+    assert len(rig.scheduler.requests._order_settled_ms) <= 11  # evicted every 10 s
--- a/tests/policy/test_outlier.py
+++ b/tests/policy/test_outlier.py
@@ -1,4 +1,4 @@
-"""Unresponsive storage nodes: how they are found, probed and used again."""
+"""Unresponsive storage nodes: their detection, probes, and return to normal use."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.support.scheduler_rig import SchedulerRig, actions_of, attempt_completed, new_request
 
 
-def test_an_unresponsive_node_is_probed_sparingly_and_logged_once() -> None:
+def test_an_unresponsive_node_is_probed_rarely_and_logged_once() -> None:
     rig = SchedulerRig()
     rig.submit()
     for _ in range(20):
@@ -18,7 +18,7 @@
     assert len(actions_of(rig.actions, Log)) == 1
 
 
-def test_probes_of_an_unresponsive_node_grow_rarer() -> None:
+def test_probes_of_an_unresponsive_node_become_less_frequent() -> None:
     rig = SchedulerRig()
     for volume in range(600):
         request_id = rig.submit(volume=volume)
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas: reservations and limits of volumes, which several schedulers keep together."""
+"""Quotas: reservations and limits of volumes, shared by several schedulers."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     assert any(isinstance(action, Reject) for action in rig.actions)
 
 
-def test_a_restarted_scheduler_starts_without_saved_up_limit() -> None:
+def test_a_restarted_scheduler_starts_with_an_empty_limit_bucket() -> None:
     rig = SchedulerRig()
     assert not rig.was_sent(rig.submit(plan_index=CAPPED_PLAN, units=8))
 
@@ -77,7 +77,7 @@
         for rig in rigs:
             rig.advance(step_ms)
     total_s = 2 * steps_per_phase * step_ms / 1000
-    assert units_within_limit(rigs, units) >= 0.8 * CAPPED.limit * total_s  # and the limit is made use of
+    assert units_within_limit(rigs, units) >= 0.8 * CAPPED.limit * total_s  # most of the limit is used
 
 
 @pytest.mark.parametrize("saved_ms", [0, 1000, 4000])
@@ -99,11 +99,11 @@
                 rig.complete(sent.request_id, elapsed_ms=5)
             rig.advance(step_ms)
     served = units_within_limit((old, new), units)
-    assert served >= 0.8 * CAPPED.limit * (new.now_ms - START_MS) / 1000  # and the limit is made use of
+    assert served >= 0.8 * CAPPED.limit * (new.now_ms - START_MS) / 1000  # most of the limit is used
 
 
 def units_within_limit(rigs: Sequence[SchedulerRig], units: float) -> float:
-    """Check that what these schedulers sent together kept to the limit; return how many units it was."""
+    """Check that these schedulers together stayed within the limit; return the units that they sent."""
     sent_at_ms = sorted(sent.at_ms for rig in rigs for sent in rig.sent)
     tokens = 0.0
     previous_ms = START_MS
@@ -128,7 +128,7 @@
 
 
 def test_a_number_of_schedulers_that_one_request_stated_is_forgotten_in_time() -> None:
-    """Guards against one client that lowers a volume's limit for all of its clients, for good."""
+    """Guards against one client that permanently lowers a volume's limit for all of its clients."""
     rig = SchedulerRig(node_entry(1), scheduler_count=4)
     rig.submit(plan_index=CAPPED_PLAN, scheduler_count=4)
     (volume,) = rig.scheduler.quotas.volumes.values()
@@ -137,6 +137,6 @@
         rig.submit(plan_index=CAPPED_PLAN, scheduler_count=1)
         rig.advance(1000)
         shares.append(volume.quota_share)
-    assert shares[:59] == [0.25] * 59  # others may still spend what they saved
+    assert shares[:59] == [0.25] * 59  # other schedulers may still spend saved tokens
     assert shares[-1] == 1
     assert volume.limit_tokens <= CAPPED.limit_burst
--- a/tests/policy/test_reject_reasons.py
+++ b/tests/policy/test_reject_reasons.py
@@ -1,4 +1,4 @@
-"""Why requests are given up: each way to end one without service names its own reason."""
+"""Reasons of rejections and failures: each cause is reported with a reason of its own."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(
-    ("play", "reason"),
+    ("run_scenario", "reason"),
     [
         (rejected_by_limit, RejectReason.LIMIT),
         (rejected_by_admission, RejectReason.ADMISSION),
@@ -88,8 +88,8 @@
         (rejected_after_the_last_attempt, RejectReason.ATTEMPTS),
     ],
 )
-def test_a_request_that_is_given_up_names_its_reason(
-    play: Callable[[], SchedulerRig], reason: RejectReason
+def test_a_rejected_or_failed_request_names_its_reason(
+    run_scenario: Callable[[], SchedulerRig], reason: RejectReason
 ) -> None:
-    answers = [action for action in play().actions if isinstance(action, Reject | Fail)]
+    answers = [action for action in run_scenario().actions if isinstance(action, Reject | Fail)]
     assert Counter(action.reason for action in answers).keys() == {reason}
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests: each gets one answer in time, and nothing is done for a client that has left."""
+"""Requests: each gets one answer in time, and none is sent for a client that has disconnected."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     assert all(len(rig.answers(request_id)) == 1 for request_id in request_ids)
 
 
-def test_nothing_is_sent_after_the_client_left() -> None:
+def test_queued_requests_are_not_sent_after_their_clients_disconnected() -> None:
     rig = SchedulerRig()
     request_ids = [rig.submit() for _ in range(8)]
     queued = [
@@ -37,7 +37,7 @@
     assert not any(rig.was_sent(request_id) for request_id in queued)
 
 
-def test_events_of_requests_that_are_already_over_are_ignored() -> None:
+def test_events_of_completed_requests_and_unknown_timers_are_ignored() -> None:
     rig = SchedulerRig()
     request_id = rig.submit()
     rig.complete(request_id)
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -86,7 +86,7 @@
     assert 0 < len(rig.sent) - len(rig.attempt_counts) <= 1 + 0.1 * 20
 
 
-def test_an_attempt_times_out_with_the_latency_objective_and_is_rejected_then() -> None:
+def test_an_attempt_times_out_at_the_latency_objective_and_its_request_is_rejected() -> None:
     rig = SchedulerRig()
     request_id = rig.submit()
     assert actions_of(rig.actions, StartAttempt)[-1].timeout_ms == 200
@@ -106,7 +106,7 @@
         execution = PossibleExecution(rig.now_ms - age_ms, node_entry(1))
         rig.handle(new_request(1, remaining_ms=2000, shard=shard, write=True, possible_execution=execution))
         assert rig.was_sent(1) is is_sent
-        if age_ms == 500:  # nothing can change: it fails at once
+        if age_ms == 500:  # the window has passed, so the request fails at once
             assert rig.answers(1) == [Fail(1, reason=RejectReason.NO_NODE)]
         rig.advance(3000)
         assert is_sent or rig.answers(1) == [Fail(1, reason=RejectReason.NO_NODE)]
--- a/tests/policy/test_scheduler.py
+++ b/tests/policy/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler as embedding callers use it: misuse, determinism, and the size of its modules."""
+"""The scheduler as a library: misuse by callers, determinism, and the size of its modules."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""The choice of a storage node for a new object, which any node may take."""
+"""Selection of a storage node for new objects, which any node may store."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_new_objects_avoid_a_node_that_answers_with_errors() -> None:
-    """Guards against a node that fails at once, and so looks fast, attracting all new objects."""
+    """Guards against sending all new objects to a node that fails at once and therefore appears fast."""
     rig = SchedulerRig(node_entry(1), node_entry(2), scheduler_count=SCHEDULER_COUNT)
     for number, outcome, elapsed_ms in ((1, Outcome.ERROR, 2), (2, Outcome.OK, 40)):
         request_id = rig.submit(shard=number)
@@ -25,8 +25,8 @@
         rig.complete(request_id, elapsed_ms=40, node_number=2)
 
 
-def test_schedulers_spread_new_objects_over_nodes_that_none_has_an_estimate_of() -> None:
-    """Guards against all of them choosing the node that started first by a hair, which overloads it."""
+def test_schedulers_spread_new_objects_over_nodes_without_latency_estimates() -> None:
+    """Guards against all schedulers choosing the node that started slightly earlier, which overloads it."""
     chosen = Counter[bytes]()
     numbers = range(1, 9)
     for index in range(SCHEDULER_COUNT):
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that are out of range."""
+"""Errors for settings that are out of range."""
 
 from __future__ import annotations
 
@@ -15,6 +15,6 @@
         ("slow_start_fraction", "cold_share", 1.5),
     ],
 )
-def test_a_setting_out_of_range_is_named(field: str, name: str, value: float) -> None:
+def test_the_error_for_a_setting_out_of_range_names_the_setting(field: str, name: str, value: float) -> None:
     with pytest.raises(ValueError, match=f"setting {name} must be"):
         SchedulerRig(**{field: value})
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start of one scheduler: what it sends to a node that is warming up."""
+"""Slow start at one scheduler: the requests that it sends to a node that is warming up."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     assert 0 < sum(2 for sent in rig.sent if sent.at_ms <= start_ms + 2000) <= 20 / 2
 
 
-def test_what_a_node_was_sent_just_before_its_restart_counts() -> None:
+def test_requests_sent_just_before_a_nodes_restart_count_against_its_slow_start() -> None:
     rig = SchedulerRig()
     for _ in range(5):
         rig.complete(rig.submit())
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""The budget of a node that warms up, under the random demand of schedulers in any number."""
+"""The budget of a node that is warming up, under random demand from few or many schedulers."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from tests.support.scheduler_rig import SchedulerRig
 from tests.support.settings import SETTINGS
 
-UNITS = 2.0  # of each request: one of mean work
+UNITS = 2.0  # size of each request, equal to the mean
 LATENCY_MS = 20.0
 NEW_NODE = 1
 WARM_NODE = 2
 
 
 def budget(calls: float) -> float:
-    """Return how many calls a cold node bears in a window for which settings allow ``calls`` (STANDING)."""
+    """Return the calls that a cold node can serve in a window if settings allow ``calls`` (STANDING)."""
     if calls >= 30:
         return calls + 2 * sqrt(calls) + 2
     return calls + 3 * sqrt(calls) + 3
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InFlight:
-    """An attempt that a node will answer."""
+    """An attempt in flight, and the time of its answer."""
 
     answered_at_ms: float
     request_id: int
@@ -35,11 +35,11 @@
 
 
 class LoadedScheduler:
-    """One of the schedulers, with random requests of its own for both nodes.
+    """One of the schedulers, with its own random requests for both nodes.
 
     Attributes:
-        rig: The scheduler.
-        sent_at_ms: When it sent a request to the new node.
+        rig: The scheduler's rig.
+        sent_at_ms: Times at which the scheduler sent requests to the new node.
     """
 
     def __init__(self, seed: int, mean_interval_ms: float, **settings: float) -> None:
@@ -52,7 +52,7 @@
         self._in_flight: list[InFlight] = []
 
     def run_until(self, end_ms: float) -> None:
-        """Submit requests, and report answers, until then."""
+        """Submit requests and report answers until the given time."""
         next_request_ms = self._next_request_ms()
         while True:
             next_event_ms = min([next_request_ms, *(sent.answered_at_ms for sent in self._in_flight)])
@@ -92,15 +92,14 @@
 def test_schedulers_in_any_number_keep_a_new_node_inside_its_budget(
     scheduler_count: int, slow_start_units: int, overload_multiple: float
 ) -> None:
-    """The demand is all that the node can serve once it is warm, from its first moment on."""
+    """From the start of the node, the demand equals the capacity that it has once it is warm."""
     window_ms = SETTINGS.overload_window_ms
     cold_fraction = SETTINGS.slow_start_fraction
-    first_calls = slow_start_units / UNITS  # that the settings allow it right after its start
-    demanded_calls = first_calls / cold_fraction / overload_multiple  # in a window
-    mean_interval_ms = (
-        window_ms * scheduler_count / demanded_calls / 2
-    )  # the same is demanded of the warm node
-    sent_after_ms: list[float] = []  # the start
+    first_calls = slow_start_units / UNITS  # calls that the settings allow right after the node's start
+    demanded_calls = first_calls / cold_fraction / overload_multiple  # calls in a window
+    # Half of the requests are for the warm node.
+    mean_interval_ms = window_ms * scheduler_count / demanded_calls / 2
+    sent_after_ms: list[float] = []  # times relative to the new node's start
     for seed in range(scheduler_count):
         loaded = LoadedScheduler(
             seed,
