--- a/sabledyke/core/__init__.py
+++ b/sabledyke/core/__init__.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and answers between front ends and storage nodes, in no wire's terms."""
+"""Requests, attempts and answers between front ends and storage nodes, independent of wire protocols."""
 
 from sabledyke.core.core import Core
 from sabledyke.core.open_request import ANSWER_GUARD_MS, ATTEMPT_GUARD_MS
--- a/sabledyke/core/core.py
+++ b/sabledyke/core/core.py
@@ -1,8 +1,9 @@
-"""The life of a request between a front end and the storage nodes.
+"""Processing of requests between front ends and storage nodes, from submission to the final answer.
 
-Front ends submit a ``ClientRequest`` and get one ``Answer`` each; transports start and cancel attempts and
-report one ``AttemptResult`` each; ``Scheduler.handle`` decides. No wire, socket or clock is known here: every
-call is given the time in milliseconds, and the driver calls ``run_batch`` when events wait or a timer is due.
+Front ends submit a ``ClientRequest`` and get one ``Answer`` for each; transports start and cancel attempts
+and report one ``AttemptResult`` for each; ``Scheduler.handle`` makes the decisions. The core uses no wire
+protocol, socket or clock: each call is given the time in milliseconds, and the driver calls ``run_batch``
+when events wait or a timer is due.
 """
 
 from __future__ import annotations
@@ -56,16 +57,16 @@
 
 
 class Core:
-    """Feeds the policy batches of events and carries out its actions.
+    """Passes batches of events to the policy and carries out its actions.
 
     Attributes:
         settings: The settings in force.
         scheduler: The policy.
-        transport: What carries attempts to nodes.
-        lists: Discovery.
-        nodes: The endpoint list, as far as it is known.
-        metrics: What is counted.
-        last_request_id: The number of the newest request; 0 before the first.
+        transport: The transport that sends attempts to nodes.
+        lists: Discovery, the source of the endpoint list.
+        nodes: Known entries of the endpoint list, by node.
+        metrics: Counters of attempts, answers and rejections.
+        last_request_id: Number of the newest request; 0 before the first.
     """
 
     def __init__(
@@ -81,9 +82,9 @@
         Args:
             settings: The settings.
             seed: The seed of the policy's random choices.
-            transport: What carries attempts to nodes.
-            lists: Discovery.
-            wake: Called when the first event of a batch waits.
+            transport: The transport that sends attempts to nodes.
+            lists: Discovery, the source of the endpoint list.
+            wake: Called when the first event of a batch is queued.
         """
         self.settings = settings
         self.scheduler = Scheduler(settings, seed)
@@ -105,7 +106,7 @@
 
     @property
     def unanswered(self) -> int:
-        """Requests that still wait for an answer."""
+        """Number of requests that wait for an answer."""
         return sum(not request.answered for request in self._requests.values())
 
     @property
@@ -114,32 +115,32 @@
         return list(self._requests.values())
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings; requests that were accepted keep their class and deadline."""
+        """Apply new settings; requests that are already accepted keep their class and deadline."""
         self.settings = settings
         self._answers.max_retry_after_ms = settings.max_retry_after_ms
         self.scheduler.apply_settings(settings)
 
     def shut_down_by(self, now_ms: float, answer_by_ms: float, available_again_at_ms: float) -> None:
-        """Have every request answered by a time, as the program ends then.
+        """Answer every request by a given time, at which the process ends.
 
-        Guards against an end that cuts off accepted requests: what is unanswered then is rejected where it
-        has certainly not run or may be repeated, and else failed.
+        Guards against an exit that leaves accepted requests without an answer. A request that is still
+        unanswered at that time is rejected if it has certainly not run or may be repeated, and else failed.
 
         Args:
             now_ms: The time.
-            answer_by_ms: When the last answer is given.
-            available_again_at_ms: When rejected clients may expect a server here again.
+            answer_by_ms: Time of the last answer.
+            available_again_at_ms: Expected time at which a server is available again for rejected clients.
         """
         self._answers.shut_down_by(answer_by_ms, available_again_at_ms)
         self.scheduler.shut_down_by(now_ms, self._answers.answer_all_by_ms)
 
     def submit(self, now_ms: float, client_request: ClientRequest, done: Callable[[Answer], None]) -> int:
-        """Accept a request.
+        """Accept a request and pass it to the policy with the next batch.
 
         Args:
             now_ms: The time.
             client_request: The request.
-            done: Called once with the answer, and never from inside this call.
+            done: Called once with the answer, and never before this call returns.
 
         Returns:
             The request's number.
@@ -158,33 +159,35 @@
         return request_id
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """The client has left: no answer is due any more."""
+        """Close a request whose client has disconnected; it gets no answer."""
         self._answers.on_client_disconnected(request_id)
 
-    def on_attempt_completed(self, now_ms: float, request_id: int, number: int, end: AttemptResult) -> None:
-        """Process the one outcome of an attempt."""
+    def on_attempt_completed(
+        self, now_ms: float, request_id: int, number: int, result: AttemptResult
+    ) -> None:
+        """Process the one result of an attempt; a served request is answered at once."""
         request = self._requests.get(request_id)
-        known = request is not None and number in request.in_flight
-        if not check(known, "one outcome per attempt", f"{request_id}"):
+        is_in_flight = request is not None and number in request.in_flight
+        if not check(is_in_flight, "one outcome per attempt", f"{request_id}"):
             return
         assert request is not None
         attempt = request.in_flight.pop(number)
-        self.metrics.count_attempt(end.outcome, may_have_run=end.may_have_run)
-        if end.may_have_run and request.first_execution is None:
+        self.metrics.count_attempt(result.outcome, may_have_run=result.may_have_run)
+        if result.may_have_run and request.first_execution is None:
             request.first_execution = PossibleExecution(*attempt)
-        if end.outcome is Outcome.OK and not request.answered:
-            self._answers.serve(request_id, end.body)
+        if result.outcome is Outcome.OK and not request.answered:
+            self._answers.serve(request_id, result.body)
         self._add_event(
             AttemptCompleted(
                 request_id,
                 attempt.node.node_id,
                 number,
-                end.outcome,
+                result.outcome,
                 request.answered,
-                now_ms - attempt.sent_at_ms - end.held_back_ms,
-                end.used_percent,
-                end.other_schedulers_units,
-                end.load_report,
+                now_ms - attempt.sent_at_ms - result.held_back_ms,
+                result.used_percent,
+                result.other_schedulers_units,
+                result.load_report,
             )
         )
         self._answers.forget_if_finished(request_id)
@@ -196,11 +199,11 @@
         return removed
 
     def may_write(self, now_ms: float, request_id: int, number: int) -> bool:
-        """Whether an attempt may be written now, at the moment at which its connection is up.
+        """Return whether an attempt may be written now that its connection is established.
 
-        Guards against work for a client that has left, for a node that drains or was restarted meanwhile,
-        past the client's deadline, and past the window in which a repeat is recognised. An attempt that may
-        not be written has not run.
+        Guards against sends for a client that has disconnected, to a node that drains or was restarted in the
+        meantime, past the client's deadline, and past the deduplication window. An attempt that may not be
+        written has not run.
         """
         request = self._requests.get(request_id)
         if request is None or request.answered or number not in request.in_flight:
@@ -210,14 +213,14 @@
         attempt = request.in_flight[number]
         if not takes_attempt(self.nodes, attempt, now_ms, self.settings.drain_grace_ms):
             return False
-        return request.may_run_at(attempt.node, now_ms, besides=number)
+        return request.may_run_at(attempt.node, now_ms, excluding=number)
 
     def has_attempts_at(self, node: NodeId) -> bool:
-        """Whether an attempt is in flight at a node."""
+        """Return whether an attempt is in flight at a node."""
         return any(request.has_attempt_at(node) for request in self._requests.values())
 
     def next_batch_due(self) -> float | None:
-        """Return when ``run_batch`` must be called next if no event comes before; None for no such time."""
+        """Return the time of the next ``run_batch`` call without new events; None if no timer is set."""
         return self._timers.next_due_ms
 
     def run_batch(self, now_ms: float) -> None:
@@ -228,7 +231,7 @@
             self._timers.add_shutdown_poll(now_ms + SHUTDOWN_POLL_MS)
         for action in self._decide(now_ms):
             self._carry_out(now_ms, action)
-        self._answers.answer_rest(now_ms)
+        self._answers.answer_remaining(now_ms)
         for request_id in due.guarded_requests:
             self._answers.fail_if_unanswered(now_ms, request_id)
 
@@ -239,7 +242,9 @@
         self._events = []
         try:
             return self.scheduler.handle(now_ms, events)
-        except Exception:  # guards against a fault in a decision ending the program with all that it accepted
+        except (
+            Exception
+        ):  # guards against an error in one decision that ends the process and drops its requests
             log.emit("fault", traceback.format_exc())
             report_violation("the module decides without a fault")
             return []
--- a/sabledyke/core/final_answers.py
+++ b/sabledyke/core/final_answers.py
@@ -1,4 +1,4 @@
-"""The one final answer of each request: by the policy's decision, by its deadline, or as the program ends.
+"""The one final answer of each request: decided by the policy, by the deadline or by the shutdown.
 
 Times are milliseconds.
 """
@@ -15,16 +15,17 @@
 from sabledyke.metrics import Metrics
 from sabledyke.policy.actions import RejectReason
 
-SHUTDOWN_POLL_MS = 10.0  # between looks at what still came, once the time of a shutdown is over
+# Interval between checks for new requests after the time by which a shutdown answers all requests.
+SHUTDOWN_POLL_MS = 10.0
 
 
 class FinalAnswers:
-    """Answers the requests of one core, and forgets them once nothing of them is in flight.
+    """Answers the requests of one core, and drops them once they have no attempt in flight.
 
     Attributes:
         requests: Requests that wait for an answer or for the outcome of an attempt, by number.
-        max_retry_after_ms: The longest time after which a client may be asked to retry.
-        answer_all_by_ms: When the last answer is given; inf while no shutdown is under way.
+        max_retry_after_ms: Longest delay after which a client may be asked to retry.
+        answer_all_by_ms: Time by which all requests are answered; inf without a shutdown.
     """
 
     def __init__(
@@ -34,13 +35,13 @@
         max_retry_after_ms: float,
         on_closed: Callable[[int], None],
     ) -> None:
-        """Make answers for a core without requests.
+        """Create the table of answers for a core without requests.
 
         Args:
-            metrics: What is counted.
+            metrics: Counters of answers and rejections.
             timers: The core's timers.
-            max_retry_after_ms: The longest time after which a client may be asked to retry.
-            on_closed: Called with each request that is over without the policy's decision.
+            max_retry_after_ms: Longest delay after which a client may be asked to retry.
+            on_closed: Called with the number of each request that ends without a decision of the policy.
         """
         self.requests: dict[int, OpenRequest] = {}
         self.max_retry_after_ms = max_retry_after_ms
@@ -51,11 +52,11 @@
         self._on_closed = on_closed
 
     def shut_down_by(self, answer_by_ms: float, available_again_at_ms: float) -> None:
-        """Have every request answered by a time; a later time than an earlier call's changes nothing.
+        """Answer every request by a given time; the earliest time of all calls counts.
 
         Args:
-            answer_by_ms: When the last answer is given.
-            available_again_at_ms: When rejected clients may expect a server here again.
+            answer_by_ms: Time of the last answer.
+            available_again_at_ms: Expected time at which a server is available again for rejected clients.
         """
         self.answer_all_by_ms = min(self.answer_all_by_ms, answer_by_ms)
         self._available_again_at_ms = available_again_at_ms
@@ -64,33 +65,33 @@
         self._timers.add_shutdown_poll(self.answer_all_by_ms)
 
     def serve(self, request_id: int, body: bytes) -> None:
-        """Answer an unanswered request with what a storage node returned; an attempt is still in flight."""
+        """Answer an unanswered request with the body from a storage node; the caller drops the request."""
         self._answer(request_id, Answer(AnswerStatus.SERVED, body))
 
     def reject(self, now_ms: float, request_id: int, advised_ms: float, reason: RejectReason) -> None:
-        """Reject a request, unless it has its answer; its client may retry after the advised time."""
+        """Reject a request unless it is already answered; its client may retry after the advised delay."""
         retry_after_ms = self._retry_after_ms(now_ms, advised_ms)
         self._finish(request_id, Answer(AnswerStatus.REJECTED, retry_after_ms=retry_after_ms), reason)
 
     def fail(self, request_id: int, reason: RejectReason) -> None:
-        """Fail a request, unless it has its answer."""
+        """Fail a request unless it is already answered."""
         self._finish(request_id, Answer(AnswerStatus.FAILED), reason)
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """The client has left: no answer is due any more."""
+        """Close a request whose client has disconnected; it gets no answer."""
         request = self.requests.get(request_id)
         if request is not None and not request.answered:
             request.answered = True
             self._close(request_id)
 
     def forget_if_finished(self, request_id: int) -> None:
-        """Forget a request that is answered and has no attempt in flight."""
+        """Drop a request that is answered and has no attempt in flight."""
         request = self.requests.get(request_id)
         if request is not None and request.finished:
             del self.requests[request_id]
 
-    def answer_rest(self, now_ms: float) -> None:
-        """Answer every request that still waits, once the time of a shutdown is over."""
+    def answer_remaining(self, now_ms: float) -> None:
+        """Answer every request that is unanswered when the time of a shutdown has passed."""
         if now_ms < self.answer_all_by_ms:
             return
         unanswered = [number for number, request in self.requests.items() if not request.answered]
@@ -102,11 +103,11 @@
             self._close(request_id)
 
     def fail_if_unanswered(self, now_ms: float, request_id: int) -> None:
-        """Answer a request whose time is over.
+        """Fail a request whose deadline is near and that the policy has not answered.
 
-        Guards against a policy that keeps silent: the client still gets its one answer in time. Attempts end
-        before; where one is still in flight the program was held up, and its outcome, which the policy
-        answers by, is about to be reported.
+        Guards against a policy that makes no decision: the client still gets its one answer in time. Attempts
+        time out earlier. If one is still in flight, the process was delayed and the outcome is about to be
+        reported; the answer is then postponed once, as the policy answers on that outcome.
         """
         request = self.requests.get(request_id)
         if request is None or request.answered:
@@ -120,13 +121,13 @@
         report_violation("every request is answered by the module in time", f"request {request_id}")
 
     def _retry_after_ms(self, now_ms: float, advised_ms: float) -> float:
-        """Return the policy's advice, or in a shutdown when a server is here again, if that is later."""
+        """Return the advised delay, or in a shutdown the time until a server is available if longer."""
         if self._available_again_at_ms == inf:
             return advised_ms
-        back_ms = self._available_again_at_ms - now_ms
-        if back_ms <= advised_ms:
+        available_in_ms = self._available_again_at_ms - now_ms
+        if available_in_ms <= advised_ms:
             return advised_ms
-        return min(back_ms, self.max_retry_after_ms)
+        return min(available_in_ms, self.max_retry_after_ms)
 
     def _finish(self, request_id: int, answer: Answer, reason: RejectReason) -> None:
         request = self.requests.get(request_id)
@@ -144,6 +145,6 @@
         request.done(answer)
 
     def _close(self, request_id: int) -> None:
-        """Tell the policy that a request is over which it did not end itself."""
+        """Notify the policy of a request that ended without its decision."""
         self._on_closed(request_id)
         self.forget_if_finished(request_id)
--- a/sabledyke/core/known_nodes.py
+++ b/sabledyke/core/known_nodes.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the core knows it: its updates, and whether a node still takes an attempt.
+"""The core's copy of the endpoint list: its updates, and checks of attempts against it.
 
 Times are milliseconds.
 """
@@ -9,16 +9,18 @@
 from sabledyke.invariants import check
 from sabledyke.policy.nodes import EndpointList, ListKind, NodeEntry, NodeId, NodeState, node_name
 
-# Part of the drain's grace in which an attempt may still be written that was decided before its node left the
-# list as ready; the policy uses up to half of the grace for its decisions.
+# Fraction of the drain grace, counted from the decision on an attempt, during which the attempt may still be
+# written although its node is no longer listed as ready. The policy uses up to half of the grace for its
+# decisions.
 WRITE_GRACE_FRACTION = 0.25
 _UNKNOWN = -1
 
 
 def update_nodes(nodes: dict[NodeId, NodeEntry], update: EndpointList) -> list[NodeId]:
-    """Bring entries up to date.
+    """Apply an update to the known entries.
 
-    Guards against growing with every node that ever was: attempts keep the entry that they need.
+    Guards against memory that grows with each node ever listed: attempts keep copies of the entries that they
+    need.
 
     Returns:
         The nodes that were removed.
@@ -35,7 +37,7 @@
 
 
 def listed_entry(nodes: dict[NodeId, NodeEntry], node: NodeId) -> NodeEntry:
-    """Return a node's entry; one that is gone, and a broken invariant, where it is not listed."""
+    """Return a node's entry; for an unlisted node, report a violation and return a removed node's entry."""
     entry = nodes.get(node)
     if check(entry is not None, "no send to a box that is not listed", node_name(node)):
         assert entry is not None
@@ -46,7 +48,7 @@
 def takes_attempt(
     nodes: dict[NodeId, NodeEntry], attempt: SentAttempt, now_ms: float, drain_grace_ms: float
 ) -> bool:
-    """Whether the attempt's node is as it was when the attempt was decided, or has only just changed."""
+    """Return whether the attempt's node is unchanged since the decision, or has changed only recently."""
     here = nodes.get(attempt.node.node_id)
     if here is not None and here.started_ms != attempt.node.started_ms:
         return False
--- a/sabledyke/core/open_request.py
+++ b/sabledyke/core/open_request.py
@@ -1,4 +1,4 @@
-"""A request that was accepted and is not yet forgotten. Times are milliseconds."""
+"""An accepted request that is unanswered or has attempts in flight. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 from sabledyke.policy.retry import may_repeat
 from sabledyke.policy.settings import RepeatSafety, RequestClass
 
-# The client must have its answer inside its deadline, which it counts from when it sent: the core answers
-# this long before, and attempts end earlier still, so that their timeouts reach the policy first.
+# Times before a request's deadline at which the core answers and at which attempts end. The answer must be
+# earlier than the deadline, because the client counts it from its own send. Attempts end earlier still, so
+# that the policy gets their timeouts first.
 ANSWER_GUARD_MS = 30.0
 ATTEMPT_GUARD_MS = 60.0
-# How much later the core answers, once, where the outcome of an attempt is still to be reported.
+# Delay by which the core postpones its answer, once, if the outcome of an attempt is still to be reported.
 GUARD_POSTPONEMENT_MS = 5.0
 
 
 class SentAttempt(NamedTuple):
-    """When an attempt was decided, and at which node."""
+    """Time and node of a decision to send an attempt."""
 
     sent_at_ms: float
     node: NodeEntry
@@ -32,15 +33,15 @@
     """A request and its attempts.
 
     Attributes:
-        client_request: What the client wants.
-        request_class: As it was when the request came: a new configuration moves neither name nor window.
-        deadline_ms: By when the client must have its answer.
+        client_request: The client's request.
+        request_class: Class at the request's arrival; a reload changes neither its name nor its window.
+        deadline_ms: Time by which the client must have its answer.
         done: Called with the final answer.
-        answered: It has its final answer.
-        attempt_count: Attempts so far.
-        in_flight: Attempts whose outcome is not known, by number.
+        answered: True once the request has its final answer or its client has disconnected.
+        attempt_count: Number of attempts so far.
+        in_flight: Attempts without an outcome yet, by number.
         first_execution: The first attempt that may have run.
-        guard_postponed: The core waited for the outcome of an attempt before it answers itself.
+        guard_postponed: True once the core has postponed its own answer for the outcome of an attempt.
     """
 
     client_request: ClientRequest
@@ -55,32 +56,32 @@
 
     @property
     def finished(self) -> bool:
-        """It is answered, and no attempt is in flight."""
+        """True if the request is answered and no attempt is in flight."""
         return self.answered and not self.in_flight
 
     @property
     def may_be_rejected(self) -> bool:
-        """It has certainly not run, or may be repeated."""
+        """True if the request has certainly not run or may be repeated."""
         may_have_run = self.first_execution is not None or bool(self.in_flight)
         return not may_have_run or self.request_class.repeat_safety is RepeatSafety.IDEMPOTENT
 
     def attempt_time_ms(self, now_ms: float) -> float:
-        """Return how long an attempt may still take; 0 or less where none may be sent any more."""
+        """Return the time that an attempt may still take; 0 or less if no attempt may be sent any more."""
         return self.deadline_ms - ATTEMPT_GUARD_MS - now_ms
 
     def has_attempt_at(self, node: NodeId) -> bool:
-        """Whether an attempt is in flight at a node."""
+        """Return whether an attempt is in flight at a node."""
         return any(attempt.node.node_id == node for attempt in self.in_flight.values())
 
-    def may_run_at(self, node: NodeEntry, now_ms: float, *, besides: int | None = None) -> bool:
-        """Whether it may be sent to a node: a write only where and when its idempotency key holds.
+    def may_run_at(self, node: NodeEntry, now_ms: float, *, excluding: int | None = None) -> bool:
+        """Return whether the request may be sent to a node; a repeat only inside its key's scope and window.
 
         Args:
-            node: Where it would run.
+            node: The node to which the request would be sent.
             now_ms: The time.
-            besides: The number of an attempt in flight that is not counted.
+            excluding: Number of an attempt in flight to leave out of account.
         """
-        first = self.first_execution or self._first_in_flight(besides)
+        first = self.first_execution or self._first_in_flight(excluding)
         if first is None:
             return True
         sent_at_ms, sent_to = first
@@ -88,8 +89,8 @@
             self.request_class, sent_at_ms, (sent_to.shard, sent_to.zone), now_ms, (node.shard, node.zone)
         )
 
-    def _first_in_flight(self, besides: int | None) -> SentAttempt | None:
-        others = [attempt for number, attempt in self.in_flight.items() if number != besides]
+    def _first_in_flight(self, excluding: int | None) -> SentAttempt | None:
+        others = [attempt for number, attempt in self.in_flight.items() if number != excluding]
         return min(others, key=_sent_at_ms) if others else None
 
 
@@ -98,7 +99,7 @@
 
 
 def policy_request(request_id: int, client_request: ClientRequest) -> Request:
-    """Return the policy's event for a request; one whose attempts could not end in time has no time left."""
+    """Return the policy's event for a request, with no remaining time if no attempt could end in time."""
     has_time = client_request.remaining_ms > ATTEMPT_GUARD_MS
     return Request(
         id=request_id,
--- a/sabledyke/core/types.py
+++ b/sabledyke/core/types.py
@@ -1,4 +1,4 @@
-"""What the core exchanges with front ends, transports and discovery. Times are milliseconds."""
+"""Types that the core exchanges with front ends, transports and discovery. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AnswerStatus(Enum):
-    """How a request ended; the values are stored in the receipt journal."""
+    """Status of a final answer; the values are stored in the receipt journal."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -31,23 +31,23 @@
         class_index: Index into ``Settings.classes``.
         plan_index: Index into ``Settings.plans``.
         volume: The volume's number.
-        data_key: The piece of data that it reads or writes; 0 for none.
-        units: Its size.
+        data_key: The piece of data that the request reads or writes; 0 for none.
+        units: Size of the request.
         shard: The shard that holds the data; -1 for a new object.
         scheduler_count: Schedulers through which the volume's requests come.
-        remaining_ms: For how long its client still waits.
-        repeated: The client has sent it before.
-        write: It is a write.
-        client_request_id: As the client numbered it.
-        idempotency_key: Empty for none.
-        method: As an HTTP client wrote it; empty from other front ends.
-        target: Likewise.
-        body: What a write writes.
-        read_size_bytes: What a read reads, where the front end's wire says so; else 0.
-        possible_execution: When and where an earlier incarnation sent it, so that it may have run already.
-        last_node: Where its last attempt went.
+        remaining_ms: Time for which its client still waits.
+        repeated: True if the client has sent the request before.
+        write: True for a write.
+        client_request_id: The client's own number of the request.
+        idempotency_key: The idempotency key; empty for none.
+        method: The method as an HTTP client wrote it; empty from other front ends.
+        target: The request target as an HTTP client wrote it; empty from other front ends.
+        body: Data to write.
+        read_size_bytes: Size of a read if the front end's wire protocol states it; else 0.
+        possible_execution: Time and node of a send by an earlier incarnation; the request may have run then.
+        last_node: Node of the last attempt.
         quota_share: This scheduler's share of the volume's limit and reservation; 0 for an even share.
-        client_connected: Whether its client is still connected at this moment.
+        client_connected: Returns whether the client is still connected.
     """
 
     class_index: int
@@ -74,12 +74,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The one final answer.
+    """The one final answer of a request.
 
     Attributes:
-        status: How the request ended.
-        body: What the client gets.
-        retry_after_ms: When a rejected client may try again; 0 for no advice.
+        status: Status of the answer.
+        body: Data for the client.
+        retry_after_ms: Delay after which a rejected client may retry; 0 for no advice.
     """
 
     status: AnswerStatus
@@ -89,16 +89,16 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
-    """How an attempt ended.
+    """Result of an attempt.
 
     Attributes:
-        outcome: How it ended.
-        may_have_run: Its last byte may have reached the node.
+        outcome: Outcome of the attempt.
+        may_have_run: True if the last byte of the request may have reached the node.
         body: The node's answer.
-        used_percent: The volume's total service in the last finished period, in percent of its rate.
-        other_schedulers_units: What the node served the volume through other schedulers in the meantime.
+        used_percent: Total service that the volume got in the last complete period, in percent of its rate.
+        other_schedulers_units: Units served to the volume through other schedulers in the meantime.
         load_report: The node's load, in the order of ``Settings.report_fields``.
-        held_back_ms: For how long it was held back in this process, which is no latency of the node.
+        held_back_ms: Delay of the attempt in this process, which does not count as latency of the node.
     """
 
     outcome: Outcome
@@ -114,9 +114,10 @@
 
 
 class Transport(Protocol):
-    """Carries attempts to nodes.
+    """Sends attempts to nodes.
 
-    Each attempt is reported once through ``Core.on_attempt_completed``, never from inside a call.
+    Each attempt is reported once through ``Core.on_attempt_completed``, never from inside a method of this
+    class.
     """
 
     def start(self, request_id: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
@@ -133,7 +134,7 @@
     """Discovery, as the core uses it; it reports through ``Core.on_endpoint_list``."""
 
     def watch(self, *, on: bool) -> None:
-        """Watch for changes from now on, or stop."""
+        """Start or stop watching for changes."""
 
     def fetch(self) -> None:
-        """Request the whole list once."""
+        """Request the complete list once."""
--- a/tests/core/conftest.py
+++ b/tests/core/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the core's tests."""
+"""Fixtures for the tests of the core."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def violations(monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
-    """Counts of broken invariants, apart from those of the whole run, for tests that break some."""
+    """Return a separate count of violated invariants, for tests that violate some on purpose."""
     counts = type(invariants.violations)()
     monkeypatch.setattr(invariants, "violations", counts)
     return counts
--- a/tests/core/test_answers.py
+++ b/tests/core/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers: one for each request, in time, and none for a client that has left."""
+"""Answers: one for each request, in time, and none for a client that has disconnected."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 SUCCESS = AttemptResult(Outcome.OK, may_have_run=True, body=b"body")
 
 
-def test_an_answer_goes_out_at_once_and_once() -> None:
+def test_an_answer_is_given_at_once_and_only_once() -> None:
     bench = CoreBench()
     request_id = bench.submit()
     timeout_ms = READ.latency_objective_ms  # a later answer earns little
@@ -29,7 +29,7 @@
     assert not bench.core.unanswered
 
 
-def test_a_client_that_left_gets_no_answer_and_its_attempt_is_cancelled() -> None:
+def test_a_disconnected_client_gets_no_answer_and_its_attempt_is_cancelled() -> None:
     bench = CoreBench()
     request_id = bench.submit()
     bench.core.on_client_disconnected(request_id)
@@ -41,10 +41,10 @@
     assert not bench.core.open_requests
 
 
-def test_a_policy_that_remains_silent_costs_no_client_its_answer(violations: Counter[str]) -> None:
+def test_a_client_is_answered_although_the_policy_makes_no_decision(violations: Counter[str]) -> None:
     bench = CoreBench(no_actions)
     bench.submit(remaining_ms=500.0)
-    with pytest.raises(AssertionError):  # counted only, under -O
+    with pytest.raises(AssertionError):  # under -O the violation is only counted
         bench.advance(500)
     assert bench.answers == [Answer(AnswerStatus.FAILED)]
     assert bench.core.metrics.rejections == {RejectReason.GUARD: 1}
@@ -56,7 +56,7 @@
 def test_after_a_stall_the_outcome_of_an_attempt_reaches_the_policy_before_the_core_answers(
     late_ms: float,
 ) -> None:
-    """Guards against a stall before a deadline that has the core answer in place of the policy."""
+    """Guards against a core that answers in place of the policy after a stall before the deadline."""
     bench = CoreBench()
     request_id = bench.submit()
     bench.now_ms += 1000 - ANSWER_GUARD_MS + late_ms
@@ -68,18 +68,20 @@
     assert [answer.status for answer in bench.answers] == [AnswerStatus.REJECTED]
 
 
-def test_an_outcome_that_is_never_reported_costs_no_client_its_answer(violations: Counter[str]) -> None:
+def test_a_client_is_answered_although_the_outcome_of_its_attempt_is_never_reported(
+    violations: Counter[str],
+) -> None:
     bench = CoreBench()
     bench.submit()
     bench.now_ms += 1000 - ANSWER_GUARD_MS
     bench.core.run_batch(bench.now_ms)
-    with pytest.raises(AssertionError):  # counted only, under -O
+    with pytest.raises(AssertionError):  # under -O the violation is only counted
         bench.advance(GUARD_POSTPONEMENT_MS)
     assert bench.answers == [Answer(AnswerStatus.FAILED)]
     assert sum(violations.values()) == 1
 
 
-def test_an_error_in_the_policy_does_not_end_the_program(violations: Counter[str]) -> None:
+def test_an_error_in_the_policy_does_not_end_the_process(violations: Counter[str]) -> None:
     def fail(_now_ms: float, _events: list[Event]) -> list[Action]:
         raise KeyError("a bug")
 
--- a/tests/core/test_attempts.py
+++ b/tests/core/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: what the core does not start although the policy decided it."""
+"""Attempts that the core does not start although the policy requests them."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     result = AttemptResult(Outcome.RESET, may_have_run=True)
     bench.core.on_attempt_completed(1010, request_id, 0, result)
     bench.now_ms = 1100
-    bench.start_attempt(request_id, 1)  # its cell, inside its window
+    bench.start_attempt(request_id, 1)  # in the cell of the first attempt, inside its window
     for now_ms, node_number in ((1100, 2), (1300, 1)):
         bench.now_ms = now_ms
         with pytest.raises(AssertionError):
