--- a/sabledyke/core/core.py
+++ b/sabledyke/core/core.py
@@ -162,9 +162,7 @@
         """Close a request whose client has disconnected; it gets no answer."""
         self._answers.on_client_disconnected(request_id)
 
-    def on_attempt_completed(
-        self, now_ms: float, request_id: int, number: int, result: AttemptResult
-    ) -> None:
+    def on_attempt_completed(self, now_ms: float, request_id: int, number: int, end: AttemptResult) -> None:
         """Process the one result of an attempt; a served request is answered at once."""
         request = self._requests.get(request_id)
         is_in_flight = request is not None and number in request.in_flight
@@ -172,22 +170,22 @@
             return
         assert request is not None
         attempt = request.in_flight.pop(number)
-        self.metrics.count_attempt(result.outcome, may_have_run=result.may_have_run)
-        if result.may_have_run and request.first_execution is None:
+        self.metrics.count_attempt(end.outcome, may_have_run=end.may_have_run)
+        if end.may_have_run and request.first_execution is None:
             request.first_execution = PossibleExecution(*attempt)
-        if result.outcome is Outcome.OK and not request.answered:
-            self._answers.serve(request_id, result.body)
+        if end.outcome is Outcome.OK and not request.answered:
+            self._answers.serve(request_id, end.body)
         self._add_event(
             AttemptCompleted(
                 request_id,
                 attempt.node.node_id,
                 number,
-                result.outcome,
+                end.outcome,
                 request.answered,
-                now_ms - attempt.sent_at_ms - result.held_back_ms,
-                result.used_percent,
-                result.other_schedulers_units,
-                result.load_report,
+                now_ms - attempt.sent_at_ms - end.held_back_ms,
+                end.used_percent,
+                end.other_schedulers_units,
+                end.load_report,
             )
         )
         self._answers.forget_if_finished(request_id)
