--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -152,7 +152,7 @@
             config=self.config,
             response_memory=self.response_memory,
             node_entry=lambda node: self.core.nodes[node],
-            submit=lambda work, done: self._submit(work, done),
+            submit=lambda request, done: self._submit(request, done),
             on_client_disconnected=self._on_client_gone,
             connect=self._connect_through_all,
             preconnect=lambda node: self.pool.preconnect(node),
@@ -228,5 +228,5 @@
         return await self.dialers.get(node, self.http_dialer.dial)(node, address, timeout_ms)
 
 
-def _submit_through(extension: Extension, onward: Submit, work: ClientRequest, done: Done) -> int:
-    return extension.submit(work, done, onward)
+def _submit_through(extension: Extension, onward: Submit, request: ClientRequest, done: Done) -> int:
+    return extension.submit(request, done, onward)
--- a/sabledyke/application/core_driver.py
+++ b/sabledyke/application/core_driver.py
@@ -31,13 +31,13 @@
         self._batch_scheduled = False
         self._timer: asyncio.TimerHandle | None = None
 
-    def submit(self, work: ClientRequest, done: Done) -> int:
+    def submit(self, request: ClientRequest, done: Done) -> int:
         """Hand a request to the core, as the last step of every front end's way.
 
         Returns:
             The id of the request.
         """
-        return self.core.submit(clock.now(), work, done)
+        return self.core.submit(clock.now(), request, done)
 
     def on_attempt_completed(self, request_id: int, number: int, result: AttemptResult) -> None:
         """Report the outcome of an attempt to the core."""
--- a/sabledyke/application/extensions.py
+++ b/sabledyke/application/extensions.py
@@ -125,9 +125,9 @@
         """Return the front ends that it adds, and where each listens."""
         return ()
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
+    def submit(self, request: ClientRequest, done: Done, onward: Submit) -> int:
         """Pass a request from a front end on towards the core; return its number."""
-        return onward(work, done)
+        return onward(request, done)
 
     def on_client_disconnected(self, request_id: int) -> None:
         """The client of a request has left; the core has not been notified yet."""
--- a/sabledyke/core/types.py
+++ b/sabledyke/core/types.py
@@ -119,7 +119,9 @@
     Each attempt is reported once through ``Core.on_attempt_completed``, never from inside a call.
     """
 
-    def start(self, request_id: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
+    def start(
+        self, request_id: int, number: int, node: NodeId, request: ClientRequest, timeout: float
+    ) -> None:
         """Start an attempt that may take ``timeout`` milliseconds."""
 
     def cancel(self, request_id: int, number: int) -> None:
--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -79,10 +79,12 @@
                 self.close_idle(node)
             self.addresses[node] = address
 
-    def start(self, request_id: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
+    def start(
+        self, request_id: int, number: int, node: NodeId, request: ClientRequest, timeout: float
+    ) -> None:
         """See ``core.Transport``."""
         loop = asyncio.get_running_loop()
-        attempt = _Attempt(request_id, number, node, work)
+        attempt = _Attempt(request_id, number, node, request)
         self._attempts[request_id, number] = attempt
         attempt.expires_at_s = loop.time() + timeout / 1000
         attempt.timer = loop.call_at(attempt.expires_at_s, self._expire, attempt)
@@ -138,7 +140,7 @@
                 self._complete(attempt, AttemptResult(Outcome.EXPIRED, may_have_run=False))
                 return
             attempt.connection = connection
-            result = await connection.link.exchange(attempt.work, remaining_ms)
+            result = await connection.link.exchange(attempt.request, remaining_ms)
         except (streams.StreamClosedError, PeerProtocolError, OSError) as error:
             self._on_attempt_broken(attempt, error)
             return
@@ -240,11 +242,11 @@
 class _Attempt:
     """An attempt in flight."""
 
-    def __init__(self, request_id: int, number: int, node: NodeId, work: ClientRequest) -> None:
+    def __init__(self, request_id: int, number: int, node: NodeId, request: ClientRequest) -> None:
         self.request_id = request_id
         self.number = number
         self.node = node
-        self.work = work
+        self.request = request
         self.connection: _PooledConnection | None = None
         self.expires_at_s = 0.0  # by the loop's clock
         self.timer: asyncio.TimerHandle | None = None
--- a/sabledyke/net/http_frontend.py
+++ b/sabledyke/net/http_frontend.py
@@ -154,11 +154,11 @@
         self._write(encode_response(status, close=last), last=last)
 
     def _submit_request(self, message: HttpMessage) -> None:
-        work = self._reader.read_request(message)
-        if not streams.may_access_volume(self.stream, work.volume):
+        request = self._reader.read_request(message)
+        if not streams.may_access_volume(self.stream, request.volume):
             raise HttpError("a client without a right to this volume", 403)
-        self._ids.claim(clock.now(), work)
-        work.client_connected = self._client_present
+        self._ids.claim(clock.now(), request)
+        request.client_connected = self._client_present
 
         def on_answer(answer: Answer) -> None:
             self._request_id = None
@@ -167,7 +167,7 @@
                 self._write(encode_client_response(answer, close=last), last=last)
 
         self.never_requested = False
-        self._request_id = self._submit(work, on_answer)
+        self._request_id = self._submit(request, on_answer)
 
     def _on_body_progress(self) -> None:
         """Renew the time-out while a request's body comes, and send 100 Continue where it is awaited.
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -37,12 +37,12 @@
         """Whether the request's last byte was sent: a write that failed did not send it."""
         return self._written is not None and self._written.done() and self._written.exception() is None
 
-    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
+    async def exchange(self, request: ClientRequest, timeout: float) -> AttemptResult:
         """See ``link.Link``."""
         self.reusable = False
         self._written = None
         self._written = asyncio.ensure_future(
-            self.stream.write(encode_node_request(work, self._host, timeout))
+            self.stream.write(encode_node_request(request, self._host, timeout))
         )
         try:
             answer = await self._read_response()
--- a/sabledyke/net/link.py
+++ b/sabledyke/net/link.py
@@ -37,11 +37,11 @@
     def reusable(self) -> bool:
         """Whether another exchange may follow the last."""
 
-    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
+    async def exchange(self, request: ClientRequest, timeout: float) -> AttemptResult:
         """Carry out one attempt.
 
         Args:
-            work: The request.
+            request: The request.
             timeout: What the attempt may take, in milliseconds.
 
         Raises:
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -111,12 +111,12 @@
         if self._frontend.rejects_requests:  # guards against a host that never pauses holding up the end
             self.target.complete(*self._translator.to_completion(command, Answer(AnswerStatus.REJECTED)))
             return
-        work = self._translator.to_work(command, payload)
-        if not streams.may_access_volume(self.stream, work.volume):
+        request = self._translator.to_request(command, payload)
+        if not streams.may_access_volume(self.stream, request.volume):
             self.target.complete(Completion(command.command_id, Status.ACCESS_DENIED, do_not_retry=True), b"")
             return
-        work.client_connected = lambda: not streams.peer_closed(self.stream)
-        self._request_ids[command.command_id] = self._submit(work, on_answer)
+        request.client_connected = lambda: not streams.peer_closed(self.stream)
+        self._request_ids[command.command_id] = self._submit(request, on_answer)
 
     def _restart_keep_alive(self) -> None:
         """Close once the host has sent nothing for the time that it stated when it connected."""
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -117,7 +117,7 @@
         self.reusable = True
         self._channel = channel
         self._translator = translator
-        self._work: ClientRequest | None = None
+        self._request: ClientRequest | None = None
 
     @property
     def may_have_run(self) -> bool:
@@ -126,26 +126,26 @@
         Guards against a write that is cut off mid-transfer: a node may have begun to store what it has.
         """
         written = self._channel.written
-        if self._work is None or written is None:
+        if self._request is None or written is None:
             return False
-        if self._work.write:
+        if self._request.write:
             return self._channel.initiator.write_data_sent
         return written.done() and written.exception() is None
 
-    async def exchange(self, work: ClientRequest, _timeout: float) -> AttemptResult:
+    async def exchange(self, request: ClientRequest, _timeout: float) -> AttemptResult:
         """See ``link.Link``; the time-out is the pool's, NVMe states none."""
         self.reusable = False
-        self._work = work
+        self._request = request
         self._channel.written = None
         try:
-            command, payload = self._translator.to_node_command(work)
+            command, payload = self._translator.to_node_command(request)
         except NoPlaceError as error:
             log.emit("box", str(error))
             self.reusable = True
             return AttemptResult(Outcome.ERROR, may_have_run=False)
         completion, data = await self._channel.execute(command, payload)
         self.reusable = not self._channel.initiator.has_surplus_input
-        return self._translator.from_node_completion(work, completion, data)
+        return self._translator.from_node_completion(request, completion, data)
 
 
 class _Channel:
--- a/sabledyke/protocol/gateway.py
+++ b/sabledyke/protocol/gateway.py
@@ -81,24 +81,24 @@
         )
 
 
-def encode_node_request(work: ClientRequest, address: str, timeout_ms: float) -> bytes:
+def encode_node_request(request: ClientRequest, address: str, timeout_ms: float) -> bytes:
     """Return a request to a storage node.
 
     Args:
-        work: The request; one that did not come from an HTTP client is given the platform's form.
+        request: The request; one that did not come from an HTTP client is given the platform's form.
         address: The storage node's address, for the Host header.
         timeout_ms: Deadline of the attempt.
     """
     headers = [
         ("Host", address),
-        (names.SENT_REQUEST_ID, work.client_request_id),
+        (names.SENT_REQUEST_ID, request.client_request_id),
         (names.SENT_DEADLINE_S, f"{timeout_ms / 1000:.3f}"),
     ]
-    if work.idempotency_key:
-        headers.append((names.SENT_IDEMPOTENCY_KEY, work.idempotency_key))
-    method = work.method or ("PUT" if work.write else "GET")
-    target = work.target or f"/api/{work.volume:016x}/{work.data_key:016x}"
-    return encode_request(method, target, headers, work.body)
+    if request.idempotency_key:
+        headers.append((names.SENT_IDEMPOTENCY_KEY, request.idempotency_key))
+    method = request.method or ("PUT" if request.write else "GET")
+    target = request.target or f"/api/{request.volume:016x}/{request.data_key:016x}"
+    return encode_request(method, target, headers, request.body)
 
 
 def encode_client_response(answer: Answer, *, close: bool) -> bytes:
--- a/sabledyke/protocol/nvme/blocks.py
+++ b/sabledyke/protocol/nvme/blocks.py
@@ -99,7 +99,7 @@
         self._by_namespace_id = {volume.namespace_id: volume for volume in volumes}
         self._by_volume_id = {volume.volume_id: volume for volume in volumes}
 
-    def to_work(self, command: Command, data: bytes) -> ClientRequest:
+    def to_request(self, command: Command, data: bytes) -> ClientRequest:
         """Return a host's read or write, which was checked against its namespace, as a request."""
         volume = self._by_namespace_id[command.namespace_id]
         write = command.opcode == IoOpcode.WRITE
@@ -135,29 +135,33 @@
             return Response(Completion(command.command_id, Status.INTERNAL, do_not_retry=True), b"")
         return Response(Completion(command.command_id, Status.OK), answer.body if is_read else b"")
 
-    def to_node_command(self, work: ClientRequest) -> Submission:
+    def to_node_command(self, request: ClientRequest) -> Submission:
         """Return a request as a command to a storage node.
 
         Raises:
             NoPlaceError: The request has no place on a storage node that speaks NVMe.
         """
-        volume = self._by_volume_id.get(work.volume)
+        volume = self._by_volume_id.get(request.volume)
         if volume is None:
-            raise NoPlaceError(f"volume {work.volume:016x} has no namespace")
-        if work.target:
-            return _object_command(work, volume)
-        if not work.write:
-            read = transfer_command(IoOpcode.READ, volume.namespace_id, work.data_key, work.read_size_bytes)
+            raise NoPlaceError(f"volume {request.volume:016x} has no namespace")
+        if request.target:
+            return _object_command(request, volume)
+        if not request.write:
+            read = transfer_command(
+                IoOpcode.READ, volume.namespace_id, request.data_key, request.read_size_bytes
+            )
             return Submission(read, b"")
-        return _write_submission(volume.namespace_id, work.data_key, work.body, work.idempotency_key)
+        return _write_submission(volume.namespace_id, request.data_key, request.body, request.idempotency_key)
 
-    def from_node_completion(self, work: ClientRequest, completion: Completion, data: bytes) -> AttemptResult:
+    def from_node_completion(
+        self, request: ClientRequest, completion: Completion, data: bytes
+    ) -> AttemptResult:
         """Return a storage node's completion as the outcome of an attempt."""
         if completion.status == Status.NOT_READY and not completion.do_not_retry:
             return AttemptResult(Outcome.REJECTED, may_have_run=False)
         if completion.status != Status.OK:
             return AttemptResult(Outcome.ERROR, may_have_run=True)
-        if work.write or not work.target:
+        if request.write or not request.target:
             return AttemptResult(Outcome.OK, may_have_run=True, body=data)
         body = _object_body(data)
         if body is None:
@@ -165,24 +169,24 @@
         return AttemptResult(Outcome.OK, may_have_run=True, body=body)
 
 
-def _object_command(work: ClientRequest, volume: NvmeVolume) -> Submission:
+def _object_command(request: ClientRequest, volume: NvmeVolume) -> Submission:
     """Return the command for an HTTP client's piece of data.
 
     Each piece has as many blocks as its volume gives one, and its number says where they start.
     """
-    start_block = work.data_key * volume.object_blocks
+    start_block = request.data_key * volume.object_blocks
     capacity_bytes = volume.object_blocks * BLOCK_BYTES
     if start_block + volume.object_blocks > volume.block_count:
-        raise NoPlaceError(f"piece {work.data_key:x} is past the end of its namespace")
-    if not work.write:
+        raise NoPlaceError(f"piece {request.data_key:x} is past the end of its namespace")
+    if not request.write:
         read = transfer_command(IoOpcode.READ, volume.namespace_id, start_block, capacity_bytes)
         return Submission(read, b"")
-    if len(work.body) + _LENGTH_PREFIX_BYTES > capacity_bytes:
-        raise NoPlaceError(f"{len(work.body)} bytes do not fit a piece of {capacity_bytes}")
-    data = (len(work.body) + 1).to_bytes(_LENGTH_PREFIX_BYTES, "big") + work.body
+    if len(request.body) + _LENGTH_PREFIX_BYTES > capacity_bytes:
+        raise NoPlaceError(f"{len(request.body)} bytes do not fit a piece of {capacity_bytes}")
+    data = (len(request.body) + 1).to_bytes(_LENGTH_PREFIX_BYTES, "big") + request.body
     block_count = -(-len(data) // BLOCK_BYTES)
     padded = data.ljust(block_count * BLOCK_BYTES, b"\0")
-    return _write_submission(volume.namespace_id, start_block, padded, work.idempotency_key)
+    return _write_submission(volume.namespace_id, start_block, padded, request.idempotency_key)
 
 
 def _object_body(data: bytes) -> bytes | None:
--- a/sabledyke/protocol/request_ids.py
+++ b/sabledyke/protocol/request_ids.py
@@ -29,21 +29,21 @@
         """Number of ids that are remembered, expired ones included."""
         return len(self._expires_ms)
 
-    def claim(self, now_ms: float, work: ClientRequest) -> None:
+    def claim(self, now_ms: float, request: ClientRequest) -> None:
         """Mark a request's id as in use until the request's deadline.
 
         Raises:
             HttpError: The id is in use already.
         """
         self._drop_expired(now_ms)
-        key = hash(work.client_request_id)
+        key = hash(request.client_request_id)
         if self._expires_ms.get(key, now_ms) > now_ms:
             raise HttpError("the id of a request that is not over", 409)
         self._expires_ms.pop(key, None)
         if len(self._expires_ms) >= self._max_ids:
             oldest = next(iter(self._expires_ms))
             del self._expires_ms[oldest]
-        self._expires_ms[key] = now_ms + work.remaining_ms
+        self._expires_ms[key] = now_ms + request.remaining_ms
 
     def _drop_expired(self, now_ms: float) -> None:
         for key, expires_ms in list(islice(self._expires_ms.items(), _MAX_EXPIRED_PER_CLAIM)):
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -69,14 +69,14 @@
         """See ``Extension``."""
         self._plans = config.settings.plans
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
+    def submit(self, request: ClientRequest, done: Done, onward: Submit) -> int:
         """See ``Extension``: work of a volume that is shared gets this member's share."""
-        plan = self._plans[work.plan_index]
+        plan = self._plans[request.plan_index]
         if plan.limit > 0 or plan.reservation > 0:
             now_ms = self._clock()
-            self.meter.add(now_ms, work.volume, work.units, max(plan.limit, plan.reservation))
-            work.quota_share = self._allocator.share_of(work.volume, now_ms)
-        return onward(work, done)
+            self.meter.add(now_ms, request.volume, request.units, max(plan.limit, plan.reservation))
+            request.quota_share = self._allocator.share_of(request.volume, now_ms)
+        return onward(request, done)
 
     def check_operator_config(self, operator: OperatorConfig) -> None:
         """See ``Extension``."""
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -105,11 +105,11 @@
         """See ``Extension``: how long a node warms up is the deployment's setting."""
         self._coordinator.timeouts = replace(self._section.timeouts, warm_up_ms=config.settings.warm_up_ms)
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
+    def submit(self, request: ClientRequest, done: Done, onward: Submit) -> int:
         """See ``Extension``: the load of each volume is published with the heartbeats."""
         if self._loads is not None:
-            self._loads.add(work.volume, work.units)
-        return onward(work, done)
+            self._loads.add(request.volume, request.units)
+        return onward(request, done)
 
     def adjust_endpoint_list(self, update: EndpointList) -> EndpointList:
         """See ``Extension``: nodes that are drained by a plan are draining."""
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -65,9 +65,9 @@
         self.recording_transport.inner = inner
         return self.recording_transport
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
+    def submit(self, request: ClientRequest, done: Done, onward: Submit) -> int:
         """See ``Extension``."""
-        return self.recording_transport.submit(work, done, onward)
+        return self.recording_transport.submit(request, done, onward)
 
     def on_client_disconnected(self, request_id: int) -> None:
         """See ``Extension``."""
--- a/sabledyke/store/open_requests.py
+++ b/sabledyke/store/open_requests.py
@@ -15,7 +15,7 @@
     """An attempt that waits for its intent."""
 
     node: NodeId
-    work: ClientRequest
+    request: ClientRequest
     name: str
     requested_at_ms: float
     deadline_ms: float
@@ -33,7 +33,7 @@
 class OpenWrite:
     """A write that is open, for its journal entry and for drift."""
 
-    work: ClientRequest
+    request: ClientRequest
     name: str  # empty where it has no key
     began_at_ms: float
     deadline_ms: float
@@ -42,7 +42,7 @@
     @property
     def piece(self) -> tuple[int, int]:
         """Volume and data key of what it writes."""
-        return self.work.volume, self.work.data_key
+        return self.request.volume, self.request.data_key
 
     def journal_entry(self, completed_at_ms: float, class_name: str, outcome: str) -> JournalEntry:
         """Return the entry for the receipt journal.
@@ -52,18 +52,18 @@
             class_name: The name of its request class.
             outcome: What its client was answered; see ``JournalEntry``.
         """
-        work = self.work
-        sent_to = work.last_node
+        request = self.request
+        sent_to = request.last_node
         return JournalEntry(
             completed_at_ms=int(completed_at_ms),
             began_at_ms=int(self.began_at_ms),
             class_name=class_name,
-            volume=f"{work.volume:016x}",
-            key=idempotency_token(work),
-            piece=f"{work.data_key:016x}",
-            shard=sent_to.shard if sent_to else work.shard,
+            volume=f"{request.volume:016x}",
+            key=idempotency_token(request),
+            piece=f"{request.data_key:016x}",
+            shard=sent_to.shard if sent_to else request.shard,
             node=node_name(sent_to.node_id) if sent_to else "",
-            units=work.units,
+            units=request.units,
             digest=self.digest,
             outcome=outcome,
         )
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -96,11 +96,11 @@
 
     # Between the listeners and the core.
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
+    def submit(self, request: ClientRequest, done: Done, onward: Submit) -> int:
         """Hand work on to the core; a keyed write only while it can be recorded.
 
         Args:
-            work: The request.
+            request: The request.
             done: What to call with its final answer.
             onward: The way to the core.
 
@@ -108,19 +108,19 @@
             The number of the request; 0 where it was rejected here.
         """
         now_ms = clock.now()
-        name = write_name(work)
-        if not work.write:
-            return onward(work, lambda answer: self._on_read(work, now_ms, answer, done))
+        name = write_name(request)
+        if not request.write:
+            return onward(request, lambda answer: self._on_read(request, now_ms, answer, done))
         if name and not self.intents.accepts_writes():
             retry_after_ms = self.intents.health.retry_after_ms(now_ms, self.settings.max_retry_after_ms)
             self._loop.call_soon(done, Answer(AnswerStatus.REJECTED, retry_after_ms=retry_after_ms))
             return 0
         if name:
-            self._note_earlier_send(work, name)
-        digest = hashlib.sha256(work.body).hexdigest()
-        write = OpenWrite(work, name, now_ms, now_ms + work.remaining_ms - ANSWER_MARGIN_MS, digest)
+            self._note_earlier_send(request, name)
+        digest = hashlib.sha256(request.body).hexdigest()
+        write = OpenWrite(request, name, now_ms, now_ms + request.remaining_ms - ANSWER_MARGIN_MS, digest)
         self.drift.on_write_began(write.piece)
-        request_id = onward(work, lambda answer: self._on_answer(request_id, write, answer, done))
+        request_id = onward(request, lambda answer: self._on_answer(request_id, write, answer, done))
         self._open_writes[request_id] = write
         return request_id
 
@@ -131,11 +131,11 @@
             self.drift.on_write_completed(clock.now(), write.piece, None)
             self._journal(write, OUTCOME_DEPARTED, None)
 
-    def _note_earlier_send(self, work: ClientRequest, name: str) -> None:
+    def _note_earlier_send(self, request: ClientRequest, name: str) -> None:
         first = self.intents.earlier_send(name)
         if first is not None:
             node = NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, NodeState.GONE)
-            work.possible_execution = PossibleExecution(first.sent_at_ms, node)
+            request.possible_execution = PossibleExecution(first.sent_at_ms, node)
 
     def _on_answer(self, request_id: int, write: OpenWrite, answer: Answer, done: Done) -> None:
         self._open_writes.pop(request_id, None)
@@ -152,16 +152,16 @@
     def _journal(self, write: OpenWrite, outcome: str, ticket: int | None) -> None:
         if not write.name:
             return
-        class_name = self.settings.classes[write.work.class_index].name
+        class_name = self.settings.classes[write.request.class_index].name
         entry = write.journal_entry(clock.now(), class_name, outcome)
         self._carry_out(self.intents.on_write_completed(write.name, entry, ticket, write.deadline_ms))
         self.writer.schedule()
 
-    def _on_read(self, work: ClientRequest, requested_at_ms: float, answer: Answer, done: Done) -> None:
-        piece = work.volume, work.data_key
+    def _on_read(self, request: ClientRequest, requested_at_ms: float, answer: Answer, done: Done) -> None:
+        piece = request.volume, request.data_key
         if answer.status is AnswerStatus.SERVED and self.drift.can_compare(requested_at_ms, piece):
             digest = hashlib.sha256(answer.body).hexdigest()
-            node = node_name(work.last_node.node_id) if work.last_node else ""
+            node = node_name(request.last_node.node_id) if request.last_node else ""
             finding = self.drift.compare(clock.now(), requested_at_ms, piece, digest, node)
             if finding is not None:
                 self._on_drift(finding)
@@ -180,19 +180,21 @@
 
     # Between the core and the connection pool.
 
-    def start(self, request_id: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
+    def start(
+        self, request_id: int, number: int, node: NodeId, request: ClientRequest, timeout: float
+    ) -> None:
         """See ``core.Transport``."""
-        name = write_name(work)
+        name = write_name(request)
         if not name:
-            self.inner.start(request_id, number, node, work, timeout)
+            self.inner.start(request_id, number, node, request, timeout)
             return
         attempt = request_id, number
         now_ms = clock.now()
         deadline_ms = now_ms + timeout
         entry = self._entry(node)
-        self._waiting[attempt] = WaitingAttempt(node, work, name, now_ms, deadline_ms)
+        self._waiting[attempt] = WaitingAttempt(node, request, name, now_ms, deadline_ms)
         send = SendRecord(now_ms, entry.shard, entry.zone)
-        request_class = self.settings.classes[work.class_index]
+        request_class = self.settings.classes[request.class_index]
         effects = self.intents.on_attempt(now_ms, attempt, name, send, deadline_ms, request_class)
         if any(not isinstance(effect, SendAttempt) for effect in effects):
             self._loop.call_soon(self._carry_out, effects)  # a transport never reports from inside a call
@@ -242,7 +244,7 @@
         waiting = self._waiting.pop(attempt)
         self._sent[attempt] = SentAttempt(waiting.name, now_ms - waiting.requested_at_ms)
         remaining_ms = max(MIN_TIMEOUT_MS, waiting.deadline_ms - now_ms)
-        self.inner.start(*attempt, waiting.node, waiting.work, remaining_ms)
+        self.inner.start(*attempt, waiting.node, waiting.request, remaining_ms)
 
     def _end_unsent(self, attempt: AttemptId, result: AttemptResult) -> None:
         waiting = self._waiting.pop(attempt, None)
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -60,7 +60,7 @@
         if self._session is not None:
             self._session.abort()
 
-    async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
+    async def exchange(self, request: ClientRequest, timeout: float) -> AttemptResult:
         """See ``link.Link``."""
         self.may_have_run = False
         self.reusable = False
@@ -68,18 +68,18 @@
         async with self._pool.permits:
             if self.closed:
                 raise StreamClosedError
-            ended = await (self._write(work, deadline_ms) if work.write else self._read(work))
+            ended = await (self._write(request, deadline_ms) if request.write else self._read(request))
         self.reusable = not self.closed
         return ended
 
     # Reads.
 
-    async def _read(self, work: ClientRequest) -> AttemptResult:
+    async def _read(self, request: ClientRequest) -> AttemptResult:
         session = await self._acquire()
         self.may_have_run = True
         try:
             rows = await session.query(
-                statements.SELECT_PIECE, f"{work.volume:016x}", f"{work.data_key:016x}"
+                statements.SELECT_PIECE, f"{request.volume:016x}", f"{request.data_key:016x}"
             )
         except DatabaseError as error:
             self._log(str(error))
@@ -96,10 +96,10 @@
 
     # Writes.
 
-    async def _write(self, work: ClientRequest, deadline_ms: float) -> AttemptResult:
+    async def _write(self, request: ClientRequest, deadline_ms: float) -> AttemptResult:
         attempt = secrets.token_hex(ATTEMPT_ID_BYTES)
-        name = write_name(work) or f"-/{work.volume:x}/{work.client_request_id}"
-        steps = self._steps(work, name, attempt)
+        name = write_name(request) or f"-/{request.volume:x}/{request.client_request_id}"
+        steps = self._steps(request, name, attempt)
         session = await self._acquire()
         timeout_s = (deadline_ms - clock.now()) * COMMIT_TIMEOUT_SHARE / 1000
         transaction = asyncio.ensure_future(session.transact(steps, self._on_committing))
@@ -120,14 +120,14 @@
             self._release()
         return await self._resolve(InDoubtWrite(attempt, deadline_ms), name)
 
-    def _steps(self, work: ClientRequest, name: str, attempt: str) -> list[Step]:
+    def _steps(self, request: ClientRequest, name: str, attempt: str) -> list[Step]:
         now_ms = int(clock.now())
-        volume = f"{work.volume:016x}"
-        piece = f"{work.data_key:016x}"
-        result = hashlib.sha256(work.body).hexdigest().encode()
+        volume = f"{request.volume:016x}"
+        piece = f"{request.data_key:016x}"
+        result = hashlib.sha256(request.body).hexdigest().encode()
         steps = [
             Step(statements.CLAIM_KEY, [(name, attempt, now_ms, result)]),
-            Step(statements.UPSERT_PIECE, [(volume, piece, work.body, name, attempt)]),
+            Step(statements.UPSERT_PIECE, [(volume, piece, request.body, name, attempt)]),
             Step(statements.SELECT_KEY, [(name,)]),
         ]
         if self._pool.count_write() % FORGET_INTERVAL_WRITES == 0:
--- a/sabledyke/store/types.py
+++ b/sabledyke/store/types.py
@@ -168,19 +168,19 @@
     state: WriteState
 
 
-def idempotency_token(work: ClientRequest) -> str:
+def idempotency_token(request: ClientRequest) -> str:
     """Return a key as the record has it: as the client wrote it, or a digest of one that is long or odd.
 
     Guards against keys that no database accepts as text, or that make rows of kilobytes.
     """
-    token = work.idempotency_key
+    token = request.idempotency_key
     if len(token) <= MAX_PLAIN_TOKEN_LENGTH and token.isascii() and token.isprintable():
         return token
     return "sha256:" + hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
 
 
-def write_name(work: ClientRequest) -> str:
+def write_name(request: ClientRequest) -> str:
     """Return what a keyed write is recorded by; empty for other work."""
-    if not (work.write and work.idempotency_key):
+    if not (request.write and request.idempotency_key):
         return ""
-    return f"{work.class_index}/{work.volume:x}/{idempotency_token(work)}"
+    return f"{request.class_index}/{request.volume:x}/{idempotency_token(request)}"
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -157,7 +157,7 @@
     pass
 
 
-def _not_forwarded(_work: object, _done: object) -> int:
+def _not_forwarded(_request: object, _done: object) -> int:
     return 0
 
 
--- a/tests/protocol/test_gateway.py
+++ b/tests/protocol/test_gateway.py
@@ -53,18 +53,18 @@
 def test_a_client_is_held_to_the_limits_of_the_settings() -> None:
     reader = MessageReader(SETTINGS)
     excessive = {"io-info": "units=999999,hosts=999999,shard=1", "req-deadline": "999999999"}
-    work = reader.read_request(HttpMessage("PUT", "/api/1/2", headers=REQUEST_HEADERS | excessive))
-    assert (work.units, work.scheduler_count) == (SETTINGS.max_units, SETTINGS.scheduler_count)
-    assert work.remaining_ms == SETTINGS.classes[0].deadline_ms
+    request = reader.read_request(HttpMessage("PUT", "/api/1/2", headers=REQUEST_HEADERS | excessive))
+    assert (request.units, request.scheduler_count) == (SETTINGS.max_units, SETTINGS.scheduler_count)
+    assert request.remaining_ms == SETTINGS.classes[0].deadline_ms
     for method, body, status in (("HEAD", b"", 405), ("GET", b"x", 400)):
         with pytest.raises(HttpError) as error:
             reader.read_request(HttpMessage(method, "/api/1/2", headers=REQUEST_HEADERS, body=body))
         assert error.value.status == status
     ids = RequestIds(2)
-    ids.claim(0, work)
+    ids.claim(0, request)
     with pytest.raises(HttpError, match="not over"):
-        ids.claim(work.remaining_ms - 1, work)
-    ids.claim(work.remaining_ms, work)
+        ids.claim(request.remaining_ms - 1, request)
+    ids.claim(request.remaining_ms, request)
     for request_id in "abc":
-        ids.claim(work.remaining_ms, replace(work, client_request_id=request_id))
+        ids.claim(request.remaining_ms, replace(request, client_request_id=request_id))
     assert ids.tracked_count == 2
