--- a/sabledyke/application/reload.py
+++ b/sabledyke/application/reload.py
@@ -98,7 +98,7 @@
             if operator is not None:
                 extension.apply_operator_config(operator)
         assembly.apply_limits()
-        assembly.watch.adopt(config.discovery, settings)
+        assembly.watch.apply_settings(config.discovery, settings)
 
 
 def _require_same_names(old: Settings, new: Settings) -> None:
--- a/sabledyke/net/__init__.py
+++ b/sabledyke/net/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers on Tornado's streams: fronts, listeners, connections to nodes, the watch, start and end."""
+"""Network drivers on Tornado's streams: front ends, listeners, connections to nodes, the endpoint watch."""
--- a/sabledyke/net/client_connection.py
+++ b/sabledyke/net/client_connection.py
@@ -1,4 +1,4 @@
-"""What the client connections of all protocols have in common: their state, their time-outs and their end."""
+"""Base class of the client connections of all protocols: their state, their time-outs and their close."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sabledyke.core import Answer, ClientRequest
 from sabledyke.net import streams
 
-REQUEST_TIMEOUT_S = 2.25  # for the first request after connecting, and for each that has begun
+REQUEST_TIMEOUT_S = 2.25  # time for the first request after connecting, and for each partly received request
 
 Submit = Callable[[ClientRequest, Callable[[Answer], None]], int]
 
@@ -18,10 +18,11 @@
     """One connection of a client.
 
     Attributes:
-        stream: The connection's bytes.
-        never_requested: No read or write was requested yet: the client is silent, or checks health alone.
-        last_activity_s: When the client connected, began a request or read its last answer; the loop's time.
-        on_closed: Called when the connection ends.
+        stream: The connection's byte stream.
+        never_requested: True until the client requests its first read or write; health checks do not count.
+        last_activity_s: Event loop time at which the client connected, began a request or read its last
+            answer.
+        on_closed: Called when the connection is closed.
     """
 
     def __init__(self, stream: streams.Stream) -> None:
@@ -29,41 +30,42 @@
         self.never_requested = True
         self.last_activity_s = asyncio.get_running_loop().time()
         self.on_closed: Callable[[], None] = lambda: None
-        self._pending_read: asyncio.Future[bytes] | None = None  # what ``serve`` waits for
+        self._pending_read: asyncio.Future[bytes] | None = None  # the read that ``serve`` awaits
 
     @property
     @abstractmethod
     def idle(self) -> bool:
-        """Whether no request is being sent or answered."""
+        """True if no request is being received or answered."""
 
     @property
     @abstractmethod
     def busy(self) -> bool:
-        """Whether a request is accepted and not answered to its last byte."""
+        """True if a request is accepted and its answer is not yet written to the last byte."""
 
     @property
-    def has_unread(self) -> bool:
-        """Whether bytes, or the stream's end, have come that ``serve`` has not processed.
+    def has_unread_input(self) -> bool:
+        """True if bytes, or the end of the stream, have arrived that ``serve`` has not processed.
 
-        Guards against a close over a request that was read: the stream takes bytes out of the kernel one
-        iteration of the loop before ``serve`` goes on, and the kernel alone would show nothing in between.
+        Guards against closing a connection with a request that was read: the stream reads bytes from the
+        kernel one iteration of the event loop before ``serve`` resumes, and a check of the kernel's buffer
+        alone would find nothing in between.
         """
-        return self.has_unprocessed or not streams.is_silent(self.stream)
+        return self.has_unprocessed_input or not streams.is_open_without_input(self.stream)
 
     @property
-    def has_unprocessed(self) -> bool:
-        """Whether the stream has read bytes that ``serve`` has not processed."""
+    def has_unprocessed_input(self) -> bool:
+        """True if the stream has read bytes that ``serve`` has not processed."""
         return self._pending_read is not None and self._pending_read.done()
 
     @property
     def closable(self) -> bool:
-        """Whether nothing is requested and nothing unread has come, so that it may be closed."""
-        return self.idle and not self.has_unread
+        """True if it is idle without unread input, so that closing it loses no request."""
+        return self.idle and not self.has_unread_input
 
     @property
     def settled(self) -> bool:
-        """Whether all that was read of it is answered, to the last byte."""
-        return not self.busy and not self.has_unprocessed
+        """True if every request that was read is answered, to the last byte."""
+        return not self.busy and not self.has_unprocessed_input
 
     @abstractmethod
     async def serve(self) -> None:
@@ -71,37 +73,37 @@
 
     @abstractmethod
     def timeout_s(self, idle_timeout_s: float) -> float:
-        """Return for how long it may stay as it is, ``inf`` without a bound.
+        """Return how long the connection may stay in its current state, in seconds; ``inf`` for no limit.
 
         Args:
-            idle_timeout_s: The time-out between requests.
+            idle_timeout_s: The time-out between requests, in seconds.
         """
 
     @abstractmethod
-    def on_client_gone(self) -> None:
-        """Give up the connection's requests: nobody is there for their answers."""
+    def on_client_disconnected(self) -> None:
+        """Cancel the connection's requests, as the client can no longer receive their answers."""
 
-    def time_out(self) -> None:
-        """Close after ``timeout_s``, and first answer where a request has begun."""
+    def on_timeout(self) -> None:
+        """Close the connection, after an error answer where a request was partly received."""
         self.close()
 
     def stop_reading(self) -> None:  # noqa: B027 - a protocol may have nothing to do here
-        """Leave unread what comes from now on; what was read gets its answer."""
+        """Stop reading from the connection; requests that were read are still answered."""
 
     def reject_partial_request(self) -> None:  # noqa: B027
-        """Reject a request of which only a part was read, once nothing more is read."""
+        """Reject a partly received request, after reading has stopped."""
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection and cancel its requests."""
         streams.abort(self.stream)
         self.on_closed()
-        self.on_client_gone()
+        self.on_client_disconnected()
 
     async def receive(self) -> bytes:
-        """Return what comes next.
+        """Return the next bytes as soon as any arrive.
 
         Raises:
-            StreamClosedError: The stream has ended.
+            StreamClosedError: The stream is closed.
         """
         read = self.stream.read_bytes(streams.READ_SIZE_BYTES, partial=True)
         self._pending_read = asyncio.ensure_future(read)
--- a/sabledyke/net/clock.py
+++ b/sabledyke/net/clock.py
@@ -1,12 +1,12 @@
-"""The one clock: Unix time in milliseconds at the start, and steady from there on."""
+"""Clock of the process: Unix time in milliseconds as of its start, advanced by the monotonic clock."""
 
 from __future__ import annotations
 
 import time
 
-_ZERO = time.time() - time.monotonic()
+_MONOTONIC_TO_UNIX_S = time.time() - time.monotonic()
 
 
 def now() -> float:
-    """Milliseconds of Unix time, as read once at the start; a step of the system's clock does not show."""
-    return (_ZERO + time.monotonic()) * 1000
+    """Return Unix time in milliseconds; later steps of the system clock have no effect on it."""
+    return (_MONOTONIC_TO_UNIX_S + time.monotonic()) * 1000
--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -1,7 +1,7 @@
-"""Connections to storage nodes, whatever they speak, and the attempts on them: one at a time on each.
+"""Pool of connections to storage nodes of any protocol; each connection carries one attempt at a time.
 
-The pool is the core's innermost transport. It owns the connections and the timers of attempts; whether and
-where an attempt goes is decided by the core.
+The pool is the core's innermost transport. It owns the connections and the timers of attempts; the core
+decides whether an attempt is sent, and to which node.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 from sabledyke.policy.settings import Settings
 from sabledyke.protocol.discovery import Address
 
-IDLE_TIMEOUT_SHARE = 0.6  # of the time after which nodes close idle connections: ours are closed by then
-PRECONNECT_TIMEOUT_FACTOR = 2  # of the connect time-out
+# Fraction of the nodes' idle time-out after which the pool closes a connection, before the node does.
+IDLE_TIMEOUT_SHARE = 0.6
+PRECONNECT_TIMEOUT_FACTOR = 2  # multiple of the connect time-out
 
-# Request, number of the attempt, and how it ended.
+# Reports a request's id, the attempt's number and its result.
 ReportAttempt = Callable[[int, int, AttemptResult], None]
-# Request and number of the attempt: may it be written now? See ``core.Core.may_go``.
+# Returns whether an attempt, given its request's id and its number, may be written now (``Core.may_write``).
 MaySend = Callable[[int, int], bool]
 
 
@@ -33,15 +34,15 @@
     Args:
         settings: The settings in force.
         report: Called once for each attempt, when it has ended.
-        max_connections: How many connections there may be.
+        max_connections: Maximum number of connections, including those being opened.
         dial: Opens a connection.
-        may_send: Asked right before an attempt is written.
+        may_send: Checks, immediately before an attempt is written, whether it may still be sent.
 
     Attributes:
         settings: The settings in force.
-        max_connections: How many connections there may be.
+        max_connections: Maximum number of connections, including those being opened.
         report: Called once for each attempt, when it has ended.
-        addresses: Where nodes listen, without those that were removed.
+        addresses: Addresses of the nodes; removed nodes have none.
     """
 
     def __init__(
@@ -61,16 +62,16 @@
         self._idle: dict[NodeId, list[_PooledConnection]] = {}
         self._attempts: dict[tuple[int, int], _Attempt] = {}
         self._open_count = 0
-        self._preconnects: dict[NodeId, asyncio.Task[None]] = {}  # one at a time for a node
+        self._preconnects: dict[NodeId, asyncio.Task[None]] = {}  # at most one per node
         self._closed = False
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open or being opened."""
+        """Number of connections that are open or being opened."""
         return self._open_count
 
     def update_addresses(self, addresses: dict[NodeId, Address], removed: Iterable[NodeId] = ()) -> None:
-        """Note where nodes listen and which are removed; idle connections to former addresses are closed."""
+        """Update the addresses of nodes, and close idle connections to removed nodes and former addresses."""
         for node in removed:
             if self.addresses.pop(node, None):
                 self.close_idle(node)
@@ -82,27 +83,27 @@
     def start(
         self, request_id: int, number: int, node: NodeId, request: ClientRequest, timeout: float
     ) -> None:
-        """See ``core.Transport``."""
+        """Start an attempt on an idle or a new connection; it expires after ``timeout`` milliseconds."""
         loop = asyncio.get_running_loop()
         attempt = _Attempt(request_id, number, node, request)
         self._attempts[request_id, number] = attempt
         attempt.expires_at_s = loop.time() + timeout / 1000
         attempt.timer = loop.call_at(attempt.expires_at_s, self._expire, attempt)
-        attempt.task = loop.create_task(self._carry_out(attempt, timeout))
+        attempt.task = loop.create_task(self._run_attempt(attempt, timeout))
 
     def cancel(self, request_id: int, number: int) -> None:
-        """See ``core.Transport``."""
+        """Cancel an attempt and close its connection; an unknown attempt is ignored."""
         attempt = self._attempts.get((request_id, number))
         if attempt is not None:
             self._complete(attempt, AttemptResult(Outcome.CANCELLED, attempt.abort()))
 
     def close_idle(self, node: NodeId) -> None:
-        """See ``core.Transport``."""
+        """Close all idle connections to a node."""
         for connection in self._idle.pop(node, []):
             self._discard(connection)
 
     def preconnect(self, node: NodeId) -> None:
-        """Open a connection ahead of need, where none is idle and capacity remains; nothing is sent on it."""
+        """Open a connection in advance, if none is idle and capacity remains; nothing is sent on it."""
         if self._idle.get(node) or node not in self.addresses:
             return
         if self._open_count >= self.max_connections or self._closed:
@@ -111,7 +112,7 @@
             self._preconnects[node] = asyncio.get_running_loop().create_task(self._preconnect(node))
 
     def close(self) -> None:
-        """Close what is idle, at the end."""
+        """Close idle connections and stop opening connections in advance, at the end of the program."""
         self._closed = True
         for task in self._preconnects.values():
             task.cancel()
@@ -123,17 +124,18 @@
         try:
             self._return_connection(await self._open(node, timeout_ms))
         except (streams.StreamClosedError, PeerProtocolError, OSError):
-            return  # whoever needs one will find out
+            return  # an attempt that needs a connection reports the error
         finally:
             del self._preconnects[node]
 
-    async def _carry_out(self, attempt: _Attempt, timeout_ms: float) -> None:
+    async def _run_attempt(self, attempt: _Attempt, timeout_ms: float) -> None:
         try:
             connection = self._reuse(attempt.node) or await self._open(attempt.node, timeout_ms)
-            if (attempt.request_id, attempt.number) not in self._attempts:  # given up meanwhile
+            if (attempt.request_id, attempt.number) not in self._attempts:  # completed meanwhile
                 self._return_connection(connection)
                 return
-            # Guards against going by what held when the connection was requested: it may have come up late.
+            # Guards against sending on conditions that held when the connection was requested: it may have
+            # been established late.
             remaining_ms = (attempt.expires_at_s - asyncio.get_running_loop().time()) * 1000
             if remaining_ms <= 0 or not self._may_send(attempt.request_id, attempt.number):
                 self._return_connection(connection)
@@ -170,7 +172,7 @@
             raise
 
     def _evict_idle(self) -> None:
-        """Close the oldest idle connection of the node that has most of them."""
+        """Close the oldest idle connection of the node that has the most idle connections."""
         if self._idle:
             node = max(self._idle, key=lambda candidate: len(self._idle[candidate]))
             self._drop_idle(self._idle[node][0])
@@ -184,7 +186,7 @@
         return None
 
     def _return_connection(self, connection: _PooledConnection) -> None:
-        """Keep a connection for later attempts, where it can still serve one."""
+        """Keep a connection for later attempts, or close it if it cannot be used again."""
         moved = self.addresses.get(connection.node) != connection.address
         if self._closed or connection.link.closed or moved:
             self._discard(connection)
@@ -195,7 +197,7 @@
         connection.link.enter_idle(lambda: self._drop_idle(connection))
 
     def _remove_idle(self, connection: _PooledConnection) -> bool:
-        """Take a connection out of the idle ones, and tell whether it can be used."""
+        """Remove a connection from the idle connections; return whether it can be used."""
         self._idle[connection.node].remove(connection)
         if not self._idle[connection.node]:
             del self._idle[connection.node]
@@ -217,7 +219,7 @@
         self._complete(attempt, AttemptResult(Outcome.TIMEOUT if ran else Outcome.NO_CONNECTION, ran))
 
     def _complete(self, attempt: _Attempt, result: AttemptResult) -> None:
-        """Report an attempt, once; a connection that it still holds is closed, which gives it up."""
+        """Report an attempt once; close the connection that it still holds, which cancels it at the node."""
         if self._attempts.pop((attempt.request_id, attempt.number), None) is None:
             return
         if attempt.timer is not None:
@@ -230,7 +232,7 @@
 
 
 class _PooledConnection:
-    """A link and its place in the pool."""
+    """A link with the node and address that it was opened to, and its idle timer."""
 
     def __init__(self, node: NodeId, address: Address, link: Link) -> None:
         self.node = node
@@ -248,7 +250,7 @@
         self.node = node
         self.request = request
         self.connection: _PooledConnection | None = None
-        self.expires_at_s = 0.0  # by the loop's clock
+        self.expires_at_s = 0.0  # event loop time
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
@@ -257,7 +259,7 @@
         return self.connection is not None and self.connection.link.may_have_run
 
     def abort(self) -> bool:
-        """Close the connection in use: only then is it final whether the attempt may have run."""
+        """Close the connection in use; return whether the attempt may have run, which is then final."""
         if self.connection is not None:
             self.connection.link.close()
         return self.may_have_run
--- a/sabledyke/net/console.py
+++ b/sabledyke/net/console.py
@@ -1,7 +1,7 @@
-"""The operators' console: its own connections, one call on each, answered and closed.
+"""The operators' console: accepts connections, each of which carries one call and is then closed.
 
-It reads a call, hands it to the server, writes the answer and closes. It decides nothing about the scheduler;
-it only bounds its own connections.
+It reads a call, passes it to the server, writes the answer and closes the connection. It makes no decisions
+for the scheduler; it only limits the number and duration of its own connections.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from sabledyke import log
 from sabledyke.net import streams
-from sabledyke.net.frontend import stream_of
+from sabledyke.net.frontend import stream_from_socket
 from sabledyke.protocol.console import MAX_CALL_BYTES, ConsoleCall, encode_answer, route
 from sabledyke.protocol.http import HttpError, HttpMessage, HttpParser
 
-MAX_CONNECTIONS = 32  # at the bound the oldest is closed for each new one
-CALL_TIMEOUT_S = 2.0  # for a call to come in and its answer to be read
+MAX_CONNECTIONS = 32  # at this limit each new connection evicts the oldest
+CALL_TIMEOUT_S = 2.0  # time to receive a call and send its answer
 
 
 class Console:
@@ -28,37 +28,38 @@
         handle_call: Carries out a call, and returns the status and body of its answer.
 
     Attributes:
-        eviction_count: Connections closed at the bound since it was reached; the first is logged.
+        eviction_count: Connections closed at the limit since the count was last below half of it; only the
+            first is logged.
     """
 
     def __init__(self, handle_call: Callable[[ConsoleCall], tuple[int, bytes]]) -> None:
         self.eviction_count = 0
         self._handle_call = handle_call
-        # The oldest first.
+        # Streams by the task that serves each; the oldest first.
         self._connections: OrderedDict[asyncio.Task[None], streams.IOStream] = OrderedDict()
 
     @property
     def connection_count(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     def accept(self, sock: socket.socket, _address: object = None) -> None:
-        """Serve a call; where there are too many connections, the oldest is closed.
+        """Serve one call on a new connection; at the limit, close the oldest connection first.
 
-        Guards against callers that connect and stay silent: they hold a connection for ``CALL_TIMEOUT_S`` at
+        Guards against callers that connect and send nothing: they hold a connection for ``CALL_TIMEOUT_S`` at
         most, and a new caller never waits for them.
         """
         if len(self._connections) >= MAX_CONNECTIONS:
             self._evict_oldest()
         elif len(self._connections) < MAX_CONNECTIONS // 2:
             self.eviction_count = 0
-        stream = stream_of(sock)
+        stream = stream_from_socket(sock)
         task = asyncio.get_running_loop().create_task(self._serve(stream))
         self._connections[task] = stream
         task.add_done_callback(lambda done: self._connections.pop(done, None))
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for task, stream in list(self._connections.items()):
             stream.close()
             task.cancel()
@@ -97,8 +98,8 @@
     """Return one complete call.
 
     Raises:
-        HttpError: The call is larger than any call, or not HTTP.
-        StreamClosedError: The caller has closed.
+        HttpError: The call is larger than ``MAX_CALL_BYTES``, or not HTTP.
+        StreamClosedError: The caller has closed the connection.
     """
     parser = HttpParser()
     received_bytes = 0
@@ -106,7 +107,7 @@
         data = await stream.read_bytes(MAX_CALL_BYTES, partial=True)
         received_bytes += len(data)
         if received_bytes > MAX_CALL_BYTES:
-            raise HttpError("a call larger than any call")
+            raise HttpError("the call exceeds the size limit for console calls")
         parser.feed(data)
         message = parser.next_message()
         if message is not None:
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Watches the endpoint list that discovery serves: one call after the other, as long as the core wants it."""
+"""List watch: calls discovery repeatedly for changes of the endpoint list, while the core requires it."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from sabledyke.protocol.versions import VersionStatus, VersionTracker
 from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout, WatchTiming
 
-# How a call may end that brings no list; any other error is a fault of this program.
+# Errors of calls that fail because of discovery or the network; any other error is a fault of this program.
 EXPECTED_ERRORS = (streams.StreamClosedError, HttpError, ListError, OSError, TimeoutError)
-MIN_CALL_S = 0.05  # where a call brings nothing new
-CONNECT_TIMEOUT_FACTOR = 4  # of the connect time-out to storage nodes
+MIN_CALL_S = 0.05  # minimum duration of a call that returns no change, including the sleep after it
+CONNECT_TIMEOUT_FACTOR = 4  # multiple of the connect time-out to storage nodes
 
 
 class EndpointWatch:
-    """Discovery, as the core asks it; see ``core.Lists``.
+    """Source of endpoint lists for the core; implements ``core.EndpointSource``.
 
     Args:
-        address: Where discovery listens.
+        address: Address of discovery.
         settings: The settings in force.
-        since: The version of the cached list, where there is one.
-        report: Called with each new list, and with None where a call failed.
-        seed: For the back-off between calls.
+        since: Version of the cached list; None without one.
+        report: Called with each new list, and with None if a call failed.
+        seed: Seed of the jitter between calls.
 
     Attributes:
-        report: As given.
+        report: Called with each new list, and with None if a call failed.
     """
 
     def __init__(
@@ -49,46 +49,47 @@
         self._versions = VersionTracker(since)
         self._task: asyncio.Task[None] | None = None
         self._fetches: set[asyncio.Task[None]] = set()
-        self._wanted = False
+        self._watch_requested = False
         self._backoff = WatchTimeout(seed)
         self._resume_timer: asyncio.TimerHandle | None = None
 
     @property
     def pushed(self) -> bool:
-        """Whether lists are pushed: an agent on this machine holds them, and they count as delivered."""
+        """True if an agent on this machine holds the lists; its updates count as delivered at once."""
         return not self._settings.polls_endpoint_list
 
     def start(self) -> None:
-        """Begin to watch where lists are pushed; elsewhere the core begins when it wants."""
+        """Begin to watch if lists are pushed; otherwise the core starts the watch."""
         if self.pushed:
             self.watch(on=True)
 
     def stop(self) -> None:
-        """Watch no more, also where lists are pushed: the program stops."""
+        """Stop the watch as the program stops, also if lists are pushed."""
         if self._resume_timer is not None:
             self._resume_timer.cancel()
             self._resume_timer = None
         self.watch(on=False)
 
-    def adopt(self, address: tuple[str, int], settings: Settings) -> None:
-        """Put new settings in force, and watch at a new address, beginning with the complete list.
+    def apply_settings(self, address: tuple[str, int], settings: Settings) -> None:
+        """Apply new settings; at a new address, restart the watch with a request for the complete list.
 
-        Guards against waiting for the old address to break: what discovery publishes counts as delivered by
-        then. Another service may number its lists otherwise, so changes since the old one's do not fit.
+        Guards against watching the old address until its connection breaks: updates at the new address
+        already count as delivered. Another service may use other version numbers, so it cannot be asked for
+        changes since the old service's version.
         """
         self._settings = settings
         if address != self._address:
             self._address = address
             self._versions.reset()
-            self._cancel_calls()  # what a call to the old address still brings is not reported
+            self._cancel_calls()  # results of calls to the old address are not reported
             self.watch(on=True)
-        elif self._wanted:
-            self.watch(on=True)  # the pause after a failed call may be of the old settings
+        elif self._watch_requested:
+            self.watch(on=True)  # the pending pause after a failed call may come from the old settings
         self.start()
 
     def watch(self, *, on: bool) -> None:
-        """See ``core.Lists``."""
-        self._wanted = on
+        """Start or stop the watch for changes."""
+        self._watch_requested = on
         if on and self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._watch())
         elif not on and self._task is not None:
@@ -96,7 +97,7 @@
             self._task = None
 
     def fetch(self) -> None:
-        """See ``core.Lists``."""
+        """Request the complete list once."""
         task = asyncio.get_running_loop().create_task(self._fetch())
         self._fetches.add(task)
         task.add_done_callback(self._fetches.discard)
@@ -128,19 +129,19 @@
             _log_unexpected(error)
 
     async def _watch(self) -> None:
-        """Call until an error ends it; each call follows the last answer at once.
+        """Call discovery for changes until an error occurs, each time immediately after the last answer.
 
-        200 ms after an answer, changes could be lost.
+        A call later than 200 ms after the last answer could miss changes.
         """
         stream: streams.IOStream | None = None
         try:
             while True:
-                if stream is None or not streams.is_silent(stream):
+                if stream is None or not streams.is_open_without_input(stream):
                     stream = await streams.connect(self._address, self._connect_timeout_ms)
                 await self._call_for_changes(stream)
         except EXPECTED_ERRORS as error:
             self._on_watch_failure(error)
-        except Exception as error:  # guards against our own fault ending the watch for good
+        except Exception as error:  # guards against a fault of this program ending the watch permanently
             self._on_watch_failure(error)
             _log_unexpected(error)
         finally:
@@ -151,7 +152,7 @@
         called_at_s = asyncio.get_running_loop().time()
         try:
             answer = await self._call(stream, self._versions.since)
-        except TimeoutError:  # broken, though nothing says so: what it may miss is requested again
+        except TimeoutError:  # unresponsive without an error: the next call requests any missed changes
             streams.abort(stream)
             pause_s = self._backoff.on_timeout(self._timeouts)
             log.emit("discovery", f"a call timed out: the next in {pause_s:.2f} s")
@@ -162,29 +163,30 @@
         if not answer.keep_alive:
             streams.abort(stream)
         if not is_new and asyncio.get_running_loop().time() - called_at_s < MIN_CALL_S:
-            # Guards against spinning where the same list comes at once, again and again.
+            # Guards against a busy loop if discovery returns an unchanged list immediately each time.
             await asyncio.sleep(MIN_CALL_S)
 
     def _on_watch_failure(self, error: Exception) -> None:
-        """Report the failure; where lists are pushed, resume the watch later, else the core does."""
+        """Report the failure; resume the watch later if lists are pushed, otherwise the core restarts it."""
         self._task = None
         self._report_failure(error)
-        if self.pushed and self._wanted and self._resume_timer is None:
-            # Guards against missing what the agent holds: it counts as delivered, requested or not.
+        if self.pushed and self._watch_requested and self._resume_timer is None:
+            # Guards against missing an update that the agent holds: it counts as delivered even if no call
+            # requests it.
             pause_s = self._backoff.on_failure(self._timeouts)
             self._resume_timer = asyncio.get_running_loop().call_later(pause_s, self._resume_watch)
 
     def _resume_watch(self) -> None:
         self._resume_timer = None
-        if self._wanted:
+        if self._watch_requested:
             self.watch(on=True)
 
     async def _call(self, stream: streams.IOStream, since: int | None) -> HttpMessage:
         host = f"{self._address[0]}:{self._address[1]}"
         parser = HttpParser(responses=True)
-        terms = self._timeouts
-        async with asyncio.timeout(terms.wait_s + terms.response_margin_s):
-            call = list_target(since, int(terms.wait_s * 1000))
+        timing = self._timeouts
+        async with asyncio.timeout(timing.wait_s + timing.response_margin_s):
+            call = list_target(since, int(timing.wait_s * 1000))
             await stream.write(encode_request("GET", call, [("Host", host)], b""))
             while (answer := parser.next_message()) is None:
                 parser.feed(await stream.read_bytes(streams.READ_SIZE_BYTES, partial=True))
@@ -193,10 +195,10 @@
         return answer
 
     def _on_response(self, answer: HttpMessage) -> bool:
-        """Report what is new in an answer, and tell whether anything was.
+        """Report the changes in an answer; return whether there were any.
 
         Raises:
-            ListError: The list cannot be used, or is older than the one known.
+            ListError: The list is invalid, or older than the last one.
         """
         listing = parse_listing(answer.body, self._settings)
         if listing.error:
@@ -204,24 +206,24 @@
             if self._versions.is_newer(listing.update):
                 self.report(listing)
             raise ListError(listing.error)
-        verdict = self._versions.evaluate(listing.update)
-        if verdict is VersionStatus.STALE:
+        status = self._versions.evaluate(listing.update)
+        if status is VersionStatus.STALE:
             raise ListError(
                 f"version {listing.update.version} is older than {self._versions.current}, set aside"
             )
-        if verdict is VersionStatus.ACCEPTED:
+        if status is VersionStatus.ACCEPTED:
             self.report(listing)
         elif listing.update.entries:
             log.emit("discovery", f"version {listing.update.version} came again, nothing of it is new")
-        return verdict is VersionStatus.ACCEPTED
+        return status is VersionStatus.ACCEPTED
 
     def _report_failure(self, error: Exception) -> None:
-        reason = getattr(error, "real_error", None) or error  # what closed the stream says more
+        reason = getattr(error, "real_error", None) or error  # the cause of a closed stream is more specific
         log.emit("discovery", f"a call failed: {str(reason) or type(reason).__name__}")
         self.report(None)
 
 
 def _log_unexpected(error: Exception) -> None:
-    """Log a fault of this program with its stack, and count the invariant that it breaks."""
+    """Log a fault of this program with its stack trace, and count it as a violated invariant."""
     log.emit("fault", "".join(traceback.format_exception(error)))
     report_violation("a call for the list ends as expected", repr(error))
--- a/sabledyke/net/frontend.py
+++ b/sabledyke/net/frontend.py
@@ -1,4 +1,4 @@
-"""A front end: the client connections of one protocol, how many there may be, and when they are closed."""
+"""Front end: the client connections of one protocol, with their limit, time-outs and eviction."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 SWEEP_INTERVAL_S = 0.25  # between checks for connections that have timed out
 IDLE_TIMEOUT_S = 10.0  # between requests
 CROWDED_IDLE_TIMEOUT_S = 2.0  # between requests, while the front end is crowded
-CROWDED_SHARE = 0.5  # of the connections that clients may use for requests; above it the front end is crowded
-MAX_EVICTION_CHECKS = 4  # connections of each kind that are checked where one must be evicted
+CROWDED_SHARE = 0.5  # fraction of the connections usable for requests, above which the front end is crowded
+MAX_EVICTION_CHECKS = 4  # candidates of each kind that an eviction checks
 MAX_PENDING_HANDSHAKES = 64
-EVICTION_GRACE_S = 0.05  # a new connection is not evicted before
-FIRST_REQUEST_GRACE_S = 0.3  # a new connection is not closed by a drain before: its request may come
+EVICTION_GRACE_S = 0.05  # minimum age of a connection before it is evicted
+FIRST_REQUEST_GRACE_S = 0.3  # minimum age before a drain closes a connection that may still send a request
 
-# Checks a connection before it counts as a client; see ``application.extensions``:
-# ``Extension.connection_guard``.
+# Checks a connection before it counts as a client, and returns the stream to serve or None to reject it;
+# provided by ``Extension.connection_guard`` in ``application.extensions``.
 Guard = Callable[[streams.IOStream], Awaitable[streams.Stream | None]]
 
 
@@ -31,19 +31,23 @@
     """All connections of clients that speak one protocol.
 
     Args:
-        name: The protocol, for the log.
-        max_clients: How many connections there may be.
-        make_connection: Makes the connection of an accepted stream.
-        response_memory: The memory for answers on their way.
+        name: Name of the protocol in the log.
+        max_clients: Maximum number of connections.
+        make_connection: Creates the client connection for an accepted stream.
+        response_memory: Budget of memory for answers in flight.
 
     Attributes:
-        guard: What connections must pass before they count as clients.
-        crowded_above: The number of connections above which the front end is crowded.
-        write_timeout_s: For a client to read an answer.
+        name: Name of the protocol in the log.
+        max_clients: Maximum number of connections.
+        response_memory: Budget of memory for answers in flight.
+        guard: Check that connections must pass before they count as clients; None for no check.
+        crowded_above: Number of connections above which the front end is crowded.
+        write_timeout_s: Time for a client to read an answer, in seconds.
         shutdown: The graceful shutdown, once one was requested.
-        closing: No connection is admitted any more.
-        quiesced: Operators drain it: health says no, and connections end with their answers.
-        clients: The connections; the one used last is last.
+        closing: True once no further connection is admitted.
+        quiesced: True while operators drain the scheduler: health checks fail, and each connection closes
+            after its answer.
+        clients: The connections, in ascending order of last use.
     """
 
     def __init__(
@@ -69,61 +73,62 @@
 
     @property
     def crowded(self) -> bool:
-        """Whether there are so many connections that answers end theirs.
+        """True if there are so many connections that each closes after its answer.
 
-        Guards against clients that have no connection left for a request: those that request once and stay
-        would hold all that they may have. No client is sent away to a listener that closes.
+        Guards against clients that find no free connection for a request, because others stay connected
+        after a single request. During a shutdown it is False: the clients would reconnect to a listener that
+        closes.
         """
         return self.shutdown is None and len(self.clients) > self.crowded_above
 
     @property
     def shutting_down(self) -> bool:
-        """Whether the program was told to stop."""
+        """True once a graceful shutdown was requested."""
         return self.shutdown is not None
 
     @property
     def ends_connections(self) -> bool:
-        """Whether an answer given now ends its connection, because of a drain or a shutdown."""
+        """True if a drain or a shutdown requires that an answer given now closes its connection."""
         now = asyncio.get_running_loop().time()
         return self.quiesced or (self.shutdown is not None and self.shutdown.ends_connection(now))
 
     @property
     def rejects_requests(self) -> bool:
-        """Whether the end is so near that no request is accepted any more."""
+        """True in the last phases of a shutdown, in which no request is accepted."""
         now = asyncio.get_running_loop().time()
         return self.shutdown is not None and self.shutdown.phase(now) >= ShutdownPhase.FINAL_ANSWERS
 
     @property
     def settled(self) -> bool:
-        """Whether all that was read is answered."""
+        """True if every request that was read is answered."""
         return all(client.settled for client in self.clients)
 
     def accept(self, sock: socket.socket, _address: object = None) -> None:
-        """Serve a connection; where there are too many, the one idle for longest is closed.
+        """Serve a new connection; at the limit, evict an idle connection or close the new one.
 
-        Guards against clients that together hold more descriptors than the machine gives.
+        Guards against clients that together hold more file descriptors than the process may open.
         """
         if self.guard is not None:
             self._run_guard(sock, self.guard)
         elif self._ensure_capacity():
-            self._admit(stream_of(sock))
+            self._admit(stream_from_socket(sock))
         else:
             sock.close()
 
     def mark_used(self, client: ClientConnection) -> None:
-        """Note that a connection was used."""
+        """Move a connection to the most recently used position."""
         if client in self.clients:
             self.clients.move_to_end(client)
 
     def close_idle(self, now_s: float, poll_interval_s: float = 0.0) -> None:
-        """Close connections without a request and without unread bytes: all, or as the shutdown decides.
+        """Close connections that are idle without unread bytes: all of them, or those the shutdown selects.
 
-        Guards against closing over a request whose connection was just accepted: a client writes only once
-        it is connected, so a new connection is spared for a moment.
+        Guards against closing a connection just before its first request: a client writes only once it is
+        connected, so new connections are kept for ``FIRST_REQUEST_GRACE_S``.
 
         Args:
-            now_s: The loop's time.
-            poll_interval_s: How often this is called while the program shuts down.
+            now_s: The event loop's time.
+            poll_interval_s: Seconds between calls of this method during a shutdown.
         """
         spared_since_s = now_s - FIRST_REQUEST_GRACE_S
         for client in list(self.clients):
@@ -137,32 +142,32 @@
                 client.close()
 
     def stop_reading(self) -> None:
-        """Read nothing more from any connection: the program stops."""
+        """Stop reading from all connections, as the program stops."""
         for client in list(self.clients):
             client.stop_reading()
 
     def reject_partial_requests(self) -> None:
-        """Reject requests of which only a part was read, once nothing more is read."""
+        """Reject all partly received requests, after reading has stopped."""
         for client in list(self.clients):
             client.reject_partial_request()
 
     def close(self) -> None:
-        """Close all connections."""
+        """Close all connections and cancel pending handshakes."""
         for task in self._pending_handshakes:
             task.cancel()
         for client in list(self.clients):
             client.close()
 
     def _run_guard(self, sock: socket.socket, guard: Guard) -> None:
-        """Admit a connection once it has passed the guard, so that no client is evicted for it before.
+        """Admit a connection after it has passed the guard; no client is evicted for it earlier.
 
-        Guards against a crowd of handshakes that never end, or that cost clients their connections.
+        Guards against many handshakes that never complete, or that evict clients.
         """
         if self.closing or len(self._pending_handshakes) >= MAX_PENDING_HANDSHAKES:
             log.emit("front", f"{len(self._pending_handshakes)} {self.name} handshakes: a new one is closed")
             sock.close()
             return
-        task = asyncio.get_running_loop().create_task(self._admit_guarded(stream_of(sock), guard))
+        task = asyncio.get_running_loop().create_task(self._admit_guarded(stream_from_socket(sock), guard))
         self._pending_handshakes.add(task)
         task.add_done_callback(self._pending_handshakes.discard)
 
@@ -186,7 +191,7 @@
         asyncio.get_running_loop().create_task(client.serve())
 
     def _ensure_capacity(self) -> bool:
-        """Tell whether one more client may be admitted, after evicting one where there are too many."""
+        """Return whether another client may be admitted, after evicting one if the limit is reached."""
         if len(self.clients) < self.max_clients:
             return True
         evicted = self._find_evictable()
@@ -198,37 +203,38 @@
         return True
 
     def _find_evictable(self) -> ClientConnection | None:
-        """Return the connection that can best be done without.
+        """Return the connection to evict, None if none of those checked may be closed.
 
-        Guards against a crowd that connects and stays silent, or checks health alone, evicting clients with
-        requests: even what they keep open between requests is evicted after the crowd.
+        Guards against many clients that send nothing, or only health checks, evicting clients with requests:
+        even the idle connections of the latter are evicted only after those without any request.
         """
         spared_since_s = asyncio.get_running_loop().time() - EVICTION_GRACE_S
-        silent = [client for client in self.clients if client.idle and client.never_requested]
-        silent.sort(key=lambda client: client.last_activity_s)
-        long_silent = [client for client in silent if client.last_activity_s < spared_since_s]
+        unused = [client for client in self.clients if client.idle and client.never_requested]
+        unused.sort(key=lambda client: client.last_activity_s)
+        unused_past_grace = [client for client in unused if client.last_activity_s < spared_since_s]
         between_requests = [client for client in self.clients if client.idle and not client.never_requested]
-        for candidates in (long_silent, between_requests, silent):
+        for candidates in (unused_past_grace, between_requests, unused):
             for client in candidates[:MAX_EVICTION_CHECKS]:  # each check is a system call
                 if client.closable:
                     return client
-        return next((client for client in self.clients if _is_halfway(client)), None)
+        return next((client for client in self.clients if _has_partial_request(client)), None)
 
     def _schedule_sweep(self) -> None:
         self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._close_overdue)
 
     def _close_overdue(self) -> None:
-        """Close connections that are idle for too long, and those that begin a request and do not go on.
+        """Close connections that have exceeded their time-out.
 
-        Guards against clients that hold connections and descriptors for good: the silent, those that stop
-        halfway in a request, those that never read, and those that request once and stay.
+        Guards against clients that hold connections and file descriptors permanently: those that never send,
+        those that stop in the middle of a request, those that never read, and those that stay connected after
+        a single request.
         """
         now_s = asyncio.get_running_loop().time()
         idle_timeout_s = CROWDED_IDLE_TIMEOUT_S if self.crowded else IDLE_TIMEOUT_S
         for client in list(self.clients):
             overdue = now_s - client.last_activity_s > client.timeout_s(idle_timeout_s)
-            if overdue and (client.busy or not client.has_unread):  # unread bytes come first
-                client.time_out()
+            if overdue and (client.busy or not client.has_unread_input):  # unread bytes are processed first
+                client.on_timeout()
         if self.clients:
             self._schedule_sweep()
         else:
@@ -238,12 +244,12 @@
         self.clients.pop(client, None)
 
 
-def stream_of(sock: socket.socket) -> streams.IOStream:
+def stream_from_socket(sock: socket.socket) -> streams.IOStream:
     """Return the stream of a connection that a listener accepted."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return streams.IOStream(sock, read_chunk_size=streams.READ_SIZE_BYTES)
 
 
-def _is_halfway(client: ClientConnection) -> bool:
-    """Tell whether a client has begun a request and sends nothing more for now."""
-    return not client.busy and not client.idle and not client.has_unread
+def _has_partial_request(client: ClientConnection) -> bool:
+    """Return whether a client has sent part of a request and no further bytes have arrived."""
+    return not client.busy and not client.idle and not client.has_unread_input
--- a/sabledyke/net/http_frontend.py
+++ b/sabledyke/net/http_frontend.py
@@ -15,7 +15,7 @@
 from sabledyke.protocol.http import MAX_INPUT_BYTES, HttpError, HttpMessage, HttpParser, encode_response
 from sabledyke.protocol.request_ids import RequestIds
 
-CLOSE_DELAY_S = 0.25  # from the end of sending to the close, for the client to read its last answer
+CLOSE_DELAY_S = 0.25  # delay between half-close and close, for the client to read its last answer
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -23,12 +23,12 @@
     """A connection with one request at a time, each answered before the next is processed.
 
     Args:
-        frontend: Where the connection belongs.
-        stream: The connection's bytes.
-        reader: Translates requests.
-        ids: Remembers the ids of requests.
-        submit: Hands a request in, and returns its id.
-        abandon: Gives up a request whose client is gone.
+        frontend: The front end that owns the connection.
+        stream: The connection's byte stream.
+        reader: Translates HTTP messages to requests.
+        ids: Tracks the ids of requests that are in use.
+        submit: Passes a request to the core, and returns its id.
+        report_disconnect: Reports that the client of a request has disconnected.
     """
 
     def __init__(
@@ -38,74 +38,74 @@
         reader: MessageReader,
         ids: RequestIds,
         submit: Submit,
-        abandon: Callable[[int], None],
+        report_disconnect: Callable[[int], None],
     ) -> None:
         super().__init__(stream)
         self._frontend = frontend
         self._reader = reader
         self._ids = ids
         self._submit = submit
-        self._abandon = abandon
+        self._report_disconnect = report_disconnect
         self._parser = HttpParser()
         self._request_id: int | None = None  # the request in flight
         self._writing = False
-        self._continue_sent = False  # for the request whose body comes
-        self._reading_stopped = False  # the last answer is out, or the program stops
-        self._last_answer_written = False  # or being written
-        self._input_overrun = False  # too much came at once: what comes now is dropped
+        self._continue_sent = False  # 100 Continue was sent for the request whose body is being received
+        self._reading_stopped = False  # the last answer was sent, or the program stops
+        self._last_answer_written = False  # the last answer was sent, or is being sent
+        self._input_overrun = False  # more input arrived than is buffered: further input is dropped
 
     @property
     def idle(self) -> bool:
-        """See ``ClientConnection``."""
+        """True if no request is being received or answered."""
         return not self.busy and self._parser.idle
 
     @property
     def busy(self) -> bool:
-        """See ``ClientConnection``."""
+        """True if a request is in flight or an answer is being written."""
         return self._request_id is not None or self._writing
 
     @property
     def settled(self) -> bool:
-        """See ``ClientConnection``."""
+        """True if all input that was read is answered, or follows a last answer that is already sent."""
         return super().settled and (self._last_answer_written or self._parser.idle)
 
     def timeout_s(self, idle_timeout_s: float) -> float:
-        """See ``ClientConnection``."""
+        """Return the time-out of the current state: in flight, writing, receiving or idle."""
         if self._request_id is not None:
-            return inf  # its deadline bounds that
+            return inf  # the request's deadline is the limit
         if self._writing:
             return self._frontend.write_timeout_s
         if self.never_requested or not self._parser.idle:
             return REQUEST_TIMEOUT_S
         return idle_timeout_s
 
-    def time_out(self) -> None:
-        """See ``ClientConnection``."""
+    def on_timeout(self) -> None:
+        """Close the connection, after answering a partly received request with status 408."""
         if self.busy or self._parser.idle:
             self.close()
         else:
             self._reject_bad_request(HttpError("a request that does not go on", 408))
 
-    def on_client_gone(self) -> None:
-        """See ``ClientConnection``."""
+    def on_client_disconnected(self) -> None:
+        """Report the disconnect of the client for the request in flight."""
         request_id = self._request_id
         self._request_id = None
         if request_id is not None:
-            self._abandon(request_id)
+            self._report_disconnect(request_id)
 
     def stop_reading(self) -> None:
-        """See ``ClientConnection``."""
+        """Stop reading from the stream; requests that were read are still answered."""
         self._reading_stopped = True
         streams.stop_reading(self.stream)
 
     def reject_partial_request(self) -> None:
-        """See ``ClientConnection``."""
-        if self.settled or self.busy or self.has_unprocessed or self.stream.closed():
+        """Answer a partly received request with status 503, and close the connection."""
+        if self.settled or self.busy or self.has_unprocessed_input or self.stream.closed():
             return
         self._write(encode_response(503, close=True), last=True)
 
     async def serve(self) -> None:
-        """See ``ClientConnection``."""
+        """Read and answer requests until the client closes, sends an invalid request or reading stops."""
         try:
             while not self._reading_stopped:
                 data = await self.receive()
@@ -120,10 +120,10 @@
             self._reject_bad_request(error)
 
     def _accept_input(self, data: bytes) -> bytes:
-        """Return as much as may wait behind a request in flight; nothing after the first byte beyond it.
+        """Return the input that may be buffered behind a request in flight, and drop any input beyond it.
 
-        Guards against a client whose close is not seen, as it lies behind bytes that nobody reads, and
-        against ending, with the connection, requests in flight or waiting: they are answered, then the error.
+        Guards against missing a client's close behind bytes that are never read. Also guards against closing
+        the connection with requests in flight or buffered: they are answered first, then the error is sent.
         """
         if self._input_overrun:
             return b""
@@ -156,7 +156,7 @@
     def _submit_request(self, message: HttpMessage) -> None:
         request = self._reader.read_request(message)
         if not streams.may_access_volume(self.stream, request.volume):
-            raise HttpError("a client without a right to this volume", 403)
+            raise HttpError("the client has no access right to this volume", 403)
         self._ids.claim(clock.now(), request)
         request.client_connected = self._client_present
 
@@ -170,10 +170,10 @@
         self._request_id = self._submit(request, on_answer)
 
     def _on_body_progress(self) -> None:
-        """Renew the time-out while a request's body comes, and send 100 Continue where it is awaited.
+        """Renew the time-out while a request's body arrives, and send 100 Continue if the client expects it.
 
-        Guards against cutting off a body that comes slowly but comes: each piece of it renews the time-out;
-        one that stops times out as before.
+        Guards against rejecting a body that arrives slowly but steadily: each part of it renews the time-out.
+        A body that stops still times out.
         """
         if self._request_id is not None or not self._parser.receiving_body:
             return
@@ -181,17 +181,19 @@
         if self._parser.expects_continue and not self._continue_sent:
             self._continue_sent = True
             sent = asyncio.ensure_future(self.stream.write(CONTINUE_RESPONSE))
-            sent.add_done_callback(lambda f: f.cancelled() or f.exception())  # an end is no fault
+            # A failed write is not an error here: the closed stream ends the connection anyway.
+            sent.add_done_callback(lambda f: f.cancelled() or f.exception())
 
     def _client_present(self) -> bool:
         return not streams.peer_closed(self.stream)
 
     def _ends_connection(self, message: HttpMessage) -> bool:
-        """Decide whether the answer to ``message`` ends its connection.
+        """Decide whether the answer to ``message`` closes its connection.
 
-        Guards against rejecting what a client has already sent in a drain or at the end: requests that came
-        one after the other on the connection are answered first, and the last answer closes it. So are those
-        that came and were not processed yet: a close would drop what was read, and reset the rest.
+        Guards against losing, in a drain or a shutdown, pipelined requests that the client has already sent:
+        they are answered first, and the last answer closes the connection. Bytes that have arrived but are
+        not yet processed count as well: a close would drop those that were read and reset the connection for
+        the rest.
         """
         if not message.keep_alive:
             return True
@@ -199,10 +201,10 @@
             return self._parser.idle
         if not (self._frontend.crowded or self._frontend.ends_connections):
             return False
-        return self._parser.idle and not self.has_unread
+        return self._parser.idle and not self.has_unread_input
 
     def _write(self, data: bytes, *, last: bool) -> None:
-        """Send an answer; once it is sent, end the connection or go on with the next request."""
+        """Send an answer; once it is sent, close the connection or handle the next request."""
         self._writing = True
         self.last_activity_s = asyncio.get_running_loop().time()
         self._frontend.response_memory.used_bytes += len(data)
@@ -227,21 +229,21 @@
             self._reject_bad_request(error)
 
     def _finish_sending(self) -> None:
-        """End a connection whose last answer is written.
+        """Close a connection whose last answer is written.
 
-        Guards against that answer being lost: where the client has sent more, a close would reset the
-        connection, unread answer and all. So sending ends, and the close follows a moment later. What the
-        client sent stays unread: a request that is read and not answered would be lost, and one that was not
-        read its client sends once more.
+        Guards against losing that answer: if the client has sent more, a close would reset the connection
+        before the client reads the answer. The connection is therefore half-closed, and closed after
+        ``CLOSE_DELAY_S``. Further input stays unread: a request that is read but not answered would be lost,
+        whereas the client sends an unread one again.
         """
         self.stop_reading()
-        if streams.is_silent(self.stream) or not streams.half_close(self.stream):
+        if streams.is_open_without_input(self.stream) or not streams.half_close(self.stream):
             self.close()
             return
         asyncio.get_running_loop().call_later(CLOSE_DELAY_S, self.close)
 
     def _reject_bad_request(self, error: HttpError) -> None:
-        """Answer bad bytes where nothing is being answered, and end the connection."""
+        """Close the connection after an error answer; at once if another request is being answered."""
         log.emit("front", f"a client sent a bad request: {error}")
         if self._request_id is None and not self._writing and not self.stream.closed():
             self._write(encode_response(error.status, close=True), last=True)
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -15,7 +15,7 @@
 
 
 class HttpLink(streams.StreamLink):
-    """A connection that carries one request at a time; see ``link.Link``."""
+    """HTTP connection to a storage node that carries one request at a time."""
 
     def __init__(
         self,
@@ -34,11 +34,11 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the request's last byte was sent: a write that failed did not send it."""
+        """True if the request's last byte was sent, which a failed write has not done."""
         return self._written is not None and self._written.done() and self._written.exception() is None
 
     async def exchange(self, request: ClientRequest, timeout: float) -> AttemptResult:
-        """See ``link.Link``."""
+        """Send a request to the node and return the result of its response."""
         self.reusable = False
         self._written = None
         self._written = asyncio.ensure_future(
@@ -52,8 +52,8 @@
         return self._reader.read_node_response(answer)
 
     async def _read_response(self) -> HttpMessage:
-        """Return the response, and count what is read of it as memory in use meanwhile."""
-        held_bytes = 0
+        """Return the response; while it is being read, count its buffered bytes as memory in use."""
+        counted_bytes = 0
         try:
             while True:
                 try:
@@ -64,18 +64,20 @@
                 answer = self._parser.next_message()
                 if answer is not None:
                     return answer
-                self._response_memory.used_bytes += self._parser.buffered_bytes - held_bytes
-                held_bytes = self._parser.buffered_bytes
-                if self._response_memory.full and held_bytes > MAX_BODY_BYTES:  # what is small always fits
+                self._response_memory.used_bytes += self._parser.buffered_bytes - counted_bytes
+                counted_bytes = self._parser.buffered_bytes
+                # Small answers are read even if the memory is full.
+                if self._response_memory.full and counted_bytes > MAX_BODY_BYTES:
                     raise HttpError("no room for so large an answer")
         finally:
-            self._response_memory.used_bytes -= held_bytes
+            self._response_memory.used_bytes -= counted_bytes
 
     def _complete_at_end(self, end: streams.StreamClosedError) -> HttpMessage:
         """Return the response that the end of the stream completes, else raise ``end``.
 
-        Guards against taking a cut response for a complete one: only an orderly end closes a body that states
-        no length; a reset or a fault broke it off, and it may have run.
+        Guards against serving a truncated response as complete: a body without a stated length is complete
+        only after an orderly close; after a reset or another error it is truncated, and the request may have
+        run.
         """
         message = self._parser.on_end_of_stream() if end.real_error is None else None
         if message is None:
@@ -103,6 +105,6 @@
         self._connect = connect
 
     async def dial(self, node: NodeId, address: Address, timeout_ms: float) -> HttpLink:
-        """See ``link.Dial``."""
+        """Connect to a storage node and return the HTTP link."""
         stream = await self._connect(node, address, self.settings.connect_timeout_ms, timeout_ms)
         return HttpLink(f"{address.host}:{address.port}", stream, self._reader, self._response_memory)
--- a/sabledyke/net/link.py
+++ b/sabledyke/net/link.py
@@ -1,7 +1,6 @@
-"""What the connection pool needs of a connection to a storage node, and of what opens one.
+"""Interfaces between the connection pool and the protocols of storage nodes: links and dialers.
 
-Each protocol of storage nodes has a link and a dialer of its own: ``http_link``, ``nvme_link`` and
-``store.sql_link``.
+Each protocol has a link and a dialer: ``http_link``, ``nvme_link`` and ``store.sql_link``.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 class PeerProtocolError(SabledykeError):
-    """A storage node does not speak its protocol; the text says where."""
+    """A storage node violated its protocol; the message states how."""
 
     code, remedy = "box-garbled", "look at the box's version"
 
@@ -27,46 +26,47 @@
 
     @property
     def closed(self) -> bool:
-        """Whether it is of no more use."""
+        """True if the connection is closed."""
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the node may have run what was exchanged last."""
+        """True if the node may have run the last request."""
 
     @property
     def reusable(self) -> bool:
-        """Whether another exchange may follow the last."""
+        """True if the connection can carry another request."""
 
     async def exchange(self, request: ClientRequest, timeout: float) -> AttemptResult:
-        """Carry out one attempt.
+        """Carry out one attempt and return its result.
 
         Args:
             request: The request.
-            timeout: What the attempt may take, in milliseconds.
+            timeout: Time that the attempt may take, in milliseconds.
 
         Raises:
             StreamClosedError: The connection broke.
-            PeerProtocolError: The node does not speak its protocol.
+            PeerProtocolError: The node violated its protocol.
         """
 
     def enter_idle(self, on_activity: Callable[[], None]) -> None:
-        """Wait for no answer; ``on_activity`` is called when the peer sends or closes all the same."""
+        """Enter the idle state; ``on_activity`` is called if the peer sends bytes or closes in it."""
 
     def leave_idle(self) -> bool:
-        """Prepare for an exchange, and tell whether the link is fit for it."""
+        """Leave the idle state for an exchange; return whether the link can be used."""
 
     def close(self) -> None:
-        """End it, whatever is under way on it."""
+        """Close the connection, even during an exchange."""
 
 
-# Node, address, and the milliseconds that the attempt has.
+# Opens a link, given the node, its address and the attempt's remaining milliseconds.
 Dial = Callable[[NodeId, Address, float], Awaitable[Link]]
-# Node, address, milliseconds for the connection itself, and those that the attempt has.
+# Opens a stream, given the node, its address, the milliseconds for the connection itself and the attempt's
+# remaining milliseconds.
 Connect = Callable[[NodeId, Address, float, float], Awaitable[streams.Stream]]
 
 
 async def connect_plain(
     _node: NodeId, address: Address, connect_ms: float, _attempt_ms: float
 ) -> streams.Stream:
-    """Connect as no extension has wrapped it."""
+    """Connect without any extension, such as TLS."""
     return await streams.connect(address, connect_ms)
--- a/sabledyke/net/listener.py
+++ b/sabledyke/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket: how it accepts, how it pauses when the system can accept nothing, and how it closes."""
+"""Listening socket: accepts connections in batches, and pauses while the system cannot accept any."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from sabledyke import log
 
-BACKLOG = 512  # connections that may wait to be accepted
-ACCEPT_BATCH = 16  # connections that are accepted before those that are there have their turn
-# The connection that was to be accepted has failed, or the call was interrupted: the next one may be well.
-# Linux hands on errors of the network that wait on the new connection (accept(2), "Error handling").
+BACKLOG = 512  # maximum number of connections that wait to be accepted
+ACCEPT_BATCH = 16  # connections accepted in one iteration of the event loop, before others are served
+# Errors of a single connection, or an interrupted call: the next accept may succeed. Linux reports pending
+# network errors of the new connection through accept (accept(2), "Error handling").
 TRANSIENT_ACCEPT_ERRNOS = {
     errno.ECONNABORTED,
     errno.EINTR,
@@ -28,19 +28,19 @@
     errno.ETIMEDOUT,
     errno.ECONNRESET,
 }
-ACCEPT_RETRY_S = 0.05  # seconds until the next try, where the system has no descriptor or memory for one more
-MAX_CLOSE_RETRIES = 40  # such tries of a listener that closes
+ACCEPT_RETRY_S = 0.05  # delay of the next accept while the system lacks file descriptors or memory
+MAX_CLOSE_RETRIES = 40  # maximum number of such retries while the listener closes
 
 
 class Listener:
     """A listening socket.
 
     Args:
-        address: Where to listen; port 0 for any free port.
+        address: Address to listen at; port 0 for any free port.
         accept: Called with each accepted socket and its peer's address.
 
     Attributes:
-        closed: It listens no more.
+        closed: True once the socket is closed.
     """
 
     def __init__(self, address: tuple[str, int], accept: Callable[[socket.socket, object], None]) -> None:
@@ -52,29 +52,29 @@
 
     @property
     def port(self) -> int:
-        """Where it listens, also where any port was asked for."""
+        """Port that the socket is bound to, also if the configured port is 0."""
         return int(self._socket.getsockname()[1])
 
     def close(self) -> None:
-        """Accept what has already come up, then listen no more.
+        """Accept the connections in the backlog, then close the socket.
 
-        Guards against requests lost in the backlog: the machine accepted them, so they count as accepted.
-        Where the system has no descriptor left this is tried again, for two seconds at most.
+        Guards against losing requests in the backlog: the kernel has accepted their connections, so they
+        count as accepted. If the system has no file descriptor left, this is retried for at most two seconds.
         """
         self._cancel_retry()
         asyncio.get_running_loop().remove_reader(self._socket.fileno())
         self._drain_backlog(MAX_CLOSE_RETRIES)
 
     def close_now(self) -> None:
-        """Listen no more, whatever still waits to be accepted."""
+        """Close the socket, even with connections in the backlog."""
         self._cancel_retry()
         self._socket.close()
         self.closed = True
 
     def _on_readable(self) -> None:
-        """Accept connections that wait."""
+        """Accept a batch of connections, and pause if the system cannot accept any."""
         if not self._accept_batch(ACCEPT_BATCH):
-            # Guards against a loop that spins on a queue from which nothing can be accepted.
+            # Guards against a busy loop on a backlog from which nothing can be accepted.
             loop = asyncio.get_running_loop()
             loop.remove_reader(self._socket.fileno())
             self._retry_timer = loop.call_later(ACCEPT_RETRY_S, self._resume)
@@ -84,10 +84,10 @@
         self._on_readable()
 
     def _accept_batch(self, max_connections: int) -> bool:
-        """Accept what has come up; False where the system cannot accept anything just now.
+        """Accept up to ``max_connections``; return False if the system currently cannot accept any.
 
-        Guards against a crowd that comes again as soon as it is turned away: without a bound, accepting it
-        would never end, and nothing else be done. One connection that failed hides none behind it.
+        The limit guards against clients that reconnect as soon as they are rejected: accepting would never
+        end and block the event loop. A connection that fails does not stop the batch.
         """
         for _ in range(max_connections):
             try:
@@ -126,7 +126,7 @@
     """Return a listening socket.
 
     SO_REUSEPORT guards against a new version that cannot start while the old one serves: both listen, and
-    the kernel spreads new connections over them until the old one closes its listener.
+    the kernel distributes new connections between them until the old one closes its listener.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -1,4 +1,4 @@
-"""NVMe over TCP as an extension: the front end for its hosts, and the links to nodes that speak it."""
+"""Extension for NVMe over TCP: the front end for NVMe hosts, and the links to NVMe storage nodes."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class NvmeExtension(Extension):
-    """Serves hosts and reaches storage nodes over NVMe; see ``application.extensions.Extension``.
+    """Serves hosts and connects to storage nodes over NVMe.
 
     Args:
-        host: What the server offers to its extensions.
-        section: The section ``[nvme]``.
+        context: The server's interface for extensions.
+        section: The section ``[nvme]`` of the operator's file.
     """
 
     def __init__(self, host: ServerContext, section: NvmeSection) -> None:
@@ -46,27 +46,27 @@
         )
 
     def dialers(self) -> dict[NodeId, Dial]:
-        """See ``application.extensions.Extension``."""
+        """Return the dialer of each NVMe storage node."""
         return dict.fromkeys(self._nqn_by_node, self.dialer.dial)
 
     def frontends(self) -> Sequence[tuple[Frontend, tuple[str, int]]]:
-        """See ``application.extensions.Extension``."""
+        """Return the NVMe front end with its address; empty if none is configured."""
         return [(self._frontend, self._section.listen)] if self._section.listen else []
 
     def apply_config(self, config: Config) -> None:
-        """See ``application.extensions.Extension``."""
+        """Apply the new settings to the dialer and the translator."""
         self.dialer.settings = self._translator.settings = config.settings
 
-    def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
-        """See ``application.extensions.Extension``."""
-        for node in gone:
+    def on_nodes_removed(self, removed: Iterable[NodeId]) -> None:
+        """End the associations with removed nodes, once their requests in flight have ended."""
+        for node in removed:
             self.dialer.forget(node)
 
     async def close(self) -> None:
-        """See ``application.extensions.Extension``."""
+        """End all associations with storage nodes."""
         self.dialer.close()
 
 
 def set_up(host: ServerContext, operator: OperatorConfig) -> Extension | None:
-    """Return the extension, where the operator's file asks for it."""
+    """Return the extension if the operator's file configures NVMe, else None."""
     return NvmeExtension(host, operator.nvme) if operator.nvme.is_configured else None
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -1,4 +1,4 @@
-"""Client connections that speak NVMe over TCP: hosts' queues, each with many commands at a time."""
+"""Client connections that speak NVMe over TCP: queues of hosts, each with many commands in flight."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from sabledyke.protocol.nvme import Command, Completion, NvmeError, Status, Target
 from sabledyke.protocol.nvme.blocks import Translator
 
-ERROR_WRITE_TIMEOUT_S = 1.0  # for a host to read why its queue ends
+ERROR_WRITE_TIMEOUT_S = 1.0  # time for a host to read the error that closes its queue
 
 
 class NvmeClientConnection(ClientConnection):
     """One queue of a host.
 
     Args:
-        frontend: Where the connection belongs.
-        stream: The connection's bytes.
-        translator: Translates commands.
-        submit: Hands a request in, and returns its id.
-        abandon: Gives up a request whose client is gone.
+        frontend: The front end that owns the connection.
+        stream: The connection's byte stream.
+        translator: Translates commands to requests, and answers to completions.
+        submit: Passes a request to the core, and returns its id.
+        report_disconnect: Reports that the client of a request has disconnected.
     """
 
     def __init__(
@@ -34,43 +34,43 @@
         stream: streams.Stream,
         translator: Translator,
         submit: Submit,
-        abandon: Callable[[int], None],
+        report_disconnect: Callable[[int], None],
     ) -> None:
         super().__init__(stream)
         self.target = Target(translator.subsystem)
         self._frontend = frontend
         self._translator = translator
         self._submit = submit
-        self._abandon = abandon
-        self._request_ids: dict[int, int] = {}  # by command id: requests in flight
-        self._flush_count = 0  # writes under way
+        self._report_disconnect = report_disconnect
+        self._request_ids: dict[int, int] = {}  # ids of the requests in flight, by command id
+        self._flush_count = 0  # number of writes in flight
         self._keep_alive_timer: asyncio.TimerHandle | None = None
 
     @property
     def idle(self) -> bool:
-        """See ``ClientConnection``."""
+        """True if no command is being received or answered."""
         return not self.busy and self.target.idle
 
     @property
     def busy(self) -> bool:
-        """See ``ClientConnection``."""
+        """True if a request is in flight or output is being written."""
         return bool(self._request_ids or self._flush_count)
 
     def timeout_s(self, _idle_timeout_s: float) -> float:
-        """See ``ClientConnection``; an idle queue is bounded by its keep-alive time."""
+        """Return the time-out of the current state; an idle queue has only its keep-alive time-out."""
         if self._flush_count:
             return self._frontend.write_timeout_s
         return REQUEST_TIMEOUT_S if self.never_requested or self.target.has_partial_input else inf
 
-    def on_client_gone(self) -> None:
-        """See ``ClientConnection``; a controller ends with its admin queue, and ends its other queues."""
+    def on_client_disconnected(self) -> None:
+        """Cancel the queue's requests; for an admin queue, also close the controller's other queues."""
         controller = self.target.controller
         queue = self.target.queue_id
         self.target.close()
         request_ids = list(self._request_ids.values())
         self._request_ids = {}
         for request_id in request_ids:
-            self._abandon(request_id)
+            self._report_disconnect(request_id)
         if self._keep_alive_timer is not None:
             self._keep_alive_timer.cancel()
         if controller is not None and queue == 0:
@@ -79,11 +79,11 @@
                     other.close()
 
     async def serve(self) -> None:
-        """See ``ClientConnection``."""
+        """Process commands until the host closes or violates the protocol."""
         try:
             while True:
                 self._process(await self.receive())
-                await self._flush()  # a host that reads nothing is not read from
+                await self._flush()  # nothing more is read until the host has read this output
         except streams.StreamClosedError:
             self.close()
         except NvmeError as error:
@@ -94,11 +94,11 @@
 
     def _process(self, data: bytes) -> None:
         self._frontend.mark_used(self)
-        frames = self.target.pdus_received
+        pdus_before = self.target.pdus_received
         for command, payload in self.target.feed(data):
             self._accept_command(command, payload)
         self._restart_keep_alive()
-        if not self.never_requested and self.target.pdus_received != frames:
+        if not self.never_requested and self.target.pdus_received != pdus_before:
             self.last_activity_s = asyncio.get_running_loop().time()
         self.never_requested = self.never_requested and self.target.controller is None
 
@@ -106,9 +106,9 @@
         def on_answer(answer: Answer) -> None:
             if self._request_ids.pop(command.command_id, None) is not None and not self.stream.closed():
                 self.target.complete(*self._translator.to_completion(command, answer))
-                asyncio.get_running_loop().create_task(self._flush_late())
+                asyncio.get_running_loop().create_task(self._flush_or_close())
 
-        if self._frontend.rejects_requests:  # guards against a host that never pauses holding up the end
+        if self._frontend.rejects_requests:  # guards against a constantly busy host delaying the shutdown
             self.target.complete(*self._translator.to_completion(command, Answer(AnswerStatus.REJECTED)))
             return
         request = self._translator.to_request(command, payload)
@@ -119,7 +119,7 @@
         self._request_ids[command.command_id] = self._submit(request, on_answer)
 
     def _restart_keep_alive(self) -> None:
-        """Close once the host has sent nothing for the time that it stated when it connected."""
+        """Restart the timer that closes the queue if the host sends nothing for its keep-alive time."""
         if self._keep_alive_timer is not None:
             self._keep_alive_timer.cancel()
         if self.target.keep_alive_ms:
@@ -143,14 +143,14 @@
         finally:
             self._flush_count -= 1
 
-    async def _flush_late(self) -> None:
+    async def _flush_or_close(self) -> None:
         try:
             await self._flush()
         except streams.StreamClosedError:
             self.close()
 
     async def _flush_error(self) -> None:
-        """Send the reason for the end."""
+        """Send the error that closes the queue."""
         try:
             async with asyncio.timeout(ERROR_WRITE_TIMEOUT_S):
                 await self._flush()
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -1,6 +1,6 @@
 """Connections to storage nodes that speak NVMe over TCP.
 
-There is one association with a node, and one command at a time on each of its I/O queues.
+Each node has one association, whose I/O queues carry one command at a time each.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 )
 from sabledyke.protocol.nvme.blocks import NoPlaceError, Translator
 
-KEEP_ALIVE_MS = 15000  # without a command, after which a node may end the association
-KEEP_ALIVE_INTERVAL_S = KEEP_ALIVE_MS / 3000  # between Keep Alive commands, and for the answer to one
-READY_POLL_INTERVAL_S = 0.01  # between checks whether a controller is ready
-CONTROLLER_ENABLE = 1 | 6 << 16 | 4 << 20  # CC: enabled, entries of 64 and 16 bytes
+KEEP_ALIVE_MS = 15000  # time without a command after which a node may end the association
+KEEP_ALIVE_INTERVAL_S = KEEP_ALIVE_MS / 3000  # interval of Keep Alive commands, and time-out of each
+READY_POLL_INTERVAL_S = 0.01  # interval between checks whether a controller is ready
+CONTROLLER_ENABLE = 1 | 6 << 16 | 4 << 20  # register CC: enabled, queue entries of 64 and 16 bytes
 
-# Opens a stream to an address within so many milliseconds.
+# Opens a stream to an address within the given milliseconds.
 OpenStream = Callable[[Address, float], Awaitable[streams.Stream]]
 
 
@@ -48,11 +48,11 @@
 
     Args:
         settings: The settings in force.
-        translator: Translates requests to commands.
-        nqn_by_node: The name of each node's subsystem.
-        host_nqn: The name of this host.
+        translator: Translates requests to commands, and completions to results.
+        nqn_by_node: NQN of each node's subsystem.
+        host_nqn: NQN of this host.
         connect: Opens a stream to a node.
-        slack_ms: What ``connect`` may take beyond the connection itself.
+        slack_ms: Milliseconds that ``connect`` may take beyond the connection itself.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._associations: dict[NodeId, _Association] = {}
 
     async def dial(self, node: NodeId, address: Address, timeout_ms: float) -> NvmeLink:
-        """See ``link.Dial``."""
+        """Open an I/O queue to a storage node; associate with the node first if necessary."""
         association = self._associations.get(node)
         if association is None or association.address != address:
             if association is not None:
@@ -85,9 +85,9 @@
         return NvmeLink(channel, self._translator)
 
     def forget(self, node: NodeId) -> None:
-        """End the association with a node that is removed, once what is in flight there has ended.
+        """End the association with a removed node, once its I/O queues are closed.
 
-        Guards against keeping an association, and its descriptor, with every node there ever was.
+        Guards against keeping an association, and its file descriptor, for every node that was ever listed.
         """
         association = self._associations.pop(node, None)
         if association is not None:
@@ -103,14 +103,14 @@
             address,
             self.nqn_by_node[node],
             self._host,
-            lambda where, ms: self._connect(node, where, self.settings.connect_timeout_ms, ms),
+            lambda node_address, ms: self._connect(node, node_address, self.settings.connect_timeout_ms, ms),
         )
         self._associations[node] = association
         return association
 
 
 class NvmeLink(streams.StreamLink):
-    """An I/O queue; see ``link.Link``."""
+    """Link over one I/O queue of a storage node."""
 
     def __init__(self, channel: _Channel, translator: Translator) -> None:
         super().__init__(channel.stream, channel.read_ahead)
@@ -121,9 +121,10 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a read's command, or any byte of a write's data, was sent.
+        """True if a read's command, or any byte of a write's data, was sent.
 
-        Guards against a write that is cut off mid-transfer: a node may have begun to store what it has.
+        Guards against treating a write that was cut off mid-transfer as not run: the node may have begun to
+        store the data that it received.
         """
         written = self._channel.written
         if self._request is None or written is None:
@@ -133,7 +134,7 @@
         return written.done() and written.exception() is None
 
     async def exchange(self, request: ClientRequest, _timeout: float) -> AttemptResult:
-        """See ``link.Link``; the time-out is the pool's, NVMe states none."""
+        """Run a request as a command; NVMe commands carry no time-out, so the pool alone enforces it."""
         self.reusable = False
         self._request = request
         self._channel.written = None
@@ -149,7 +150,7 @@
 
 
 class _Channel:
-    """The connection of one queue."""
+    """The connection of one queue, admin or I/O."""
 
     def __init__(self, stream: streams.Stream) -> None:
         self.stream = stream
@@ -158,17 +159,17 @@
         self.written: asyncio.Future[None] | None = None
 
     async def execute(
-        self, command: Command, payload: bytes = b"", *, inside: bool = False
+        self, command: Command, payload: bytes = b"", *, in_capsule: bool = False
     ) -> tuple[Completion, bytes]:
-        """Run one command.
+        """Run one command, and return its completion and data.
 
         Raises:
             StreamClosedError: The connection broke.
-            PeerProtocolError: The node broke the protocol.
+            PeerProtocolError: The node violated the protocol.
         """
         self.written = None
         try:
-            self.initiator.submit(command, payload, in_capsule=inside)
+            self.initiator.submit(command, payload, in_capsule=in_capsule)
             while True:
                 self._send_output()
                 for completed in self.initiator.feed(await self.read_ahead.read()):
@@ -178,11 +179,11 @@
             raise PeerProtocolError(str(error)) from None
 
     async def execute_or_fail(self, command: Command, payload: bytes = b"") -> int:
-        """Run one command of the set-up, and return its result; a PeerProtocolError where it fails."""
-        completion, _ = await self.execute(command, payload, inside=bool(payload))
+        """Run one command of the set-up and return its result; raise a PeerProtocolError if it fails."""
+        completion, _ = await self.execute(command, payload, in_capsule=bool(payload))
         if completion.status != Status.OK:
             streams.abort(self.stream)
-            raise PeerProtocolError(f"status {completion.status:#x} to command {command.opcode:#x}")
+            raise PeerProtocolError(f"status {completion.status:#x} for set-up command {command.opcode:#x}")
         return completion.result
 
     def _send_output(self) -> None:
@@ -195,33 +196,33 @@
 
 
 class _Association:
-    """The admin queue of a storage node, and the numbers of its I/O queues."""
+    """The admin queue of a storage node, and the ids of its I/O queues."""
 
     def __init__(self, address: Address, nqn: str, host: HostIdentity, connect: OpenStream) -> None:
         self.address = address
-        self.node_removed = False  # from the endpoint list
+        self.node_removed = False  # the node was removed from the endpoint list
         self._nqn = nqn
         self._host = host
         self._connect = connect
         self._admin: _Channel | None = None
         self._controller_id = 0
         self._max_queues = 0
-        self._last_queue = 0
+        self._last_queue_id = 0
         self._queues: dict[int, streams.Stream] = {}
         self._lock = asyncio.Lock()
         self._keep_alive_task: asyncio.Task[None] | None = None
 
     async def open_queue(self, timeout_ms: float) -> _Channel:
-        """Open a new I/O queue, and the admin queue before where there is none."""
+        """Open a new I/O queue; open the admin queue first if there is none."""
         async with self._lock:
             if self._admin is None or self._admin.stream.closed():
                 await self._open_admin_queue(timeout_ms)
-            number = self._next_queue_number()
+            queue_id = self._next_queue_id()
             channel = _Channel(await self._connect(self.address, timeout_ms))
-            self._queues[number] = channel.stream
+            self._queues[queue_id] = channel.stream
         try:
             await channel.execute_or_fail(
-                *connect_command(self._nqn, number, self._controller_id, self._host, 0)
+                *connect_command(self._nqn, queue_id, self._controller_id, self._host, 0)
             )
         except BaseException:
             streams.abort(channel.stream)
@@ -235,13 +236,13 @@
         if self._admin is not None:
             streams.abort(self._admin.stream)
 
-    def _next_queue_number(self) -> int:
-        """Return the number unused for longest: a node may take a while to see that a queue is gone."""
+    def _next_queue_id(self) -> int:
+        """Return the least recently used free queue id, as a node may take time to detect a closed queue."""
         for _ in range(self._max_queues):
-            self._last_queue = self._last_queue % self._max_queues + 1
-            if self._last_queue not in self._queues or self._queues[self._last_queue].closed():
-                return self._last_queue
-        raise PeerProtocolError("no queue to spare")
+            self._last_queue_id = self._last_queue_id % self._max_queues + 1
+            if self._last_queue_id not in self._queues or self._queues[self._last_queue_id].closed():
+                return self._last_queue_id
+        raise PeerProtocolError("all I/O queues that the controller granted are in use")
 
     async def _open_admin_queue(self, timeout_ms: float) -> None:
         admin = _Channel(await self._connect(self.address, timeout_ms))
@@ -257,20 +258,23 @@
         self._keep_alive_task = asyncio.get_running_loop().create_task(self._send_keep_alives(admin))
 
     async def _set_up_controller(self, admin: _Channel) -> int:
-        """Connect and enable a controller, and return how many I/O queues it grants."""
+        """Connect and enable a controller; return the number of I/O queues that it grants."""
         command = connect_command(self._nqn, 0, DYNAMIC_CONTROLLER_ID, self._host, KEEP_ALIVE_MS)
         self._controller_id = await admin.execute_or_fail(*command) & 0xFFFF
         await admin.execute_or_fail(property_get_command(Property.CAP))
         await admin.execute_or_fail(property_set_command(Property.CC, CONTROLLER_ENABLE))
         while not await admin.execute_or_fail(property_get_command(Property.CSTS)) & 1:
             await asyncio.sleep(READY_POLL_INTERVAL_S)
-        wanted = (MAX_IO_QUEUES - 1) * 0x10001
-        set_queues = Command(AdminOpcode.SET_FEATURES, 0, dwords=(7, wanted, 0, 0, 0, 0))
+        requested = (MAX_IO_QUEUES - 1) * 0x10001
+        set_queues = Command(AdminOpcode.SET_FEATURES, 0, dwords=(7, requested, 0, 0, 0, 0))
         granted = await admin.execute_or_fail(set_queues)
         return min(granted & 0xFFFF, granted >> 16, MAX_IO_QUEUES - 1) + 1
 
     async def _send_keep_alives(self, admin: _Channel) -> None:
-        """Send Keep Alive commands until the admin queue breaks, which ends the other queues with it."""
+        """Send Keep Alive commands until one fails, or until a removed node has no open I/O queue.
+
+        The admin queue is then closed, which ends the association and its other queues.
+        """
         try:
             while True:
                 await asyncio.sleep(KEEP_ALIVE_INTERVAL_S)
--- a/sabledyke/net/nvme_section.py
+++ b/sabledyke/net/nvme_section.py
@@ -1,4 +1,4 @@
-"""The operator's section ``[nvme]``: NVMe over TCP on both sides, with hosts and with storage nodes.
+"""Section ``[nvme]`` of the operator's file: NVMe over TCP with hosts and with storage nodes.
 
 The fields of the tables are the keys of the file.
 """
@@ -26,7 +26,7 @@
 
 
 class NvmeNode(NamedTuple):
-    """A storage node that speaks NVMe, and its subsystem."""
+    """A storage node that speaks NVMe, and the name of its subsystem."""
 
     node: NodeId
     nqn: str
@@ -34,13 +34,13 @@
 
 @dataclass(slots=True, frozen=True)
 class NvmeSection:
-    """What ``[nvme]`` says.
+    """Configuration of the section ``[nvme]``.
 
     Attributes:
-        listen: Where hosts connect; None for no such listener.
-        connections: How many connections of hosts may be open at once.
-        nqn: Name of the subsystem that hosts see.
-        host_nqn: Name that storage nodes see this scheduler by.
+        listen: Address of the listener for hosts; None for no listener.
+        connections: Maximum number of open connections of hosts.
+        nqn: NQN of the subsystem that is presented to hosts.
+        host_nqn: NQN by which this scheduler identifies itself to storage nodes.
         volumes: The volumes that hosts may access.
         nodes: Storage nodes that speak NVMe.
     """
@@ -54,21 +54,21 @@
 
     @property
     def is_configured(self) -> bool:
-        """Whether NVMe is spoken with anybody."""
+        """True if a listener for hosts or an NVMe storage node is configured."""
         return bool(self.listen or self.nodes)
 
 
 class NodeTable(Table, frozen=True, kw_only=True):
-    """A table ``[[nvme.box]]``: a node that speaks NVMe."""
+    """A table ``[[nvme.box]]``: a storage node that speaks NVMe."""
 
     host: str
     nqn: Nqn
 
 
 class VolumeTable(Table, frozen=True, kw_only=True):
-    """A table ``[[nvme.volume]]``: a volume as a namespace.
+    """A table ``[[nvme.volume]]``: a volume that hosts access as a namespace.
 
-    A deadline that is not set is that of the request class.
+    An unset deadline defaults to that of the request class.
     """
 
     namespace: Annotated[int, Meta(ge=1, le=1024)]
@@ -97,10 +97,10 @@
     box: tuple[NodeTable, ...] = ()
 
     def __post_init__(self) -> None:
-        """Check the keys against each other.
+        """Check that the keys are consistent with each other.
 
         Raises:
-            ValueError: They do not fit; ``convert`` makes it an OperatorError.
+            ValueError: They are not; ``convert`` turns it into an OperatorError.
         """
         if len({row.namespace for row in self.volume}) < len(self.volume):
             raise ValueError("two volume rows have the same namespace")
@@ -111,11 +111,11 @@
 
 
 def read(table: NvmeTable, settings: Settings) -> NvmeSection:
-    """Return the section, under the deployment's settings.
+    """Return the configuration of a parsed section, resolved against the deployment's settings.
 
     Raises:
         OperatorError: A volume names a plan or a class that is not in the settings.
-        ListError: The address to listen at cannot be read.
+        ListError: The listener's address is invalid.
     """
     return NvmeSection(
         listen=parse_address(table.listen) if table.listen else None,
@@ -152,7 +152,7 @@
 
 
 def _index(name: str, names: list[str], where: str) -> int:
-    """Return the index of a name in the settings."""
+    """Return the index of a name in the settings; an OperatorError if it is not there."""
     if name not in names:
         raise OperatorError(f"{where} must be one of {', '.join(names)}, not {name!r}")
     return names.index(name)
--- a/sabledyke/net/streams.py
+++ b/sabledyke/net/streams.py
@@ -1,4 +1,4 @@
-"""Streams of bytes: what drivers use of Tornado's, and what an encrypting one has to offer as well."""
+"""Byte streams: the interface that Tornado's streams and encrypting streams share, and helpers for both."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-READ_SIZE_BYTES = 64 * 1024  # requested of a stream at a time
+READ_SIZE_BYTES = 64 * 1024  # maximum size of one read
 PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class Stream(Protocol):
-    """What links and clients need of a stream: Tornado's own, or one that encrypts."""
+    """Interface of the streams of links and client connections: ``IOStream`` or an encrypting stream."""
 
     @property
     def socket(self) -> socket.socket | None:
-        """The socket underneath, None once closed."""
+        """The underlying socket; None once closed."""
 
     def closed(self) -> bool:
-        """Tell whether it cannot be used any more."""
+        """Return whether the stream is closed."""
 
     def close(self) -> None:
-        """End it."""
+        """Close the stream and its socket."""
 
     def write(self, data: bytes, /) -> asyncio.Future[None]:
-        """Send; done once the kernel has accepted the last byte."""
+        """Send data; the future is done once the kernel has accepted the last byte."""
 
     def read_bytes(self, num_bytes: int, *, partial: bool = ...) -> Awaitable[bytes]:
-        """Return what comes, as it comes; a StreamClosedError at the end."""
+        """Return bytes as they arrive; raise a StreamClosedError at the end of the stream."""
 
 
 async def connect(address: tuple[str, int], timeout_ms: float) -> IOStream:
-    """Open a stream.
+    """Open a stream to an address.
 
     Raises:
-        StreamClosedError: The connection did not come up in time.
+        StreamClosedError: The connection was not established within ``timeout_ms``.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     stream = IOStream(socket.socket(family, socket.SOCK_STREAM), read_chunk_size=READ_SIZE_BYTES)
@@ -56,9 +56,9 @@
 
 
 class ResponseMemory:
-    """Memory for answers on their way, shared by all connections.
+    """Budget of memory for answers in flight, shared by all connections.
 
-    Guards against many large answers at once, or clients that read them slowly, using up the memory.
+    Guards against running out of memory because of many large answers at once, or clients that read slowly.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -67,15 +67,15 @@
 
     @property
     def full(self) -> bool:
-        """Whether no more may be read."""
+        """True if the memory in use exceeds the limit."""
         return self.used_bytes > self.limit_bytes
 
 
 class ReadAhead:
-    """Reads a stream for a link, also while no answer is awaited.
+    """Reads a stream for a link, also while the connection is idle.
 
-    Guards against an unrequested answer, sent while the connection is idle: the stream would read it into its
-    buffer unseen, and it would be taken for the answer to the next request.
+    Guards against an unrequested answer that arrives on an idle connection: the stream would buffer it
+    unnoticed, and it would be served as the answer to the next request.
     """
 
     def __init__(self, stream: Stream) -> None:
@@ -84,13 +84,13 @@
         self._on_activity: Callable[[], None] = lambda: None
 
     async def read(self) -> bytes:
-        """Return what comes next."""
+        """Return the next bytes as soon as any arrive."""
         pending = self._pending_read
         self._pending_read = None
         return await (pending or self._stream.read_bytes(READ_SIZE_BYTES, partial=True))
 
     def enter_idle(self, on_activity: Callable[[], None]) -> None:
-        """Expect nothing; ``on_activity`` is called if something comes all the same, or the stream ends."""
+        """Enter the idle state; ``on_activity`` is called if bytes arrive in it, or the stream ends."""
         self._on_activity = on_activity
         try:
             self._pending_read = asyncio.ensure_future(self._stream.read_bytes(READ_SIZE_BYTES, partial=True))
@@ -100,17 +100,21 @@
 
     def _on_read(self, read: asyncio.Future[bytes]) -> None:
         if not read.cancelled():
-            read.exception()  # an end while it is idle is no fault
+            read.exception()  # the end of an idle stream is not an error
         self._on_activity()
 
     def leave_idle(self) -> bool:
-        """Expect an answer, and tell whether the stream is fit for it."""
+        """Leave the idle state for an exchange; return whether the stream can be used."""
         self._on_activity = lambda: None
-        return self._pending_read is not None and not self._pending_read.done() and is_silent(self._stream)
+        return (
+            self._pending_read is not None
+            and not self._pending_read.done()
+            and is_open_without_input(self._stream)
+        )
 
 
 class StreamLink:
-    """What links over one stream have in common; see ``link.Link``."""
+    """Base class of links over one stream; implements the idle and closed states of ``link.Link``."""
 
     def __init__(self, stream: Stream, read_ahead: ReadAhead | None = None) -> None:
         self.stream = stream
@@ -118,31 +122,31 @@
 
     @property
     def closed(self) -> bool:
-        """See ``link.Link``."""
+        """True if the stream is closed."""
         return bool(self.stream.closed())
 
     def close(self) -> None:
-        """See ``link.Link``."""
+        """Close the stream, even during an exchange."""
         abort(self.stream)
 
     def enter_idle(self, on_activity: Callable[[], None]) -> None:
-        """See ``link.Link``."""
+        """Enter the idle state; ``on_activity`` is called if the peer sends bytes or closes in it."""
         self.read_ahead.enter_idle(on_activity)
 
     def leave_idle(self) -> bool:
-        """See ``link.Link``."""
+        """Leave the idle state for an exchange; return whether the stream can be used."""
         return self.read_ahead.leave_idle()
 
 
-def is_silent(stream: Stream) -> bool:
-    """Tell whether it is open, and the peer has neither sent nor ended anything that was not read.
+def is_open_without_input(stream: Stream) -> bool:
+    """Return whether the stream is open and neither bytes nor an end of stream from the peer are unread.
 
-    Guards against sending on a pooled connection whose end has arrived but was not processed: what is
-    written there may have run for all that is known, and could not be sent again.
+    Guards against sending on a pooled connection whose end has arrived but is not yet processed: a request
+    that is written there has an unknown outcome, so it could not be sent again.
     """
     if stream.closed() or stream.socket is None:
         return False
-    if not getattr(stream, "rested", True):  # what it has read already says otherwise
+    if not getattr(stream, "rested", True):  # the stream itself has buffered input or an end of stream
         return False
     try:
         stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -154,9 +158,9 @@
 
 
 def peer_closed(stream: Stream) -> bool:
-    """Tell whether the peer has closed or reset its side, also behind bytes that were not read.
+    """Return whether the peer has closed or reset its side, also behind bytes that were not read.
 
-    Guards against forwarding a request whose client is gone while nobody reads from its connection.
+    Guards against forwarding a request whose client has disconnected while its connection is not being read.
     """
     if stream.closed() or stream.socket is None:
         return True
@@ -166,22 +170,23 @@
 
 
 def stop_reading(stream: Stream) -> None:
-    """Leave unread what comes on a stream, unless a write has to wait.
+    """Stop reading from a stream; a write that has to wait resumes reading.
 
-    A pending read ends only with the stream. Not for streams that encrypt, which read to write.
+    A pending read ends only with the stream. This has no effect on encrypting streams, which have to read in
+    order to write.
     """
     if isinstance(stream, IOStream) and not stream.closed():
         stream.io_loop.update_handler(stream.socket, IOLoop.WRITE if stream.writing() else 0)
 
 
 def may_access_volume(stream: Stream, volume: int) -> bool:
-    """Tell whether its peer may access a volume: each may, where nothing says who the peer is."""
+    """Return whether the peer may access a volume; without configured rights every peer may."""
     rights: frozenset[int] | None = getattr(stream, "rights", None)
     return rights is None or volume in rights
 
 
 def half_close(stream: Stream) -> bool:
-    """End sending but not reading; return False where the stream cannot, as one that encrypts."""
+    """Shut down the sending side only; return False if the stream does not support it or is closed."""
     if not isinstance(stream, IOStream) or stream.closed():
         return False
     try:
@@ -192,7 +197,7 @@
 
 
 def abort(stream: Stream) -> None:
-    """Close a stream, whatever its state."""
+    """Close a stream if it is not closed yet."""
     if not stream.closed():
         stream.close()
 
@@ -208,7 +213,7 @@
     "abort",
     "connect",
     "half_close",
-    "is_silent",
+    "is_open_without_input",
     "may_access_volume",
     "peer_closed",
     "stop_reading",
--- a/sabledyke/shutdown/__init__.py
+++ b/sabledyke/shutdown/__init__.py
@@ -1,1 +1,1 @@
-"""Graceful shutdown: how a scheduler stops so that the next one begins without a gap."""
+"""Graceful shutdown: stops a scheduler without losing requests, so that a new process can replace it."""
--- a/sabledyke/shutdown/graceful_shutdown.py
+++ b/sabledyke/shutdown/graceful_shutdown.py
@@ -1,12 +1,12 @@
-"""Decides what a scheduler does from SIGTERM to its end: which phase it is in, which connections end.
+"""Schedule of a graceful shutdown: the phases of a scheduler after SIGTERM, and the connections it closes.
 
-It is given the moment of SIGTERM, the longest deadline, a seed, and whether the shutdown is planned by the
-group, so that no kill follows. It knows no socket, clock or signal: every call states the time, in seconds of
-the caller's clock.
+The inputs are the time of SIGTERM, the longest deadline, a seed, and whether the group planned the shutdown,
+in which case no kill follows. The module uses no sockets, clocks or signals: every call passes the time, in
+seconds of the caller's clock.
 
-Source of its times: PROTOCOL, "Figures": after SIGTERM new connections come for 0.2 to 0.4 s, clients
-use those that stay open for as long as they do, and SIGKILL comes no sooner than the longest deadline (3 s
-where it is longer) plus 0.7 s. Nothing else is known of the kill's moment.
+Source of its times: PROTOCOL, "Figures": after SIGTERM new connections arrive for 0.2 to 0.4 s, clients use
+connections for as long as they stay open, and SIGKILL arrives no sooner than the longest deadline (3 s if it
+is longer) plus 0.7 s. Nothing else is known about the time of the kill.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 
 
 class ShutdownPhase(IntEnum):
-    """Where a shutdown is; phases follow each other in this order."""
+    """Phases of a shutdown, in chronological order."""
 
-    ACCEPTING_CONNECTIONS = 0  # all as before: clients on their way still find the listener
+    ACCEPTING_CONNECTIONS = 0  # the listener stays open for clients that are still connecting
     SERVING_OPEN_CONNECTIONS = 1  # the listener is closed; requests on open connections are served
-    DRAINING_CONNECTIONS = 2  # the same, and ever more answers end their connections
-    FINAL_ANSWERS = 3  # no request is begun; what is owed gets its final answer, idle connections close
-    COMPLETED = 4  # what is left is closed
+    DRAINING_CONNECTIONS = 2  # requests are served, and a growing share of answers close their connections
+    FINAL_ANSWERS = 3  # new requests are rejected, pending ones get a final answer, idle connections close
+    COMPLETED = 4  # all remaining connections are closed
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownTimes:
-    """How long each step takes, in seconds; each default is from PROTOCOL, or a share of what it leaves.
+    """Durations of the steps, in seconds; each default is from PROTOCOL, or a share of the time it leaves.
 
     Attributes:
-        listener_open_s: The listener stays open for the 0.2 to 0.4 s stated, and a half more.
-        max_deadline_s: A longer deadline counts as this.
-        kill_grace_s: How long after the longest deadline SIGKILL may come.
-        kill_margin_s: Between the end and the earliest kill, for iterations of the loop and a busy core.
-        max_lateness_s: By how much earlier the end is at most, where the loop has been late.
-        final_answers_s: For final answers to reach their clients.
-        draining_s: Over which answers end connections, so that clients do not all reconnect at once.
-        hastened_s: What a second SIGINT leaves until the end.
-        unavailable_s: From the end until another process serves at this address.
+        listener_open_s: Time that the listener stays open: the stated 0.2 to 0.4 s and half as much again.
+        max_deadline_s: Upper limit of the longest deadline in the schedule.
+        kill_grace_s: Time from the longest deadline to the earliest SIGKILL.
+        kill_margin_s: Margin before the earliest kill, for iterations of the event loop and a busy core.
+        max_lateness_s: Maximum time by which the end is earlier because the event loop is late.
+        final_answers_s: Time for final answers to reach their clients.
+        draining_s: Time over which answers close connections, so that clients do not all reconnect at once.
+        hastened_s: Time until the end after a second SIGINT.
+        unavailable_s: Time from the end until another process serves at this address.
     """
 
     listener_open_s: float = 0.6
@@ -60,15 +60,15 @@
     """The schedule of one scheduler's shutdown.
 
     Args:
-        requested_at: When SIGTERM came, in seconds of the caller's clock, as all times here.
+        requested_at: Time of SIGTERM, in seconds of the caller's clock, like all other times here.
         longest_deadline_s: The longest deadline of any request class.
-        seed: For the choice of connections that end.
-        times: How long each step takes.
-        planned: Whether the group planned the shutdown, so that other schedulers take over the clients.
+        seed: Seed of the random choice of connections to close.
+        times: Durations of the steps.
+        planned: True if the group planned the shutdown, so that other schedulers serve the clients.
 
     Attributes:
-        completed_at: When all connections are closed.
-        answer_by: When every accepted request has to be answered.
+        completed_at: Time at which all connections are closed.
+        answer_by: Time by which every accepted request is answered.
     """
 
     def __init__(
@@ -90,11 +90,11 @@
 
     @property
     def available_again_at(self) -> float:
-        """When another process may serve at this address: advice to clients that are rejected meanwhile."""
+        """Expected time at which another process serves at this address, as advice to rejected clients."""
         return self.completed_at + self._times.unavailable_s
 
     def hasten(self, now: float) -> None:
-        """Complete within ``hastened_s`` and drain at once: a second SIGINT came; later calls do nothing."""
+        """Complete within ``hastened_s`` of a second SIGINT, and drain at once; later calls do nothing."""
         completed_at = now + self._times.hastened_s
         if completed_at < self.completed_at:
             self._listener_closes_at = min(self._listener_closes_at, now)
@@ -102,10 +102,10 @@
             self._draining_from = now
 
     def allow_for_lateness(self, now: float, late_s: float) -> bool:
-        """Complete earlier by as much as the loop has been late lately, within bounds; return whether it did.
+        """Complete earlier by the event loop's recent lateness, within limits; return whether that changed.
 
-        Guards against a kill that comes while the loop is held up with answers due. Connections begin to
-        drain no earlier than otherwise, as long as that leaves time.
+        Guards against a kill while the event loop is delayed with answers due. Connections do not begin to
+        drain earlier, as long as the remaining time permits it.
         """
         earliest_end = self._listener_closes_at + self._times.draining_s + self._times.final_answers_s
         completed_at = max(self._latest_end - min(late_s, self._times.max_lateness_s), earliest_end)
@@ -117,7 +117,7 @@
         return True
 
     def phase(self, now: float) -> ShutdownPhase:
-        """Return the phase at ``now``; phases only go forward."""
+        """Return the phase at ``now``; it never returns to an earlier phase."""
         if now >= self.completed_at:
             return ShutdownPhase.COMPLETED
         if now >= self.answer_by:
@@ -129,10 +129,11 @@
         return ShutdownPhase.ACCEPTING_CONNECTIONS
 
     def ends_connection(self, now: float) -> bool:
-        """Decide whether an answer given now ends its connection.
+        """Decide whether an answer given now closes its connection.
 
-        While connections drain, the chance grows evenly to 1: guards against all clients reconnecting in
-        the same moment, and against a close that crosses a request, which an answer never does.
+        While connections drain, the probability grows linearly to 1. Guards against all clients reconnecting
+        at the same time, and against a close that crosses a client's next request on the wire, which cannot
+        happen if the connection closes with an answer.
         """
         phase = self.phase(now)
         if phase is not ShutdownPhase.DRAINING_CONNECTIONS:
@@ -144,13 +145,13 @@
     def closes_idle(self, now: float, poll_interval_s: float) -> bool:
         """Decide whether an idle connection is closed now.
 
-        In a planned shutdown idle connections close evenly while connections drain, so that none is left
-        whose next request would be rejected at the end. Else they stay until then, as a kill leaves no other
-        scheduler to go to.
+        In a planned shutdown idle connections close evenly while connections drain, so that none remains
+        whose next request would be rejected at the end. Otherwise they stay open until the end, as no other
+        scheduler is available to the clients.
 
         Args:
             now: The time.
-            poll_interval_s: How often this is called for each connection.
+            poll_interval_s: Seconds between calls for each connection.
         """
         phase = self.phase(now)
         if phase is ShutdownPhase.DRAINING_CONNECTIONS and self._planned:
@@ -158,10 +159,12 @@
         return phase >= ShutdownPhase.FINAL_ANSWERS
 
     def _schedule(self, now: float, completed_at: float) -> None:
-        """Set the phases to end at ``completed_at``; where time is short, the later phases keep theirs."""
+        """Schedule the phases to end at ``completed_at``; if time is short, the earlier phases shrink."""
         self.completed_at = max(now, completed_at)
         self.answer_by = max(now, self.completed_at - self._times.final_answers_s)
         draining_from = self.answer_by - self._times.draining_s
-        if self._planned:  # others are there for its clients, which go one by one once no new ones come
+        if (
+            self._planned
+        ):  # other schedulers serve the clients, which leave gradually once the listener closes
             draining_from = self._listener_closes_at
         self._draining_from = max(now, draining_from)
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -18,12 +18,12 @@
             ours, theirs = socket.socketpair()
             ours.setblocking(False)
             stream = streams.IOStream(ours)
-            assert streams.is_silent(stream)
+            assert streams.is_open_without_input(stream)
             theirs.sendall(last)
             theirs.close()
-            assert not streams.is_silent(stream)
+            assert not streams.is_open_without_input(stream)
             stream.close()
-            assert not streams.is_silent(stream)
+            assert not streams.is_open_without_input(stream)
 
     asyncio.run(scenario())
 
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -114,7 +114,7 @@
             seen.clear()
         watch.fetch()
         await until(lambda: len(service.calls) > asked_before)  # a call is out at the old address
-        watch.adopt(("127.0.0.1", new.port), replace(DEPLOYMENT, mean_units=3))
+        watch.apply_settings(("127.0.0.1", new.port), replace(DEPLOYMENT, mean_units=3))
         await until(lambda: seen)
         for _ in range(50):
             await asyncio.sleep(0.001)
@@ -145,11 +145,11 @@
 def test_a_silent_call_is_repeated_before_what_it_missed_counts_as_delivered() -> None:
     for seed in range(200):
         line, at = WatchTimeout(seed), 0.0
-        for terms, max_ms in (
+        for timing, max_ms in (
             (POLLED_DISCOVERY, max(6.0, POLLED_DISCOVERY.wait_s + 2)),
             (LOCAL_AGENT, 2.0),
         ):  # at once, 2 s to drain
-            assert terms.wait_s + terms.response_margin_s + line.on_timeout(terms) <= max_ms
+            assert timing.wait_s + timing.response_margin_s + line.on_timeout(timing) <= max_ms
             line.on_response()
         pauses = [line.on_timeout(POLLED_DISCOVERY) for _ in range(50)]
         assert max(pauses) <= 2 * POLLED_DISCOVERY.jitter_s
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -66,7 +66,7 @@
 ) -> None:
     async def scenario(rig: Rig) -> None:
         clients, broken = rig.server.fronts[0].clients, list[bool]()
-        accepted = frontend.stream_of
+        accepted = frontend.stream_from_socket
 
         def breaks(sock: socket.socket) -> streams.IOStream:
             if not broken:
@@ -74,7 +74,7 @@
                 raise OSError(errno.EINVAL, "Invalid argument")
             return accepted(sock)
 
-        monkeypatch.setattr(frontend, "stream_of", breaks)
+        monkeypatch.setattr(frontend, "stream_from_socket", breaks)
         pair = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2)]
         await until(lambda: broken and len(clients) == 1)
         for sock in pair:
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -189,8 +189,8 @@
             reading.set_result(request("behind"))
         for _ in range(20):
             await asyncio.sleep(0)
-        assert not line.client.has_unprocessed
-        assert read or not streams.is_silent(line.client.stream)
+        assert not line.client.has_unprocessed_input
+        assert read or not streams.is_open_without_input(line.client.stream)
         assert (await line.answer()).endswith(b"late")
         assert await asyncio.get_running_loop().sock_recv(line.socket, 99) == b""  # in order, no reset
         assert len(rig.http.seen) == seen
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -138,7 +138,7 @@
         for front in self.server.fronts:
             front.closing = True
             for client in list(front.clients):
-                client.on_client_gone = lambda: None  # type: ignore[method-assign]
+                client.on_client_disconnected = lambda: None  # type: ignore[method-assign]
                 client.close()
         self.server.watch.watch(on=False)
         for attempt in list(self.server.pool._attempts.values()):
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -89,7 +89,7 @@
             await until(lambda: not self.client.idle)
         elif step is Step.READ:
             # The stream's read ends in the iteration before ``serve`` goes on; this task wakes ahead of it.
-            await until(lambda: self.client.has_unprocessed)
+            await until(lambda: self.client.has_unprocessed_input)
         elif step in (Step.IN_WORK, Step.ANSWERED):
             await self.arrived.wait()
         if step is Step.ANSWERED:
