--- a/sabledyke/shutdown/graceful_shutdown.py
+++ b/sabledyke/shutdown/graceful_shutdown.py
@@ -163,8 +163,6 @@
         self.completed_at = max(now, completed_at)
         self.answer_by = max(now, self.completed_at - self._times.final_answers_s)
         draining_from = self.answer_by - self._times.draining_s
-        if (
-            self._planned
-        ):  # other schedulers serve the clients, which leave gradually once the listener closes
+        if self._planned:  # other schedulers serve the clients, so connections close gradually
             draining_from = self._listener_closes_at
         self._draining_from = max(now, draining_from)
--- a/tests/net/__init__.py
+++ b/tests/net/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the network drivers, most of them through the whole server on loopback."""
+"""Tests of the network drivers, most of them against a complete server on loopback."""
--- a/tests/net/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -1,4 +1,4 @@
-"""What is checked when an attempt is written: client, node, time left, window of its key."""
+"""Checks before an attempt is written: client, node, remaining time and deduplication window."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from tests.support.server_rig import DEPLOYMENT, KEYED, Rig, play
 from tests.support.settings import READ, SETTINGS
 
-Act = Callable[[Rig, Line], None]
+ChangeConditions = Callable[[Rig, Line], None]
 
 
-class LateDial:
-    """A dialer whose connections come up when the test lets them."""
+class DelayedDial:
+    """A dialer whose connections are established but returned only once the test releases them."""
 
     def __init__(self, rig: Rig) -> None:
         self._dial = rig.server.assembly.http_dialer.dial
@@ -33,8 +33,8 @@
         rig.server.pool.close_idle(b"plain")
         rig.server.assembly.dialers[b"plain"] = self
 
-    async def __call__(self, node: NodeId, address: Address, patience: float) -> Any:
-        link = await self._dial(node, address, patience)
+    async def __call__(self, node: NodeId, address: Address, timeout_ms: float) -> Any:
+        link = await self._dial(node, address, timeout_ms)
         self.arrived.set()
         await self.release.wait()
         return link
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    ("meanwhile", "goes"),
+    ("change_conditions", "sent"),
     [
         (leaves, False),
         (drains, False),
@@ -81,44 +81,46 @@
         (is_late, True),
     ],
 )
-def test_an_attempt_is_looked_at_again_in_the_turn_that_writes_it(meanwhile: Act, *, goes: bool) -> None:
-    """A connection to a storage node comes up late: what was decided then may not hold any more."""
+def test_an_attempt_is_checked_again_immediately_before_it_is_written(
+    change_conditions: ChangeConditions, *, sent: bool
+) -> None:
+    """Guards against sending on conditions that no longer hold once a slow connection is established."""
 
     async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
-        dial, ends = LateDial(rig), list[AttemptResult]()
+        dial, results = DelayedDial(rig), list[AttemptResult]()
         rig.server.core.metrics.count_attempt = lambda *_, **__: None  # type: ignore[method-assign]
         report = rig.server.pool.report
 
-        def note(request_id: int, number: int, ended: AttemptResult) -> None:
-            ends.append(ended)
-            report(request_id, number, ended)
+        def record_result(request_id: int, number: int, result: AttemptResult) -> None:
+            results.append(result)
+            report(request_id, number, result)
 
-        rig.server.pool.report = note
+        rig.server.pool.report = record_result
         line.socket.sendall(request("late"))
         await dial.arrived.wait()
-        seen = len(rig.http.seen)
-        meanwhile(rig, line)
-        dial.release.set()  # in this very turn: nobody has looked at what the client did
+        received_count = len(rig.http.seen)
+        change_conditions(rig, line)
+        dial.release.set()  # in the same iteration of the loop: the program has not processed the change yet
         line.release.set()
-        if goes:
-            await until(lambda: len(rig.http.seen) > seen)
-            assert 0 < float(rig.http.seen[-1][1]["req-deadline"]) < 0.45  # of 0.94 s: half a second is gone
+        if sent:
+            await until(lambda: len(rig.http.seen) > received_count)
+            assert 0 < float(rig.http.seen[-1][1]["req-deadline"]) < 0.45  # 0.94 s less half a second
         else:
-            await until(lambda: ends)
-            assert not ends[0].may_have_run
-            assert len(rig.http.seen) == seen
+            await until(lambda: results)
+            assert not results[0].may_have_run
+            assert len(rig.http.seen) == received_count
         rig.server.core.settings = DEPLOYMENT
         line.close()
 
     play(scenario)
 
 
-def test_a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_written() -> None:
-    """Lodi, short days, seed 2: a keyed write was sent again outside its window."""
-    once = replace(KEYED, deduplication_window_ms=500)
+def test_a_repeat_whose_window_ends_while_it_connects_is_not_written() -> None:
+    """Guards against repeating a keyed write after its deduplication window (Lodi, short days, seed 2)."""
+    keyed = replace(KEYED, deduplication_window_ms=500)
     bench = CoreBench(no_actions)
-    bench.core.settings = replace(SETTINGS, classes=(READ, once))
+    bench.core.settings = replace(SETTINGS, classes=(READ, keyed))
     request_id = bench.submit(class_index=1, write=True)
     bench.start_attempt(request_id)
     bench.core.on_attempt_completed(
@@ -128,14 +130,13 @@
     bench.start_attempt(request_id)
     assert len(bench.started) == 2
     assert bench.core.may_write(bench.now_ms, request_id, 1)
-    assert not bench.core.may_write(
-        bench.now_ms + 60, request_id, 1
-    )  # inside by 140 ms: a pause of 150 would pass it
+    # 140 ms of the window remain, which a pause of the process of 150 ms would exceed.
+    assert not bench.core.may_write(bench.now_ms + 60, request_id, 1)
     assert not bench.core.may_write(bench.now_ms + 250, request_id, 1)
 
 
-def test_a_request_in_work_keeps_the_window_that_it_came_with() -> None:
-    """A new configuration takes its class's window away: what is decided and what is checked agree."""
+def test_a_request_in_flight_keeps_the_deduplication_window_of_its_arrival() -> None:
+    """Guards against a decision and a check that use different windows after a reload shortens the window."""
     bench = CoreBench(no_actions)
     keyed = replace(KEYED, deduplication_window_ms=2000)
     bench.core.settings = replace(SETTINGS, classes=(READ, keyed))
@@ -153,23 +154,25 @@
     assert not invariants.violations
 
 
-def test_a_request_with_hardly_any_time_left_is_refused_unsent() -> None:
-    """A storage node may drop what comes so late without a word; nothing of it has run."""
+def test_a_request_with_too_little_time_left_is_rejected_without_an_attempt() -> None:
+    """Guards against sending a request so late that the node may drop it without an answer."""
 
     async def scenario(rig: Rig) -> None:
-        attempts, ended = list[int](), rig.server.core.on_attempt_completed
+        attempts, on_attempt_completed = list[int](), rig.server.core.on_attempt_completed
 
-        def note(now_ms: float, request_id: int, number: int, end: AttemptResult) -> None:
+        def record_attempt(now_ms: float, request_id: int, number: int, result: AttemptResult) -> None:
             attempts.append(number)
-            ended(now_ms, request_id, number, end)
+            on_attempt_completed(now_ms, request_id, number, result)
 
-        rig.server.core.on_attempt_completed = note  # type: ignore[method-assign]
-        for left in (0.001, 0.029, 0.031, 0.059):
+        rig.server.core.on_attempt_completed = record_attempt  # type: ignore[method-assign]
+        for remaining_s in (0.001, 0.029, 0.031, 0.059):
             line = await Line.open(rig)
             attempts.clear()
-            rig.server.core.scheduler.nodes[b"plain"].latency_ms = 1.0  # it could be served so soon
+            rig.server.core.scheduler.nodes[b"plain"].latency_ms = 1.0  # fast enough to serve the request
             line.release.set()
-            line.socket.sendall(request(left).replace(b"Deadline: 1.0", f"Deadline: {left}".encode()))
+            line.socket.sendall(
+                request(remaining_s).replace(b"Deadline: 1.0", f"Deadline: {remaining_s}".encode())
+            )
             assert (await line.answer()).startswith(b"HTTP/1.1 503")
             assert not attempts
             line.close()
--- a/tests/net/test_client_limits.py
+++ b/tests/net/test_client_limits.py
@@ -1,4 +1,4 @@
-"""How many client connections there may be, and which are closed first."""
+"""The limit of client connections, the order of their eviction, and their time-outs."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from tests.support.server_rig import GET, INFO, Rig, play
 
 
-def test_clients_stay_under_their_bound() -> None:
+def test_at_the_limit_an_idle_or_incomplete_connection_is_closed_for_a_new_one() -> None:
     async def scenario(rig: Rig) -> None:
         clients = rig.server.fronts[0].clients
         rig.server.fronts[0].max_clients = 1
-        for said in (b"", b"GET /half"):
+        for sent in (b"", b"GET /half"):
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
-            writer.write(said)
-            while not clients or bool(said) is next(iter(clients)).idle:
+            writer.write(sent)
+            while not clients or bool(sent) is next(iter(clients)).idle:
                 await asyncio.sleep(0)
             assert (await ask(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 200
-            assert await reader.read() == b""  # the one that was owed nothing made room
+            assert await reader.read() == b""  # the connection without a complete request was evicted
             writer.close()
             while clients:
                 await asyncio.sleep(0)
@@ -30,18 +30,20 @@
     play(scenario)
 
 
-def test_a_client_that_connects_and_sends_no_request_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The silent and half-silent of both fronts get their error or close; a connected host stays."""
+def test_a_client_without_a_complete_request_is_closed_after_the_time_out(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Both front ends close clients that send nothing or a partial request; a connected NVMe host stays."""
 
     async def scenario(rig: Rig) -> None:
         for module in (http_frontend, nvme_frontend):
             monkeypatch.setattr(module, "REQUEST_TIMEOUT_S", 0.2)
         host = await rig.host()
-        web, nvme = rig.port, rig.nvme_port
-        for port, said in ((web, b""), (web, b"GET /half"), (nvme, b""), (nvme, b"\0")):
+        http, nvme = rig.port, rig.nvme_port
+        for port, sent in ((http, b""), (http, b"GET /half"), (nvme, b""), (nvme, b"\0")):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(said)
-            assert (await reader.read())[:12] == (b"HTTP/1.1 408" if b"half" in said else b"")
+            writer.write(sent)
+            assert (await reader.read())[:12] == (b"HTTP/1.1 408" if b"half" in sent else b"")
             writer.close()
         assert await host.admin(0x18) == 0
         host.io[1].write(b"\x04")  # half a PDU
@@ -57,39 +59,41 @@
     async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(frontend, "CROWDED_IDLE_TIMEOUT_S", 0.2)
         http_front = rig.server.fronts[0]
-        stays, one = await asyncio.open_connection("127.0.0.1", rig.port)
-        one.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
-        assert b"connection: close" not in (await stays.readuntil(b"\r\n\r\n")).lower()
+        reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+        writer.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
+        assert b"connection: close" not in (await reader.readuntil(b"\r\n\r\n")).lower()
         await asyncio.sleep(3 * frontend.SWEEP_INTERVAL_S)
-        assert len(http_front.clients) == 1  # it may rest while there is room
+        assert (
+            len(http_front.clients) == 1
+        )  # an idle connection stays open while the front end is not crowded
         http_front.crowded_above = 0
         status, headers, _ = await ask(rig.port, GET.format(1, "b", INFO))
         assert (status, headers["connection"]) == (200, "close")
-        assert await stays.read() == b""
-        one.close()
+        assert await reader.read() == b""
+        writer.close()
 
     play(scenario)
 
 
-def test_silent_and_health_checking_clients_are_evicted_before_those_with_requests(
+def test_unused_and_health_checking_connections_are_evicted_before_those_with_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(frontend, "EVICTION_GRACE_S", 0.0)
         rig.server.fronts[0].max_clients = 3
         pairs = [await asyncio.open_connection("127.0.0.1", rig.port) for _ in range(3)]
-        (asked, asker), (silent, _), (curious, looker) = pairs
-        asker.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
-        assert await asked.readuntil(b"\r\n\r\n")
-        looker.write(b"GET /_health HTTP/1.1\r\n\r\n")
-        assert await curious.readuntil(b"\r\n\r\n")
-        for reader in (silent, curious):
-            again = await asyncio.open_connection("127.0.0.1", rig.port)
-            pairs.append(again)
+        (request_reader, request_writer), (unused_reader, _), (health_reader, health_writer) = pairs
+        request_writer.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
+        assert await request_reader.readuntil(b"\r\n\r\n")
+        health_writer.write(b"GET /_health HTTP/1.1\r\n\r\n")
+        assert await health_reader.readuntil(b"\r\n\r\n")
+        for reader in (unused_reader, health_reader):
+            new = await asyncio.open_connection("127.0.0.1", rig.port)
+            pairs.append(new)
             assert await reader.read() == b""
-            again[1].write(GET.format(1, id(again), INFO).replace("\n", "\r\n").encode())
-            assert await again[0].readuntil(b"\r\n\r\n")
-        assert not asked.at_eof()
+            new[1].write(GET.format(1, id(new), INFO).replace("\n", "\r\n").encode())
+            assert await new[0].readuntil(b"\r\n\r\n")
+        assert not request_reader.at_eof()
         assert len(rig.server.fronts[0].clients) == 3
         for _, writer in pairs:
             writer.close()
@@ -97,17 +101,17 @@
     play(scenario)
 
 
-def test_a_crowd_of_connections_is_accepted_in_batches() -> None:
+def test_many_connections_at_once_are_accepted_in_batches() -> None:
     async def scenario(rig: Rig) -> None:
         opened, clients = rig.server.listeners[0], rig.server.fronts[0].clients
-        crowd = [
+        sockets = [
             socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2 * listener.ACCEPT_BATCH + 1)
         ]
         opened._on_readable()
         assert len(clients) == listener.ACCEPT_BATCH
-        while len(clients) < len(crowd):
+        while len(clients) < len(sockets):
             await asyncio.sleep(0)
-        for sock in crowd:
+        for sock in sockets:
             sock.close()
 
     play(scenario)
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to storage nodes: their bound, and what makes one unfit."""
+"""The pool of connections to storage nodes: its limit, and connections that it must not reuse."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from tests.support.server_rig import DEPLOYMENT, GET, INFO, PUT, Rig, play
 
 
-def test_a_connection_whose_end_has_come_is_not_used_again() -> None:
+def test_a_stream_whose_end_has_arrived_is_not_reusable() -> None:
     async def scenario() -> None:
-        for last in (b"", b"408"):
+        for last_bytes in (b"", b"408"):
             ours, theirs = socket.socketpair()
             ours.setblocking(False)
             stream = streams.IOStream(ours)
             assert streams.is_open_without_input(stream)
-            theirs.sendall(last)
+            theirs.sendall(last_bytes)
             theirs.close()
             assert not streams.is_open_without_input(stream)
             stream.close()
@@ -28,7 +28,7 @@
     asyncio.run(scenario())
 
 
-def test_connections_to_nodes_stay_under_their_bound() -> None:
+def test_connections_to_nodes_stay_within_their_limit() -> None:
     async def scenario(rig: Rig) -> None:
         rig.server.pool.max_connections = 1
         for n, shard in enumerate((0, 1, 0, 1)):
@@ -40,31 +40,31 @@
 
 
 def test_an_unrequested_answer_is_never_served() -> None:
-    """A box says something more while its connection rests: the next request goes over another one."""
+    """Guards against serving bytes that a storage node sends on an idle connection as the next answer."""
 
     async def scenario(rig: Rig) -> None:
-        links: list[object] = []
+        writers: list[object] = []
 
-        async def twice(writer: asyncio.StreamWriter) -> bytes | None:
-            if writer not in links:
-                links.append(writer)
+        async def answer(writer: asyncio.StreamWriter) -> bytes | None:
+            if writer not in writers:
+                writers.append(writer)
             return http(200, b"right")
 
-        rig.http.answer = twice
+        rig.http.answer = answer
         for n in range(3):
             assert (await ask(rig.port, GET.format(1, n, INFO)))[::2] == (200, b"right")
-            writer = links[-1]
+            writer = writers[-1]
             assert isinstance(writer, asyncio.StreamWriter)
             stream = rig.server.pool._idle[b"plain"][0].link.stream  # type: ignore[attr-defined]
             writer.write(http(200, b"wrong"))
             while not stream.closed() and not stream._read_buffer_size:
                 await asyncio.sleep(0)
-        assert len(links) == 3
+        assert len(writers) == 3
 
     play(scenario)
 
 
-def test_removed_nodes_are_forgotten() -> None:
+def test_removed_nodes_leave_no_addresses_connections_or_associations() -> None:
     async def scenario(rig: Rig) -> None:
         host = await rig.host()
         assert await host.write(2, 0, bytes(512)) == 0
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery at rare moments, and how long a list may go without a request for it."""
+"""The list watch after failures, time-outs and changes of its address, and the delays between its calls."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class CallTimeouts:
-    """Timeouts of calls that expire when a test says so, and not by the time that a busy machine takes.
+    """Timeouts of calls that expire only when a test requires it, however slow the machine is.
 
     Attributes:
-        delays_s: The delays that were asked for.
+        delays_s: The delays that the watch requested, in seconds.
     """
 
     def __init__(self) -> None:
@@ -35,13 +35,13 @@
         self._latest: asyncio.Timeout | None = None
 
     def timeout(self, delay_s: float) -> asyncio.Timeout:
-        """Return a timeout without an end, in place of ``asyncio.timeout``."""
+        """Return a timeout that never expires by itself, in place of ``asyncio.timeout``."""
         self.delays_s.append(delay_s)
         self._latest = asyncio.timeout(None)
         return self._latest
 
     def expire(self) -> None:
-        """Let the latest one expire now."""
+        """Let the latest timeout expire now."""
         assert self._latest is not None
         self._latest.reschedule(asyncio.get_running_loop().time())
 
@@ -56,71 +56,77 @@
     """Play a scenario with a watch on a scripted discovery."""
 
     async def run() -> None:
-        service, seen = Discovery(), list[discovery.EndpointListing | None]()
+        service, reports = Discovery(), list[discovery.EndpointListing | None]()
         await service.open()
         service.hosts, service.script = [HOST], list(script)
         settings = replace(DEPLOYMENT, **changes)
-        watch = endpoint_watch.EndpointWatch(("127.0.0.1", service.port), settings, None, seen.append)
+        watch = endpoint_watch.EndpointWatch(("127.0.0.1", service.port), settings, None, reports.append)
         async with asyncio.timeout(30):
-            await scenario(watch, service, seen)
+            await scenario(watch, service, reports)
         watch.stop()
         service.die()
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("asks", [False, True])
-def test_a_fault_of_ours_does_not_end_the_watch_for_good(
-    *, asks: bool, capfd: pytest.CaptureFixture[str]
+@pytest.mark.parametrize("polled", [False, True])
+def test_a_fault_of_this_program_does_not_end_the_watch_permanently(
+    *, polled: bool, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(
-        watch: endpoint_watch.EndpointWatch, _service: Discovery, seen: list[discovery.EndpointListing | None]
+        watch: endpoint_watch.EndpointWatch,
+        _service: Discovery,
+        reports: list[discovery.EndpointListing | None],
     ) -> None:
-        faults, tell = [RuntimeError("a fault of ours")], watch.report
+        faults, inner_report = [RuntimeError("injected fault in a report")], watch.report
 
         def report(listing: discovery.EndpointListing | None) -> None:
             if listing is not None and faults:
                 raise faults.pop()
-            tell(listing)
+            inner_report(listing)
 
         watch.report = report
         watch.watch(on=True)
-        await until(lambda: seen)
-        assert seen == [None]  # the module hears that the call failed
+        await until(lambda: reports)
+        assert reports == [None]  # the core is notified of the failed call
         assert not faults
-        if asks:
-            watch.watch(on=True)  # as it does then
-        await until(lambda: len(seen) > 1)
-        assert seen[1] is not None
+        if polled:
+            watch.watch(on=True)  # the core restarts a polled watch after a failure
+        await until(lambda: len(reports) > 1)
+        assert reports[1] is not None
 
-    play_watch(scenario, [DRAINS], polls_endpoint_list=asks)
-    assert "a fault of ours" in capfd.readouterr().err
+    play_watch(scenario, [DRAINS], polls_endpoint_list=polled)
+    assert "injected fault in a report" in capfd.readouterr().err
     invariants.violations.clear()
 
 
-@pytest.mark.parametrize("asked_before", [False, True])
-def test_a_new_address_is_polled_at_once_and_the_old_one_reports_nothing_more(*, asked_before: bool) -> None:
-    """A change counts as told 4 s after SIGHUP, whether or not the module has asked for a list yet."""
+@pytest.mark.parametrize("watched_before", [False, True])
+def test_a_new_address_is_called_at_once_and_the_old_one_reports_nothing_more(
+    *, watched_before: bool
+) -> None:
+    """A change counts as delivered 4 s after SIGHUP, even if the core has not requested a list before."""
 
     async def scenario(
-        watch: endpoint_watch.EndpointWatch, service: Discovery, seen: list[discovery.EndpointListing | None]
+        watch: endpoint_watch.EndpointWatch,
+        service: Discovery,
+        reports: list[discovery.EndpointListing | None],
     ) -> None:
         new = Discovery()
         await new.open()
         new.hosts = [HOST | {"health": "draining"}]
-        if asked_before:
+        if watched_before:
             watch.watch(on=True)
-            await until(lambda: seen)
-            seen.clear()
+            await until(lambda: reports)
+            reports.clear()
         watch.fetch()
-        await until(lambda: len(service.calls) > asked_before)  # a call is out at the old address
+        await until(lambda: len(service.calls) > watched_before)  # a call to the old address is in flight
         watch.apply_settings(("127.0.0.1", new.port), replace(DEPLOYMENT, mean_units=3))
-        await until(lambda: seen)
+        await until(lambda: reports)
         for _ in range(50):
             await asyncio.sleep(0.001)
-        states = [listing.update.entries[0].state.name for listing in seen if listing is not None]
+        states = [listing.update.entries[0].state.name for listing in reports if listing is not None]
         assert states == ["DRAINING"]
-        assert len(seen) == 1
+        assert len(reports) == 1
         new.die()
 
     play_watch(scenario, [])
@@ -128,7 +134,11 @@
 
 @pytest.mark.parametrize("hosts", [3, 30, 200, 3200])
 def test_after_failed_calls_the_list_is_requested_before_a_drain_must_be_known(hosts: int) -> None:
-    """Told 6 s after discovery can be reached, and 2 s of grace; a call takes up to 3 s, and 0.15 s go by."""
+    """After failed calls, the next call starts early enough for its list to arrive in time.
+
+    A drain counts as known 6 s after discovery is reachable, plus 2 s of grace; of that a call takes up to
+    3 s, and another 0.15 s pass.
+    """
     rig = SchedulerRig(polls_endpoint_list=True, scheduler_count=hosts)
     for _ in range(60):
         actions = rig.handle(EndpointList(ListKind.FAILED, 0, ()))
@@ -137,36 +147,39 @@
         rig.now_ms += timer.delay_ms
     rig.scheduler.apply_settings(replace(rig.scheduler.context.settings, mean_units=3))
     (timer,) = actions_of(rig.handle(EndpointList(ListKind.FAILED, 0, ())), SetTimer)
-    assert (
-        timer.delay_ms <= rig.scheduler.discovery.first_call_spread_ms
-    )  # new settings: the pauses begin anew
+    # New settings reset the back-off.
+    assert timer.delay_ms <= rig.scheduler.discovery.first_call_spread_ms
 
 
-def test_a_silent_call_is_repeated_before_what_it_missed_counts_as_delivered() -> None:
+def test_a_call_that_times_out_is_repeated_before_missed_updates_count_as_delivered() -> None:
     for seed in range(200):
-        line, at = WatchTimeout(seed), 0.0
-        for timing, max_ms in (
+        watch_timeout, pause_s = WatchTimeout(seed), 0.0
+        for timing, max_s in (
             (POLLED_DISCOVERY, max(6.0, POLLED_DISCOVERY.wait_s + 2)),
-            (LOCAL_AGENT, 2.0),
-        ):  # at once, 2 s to drain
-            assert timing.wait_s + timing.response_margin_s + line.on_timeout(timing) <= max_ms
-            line.on_response()
-        pauses = [line.on_timeout(POLLED_DISCOVERY) for _ in range(50)]
+            (LOCAL_AGENT, 2.0),  # updates count as known at once, which leaves the 2 s of a drain
+        ):
+            assert timing.wait_s + timing.response_margin_s + watch_timeout.on_timeout(timing) <= max_s
+            watch_timeout.on_response()
+        pauses = [watch_timeout.on_timeout(POLLED_DISCOVERY) for _ in range(50)]
         assert max(pauses) <= 2 * POLLED_DISCOVERY.jitter_s
         for _ in range(9):
-            at = line.on_failure(LOCAL_AGENT)
-        assert at == LOCAL_AGENT.backoff.max_s
-    spread = [WatchTimeout(seed).on_timeout(POLLED_DISCOVERY) for seed in range(200)]
-    assert all(30 < sum(k / 4 <= p < (k + 1) / 4 for p in spread) < 71 for k in range(4))  # not in step
+            pause_s = watch_timeout.on_failure(LOCAL_AGENT)
+        assert pause_s == LOCAL_AGENT.backoff.max_s
+    first_pauses = [WatchTimeout(seed).on_timeout(POLLED_DISCOVERY) for seed in range(200)]
+    # The pauses of different hosts are spread evenly.
+    assert all(30 < sum(k / 4 <= p < (k + 1) / 4 for p in first_pauses) < 71 for k in range(4))
 
 
 @pytest.mark.parametrize(
     ("pushed", "script", "states"),
     [
-        (True, [DRAINS, None, GONE], ["READY", "DRAINING", None, "GONE"]),  # taken up where it was cut
+        # A call is cut off: the watch resumes where it stopped.
+        (True, [DRAINS, None, GONE], ["READY", "DRAINING", None, "GONE"]),
         (False, [DRAINS, None, GONE], []),
-        (True, [DRAINS, DRAINS, GONE], ["READY", "DRAINING", "GONE"]),  # repeated: set aside, and said once
-        # Silent from the first byte on, after a change, in the middle of an answer: asked anew, and no more.
+        # A repeated update is ignored, and reported once.
+        (True, [DRAINS, DRAINS, GONE], ["READY", "DRAINING", "GONE"]),
+        # Discovery is unresponsive before its first byte, or within an answer: the call is repeated, and
+        # nothing is reported.
         (True, [bytearray(), DRAINS, bytearray(), GONE], ["READY", "DRAINING", "GONE"]),
         (
             True,
@@ -174,16 +187,16 @@
             ["READY", "DRAINING", "GONE"],
         ),
         (True, [DRAINS, b'{"seq": 3, "whole": false, "hosts": [', GONE], ["READY", "DRAINING", None, "GONE"]),
-        # Older than what is held, or out of order: set aside, and the whole list is asked for.
+        # An older or out-of-order update is ignored, and the complete list is requested.
         (True, [GONE, DRAINS, complete_list(HOST, 4)], ["READY", "GONE", None, "READY"]),
-        # An older whole list is taken once a second call brings one too: it counts from the start.
+        # An older complete list is accepted once a second call returns one too: discovery was restarted.
         (True, [GONE, complete_list(HOST, 1), complete_list(HOST, 1)], ["READY", "GONE", None, "READY"]),
         (
             True,
             [change(HOST, 2, born_ms=5.0), change(HOST, 3, born_ms="nan"), GONE],
             ["READY", "READY", None, "GONE"],
         ),
-        # One garbled entry hides no drain beside it, and nobody is taken for gone.
+        # An invalid entry does not hide a drain in the same list, and no node counts as removed.
         (
             True,
             [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINS["hosts"][0]]}, complete_list(HOST, 2)],
@@ -191,7 +204,7 @@
         ),
     ],
 )
-def test_pushed_lists_are_watched_unrequested_and_a_bad_update_undoes_no_drain(
+def test_pushed_lists_are_watched_without_a_request_and_a_bad_update_reverts_no_drain(
     *,
     pushed: bool,
     script: list[dict[str, Any] | bytes | None],
@@ -204,20 +217,20 @@
     )
 
     async def run() -> None:
-        agent, seen = Discovery(), list[discovery.EndpointListing | None]()
+        agent, reports = Discovery(), list[discovery.EndpointListing | None]()
         agent.on_silence = timeouts.expire
         await agent.open()
         agent.hosts, agent.script, agent.indent = [HOST], list(script), 2
         settings = replace(DEPLOYMENT, polls_endpoint_list=not pushed)
-        watch = endpoint_watch.EndpointWatch(("127.0.0.1", agent.port), settings, None, seen.append)
+        watch = endpoint_watch.EndpointWatch(("127.0.0.1", agent.port), settings, None, reports.append)
         watch.start()
         async with asyncio.timeout(10):
-            while len(seen) < len(states):
+            while len(reports) < len(states):
                 await asyncio.sleep(0.01)
         await asyncio.sleep(0.1)
         watch.stop()
         agent.die()
-        entries = [e for s in seen for e in ([None] if s is None else s.update.entries)]
+        entries = [e for r in reports for e in ([None] if r is None else r.update.entries)]
         assert [None if e is None else e.state.name for e in entries] == states
         assert pushed or not agent.calls
         assert set(timeouts.delays_s) <= {LOCAL_AGENT.wait_s + LOCAL_AGENT.response_margin_s}
--- a/tests/net/test_http_messages.py
+++ b/tests/net/test_http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages that come slowly, without a length, or after 100 Continue."""
+"""HTTP messages that arrive slowly, without a stated length, or after 100 Continue."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from tests.support.server_rig import GET, INFO, PUT, Rig, play
 
 
-def test_a_body_that_comes_slowly_but_comes_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_body_that_arrives_slowly_but_steadily_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(http_frontend, "REQUEST_TIMEOUT_S", 0.2)
         head = PUT.format(1, "slow", INFO + "Idempotency-Key: s\nContent-Length: 8\n").replace("\n", "\r\n")
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         writer.write(head.encode())
-        for byte in b"12345678":  # 8 pieces over 0.8 s: four times its patience, never 0.2 s apart
+        for byte in b"12345678":  # 8 parts over 0.8 s: four times the time-out in all, but never 0.2 s apart
             await asyncio.sleep(0.1)
             writer.write(bytes([byte]))
         first, _, body = await read_http(reader)
         assert first.startswith("HTTP/1.1 200")
         assert body == b"12345678"
         writer.write(head.replace("Req-Id: slow", "Req-Id: stops").encode() + b"1234")
-        assert (await reader.read()).startswith(b"HTTP/1.1 408")  # one that stops is given up
+        assert (await reader.read()).startswith(b"HTTP/1.1 408")  # a body that stops times out
         writer.close()
 
     play(scenario)
@@ -37,25 +37,25 @@
 
 @settings(max_examples=40, derandomize=True, deadline=None)
 @given(st.binary(max_size=300), st.lists(st.integers(1, 50), max_size=8))
-def test_an_answer_that_ends_with_its_connection_is_whole_only_at_an_orderly_end(
-    body: bytes, cuts: list[int]
+def test_an_answer_without_length_is_complete_only_at_the_end_of_the_stream(
+    body: bytes, part_sizes: list[int]
 ) -> None:
-    whole = b"HTTP/1.1 200 OK\r\nX: y\r\n\r\n" + body
-    parser, at = HttpParser(responses=True), 0
-    for cut in [*cuts, len(whole)]:
-        parser.feed(whole[at : at + cut])
-        at += cut
-        assert parser.next_message() is None  # never whole before its end
+    response = b"HTTP/1.1 200 OK\r\nX: y\r\n\r\n" + body
+    parser, offset = HttpParser(responses=True), 0
+    for part_size in [*part_sizes, len(response)]:
+        parser.feed(response[offset : offset + part_size])
+        offset += part_size
+        assert parser.next_message() is None  # not complete before the end of the stream
     message = parser.on_end_of_stream()
     assert message is not None
     assert message.body == body
     assert not message.keep_alive
-    for cut_off in (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1234", b"HTTP/1.1 200 OK\r\nX:"):
-        broken = HttpParser(responses=True)
-        broken.feed(cut_off)
-        assert broken.next_message() is None
+    for truncated in (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1234", b"HTTP/1.1 200 OK\r\nX:"):
+        parser_of_truncated = HttpParser(responses=True)
+        parser_of_truncated.feed(truncated)
+        assert parser_of_truncated.next_message() is None
         with pytest.raises(HttpError):
-            broken.on_end_of_stream()
+            parser_of_truncated.on_end_of_stream()
 
 
 def test_a_close_completes_an_answer_without_length_and_a_reset_does_not() -> None:
@@ -95,7 +95,7 @@
         assert body == b"hello"
         too_large = head.replace("Content-Length: 5", f"Content-Length: {1 << 25}").replace("Id: e", "Id: f")
         writer.write(too_large.replace("\n", "\r\n").encode())
-        assert (await reader.read()).startswith(b"HTTP/1.1 413")  # refused before its body is sent
+        assert (await reader.read()).startswith(b"HTTP/1.1 413")  # rejected before its body is sent
         writer.close()
 
     play(scenario)
--- a/tests/net/test_node_connections.py
+++ b/tests/net/test_node_connections.py
@@ -1,4 +1,4 @@
-"""What storage nodes do to their connections, and that a client gets its one answer all the same."""
+"""Storage nodes that break, delay or garble their answers: the client still gets exactly one answer."""
 
 from __future__ import annotations
 
@@ -78,17 +78,17 @@
 
 @pytest.mark.parametrize("keyed", [False, True])
 @pytest.mark.parametrize("answer", list(ANSWERS))
-def test_whatever_a_node_answers_its_client_gets_one_whole_answer(answer: object, *, keyed: bool) -> None:
-    """What is served is what a node said whole; after it, the next request is served as ever."""
+def test_a_client_gets_one_complete_answer_however_a_node_answers(answer: object, *, keyed: bool) -> None:
+    """Only a complete answer of a node is served; afterwards the next request is served as usual."""
 
     async def scenario(rig: Rig) -> None:
-        served = ANSWERS[answer]  # type: ignore[index]
+        served_body = ANSWERS[answer]  # type: ignore[index]
         rig.http.answer = answer  # type: ignore[assignment]
         text = PUT.format(1, "spoilt", INFO + "Idempotency-Key: k\nContent-Length: 0\n") if keyed else ""
         status, _, body = await ask(rig.port, text or GET.format(1, "spoilt", INFO))
-        assert (status, body) == (200, served) if served is not None else status in (500, 503)
-        sent = sum(headers["req-id"] == "spoilt" for _, headers, _ in rig.http.seen)
-        assert 1 <= sent <= rig.server.core.settings.max_attempts
+        assert (status, body) == (200, served_body) if served_body is not None else status in (500, 503)
+        attempt_count = sum(headers["req-id"] == "spoilt" for _, headers, _ in rig.http.seen)
+        assert 1 <= attempt_count <= rig.server.core.settings.max_attempts
         rig.http.answer = None
         rig.server.core.scheduler.nodes[b"plain"].unresponsive_since_ms = float("inf")
         assert (await ask(rig.port, GET.format(2, "next", INFO)))[0] == 200
@@ -98,20 +98,20 @@
 
 
 @pytest.mark.parametrize("ends", ["closed", "reset", "said something"])
-def test_a_connection_that_its_node_ended_while_it_rested_is_not_written_to(ends: str) -> None:
-    """In the very turn in which its end has come; nobody has looked at it yet."""
+def test_an_idle_connection_that_its_node_ended_is_not_written_to(ends: str) -> None:
+    """Guards against reuse in the loop iteration in which the end arrives, before it is processed."""
 
     async def scenario(rig: Rig) -> None:
         writers: list[Writer] = []
 
-        async def note(writer: Writer) -> bytes | None:
+        async def record_writer(writer: Writer) -> bytes | None:
             writers.append(writer)
             return http(200, b"good")
 
-        rig.http.answer = note
+        rig.http.answer = record_writer
         assert (await ask(rig.port, GET.format(1, "first", INFO)))[0] == 200
         pool = rig.server.pool
-        (slot,) = pool._idle[b"plain"]
+        (idle_connection,) = pool._idle[b"plain"]
         raw = writers[0].transport.get_extra_info("socket")
         if ends == "said something":
             writers[0].write(http(200, b"evil"))
@@ -119,9 +119,9 @@
             raw.shutdown(1)
         else:
             reset(writers[0])
-            await asyncio.sleep(0)  # the transport closes its socket in the next turn
+            await asyncio.sleep(0)  # the transport closes its socket in the next iteration of the loop
         assert pool._reuse(b"plain") is None
-        assert slot.link.closed
+        assert idle_connection.link.closed
         status, _, body = await ask(rig.port, GET.format(2, "second", INFO))
         assert (status, body) == (200, b"good")
         assert writers[1] is not writers[0]
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -1,4 +1,4 @@
-"""Rare moments of clients' connections, each forced, and what a client is owed all the same."""
+"""Closes, shutdowns and disconnects at each step of a request: the client still gets its answer."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.support.request_steps import Line, Step, request, until
 from tests.support.server_rig import GET, INFO, Rig, hold_answers, play
 
-Act = Callable[[Rig, Line], None]
+CloseIdle = Callable[[Rig, Line], None]
 
 
 def sweep(rig: Rig, line: Line) -> None:
-    line.client.last_activity_s -= 3600  # it has rested for an hour
+    line.client.last_activity_s -= 3600  # idle for an hour
     rig.server.fronts[0]._close_overdue()
 
 
@@ -40,41 +40,41 @@
     rig.server.quiesce()
 
 
-@pytest.mark.parametrize("act", [sweep, shed, crowd, quiesce])
+@pytest.mark.parametrize("close_idle", [sweep, shed, crowd, quiesce])
 @pytest.mark.parametrize("step", list(Step))
-def test_a_close_never_drops_a_request_that_was_read(step: Step, act: Act) -> None:
-    """Whatever ends connections at rest, a request that has come in gets its whole answer."""
+def test_a_close_never_drops_a_request_that_was_read(step: Step, close_idle: CloseIdle) -> None:
+    """Guards against each way of closing idle connections dropping a request that has arrived."""
 
     async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
         await line.reach(step)
-        act(rig, line)
+        close_idle(rig, line)
         line.release.set()
-        said = await line.answer()
+        answer = await line.answer()
         if step in (Step.ARRIVED, Step.READ, Step.IN_WORK, Step.ANSWERED):
-            assert said.startswith(b"HTTP/1.1 200")
-            assert said.endswith(b"late")
+            assert answer.startswith(b"HTTP/1.1 200")
+            assert answer.endswith(b"late")
         elif step is Step.HALF:
-            assert said == b"" or said.startswith(b"HTTP/1.1 408")
+            assert answer == b"" or answer.startswith(b"HTTP/1.1 408")
         else:
-            assert said == b""
+            assert answer == b""
         line.close()
 
     play(scenario)
 
 
-class Scripted(GracefulShutdown):
-    """A departure whose phase the test sets."""
+class ScriptedShutdown(GracefulShutdown):
+    """A graceful shutdown whose phase the test sets."""
 
     current = ShutdownPhase.ACCEPTING_CONNECTIONS
 
     def phase(self, _now: float) -> ShutdownPhase:
-        """See ``Departure``."""
+        """Return the phase that the test has set."""
         return type(self).current
 
 
 @pytest.mark.parametrize(
-    "begins",
+    "initial_phase",
     [
         ShutdownPhase.ACCEPTING_CONNECTIONS,
         ShutdownPhase.SERVING_OPEN_CONNECTIONS,
@@ -82,59 +82,59 @@
     ],
 )
 @pytest.mark.parametrize("step", list(Step))
-def test_the_end_answers_whatever_was_read(
-    step: Step, begins: ShutdownPhase, monkeypatch: pytest.MonkeyPatch
+def test_the_end_of_a_shutdown_answers_every_request_that_was_read(
+    step: Step, initial_phase: ShutdownPhase, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The program is told to end, and its last moment comes right after a request has come so far."""
+    """Guards against a request without an answer if the shutdown completes right after each of its steps."""
 
     async def scenario(rig: Rig) -> None:
-        monkeypatch.setattr(lifecycle, "GracefulShutdown", Scripted)
-        Scripted.current = begins
+        monkeypatch.setattr(lifecycle, "GracefulShutdown", ScriptedShutdown)
+        ScriptedShutdown.current = initial_phase
         line = await Line.open(rig)
         rig.server.leave()
         end = asyncio.create_task(rig.server.finish())
         await until(lambda: rig.server.fronts[0].shutting_down)
         await line.reach(step)
-        Scripted.current = ShutdownPhase.COMPLETED
-        rig.server.core._answers.answer_all_by_ms = -1e9  # all that is owed is due now
-        said = await line.answer()
+        ScriptedShutdown.current = ShutdownPhase.COMPLETED
+        rig.server.core._answers.answer_all_by_ms = -1e9  # all pending answers are due now
+        answer = await line.answer()
         if step in (Step.READ, Step.IN_WORK):
-            assert said.startswith((b"HTTP/1.1 503", b"HTTP/1.1 200"))
+            assert answer.startswith((b"HTTP/1.1 503", b"HTTP/1.1 200"))
         elif step is Step.HALF:
-            assert said.startswith(b"HTTP/1.1 503")
+            assert answer.startswith(b"HTTP/1.1 503")
         elif step is Step.ANSWERED:
-            assert said.endswith(b"late")
+            assert answer.endswith(b"late")
         elif step is Step.CONNECTED:
-            assert said == b""
-        else:  # answered, or never looked at: then its client may send it once more
-            taken = rig.server.core.last_request_id > 1
-            assert said.startswith(b"HTTP/1.1 503") if taken else said == b""
+            assert answer == b""
+        else:  # either answered, or never read, so that the client may send it again
+            accepted = rig.server.core.last_request_id > 1
+            assert answer.startswith(b"HTTP/1.1 503") if accepted else answer == b""
         await end
         line.close()
 
     play(scenario)
 
 
-@pytest.mark.parametrize(("many", "crowded"), [(3, False), (3, True), (60, False), (110, False)])
-def test_who_sends_many_requests_at_once_gets_them_answered(many: int, *, crowded: bool) -> None:
-    """Guards against ending a connection, because of what comes behind it, under a request in work."""
+@pytest.mark.parametrize(("request_count", "crowded"), [(3, False), (3, True), (60, False), (110, False)])
+def test_pipelined_requests_are_all_answered(request_count: int, *, crowded: bool) -> None:
+    """Guards against closing a connection with a request in flight because of the input behind it."""
 
     async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
         if crowded:
             rig.server.fronts[0].crowded_above = 0
-        whole = b"".join(request(f"{n}-" + "x" * 1900) for n in range(many))
-        fits = MAX_INPUT_BYTES // len(request("00-" + "x" * 1900))
+        requests = b"".join(request(f"{n}-" + "x" * 1900) for n in range(request_count))
+        buffered_count = MAX_INPUT_BYTES // len(request("00-" + "x" * 1900))
         loop, answers = asyncio.get_running_loop(), b""
-        sent = asyncio.create_task(loop.sock_sendall(line.socket, whole))
+        sent = asyncio.create_task(loop.sock_sendall(line.socket, requests))
         await line.arrived.wait()
         await sent
         line.release.set()
-        while answers.count(b"late") < min(many, fits):
+        while answers.count(b"late") < min(request_count, buffered_count):
             data = await loop.sock_recv(line.socket, 1 << 20)
             assert data, f"closed after {answers.count(b'late')} answers"
             answers += data
-        if many > fits:  # an error for the rest, and an end in order
+        if request_count > buffered_count:  # an error for the rest, and an orderly close
             while data := await loop.sock_recv(line.socket, 1 << 20):
                 answers += data
             assert answers.count(b"HTTP/1.1 400") == 1
@@ -143,27 +143,27 @@
     play(scenario)
 
 
-@pytest.mark.parametrize("behind", [0, 1, 110])
-def test_a_client_that_goes_is_seen_also_behind_much_that_it_sent(behind: int) -> None:
+@pytest.mark.parametrize("pipelined_count", [0, 1, 110])
+def test_a_disconnect_is_detected_also_behind_pipelined_requests(pipelined_count: int) -> None:
     async def scenario(rig: Rig) -> None:
         line, outcomes = await Line.open(rig), list[Outcome]()
         report = rig.server.pool.report
 
-        def note(request_id: int, number: int, ended: AttemptResult) -> None:
-            outcomes.append(ended.outcome)
-            report(request_id, number, ended)
+        def record_outcome(request_id: int, number: int, result: AttemptResult) -> None:
+            outcomes.append(result.outcome)
+            report(request_id, number, result)
 
-        rig.server.pool.report = note
-        whole = b"".join(request(f"{n}-" + "x" * 1900) for n in range(behind + 1))
-        sent = asyncio.create_task(asyncio.get_running_loop().sock_sendall(line.socket, whole))
+        rig.server.pool.report = record_outcome
+        requests = b"".join(request(f"{n}-" + "x" * 1900) for n in range(pipelined_count + 1))
+        sent = asyncio.create_task(asyncio.get_running_loop().sock_sendall(line.socket, requests))
         await line.arrived.wait()
         await sent
         line.close()
-        asked = len(rig.http.seen)
+        received_count = len(rig.http.seen)
         await until(lambda: outcomes)
-        assert outcomes == [Outcome.CANCELLED]  # and not by its time
+        assert outcomes == [Outcome.CANCELLED]  # cancelled before it timed out
         await until(lambda: line.client not in rig.server.fronts[0].clients)
-        assert len(rig.http.seen) == asked
+        assert len(rig.http.seen) == received_count
         assert not rig.server.core.unanswered
 
     play(scenario)
@@ -171,45 +171,47 @@
 
 @pytest.mark.parametrize("read", [False, True])
 def test_a_request_behind_the_last_answer_is_not_started_and_the_answer_arrives(*, read: bool) -> None:
-    """It stays unread; or the stream had read it when the last byte of a slow answer was written."""
+    """Covers a request that stays unread, and one that the stream reads before a slow answer is written."""
 
     async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
         closing = request("last").replace(b"Req-Kind", b"Connection: close\r\nReq-Kind")
         line.socket.sendall(closing)
         await line.arrived.wait()
-        seen = len(rig.http.seen)
+        received_count = len(rig.http.seen)
         line.release.set()
         await until(lambda: line.client.busy and line.client._last_answer_written)  # type: ignore[attr-defined]
         line.socket.sendall(request("behind"))
         if read:
             await until(lambda: not line.client.busy)
-            reading = line.client._pending_read
-            assert reading is not None
-            reading.set_result(request("behind"))
+            pending_read = line.client._pending_read
+            assert pending_read is not None
+            pending_read.set_result(request("behind"))
         for _ in range(20):
             await asyncio.sleep(0)
         assert not line.client.has_unprocessed_input
         assert read or not streams.is_open_without_input(line.client.stream)
         assert (await line.answer()).endswith(b"late")
-        assert await asyncio.get_running_loop().sock_recv(line.socket, 99) == b""  # in order, no reset
-        assert len(rig.http.seen) == seen
+        assert (
+            await asyncio.get_running_loop().sock_recv(line.socket, 99) == b""
+        )  # an orderly close, no reset
+        assert len(rig.http.seen) == received_count
         line.close()
 
     play(scenario)
 
 
 def test_a_loop_held_up_before_a_deadline_leaves_the_answer_to_the_policy() -> None:
-    """Guards against the core's own answer, a failure, where the policy would have rejected in time."""
+    """Guards against a failure answered by the core where the policy would have rejected in time."""
 
     async def scenario(rig: Rig) -> None:
         arrived, _ = hold_answers(rig)
-        began_s = time.monotonic()
-        asked = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        started_at_s = time.monotonic()
+        answer = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
         await arrived.wait()
-        await asyncio.sleep(began_s + 0.9 - time.monotonic())
-        time.sleep(began_s + 0.985 - time.monotonic())
-        assert (await asked)[0] == 503
+        await asyncio.sleep(started_at_s + 0.9 - time.monotonic())
+        time.sleep(started_at_s + 0.985 - time.monotonic())
+        assert (await answer)[0] == 503
         assert not invariants.violations
 
     play(scenario)
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through the whole server on loopback: answers, failures and their bounds."""
+"""Requests through a complete server on loopback: answers, failures and their limits."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.support.server_rig import GET, INFO, PUT, Rig, hold_answers, play
 
 
-def test_requests_pass_unchanged_and_answers_come_back() -> None:
+def test_requests_are_forwarded_unchanged_and_answers_are_returned() -> None:
     async def scenario(rig: Rig) -> None:
         assert (await ask(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 200
         text = PUT.format("ab", "id-1", INFO + "Idempotency-Key: k1\nContent-Length: 5\n")
@@ -28,7 +28,7 @@
     play(scenario)
 
 
-def test_bad_bytes_harm_only_their_sender() -> None:
+def test_invalid_input_affects_only_its_sender() -> None:
     async def scenario(rig: Rig) -> None:
         for text, status in (
             ("no http\n\n", 400),
@@ -39,14 +39,14 @@
             assert (await ask(rig.port, text))[0] == status
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.nvme_port)
         writer.write(bytes([77]) * 200)
-        assert (await reader.read())[0] == 3  # C2HTermReq, then the end
+        assert (await reader.read())[0] == 3  # a C2HTermReq PDU before the close
         assert (await ask(rig.port, GET.format(1, "i", INFO)))[0] == 200
 
     play(scenario)
 
 
 @pytest.mark.parametrize(
-    ("answer", "status", "tries"),
+    ("answer", "status", "max_attempts"),
     [
         (http(500), 500, 3),
         (http(503, b"", "Srv-Declined: 1"), 503, 3),
@@ -54,15 +54,17 @@
         (None, 500, 3),
     ],
 )
-def test_a_failed_write_stays_within_its_attempts(answer: bytes | None, status: int, tries: int) -> None:
+def test_a_failed_write_stays_within_its_attempts(
+    answer: bytes | None, status: int, max_attempts: int
+) -> None:
     async def scenario(rig: Rig) -> None:
-        async def say(_: object) -> bytes | None:
+        async def give_answer(_: object) -> bytes | None:
             return answer
 
-        rig.http.answer = say
+        rig.http.answer = give_answer
         text = PUT.format(1, "i", INFO + "Idempotency-Key: k\nContent-Length: 0\n")
         assert (await ask(rig.port, text))[0] == status
-        assert 1 <= len(rig.http.seen) <= tries
+        assert 1 <= len(rig.http.seen) <= max_attempts
         assert {s[1]["req-id"] for s in rig.http.seen} == {"i"}
 
     play(scenario)
@@ -71,12 +73,12 @@
 def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async def scenario(rig: Rig) -> None:
         ended, outcomes = asyncio.Event(), []
-        tell = rig.server.core.on_attempt_completed
+        on_attempt_completed = rig.server.core.on_attempt_completed
 
-        def note(now_ms: float, request_id: int, number: int, end: AttemptResult) -> None:
-            outcomes.append(end.outcome)
+        def record_outcome(now_ms: float, request_id: int, number: int, result: AttemptResult) -> None:
+            outcomes.append(result.outcome)
             ended.set()
-            tell(now_ms, request_id, number, end)
+            on_attempt_completed(now_ms, request_id, number, result)
 
         async def wait(_: object) -> bytes | None:
             client.close()
@@ -84,7 +86,7 @@
             return None
 
         rig.http.answer = wait
-        rig.server.core.on_attempt_completed = note  # type: ignore[method-assign]
+        rig.server.core.on_attempt_completed = record_outcome  # type: ignore[method-assign]
         _, client = await asyncio.open_connection("127.0.0.1", rig.port)
         client.write(GET.format(1, "i", INFO).replace("\n", "\r\n").encode())
         await ended.wait()
@@ -121,7 +123,7 @@
     play(scenario)
 
 
-def test_large_answers_pass_while_there_is_room_for_them() -> None:
+def test_large_answers_are_served_while_memory_for_them_remains() -> None:
     async def scenario(rig: Rig) -> None:
         async def large(_: object) -> bytes | None:
             return http(200, b"x" * size)
@@ -133,16 +135,16 @@
             rig.server.assembly.response_memory.used_bytes = (
                 rig.server.assembly.response_memory.limit_bytes + 1 if full else 0
             )
-            got, _, body = await ask(rig.port, GET.format(n, n, INFO))
-            assert got == status
-            assert got != 200 or body == b"x" * size
+            actual_status, _, body = await ask(rig.port, GET.format(n, n, INFO))
+            assert actual_status == status
+            assert actual_status != 200 or body == b"x" * size
         rig.server.assembly.response_memory.used_bytes = 0
 
     play(scenario)
 
 
 def test_one_request_with_a_long_deadline_takes_nothing_from_others() -> None:
-    """Guards against what one client states of its time counting for the requests of all others."""
+    """Guards against the deadline that one client states affecting the requests of other clients."""
 
     async def scenario(rig: Rig) -> None:
         read, write = rig.config.settings.classes
--- a/tests/shutdown/test_late_loop.py
+++ b/tests/shutdown/test_late_loop.py
@@ -1,4 +1,4 @@
-"""A shutdown whose event loop has been late ends earlier, by as much and within bounds."""
+"""A shutdown completes earlier by as much as its event loop was late, within limits."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 DEADLINE_S = 3.0
 END_S = 3.58
-MIN_SERVICE_S = 3.0
+MIN_SERVICE_S = 3.0  # time at which open connections are still served, however late the loop is
 
 
 @pytest.mark.parametrize(("late_s", "earlier_s"), [(0.0, 0.0), (0.2, 0.2), (5.0, 0.45)])
-def test_it_ends_earlier_by_as_much_as_the_loop_was_late(late_s: float, earlier_s: float) -> None:
+def test_a_shutdown_ends_earlier_by_as_much_as_the_loop_was_late(late_s: float, earlier_s: float) -> None:
     plan = GracefulShutdown(0.0, DEADLINE_S, 1)
     assert plan.allow_for_lateness(1.0, late_s) is (late_s > 0)
     assert plan.completed_at == pytest.approx(END_S - earlier_s)
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("deadline_s", [0.1, 0.5, 1.0])
-def test_a_short_shutdown_keeps_the_listener_open_and_its_order(deadline_s: float) -> None:
+def test_a_short_shutdown_keeps_the_listener_open_and_the_order_of_phases(deadline_s: float) -> None:
     plan = GracefulShutdown(0.0, deadline_s, 1)
     end_s = plan.completed_at
     plan.allow_for_lateness(0.1, 5.0)
