--- a/sabledyke/net/frontend.py
+++ b/sabledyke/net/frontend.py
@@ -13,9 +13,9 @@
 from sabledyke.net.client_connection import ClientConnection
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
 
-SWEEP_INTERVAL_S = 0.25  # between checks for connections that have timed out
-IDLE_TIMEOUT_S = 10.0  # between requests
-CROWDED_IDLE_TIMEOUT_S = 2.0  # between requests, while the front end is crowded
+SWEEP_INTERVAL_S = 0.25  # interval between checks for connections that have timed out
+IDLE_TIMEOUT_S = 10.0  # time-out between requests
+CROWDED_IDLE_TIMEOUT_S = 2.0  # time-out between requests while the front end is crowded
 CROWDED_SHARE = 0.5  # fraction of the connections usable for requests, above which the front end is crowded
 MAX_EVICTION_CHECKS = 4  # candidates of each kind that an eviction checks
 MAX_PENDING_HANDSHAKES = 64
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -83,7 +83,7 @@
         try:
             while True:
                 self._process(await self.receive())
-                await self._flush()  # nothing more is read until the host has read this output
+                await self._flush()  # guards against reading from a host that does not read
         except streams.StreamClosedError:
             self.close()
         except NvmeError as error:
--- a/tests/net/test_client_limits.py
+++ b/tests/net/test_client_limits.py
@@ -63,9 +63,7 @@
         writer.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
         assert b"connection: close" not in (await reader.readuntil(b"\r\n\r\n")).lower()
         await asyncio.sleep(3 * frontend.SWEEP_INTERVAL_S)
-        assert (
-            len(http_front.clients) == 1
-        )  # an idle connection stays open while the front end is not crowded
+        assert len(http_front.clients) == 1  # idle connections stay open until the front end is crowded
         http_front.crowded_above = 0
         status, headers, _ = await ask(rig.port, GET.format(1, "b", INFO))
         assert (status, headers["connection"]) == (200, "close")
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -192,9 +192,8 @@
         assert not line.client.has_unprocessed_input
         assert read or not streams.is_open_without_input(line.client.stream)
         assert (await line.answer()).endswith(b"late")
-        assert (
-            await asyncio.get_running_loop().sock_recv(line.socket, 99) == b""
-        )  # an orderly close, no reset
+        # The connection ends with an orderly close, not with a reset.
+        assert await asyncio.get_running_loop().sock_recv(line.socket, 99) == b""
         assert len(rig.http.seen) == received_count
         line.close()
 
