--- a/tests/net/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -160,9 +160,9 @@
     async def scenario(rig: Rig) -> None:
         attempts, on_attempt_completed = list[int](), rig.server.core.on_attempt_completed
 
-        def record_attempt(now_ms: float, request_id: int, number: int, result: AttemptResult) -> None:
+        def record_attempt(now_ms: float, request_id: int, number: int, end: AttemptResult) -> None:
             attempts.append(number)
-            on_attempt_completed(now_ms, request_id, number, result)
+            on_attempt_completed(now_ms, request_id, number, end)
 
         rig.server.core.on_attempt_completed = record_attempt  # type: ignore[method-assign]
         for remaining_s in (0.001, 0.029, 0.031, 0.059):
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -75,10 +75,10 @@
         ended, outcomes = asyncio.Event(), []
         on_attempt_completed = rig.server.core.on_attempt_completed
 
-        def record_outcome(now_ms: float, request_id: int, number: int, result: AttemptResult) -> None:
-            outcomes.append(result.outcome)
+        def record_outcome(now_ms: float, request_id: int, number: int, end: AttemptResult) -> None:
+            outcomes.append(end.outcome)
             ended.set()
-            on_attempt_completed(now_ms, request_id, number, result)
+            on_attempt_completed(now_ms, request_id, number, end)
 
         async def wait(_: object) -> bytes | None:
             client.close()
