--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -42,9 +42,11 @@
     function: str
     is_configured: Callable[[OperatorConfig], object]
 
-    def load(self, host: ServerContext, operator: OperatorConfig) -> Extension | None:
+    def load(self, context: ServerContext, operator: OperatorConfig) -> Extension | None:
         """Load the module and make the extension, which may still find that it has nothing to do."""
-        made: Extension | None = getattr(importlib.import_module(self.module), self.function)(host, operator)
+        made: Extension | None = getattr(importlib.import_module(self.module), self.function)(
+            context, operator
+        )
         return made
 
 
@@ -98,10 +100,10 @@
         self.reader = MessageReader(settings)
         self.response_memory = streams.ResponseMemory(0)
         self.http_dialer = HttpDialer(settings, self.reader, self.response_memory, self._connect_through_all)
-        self.parts = self._make_extensions(operator, control)
+        self.extensions = self._make_extensions(operator, control)
         report = self._chain_reports()
         self.dialers: dict[NodeId, Dial] = {}
-        for extension in self.parts:
+        for extension in self.extensions:
             self.dialers.update(extension.dialers())
         self._submit = self._chain_submit()
         self._connect = self._chain_connect()
@@ -124,14 +126,14 @@
             self.core.on_endpoint_list(EndpointList(ListKind.FAILED, 0, ()))
             return
         update = listing.update
-        for extension in self.parts:
+        for extension in self.extensions:
             update = extension.adjust_endpoint_list(update)
         self._apply_list(update, listing.addresses)
 
     def _apply_list(self, update: EndpointList, addresses: dict[NodeId, Address]) -> None:
         removed = self.core.on_endpoint_list(update)
         self.pool.update_addresses(addresses, removed)
-        for extension in self.parts:
+        for extension in self.extensions:
             extension.on_nodes_removed(removed)
 
     def _make_watch(self, config: Config) -> EndpointWatch:
@@ -141,12 +143,12 @@
     def _make_extensions(self, operator: OperatorConfig | None, control: ServerControl) -> list[Extension]:
         if operator is None:
             return []
-        host = self._make_host(control)
+        context = self._make_context(control)
         wanted = [factory for factory in EXTENSIONS if factory.is_configured(operator)]
-        made = [factory.load(host, operator) for factory in wanted]
+        made = [factory.load(context, operator) for factory in wanted]
         return [extension for extension in made if extension is not None]
 
-    def _make_host(self, control: ServerControl) -> ServerContext:
+    def _make_context(self, control: ServerControl) -> ServerContext:
         """Return what extensions see of the server; what is not made yet is looked up when it is used."""
         return ServerContext(
             config=self.config,
@@ -169,35 +171,35 @@
 
     def _chain_submit(self) -> Submit:
         submit: Submit = self.driver.submit
-        for extension in reversed(self.parts):
+        for extension in reversed(self.extensions):
             submit = functools.partial(_submit_through, extension, submit)
         return submit
 
     def _chain_connect(self) -> Connect:
         connect: Connect = connect_plain
-        for extension in reversed(self.parts):
+        for extension in reversed(self.extensions):
             connect = extension.wrap_connect(connect)
         return connect
 
     def _chain_reports(self) -> ReportAttempt:
         report: ReportAttempt = self.driver.on_attempt_completed
-        for extension in self.parts:
+        for extension in self.extensions:
             report = extension.wrap_report(report)
         return report
 
     def _chain_transports(self) -> Transport:
         transport: Transport = self.pool
-        for extension in reversed(self.parts):
+        for extension in reversed(self.extensions):
             transport = extension.wrap_transport(transport)
         return transport
 
     def _add_frontends(self, config: Config) -> None:
         self._add_frontend(self._make_http_frontend(), config.listen)
-        for extension in self.parts:
+        for extension in self.extensions:
             for frontend, address in extension.frontends():
                 self._add_frontend(frontend, address)
         for frontend in self.fronts:
-            guards = [extension.connection_guard(frontend.name) for extension in self.parts]
+            guards = [extension.connection_guard(frontend.name) for extension in self.extensions]
             frontend.guard = next((guard for guard in guards if guard is not None), None)
 
     def _add_frontend(self, frontend: Frontend, address: tuple[str, int]) -> None:
@@ -215,7 +217,7 @@
         return Frontend("HTTP", 0, make, self.response_memory)
 
     def _on_client_gone(self, request_id: int) -> None:
-        for extension in self.parts:
+        for extension in self.extensions:
             extension.on_client_disconnected(request_id)
         self.core.on_client_disconnected(request_id)
 
--- a/sabledyke/application/lifecycle.py
+++ b/sabledyke/application/lifecycle.py
@@ -68,7 +68,7 @@
         await self.open()
         if not self.stop_requested:  # else it was told to stop before it accepted anything
             self._begin()
-            if any(extension.waits_for_budget for extension in self._assembly.parts):
+            if any(extension.waits_for_budget for extension in self._assembly.extensions):
                 await self._await_first_list()
             self._open_listeners()
             gc.collect()
@@ -78,7 +78,7 @@
 
     async def open(self) -> None:
         """Open the extensions; a ConfigError where one cannot be."""
-        for extension in self._assembly.parts:
+        for extension in self._assembly.extensions:
             await extension.open()
 
     def start(self) -> None:
@@ -144,7 +144,7 @@
             planned=self._stops_by_plan,
         )
         self.shutdown = ShutdownDriver(self._assembly, self.listeners, plan, planned=self._stops_by_plan)
-        for extension in self._assembly.parts:
+        for extension in self._assembly.extensions:
             extension.on_shutdown(plan)
         await self.shutdown.run()
         await self._close()
@@ -188,7 +188,7 @@
         if self._console_listener is not None and self._console is not None:
             self._console_listener.close()
             self._console.close()
-        for extension in self._assembly.parts:
+        for extension in self._assembly.extensions:
             await extension.close()
         self._assembly.driver.cancel_timer()
         self._assembly.driver.rejection_log.report_rest(self._assembly.core.metrics.rejections)
--- a/sabledyke/application/reload.py
+++ b/sabledyke/application/reload.py
@@ -73,7 +73,7 @@
             return None
         operator = self._read_operator(config.settings)
         if operator is not None:
-            for extension in self._assembly.parts:
+            for extension in self._assembly.extensions:
                 extension.check_operator_config(operator)
         return operator
 
@@ -93,7 +93,7 @@
         assembly.reader.apply_settings(settings)
         assembly.http_dialer.settings = settings
         assembly.pool.settings = settings
-        for extension in assembly.parts:
+        for extension in assembly.extensions:
             extension.apply_config(config)
             if operator is not None:
                 extension.apply_operator_config(operator)
--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -39,7 +39,7 @@
         self.assembly = Assembly(config, operator, self)
         self.core = self.assembly.core
         self.fronts = self.assembly.fronts
-        self.parts = self.assembly.parts
+        self.extensions = self.assembly.extensions
         self.pool = self.assembly.pool
         self.watch = self.assembly.watch
         self.console = Console(self._on_console_call) if config.console else None
--- a/sabledyke/lease/extension.py
+++ b/sabledyke/lease/extension.py
@@ -26,12 +26,12 @@
 STOP_POLL_S = 0.02  # between checks whether a shutdown leaves time to wait for an act
 
 
-def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
+def set_up(context: ServerContext, section: OperatorConfig) -> Extension | None:
     """Return the extension, where the operator's file has a section ``[lease]``."""
     if section.lease is None:
         return None
     record = section.store.record if section.store is not None else None
-    return LeaseExtension(host.config.name, host.config.seed, section.lease, record)
+    return LeaseExtension(context.config.name, context.config.seed, section.lease, record)
 
 
 def create_authority(section: LeaseSection) -> Authority:
--- a/sabledyke/net/nvme_extension.py
+++ b/sabledyke/net/nvme_extension.py
@@ -27,22 +27,27 @@
         section: The section ``[nvme]``.
     """
 
-    def __init__(self, host: ServerContext, section: NvmeSection) -> None:
-        settings = host.config.settings
+    def __init__(self, context: ServerContext, section: NvmeSection) -> None:
+        settings = context.config.settings
         self._section = section
         self._nqn_by_node = dict(section.nodes)
         translator = Translator(settings, section.nqn, section.volumes)
         self._translator = translator
         self.dialer = NvmeDialer(
-            settings, translator, self._nqn_by_node, section.host_nqn, host.connect, host.connect_slack_ms
+            settings,
+            translator,
+            self._nqn_by_node,
+            section.host_nqn,
+            context.connect,
+            context.connect_slack_ms,
         )
         self._frontend = Frontend(
             "NVMe",
             section.connections,
             lambda frontend, stream: NvmeClientConnection(
-                frontend, stream, translator, host.submit, host.on_client_disconnected
+                frontend, stream, translator, context.submit, context.on_client_disconnected
             ),
-            host.response_memory,
+            context.response_memory,
         )
 
     def dialers(self) -> dict[NodeId, Dial]:
@@ -67,6 +72,6 @@
         self.dialer.close()
 
 
-def set_up(host: ServerContext, operator: OperatorConfig) -> Extension | None:
+def set_up(context: ServerContext, operator: OperatorConfig) -> Extension | None:
     """Return the extension, where the operator's file asks for it."""
-    return NvmeExtension(host, operator.nvme) if operator.nvme.is_configured else None
+    return NvmeExtension(context, operator.nvme) if operator.nvme.is_configured else None
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        host: ServerContext,
+        context: ServerContext,
         section: Section,
         log_section: LogSection,
         clock: Callable[[], float] = boottime_ms,
@@ -51,14 +51,14 @@
         """
         self._section = section
         self._clock = clock
-        self._name = host.config.name
-        self._compacted_log = CompactedLog(log_section.create_backend(), host.config.seed)
+        self._name = context.config.name
+        self._compacted_log = CompactedLog(log_section.create_backend(), context.config.seed)
         self._allocator = QuotaAllocator(section.policy, section.timing)
         self.meter = DemandMeter(clock())
         self.publisher = DemandPublisher(self._name, self._compacted_log, self._allocator, self.meter, clock)
         self._is_sharing = False  # it took more than its floor when last checked
         self._task: asyncio.Task[None] | None = None
-        self.apply_config(host.config)
+        self.apply_config(context.config)
 
     async def open(self) -> None:
         """See ``Extension``: shares begin once the log answers; the program does not wait for it."""
@@ -126,8 +126,8 @@
         log.emit("fleet", f"{self._name} {what}", shared=str(is_sharing).lower())
 
 
-def set_up(host: ServerContext, operator: OperatorConfig) -> Extension | None:
+def set_up(context: ServerContext, operator: OperatorConfig) -> Extension | None:
     """Return a member that shares limits, where the operator's file says that this process is one."""
     if operator.fleet is None or operator.board is None:
         return None
-    return QuotaExtension(host, operator.fleet, operator.board)
+    return QuotaExtension(context, operator.fleet, operator.board)
--- a/sabledyke/rollout/coordinator_driver.py
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        host: ServerContext,
+        context: ServerContext,
         name: str,
         compacted_log: CompactedLog,
         log_section: LogSection,
@@ -61,7 +61,7 @@
             heartbeat_interval_ms: Between heartbeats of a member.
         """
         self.timeouts = Timeouts()
-        self._host = host
+        self._context = context
         self._name = name
         self._compacted_log = compacted_log
         self._log_section = log_section
@@ -83,7 +83,7 @@
         Raises:
             Lost: The lease is another's.
         """
-        if self._host.is_shutting_down():
+        if self._context.is_shutting_down():
             return
         writer = self._writer_for(self._lease.current_token())
         await self._read_registers()
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        host: ServerContext,
+        context: ServerContext,
         section: Section,
         log_section: LogSection,
         lease: LeaseSection,
@@ -64,20 +64,22 @@
             lease: The operator's section of the coordinator's lease.
             sites: Capacities and distances of sites; None where the operator names none.
         """
-        self._host = host
+        self._context = context
         self._section = section
         self._log_section = log_section
-        self._identity = f"{host.config.name}.{uuid4().hex[:12]}"
+        self._identity = f"{context.config.name}.{uuid4().hex[:12]}"
         self._authority = create_authority(lease)
         self._tasks: list[asyncio.Task[None]] = []
-        self._nodes = NodeList(lambda entries: host.apply_node_entries(entries))
+        self._nodes = NodeList(lambda entries: context.apply_node_entries(entries))
         self._loads = VolumeLoads() if sites is not None else None
-        self.board = CompactedLog(log_section.create_backend(), host.config.seed)
+        self.board = CompactedLog(log_section.create_backend(), context.config.seed)
         self._fleet_log = FleetLog(self.board, log_section.max_keys, self._on_view)
-        self._lease = LeaseManager(LEASE_NAME, self._identity, self._authority, lease.times, host.config.seed)
-        self.member = MemberDriver(host, section, self.board, log_section, self._fleet_log, self._loads)
+        self._lease = LeaseManager(
+            LEASE_NAME, self._identity, self._authority, lease.times, context.config.seed
+        )
+        self.member = MemberDriver(context, section, self.board, log_section, self._fleet_log, self._loads)
         self._coordinator = CoordinatorDriver(
-            host=host,
+            context=context,
             name=self._identity,
             compacted_log=self.board,
             log_section=log_section,
@@ -87,13 +89,13 @@
             sites=EvacuationDriver(self.board, sites) if sites is not None else None,
             heartbeat_interval_ms=section.heartbeat_interval_ms,
         )
-        self.apply_config(host.config)
+        self.apply_config(context.config)
 
     async def open(self) -> None:
         """See ``Extension``: returns once the log answers and this incarnation has begun."""
         await self._authority.open()
         while (view := await self.member.join()) is None:
-            if self._host.is_shutting_down():
+            if self._context.is_shutting_down():
                 return
             await asyncio.sleep(JOIN_RETRY_INTERVAL_S)
         self.waits_for_budget = self.member.begin(view)
@@ -157,8 +159,8 @@
         self._nodes.close(closed_nodes(view))
 
 
-def set_up(host: ServerContext, operator: OperatorConfig) -> Extension | None:
+def set_up(context: ServerContext, operator: OperatorConfig) -> Extension | None:
     """Return a member of a fleet, where the operator's file says that this process is one."""
     if operator.rollout is None or operator.board is None or operator.lease is None:
         return None
-    return RolloutExtension(host, operator.rollout, operator.board, operator.lease, operator.sites)
+    return RolloutExtension(context, operator.rollout, operator.board, operator.lease, operator.sites)
--- a/sabledyke/rollout/member_driver.py
+++ b/sabledyke/rollout/member_driver.py
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        host: ServerContext,
+        context: ServerContext,
         section: Section,
         compacted_log: CompactedLog,
         log_section: LogSection,
@@ -66,13 +66,13 @@
             fleet_log: The fleet's topic as this process reads it.
             loads: Loads of volumes to publish; None where the operator names no sites.
         """
-        self._host = host
+        self._context = context
         self._section = section
         self._compacted_log = compacted_log
         self._log_section = log_section
         self._fleet_log = fleet_log
         self._loads = loads
-        self._name = host.config.name
+        self._name = context.config.name
         self._settings_file = os.environ.get(f"{ENVIRONMENT_PREFIX}CONFIG", "")
         self._version_file = VersionFile(section.version_file)
         self._retires = False
@@ -116,7 +116,7 @@
         Returns:
             Whether this start replaces an incarnation that went out by a ticket.
         """
-        grace_ms = self._host.config.settings.drain_grace_ms
+        grace_ms = self._context.config.settings.drain_grace_ms
         self._participant = Participant(self._name, self.incarnation, self._section.request_validity_ms)
         self._acknowledger = DrainAcknowledger(self._name, self.incarnation, grace_ms)
         replaces_released = self._participant.replaces_released(view)
@@ -143,7 +143,9 @@
             self._leave(ticket)  # its use stands on the log, though the answer to that write was lost
             return
         now_ms = boottime_ms()
-        move = self._acknowledger.step(view, now_ms, lambda node: self._host.has_attempts_at(node.encode()))
+        move = self._acknowledger.step(
+            view, now_ms, lambda node: self._context.has_attempts_at(node.encode())
+        )
         if move is None and state is MemberState.READY:
             move = self._participant.step(view, now_ms)
         if move is not None:
@@ -151,7 +153,7 @@
 
     async def send_heartbeat(self) -> None:
         """Write the heartbeat, and the loads of volumes since the last one."""
-        answered, failed = self._host.answer_totals()
+        answered, failed = self._context.answer_totals()
         count = AnswerCount(self.incarnation, answered, failed)
         values = {self._name: encode_heartbeat(count, boottime_ms())}
         if self._loads is not None:
@@ -176,7 +178,7 @@
             await asyncio.sleep(READY_POLL_INTERVAL_MS / 1000)
 
     async def _switch_settings(self, ticket: Ticket) -> None:
-        reason = switch_settings(self._settings_file, ticket.target, self._host.reload)[:MAX_REASON_LENGTH]
+        reason = switch_settings(self._settings_file, ticket.target, self._context.reload)[:MAX_REASON_LENGTH]
         done = replace(ticket, settings_result=reason or SETTINGS_APPLIED)
         description = f"settings {ticket.target}: {done.settings_result}"
         expected = ((key_of(ticket), ticket.offset),)
@@ -206,7 +208,7 @@
         """Have the server end; the version file says what is started next, or that this member retires."""
         self._version_file.announce(RETIRED_VERSION if ticket.is_final else ticket.target)
         self._retires = ticket.is_final
-        self._host.begin_shutdown()
+        self._context.begin_shutdown()
 
     def _record(self, state: MemberState) -> Member:
         return Member(self._name, self.incarnation, self._section.version, self._section.site, state)
@@ -216,6 +218,6 @@
         return known is None or replace(known, offset=0) != self._record(state)
 
     def _state(self) -> MemberState:
-        if self._host.is_shutting_down():
+        if self._context.is_shutting_down():
             return MemberState.LEAVING
-        return MemberState.READY if self._host.is_accepting_clients() else MemberState.WARMING
+        return MemberState.READY if self._context.is_accepting_clients() else MemberState.WARMING
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -24,16 +24,16 @@
     from sabledyke.operator_config import OperatorConfig
 
 
-def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
+def set_up(context: ServerContext, section: OperatorConfig) -> Extension | None:
     """Return the record, where the operator's file asks for it."""
     store = section.store
-    return RecordExtension(host, store) if store is not None and store.record is not None else None
+    return RecordExtension(context, store) if store is not None and store.record is not None else None
 
 
-def set_up_boxes(host: ServerContext, section: OperatorConfig) -> Extension | None:
+def set_up_boxes(context: ServerContext, section: OperatorConfig) -> Extension | None:
     """Return the links to databases, where the operator's file marks nodes as such."""
     store = section.store
-    return SqlExtension(host, store) if store is not None and store.sql_nodes else None
+    return SqlExtension(context, store) if store is not None and store.sql_nodes else None
 
 
 class RecordExtension(Extension):
@@ -43,16 +43,18 @@
         recording_transport: The driver of the record.
     """
 
-    def __init__(self, host: ServerContext, section: StoreSection) -> None:
+    def __init__(self, context: ServerContext, section: StoreSection) -> None:
         target = section.record
         assert target is not None
-        config = host.config
+        config = context.config
         intents = IntentManager(config.name, section.limits, config.seed, section.retention_ms)
 
         async def open_session(timeout_s: float) -> Session:
             return await connect(target, connect_s=timeout_s)
 
-        self.recording_transport = RecordingTransport(intents, open_session, config.settings, host.node_entry)
+        self.recording_transport = RecordingTransport(
+            intents, open_session, config.settings, context.node_entry
+        )
         self._target = target
 
     def wrap_report(self, onward: ReportAttempt) -> ReportAttempt:
@@ -99,9 +101,9 @@
         dialer: What opens the links to them.
     """
 
-    def __init__(self, host: ServerContext, section: StoreSection) -> None:
+    def __init__(self, context: ServerContext, section: StoreSection) -> None:
         nodes = {sql_node.node: sql_node for sql_node in section.sql_nodes}
-        self.dialer = SqlDialer(host.config.settings, nodes, section.retention_ms)
+        self.dialer = SqlDialer(context.config.settings, nodes, section.retention_ms)
 
     def dialers(self) -> dict[NodeId, Dial]:
         """See ``Extension``."""
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -42,13 +42,13 @@
 class TlsExtension(Extension):
     """See ``Extension``."""
 
-    def __init__(self, host: ServerContext, section: TlsSection) -> None:
-        self._host = host
+    def __init__(self, context: ServerContext, section: TlsSection) -> None:
+        self._context = context
         self._section = section
-        host.connect_slack_ms = section.handshake_timeout_ms
+        context.connect_slack_ms = section.handshake_timeout_ms
         self.keyring = Keyring(section.overlap_s * 1000)
         self.connector = TlsConnector(
-            section, self._budget(host.config), host.config.seed, host.config.settings.zones
+            section, self._budget(context.config), context.config.seed, context.config.settings.zones
         )
         self._client_facing: ssl.SSLContext | None = None
         self._last_used_ms: dict[NodeId, float] = {}  # when a connection was last requested
@@ -63,7 +63,7 @@
             if self._section.nodes and node not in self._section.nodes:
                 return await plain(node, address, connect_timeout_ms, remaining_ms)
             self._last_used_ms[node] = clock.now()
-            entry = self._host.node_entry(node)
+            entry = self._context.node_entry(node)
             return await self.connector.connect(entry, address, connect_timeout_ms, remaining_ms)
 
         return connect
@@ -153,7 +153,7 @@
             if now_ms - last_used_ms > WARM_PERIOD_MS:
                 del self._last_used_ms[node]
             else:
-                self._host.preconnect(node)
+                self._context.preconnect(node)
 
     def _evict_idle(self) -> None:
         self.connector.admission.evict_idle(clock.now())
@@ -180,9 +180,9 @@
         )
 
 
-def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
+def set_up(context: ServerContext, section: OperatorConfig) -> Extension | None:
     """Return the extension, where the operator's file requests it."""
-    return TlsExtension(host, section.tls) if section.tls is not None else None
+    return TlsExtension(context, section.tls) if section.tls is not None else None
 
 
 def _log_messages(messages: Iterable[str]) -> None:
--- a/tests/application/test_start.py
+++ b/tests/application/test_start.py
@@ -82,7 +82,7 @@
             Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, None, settings), None, SHORT_SHUTDOWN
         )
         part.waits_for_budget = in_turn
-        server.parts.append(part)
+        server.extensions.append(part)
         ends = asyncio.create_task(server.run())
         while not server.listeners:
             await asyncio.sleep(0.001)
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -70,7 +70,7 @@
         assert await host.write(2, 0, bytes(512)) == 0
         assert (await ask(rig.port, GET.format(1, "i", INFO)))[0] == 200
         server = rig.server
-        nvme = server.parts[-1]
+        nvme = server.extensions[-1]
         assert isinstance(nvme, NvmeExtension)
         association = nvme.dialer._associations[b"block"]
         assert set(server.core.nodes) == set(server.pool.addresses) == {b"plain", b"block"}
--- a/tests/net/test_nvme.py
+++ b/tests/net/test_nvme.py
@@ -92,7 +92,7 @@
     async def scenario(rig: Rig) -> None:
         spare = NvmeNode()  # another cell
         await spare.open()
-        nvme = rig.server.parts[-1]
+        nvme = rig.server.extensions[-1]
         assert isinstance(nvme, NvmeExtension)
         nvme.dialer.nqn_by_node[b"spare"] = NQN
         rig.server.assembly.dialers[b"spare"] = nvme.dialer.dial
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -120,7 +120,7 @@
     @property
     def recording_transport(self) -> RecordingTransport:
         """The record's driver."""
-        part = self.server.parts[0]
+        part = self.server.extensions[0]
         assert isinstance(part, RecordExtension)
         return part.recording_transport
 
--- a/tests/tls/tls_server_rig.py
+++ b/tests/tls/tls_server_rig.py
@@ -117,7 +117,7 @@
     @property
     def extension(self) -> TlsExtension:
         """The TLS extension."""
-        extension = self.server.parts[0]
+        extension = self.server.extensions[0]
         assert isinstance(extension, TlsExtension)
         return extension
 
