--- a/sabledyke/__main__.py
+++ b/sabledyke/__main__.py
@@ -122,20 +122,22 @@
     """
     from sabledyke.application.server import Server
 
-    reread_operator = None
+    read_operator = None
     if operator_path is not None:
         from sabledyke import operator_config as operator_file  # only here, so that a plain start is quick
 
-        reread_operator = functools.partial(operator_file.load, operator_path)
+        read_operator = functools.partial(operator_file.load, operator_path)
     if operator_config is not None and operator_config.json_log:
         from sabledyke import structured_log
 
         structured_log.set_up(deployment.name)
 
     async def run() -> None:
-        reread = functools.partial(config.load, os.environ)
+        read_config = functools.partial(config.load, os.environ)
         try:
-            await Server(deployment, operator_config, reread=reread, reread_operator=reread_operator).run()
+            await Server(
+                deployment, operator_config, read_config=read_config, read_operator=read_operator
+            ).run()
         finally:
             # Guards against a signal ending the process by its default action once the loop's handlers are
             # gone: all that was accepted is answered, and the exit code has to say so.
--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from sabledyke.application.core_driver import CoreDriver
-from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
+from sabledyke.application.extensions import AnswerCallback, Extension, ServerContext, Submit
 from sabledyke.application.resource_limits import apply_resource_limits
 from sabledyke.config import Config
 from sabledyke.core import ClientRequest, Core, Transport
@@ -66,7 +66,7 @@
     """What extensions may ask of the server that they are part of."""
 
     @property
-    def takes_clients(self) -> bool:
+    def is_accepting_clients(self) -> bool:
         """Whether listeners are open and no client is sent away."""
 
     @property
@@ -76,7 +76,7 @@
     def reload(self) -> str:
         """Read the configuration again: the reason why it is not used, or an empty string."""
 
-    def leave(self, *, planned: bool = False) -> None:
+    def begin_shutdown(self, *, planned: bool = False) -> None:
         """Begin a graceful shutdown."""
 
 
@@ -110,14 +110,14 @@
         self.pool = ConnectionPool(settings, report, 0, self._dial, self.driver.may_send)
         self.core = Core(settings, config.seed, self._chain_transports(), self.watch, self.driver.wake)
         self.driver.core = self.core
-        self.fronts: list[Frontend] = []
+        self.frontends: list[Frontend] = []
         self.listen_addresses: list[tuple[str, int]] = []
         self._add_frontends(config)
         self.apply_limits()
 
     def apply_limits(self) -> None:
         """Divide descriptors and memory as the configuration in force says."""
-        apply_resource_limits(self.config, self.fronts, self.pool, self.response_memory)
+        apply_resource_limits(self.config, self.frontends, self.pool, self.response_memory)
 
     def on_endpoint_list(self, listing: EndpointListing | None) -> None:
         """Pass an endpoint list to the extensions, the core and the pool; None where a call failed."""
@@ -158,10 +158,10 @@
             on_client_disconnected=self._on_client_gone,
             connect=self._connect_through_all,
             preconnect=lambda node: self.pool.preconnect(node),
-            is_accepting_clients=lambda: control.takes_clients,
+            is_accepting_clients=lambda: control.is_accepting_clients,
             is_shutting_down=lambda: control.stop_requested,
             reload=control.reload,
-            begin_shutdown=lambda: control.leave(planned=True),
+            begin_shutdown=lambda: control.begin_shutdown(planned=True),
             answer_totals=lambda: self.core.metrics.answer_totals,
             has_attempts_at=lambda node: self.core.has_attempts_at(node),
             apply_node_entries=lambda entries: self._apply_list(
@@ -198,12 +198,12 @@
         for extension in self.extensions:
             for frontend, address in extension.frontends():
                 self._add_frontend(frontend, address)
-        for frontend in self.fronts:
+        for frontend in self.frontends:
             guards = [extension.connection_guard(frontend.name) for extension in self.extensions]
             frontend.guard = next((guard for guard in guards if guard is not None), None)
 
     def _add_frontend(self, frontend: Frontend, address: tuple[str, int]) -> None:
-        self.fronts.append(frontend)
+        self.frontends.append(frontend)
         self.listen_addresses.append(address)
 
     def _make_http_frontend(self) -> Frontend:
@@ -230,5 +230,5 @@
         return await self.dialers.get(node, self.http_dialer.dial)(node, address, timeout_ms)
 
 
-def _submit_through(extension: Extension, onward: Submit, work: ClientRequest, done: Done) -> int:
+def _submit_through(extension: Extension, onward: Submit, work: ClientRequest, done: AnswerCallback) -> int:
     return extension.submit(work, done, onward)
--- a/sabledyke/application/core_driver.py
+++ b/sabledyke/application/core_driver.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from sabledyke.application.extensions import Done
+from sabledyke.application.extensions import AnswerCallback
 from sabledyke.application.loop_lateness import LoopLateness
 from sabledyke.application.rejection_log import RejectionLog
 from sabledyke.core import AttemptResult, ClientRequest, Core
@@ -31,7 +31,7 @@
         self._batch_scheduled = False
         self._timer: asyncio.TimerHandle | None = None
 
-    def submit(self, work: ClientRequest, done: Done) -> int:
+    def submit(self, work: ClientRequest, done: AnswerCallback) -> int:
         """Hand a request to the core, as the last step of every front end's way.
 
         Returns:
--- a/sabledyke/application/extensions.py
+++ b/sabledyke/application/extensions.py
@@ -23,8 +23,8 @@
     from sabledyke.operator_config import OperatorConfig
     from sabledyke.shutdown.graceful_shutdown import GracefulShutdown
 
-Done = Callable[[Answer], None]
-Submit = Callable[[ClientRequest, Done], int]
+AnswerCallback = Callable[[Answer], None]
+Submit = Callable[[ClientRequest, AnswerCallback], int]
 
 
 def _never() -> bool:
@@ -125,7 +125,7 @@
         """Return the front ends that it adds, and where each listens."""
         return ()
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
+    def submit(self, work: ClientRequest, done: AnswerCallback, onward: Submit) -> int:
         """Pass a request from a front end on towards the core; return its number."""
         return onward(work, done)
 
--- a/sabledyke/application/lifecycle.py
+++ b/sabledyke/application/lifecycle.py
@@ -48,11 +48,11 @@
         return self._stop_event.is_set()
 
     @property
-    def takes_clients(self) -> bool:
+    def is_accepting_clients(self) -> bool:
         """Whether listeners are open and neither a drain nor a shutdown sends clients away."""
         if not self.listeners:
             return False
-        return not any(front.quiesced or front.shutting_down for front in self._assembly.fronts)
+        return not any(frontend.quiesced or frontend.shutting_down for frontend in self._assembly.frontends)
 
     @property
     def console_port(self) -> int | None:
@@ -62,7 +62,7 @@
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads the configuration."""
         self._loop.add_signal_handler(signal.SIGHUP, self._control.reload)
-        self._loop.add_signal_handler(signal.SIGTERM, self._control.leave)
+        self._loop.add_signal_handler(signal.SIGTERM, self._control.begin_shutdown)
         self._loop.add_signal_handler(signal.SIGINT, self.interrupt)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # which the start holds back until now
         await self.open()
@@ -88,25 +88,25 @@
 
     def quiesce(self) -> None:
         """Send clients away: health says no, idle connections end now and busy ones with their answer."""
-        fronts = self._assembly.fronts
-        if not fronts[0].quiesced:
+        frontends = self._assembly.frontends
+        if not frontends[0].quiesced:
             name = self._assembly.config.name
             log.emit(
                 "drain", f"{name} drains its clients, {self._assembly.core.unanswered} requests in flight"
             )
-        for front in fronts:
-            front.quiesced = True
-            front.close_idle(self._loop.time())
+        for frontend in frontends:
+            frontend.quiesced = True
+            frontend.close_idle(self._loop.time())
 
     def resume(self) -> None:
         """Take clients again."""
-        fronts = self._assembly.fronts
-        if fronts[0].quiesced:
+        frontends = self._assembly.frontends
+        if frontends[0].quiesced:
             log.emit("drain", f"{self._assembly.config.name} accepts clients again")
-        for front in fronts:
-            front.quiesced = False
+        for frontend in frontends:
+            frontend.quiesced = False
 
-    def leave(self, *, planned: bool = False) -> None:
+    def begin_shutdown(self, *, planned: bool = False) -> None:
         """Begin to stop; a later call changes nothing.
 
         Guards against supervisors that tell it to stop more than once: clients use their connections until
@@ -127,7 +127,7 @@
         """Begin to stop, as an operator at a terminal asks for; a second call hastens the shutdown."""
         self._interrupt_count += 1
         if self._interrupt_count == 1:
-            self.leave()
+            self.begin_shutdown()
         elif self.shutdown is not None:
             log.emit("stop", f"{self._assembly.config.name} was interrupted again, and hastens its shutdown")
             self.shutdown.hasten()
@@ -172,8 +172,8 @@
 
     def _open_listeners(self) -> None:
         config = self._assembly.config
-        for front, address in zip(self._assembly.fronts, self._assembly.listen_addresses, strict=True):
-            listener = Listener(address, front.accept)
+        for frontend, address in zip(self._assembly.frontends, self._assembly.listen_addresses, strict=True):
+            listener = Listener(address, frontend.accept)
             self.listeners.append(listener)
             log.emit("start", f"{config.name} serves at {address[0]}:{listener.port}")
         if self._console is not None and config.console is not None:
@@ -191,7 +191,7 @@
         for extension in self._assembly.extensions:
             await extension.close()
         self._assembly.driver.cancel_timer()
-        self._assembly.driver.rejection_log.report_rest(self._assembly.core.metrics.rejections)
+        self._assembly.driver.rejection_log.report_remaining(self._assembly.core.metrics.rejections)
         broken = ", ".join(f"{name}: {count}" for name, count in invariants.violations.items()) or "none"
         name = self._assembly.config.name
         log.emit("stop", f"{name} has answered all accepted requests; invariants broken: {broken}")
--- a/sabledyke/application/rejection_log.py
+++ b/sabledyke/application/rejection_log.py
@@ -32,7 +32,7 @@
         if now_ms >= self._next_line_at_ms and self._log_new(rejections):
             self._next_line_at_ms = now_ms + LOG_INTERVAL_MS
 
-    def report_rest(self, rejections: Counter[RejectReason]) -> None:
+    def report_remaining(self, rejections: Counter[RejectReason]) -> None:
         """Log what is new, as the program ends."""
         self._log_new(rejections)
 
--- a/sabledyke/application/reload.py
+++ b/sabledyke/application/reload.py
@@ -81,7 +81,7 @@
         """Listen for HTTP clients at the new address, where it differs and listeners are open."""
         if config.listen == self._assembly.config.listen or not self._listeners:
             return
-        listener = Listener(config.listen, self._assembly.fronts[0].accept)
+        listener = Listener(config.listen, self._assembly.frontends[0].accept)
         self._listeners[0].close()
         self._listeners[0] = listener
 
--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -24,8 +24,8 @@
         config: The configuration to start with.
         operator: The operator's file, where there is one.
         times: How long each phase of a graceful shutdown takes.
-        reread: Reads the configuration again, given the one in force.
-        reread_operator: Reads the operator's file again, given the new settings.
+        read_config: Reads the configuration again, given the one in force.
+        read_operator: Reads the operator's file again, given the new settings.
     """
 
     def __init__(
@@ -33,19 +33,19 @@
         config: Config,
         operator: OperatorConfig | None = None,
         times: ShutdownTimes = DEFAULT_TIMES,
-        reread: ReadConfig = lambda config: config,
-        reread_operator: ReadOperator | None = None,
+        read_config: ReadConfig = lambda config: config,
+        read_operator: ReadOperator | None = None,
     ) -> None:
         self.assembly = Assembly(config, operator, self)
         self.core = self.assembly.core
-        self.fronts = self.assembly.fronts
+        self.frontends = self.assembly.frontends
         self.extensions = self.assembly.extensions
         self.pool = self.assembly.pool
         self.watch = self.assembly.watch
         self.console = Console(self._on_console_call) if config.console else None
         self.lifecycle = Lifecycle(self.assembly, self, self.console, times)
         self.listeners = self.lifecycle.listeners
-        self.reloader = Reloader(self.assembly, self.listeners, reread, reread_operator)
+        self.reloader = Reloader(self.assembly, self.listeners, read_config, read_operator)
 
     @property
     def console_port(self) -> int | None:
@@ -53,9 +53,9 @@
         return self.lifecycle.console_port
 
     @property
-    def takes_clients(self) -> bool:
+    def is_accepting_clients(self) -> bool:
         """Whether listeners are open and neither a drain nor a shutdown sends clients away."""
-        return self.lifecycle.takes_clients
+        return self.lifecycle.is_accepting_clients
 
     @property
     def stop_requested(self) -> bool:
@@ -90,9 +90,9 @@
         """Take clients again."""
         self.lifecycle.resume()
 
-    def leave(self, *, planned: bool = False) -> None:
+    def begin_shutdown(self, *, planned: bool = False) -> None:
         """Begin a graceful shutdown; a later call changes nothing."""
-        self.lifecycle.leave(planned=planned)
+        self.lifecycle.begin_shutdown(planned=planned)
 
     def interrupt(self) -> None:
         """Begin a graceful shutdown; a second call hastens it."""
@@ -113,7 +113,7 @@
         """Carry out an operator's call, and return the status and body of its answer."""
         match call:
             case ConsoleCall.HEALTH:
-                return (200, b"yes\n") if self.takes_clients else (503, b"no\n")
+                return (200, b"yes\n") if self.is_accepting_clients else (503, b"no\n")
             case ConsoleCall.STATS:
                 return 200, "".join(line + "\n" for line in self.metrics()).encode()
             case ConsoleCall.QUIESCE:
--- a/sabledyke/application/shutdown_driver.py
+++ b/sabledyke/application/shutdown_driver.py
@@ -38,7 +38,7 @@
 
     async def run(self) -> None:
         """Serve on for as long as the kill leaves time, and answer all that was accepted."""
-        for frontend in self._assembly.fronts:
+        for frontend in self._assembly.frontends:
             frontend.shutdown = self.plan
         self._set_end()
         await self._serve_until_end()
@@ -48,7 +48,7 @@
         lateness = self._assembly.driver.lateness
         if lateness.longest_s >= LOGGED_S:
             log.emit("loop", f"late in all: {lateness.describe()}")
-        for frontend in self._assembly.fronts:  # those that stopped halfway, and those that never read
+        for frontend in self._assembly.frontends:  # those that stopped halfway, and those that never read
             frontend.close()
 
     def hasten(self) -> None:
@@ -70,7 +70,7 @@
                 self._log_phase(phase)
                 logged_phase = phase
             if self._closes_idle_connections(phase):
-                for frontend in self._assembly.fronts:
+                for frontend in self._assembly.frontends:
                     frontend.close_idle(self._loop.time(), POLL_INTERVAL_S)
             await self._sleep_until_poll()
 
@@ -92,16 +92,16 @@
             listener = self._listeners.pop()
             self._closing_listeners.append(listener)
             listener.close()
-        for frontend in self._assembly.fronts:
+        for frontend in self._assembly.frontends:
             frontend.closing = True
 
     def _all_connections_closed(self) -> bool:
         if self._listeners or not all(listener.closed for listener in self._closing_listeners):
             return False
-        return not any(frontend.clients for frontend in self._assembly.fronts)
+        return not any(frontend.clients for frontend in self._assembly.frontends)
 
     def _log_phase(self, phase: ShutdownPhase) -> None:
-        connections = sum(len(frontend.clients) for frontend in self._assembly.fronts)
+        connections = sum(len(frontend.clients) for frontend in self._assembly.frontends)
         unanswered = self._assembly.core.unanswered
         log.emit(
             "stop", f"{PHASE_DESCRIPTIONS[phase]}; {connections} connections, {unanswered} requests in flight"
@@ -118,7 +118,7 @@
         Guards against a close over a request that came in the last moment: it was read, so it is owed an
         answer, and what was not read its client sends once more elsewhere.
         """
-        frontends = self._assembly.fronts
+        frontends = self._assembly.frontends
         end_s = self._loop.time() + SETTLE_S
         for frontend in frontends:
             frontend.stop_reading()
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -111,7 +111,7 @@
         if self._frontend.rejects_requests:  # guards against a host that never pauses holding up the end
             self.target.complete(*self._translator.to_completion(command, Answer(AnswerStatus.REJECTED)))
             return
-        work = self._translator.to_work(command, payload)
+        work = self._translator.to_client_request(command, payload)
         if not streams.may_access_volume(self.stream, work.volume):
             self.target.complete(Completion(command.command_id, Status.ACCESS_DENIED, do_not_retry=True), b"")
             return
--- a/sabledyke/net/nvme_link.py
+++ b/sabledyke/net/nvme_link.py
@@ -32,7 +32,7 @@
     property_get_command,
     property_set_command,
 )
-from sabledyke.protocol.nvme.blocks import NoPlaceError, Translator
+from sabledyke.protocol.nvme.blocks import Translator, UnmappableRequestError
 
 KEEP_ALIVE_MS = 15000  # without a command, after which a node may end the association
 KEEP_ALIVE_INTERVAL_S = KEEP_ALIVE_MS / 3000  # between Keep Alive commands, and for the answer to one
@@ -139,7 +139,7 @@
         self._channel.written = None
         try:
             command, payload = self._translator.to_node_command(work)
-        except NoPlaceError as error:
+        except UnmappableRequestError as error:
             log.emit("box", str(error))
             self.reusable = True
             return AttemptResult(Outcome.ERROR, may_have_run=False)
--- a/sabledyke/protocol/nvme/blocks.py
+++ b/sabledyke/protocol/nvme/blocks.py
@@ -35,7 +35,7 @@
 _KEY_DIGITS = re.compile("[0-9a-f]{16}")
 
 
-class NoPlaceError(SabledykeError):
+class UnmappableRequestError(SabledykeError):
     """The request has no place on a storage node that speaks NVMe; the text says why."""
 
     code = "nvme-volume"
@@ -99,7 +99,7 @@
         self._by_namespace_id = {volume.namespace_id: volume for volume in volumes}
         self._by_volume_id = {volume.volume_id: volume for volume in volumes}
 
-    def to_work(self, command: Command, data: bytes) -> ClientRequest:
+    def to_client_request(self, command: Command, data: bytes) -> ClientRequest:
         """Return a host's read or write, which was checked against its namespace, as a request."""
         volume = self._by_namespace_id[command.namespace_id]
         write = command.opcode == IoOpcode.WRITE
@@ -139,11 +139,11 @@
         """Return a request as a command to a storage node.
 
         Raises:
-            NoPlaceError: The request has no place on a storage node that speaks NVMe.
+            UnmappableRequestError: The request has no place on a storage node that speaks NVMe.
         """
         volume = self._by_volume_id.get(work.volume)
         if volume is None:
-            raise NoPlaceError(f"volume {work.volume:016x} has no namespace")
+            raise UnmappableRequestError(f"volume {work.volume:016x} has no namespace")
         if work.target:
             return _object_command(work, volume)
         if not work.write:
@@ -173,12 +173,12 @@
     start_block = work.data_key * volume.object_blocks
     capacity_bytes = volume.object_blocks * BLOCK_BYTES
     if start_block + volume.object_blocks > volume.block_count:
-        raise NoPlaceError(f"piece {work.data_key:x} is past the end of its namespace")
+        raise UnmappableRequestError(f"piece {work.data_key:x} is past the end of its namespace")
     if not work.write:
         read = transfer_command(IoOpcode.READ, volume.namespace_id, start_block, capacity_bytes)
         return Submission(read, b"")
     if len(work.body) + _LENGTH_PREFIX_BYTES > capacity_bytes:
-        raise NoPlaceError(f"{len(work.body)} bytes do not fit a piece of {capacity_bytes}")
+        raise UnmappableRequestError(f"{len(work.body)} bytes do not fit a piece of {capacity_bytes}")
     data = (len(work.body) + 1).to_bytes(_LENGTH_PREFIX_BYTES, "big") + work.body
     block_count = -(-len(data) // BLOCK_BYTES)
     padded = data.ljust(block_count * BLOCK_BYTES, b"\0")
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from sabledyke import invariants, log
-from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
+from sabledyke.application.extensions import AnswerCallback, Extension, ServerContext, Submit
 from sabledyke.compacted_log.client import CompactedLog
 from sabledyke.compacted_log.section import LogSection
 from sabledyke.config import Config, ConfigError
@@ -69,7 +69,7 @@
         """See ``Extension``."""
         self._plans = config.settings.plans
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
+    def submit(self, work: ClientRequest, done: AnswerCallback, onward: Submit) -> int:
         """See ``Extension``: work of a volume that is shared gets this member's share."""
         plan = self._plans[work.plan_index]
         if plan.limit > 0 or plan.reservation > 0:
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -12,7 +12,7 @@
 from uuid import uuid4
 
 from sabledyke import log
-from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
+from sabledyke.application.extensions import AnswerCallback, Extension, ServerContext, Submit
 from sabledyke.compacted_log.client import CompactedLog
 from sabledyke.compacted_log.section import LogSection
 from sabledyke.config import Config, ConfigError
@@ -107,7 +107,7 @@
         """See ``Extension``: how long a node warms up is the deployment's setting."""
         self._coordinator.timeouts = replace(self._section.timeouts, warm_up_ms=config.settings.warm_up_ms)
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
+    def submit(self, work: ClientRequest, done: AnswerCallback, onward: Submit) -> int:
         """See ``Extension``: the load of each volume is published with the heartbeats."""
         if self._loads is not None:
             self._loads.add(work.volume, work.units)
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from sabledyke import log
-from sabledyke.application.extensions import Done, Extension, ServerContext, Submit
+from sabledyke.application.extensions import AnswerCallback, Extension, ServerContext, Submit
 from sabledyke.core import ClientRequest, Transport
 from sabledyke.net.connection_pool import ReportAttempt
 from sabledyke.net.link import Dial
@@ -67,7 +67,7 @@
         self.recording_transport.inner = inner
         return self.recording_transport
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
+    def submit(self, work: ClientRequest, done: AnswerCallback, onward: Submit) -> int:
         """See ``Extension``."""
         return self.recording_transport.submit(work, done, onward)
 
--- a/sabledyke/store/open_requests.py
+++ b/sabledyke/store/open_requests.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from sabledyke.application.extensions import Done
+from sabledyke.application.extensions import AnswerCallback
 from sabledyke.core import Answer, ClientRequest
 from sabledyke.policy.nodes import NodeId, node_name
 from sabledyke.store.types import JournalEntry, idempotency_token
@@ -73,5 +73,5 @@
 class ServedAnswer:
     """An answer that waits for its journal entry."""
 
-    done: Done
+    done: AnswerCallback
     answer: Answer
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -13,7 +13,7 @@
 from dataclasses import replace
 
 from sabledyke import log
-from sabledyke.application.extensions import Done, Submit
+from sabledyke.application.extensions import AnswerCallback, Submit
 from sabledyke.core import ANSWER_GUARD_MS, Answer, AnswerStatus, AttemptResult, ClientRequest, Transport
 from sabledyke.net import clock
 from sabledyke.net.connection_pool import ReportAttempt
@@ -96,7 +96,7 @@
 
     # Between the listeners and the core.
 
-    def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
+    def submit(self, work: ClientRequest, done: AnswerCallback, onward: Submit) -> int:
         """Hand work on to the core; a keyed write only while it can be recorded.
 
         Args:
@@ -137,7 +137,7 @@
             node = NodeEntry(b"", first.shard, first.zone, -1, 0.0, 1.0, NodeState.GONE)
             work.possible_execution = PossibleExecution(first.sent_at_ms, node)
 
-    def _on_answer(self, request_id: int, write: OpenWrite, answer: Answer, done: Done) -> None:
+    def _on_answer(self, request_id: int, write: OpenWrite, answer: Answer, done: AnswerCallback) -> None:
         self._open_writes.pop(request_id, None)
         served = answer.status is AnswerStatus.SERVED
         self.drift.on_write_completed(clock.now(), write.piece, write.digest if served else None)
@@ -157,7 +157,9 @@
         self._carry_out(self.intents.on_write_completed(write.name, entry, ticket, write.deadline_ms))
         self.writer.schedule()
 
-    def _on_read(self, work: ClientRequest, requested_at_ms: float, answer: Answer, done: Done) -> None:
+    def _on_read(
+        self, work: ClientRequest, requested_at_ms: float, answer: Answer, done: AnswerCallback
+    ) -> None:
         piece = work.volume, work.data_key
         if answer.status is AnswerStatus.SERVED and self.drift.can_compare(requested_at_ms, piece):
             digest = hashlib.sha256(answer.body).hexdigest()
--- a/tests/application/test_console.py
+++ b/tests/application/test_console.py
@@ -149,7 +149,7 @@
         assert [h.get("connection") for _, h, _ in answers] == [None, "close"]
         assert await piped_reader.read() == b""
         assert rig.server.listeners  # the process goes on
-        assert not rig.server.takes_clients
+        assert not rig.server.is_accepting_clients
         assert (await call(rig.server.console_port, "POST", "/admin/resume"))[0] == 200
         status, headers, _ = await ask(rig.port, "GET /_health HTTP/1.1\n\n")
         assert status == 200
--- a/tests/application/test_rejection_log.py
+++ b/tests/application/test_rejection_log.py
@@ -27,5 +27,5 @@
     text = "5 requests were rejected or failed: crowd 4, limit 1"
     assert lines[1:] == [(text, {"crowd": 4, "limit": 1})]
     rejections[RejectReason.SHUTDOWN] += 1
-    rejection_log.report_rest(rejections)
+    rejection_log.report_remaining(rejections)
     assert lines[2:] == [("1 requests were rejected or failed: shutdown 1", {"shutdown": 1})]
--- a/tests/application/test_shutdown.py
+++ b/tests/application/test_shutdown.py
@@ -20,9 +20,9 @@
         arrived, release = hold_answers(rig)
         one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
         await arrived.wait()
-        rig.server.leave()
+        rig.server.begin_shutdown()
         end = asyncio.create_task(rig.server.finish())
-        while not rig.server.fronts[0].shutting_down:
+        while not rig.server.frontends[0].shutting_down:
             await asyncio.sleep(0)
         two = await ask(rig.port, "GET /_health HTTP/1.1\n\n")  # still let in
         waiting = socket.create_connection(("127.0.0.1", rig.port))  # the machine has accepted it: taken
@@ -47,9 +47,9 @@
     async def scenario(rig: Rig) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         writer.write(b"GET /half")
-        while all(c.idle for c in rig.server.fronts[0].clients):
+        while all(c.idle for c in rig.server.frontends[0].clients):
             await asyncio.sleep(0)
-        rig.server.leave()
+        rig.server.begin_shutdown()
         await rig.server.finish()
         assert (await reader.read()).startswith(b"HTTP/1.1 503")  # and it hears why
         writer.close()
@@ -60,9 +60,9 @@
 ONE = GET.format(1, "i{}", INFO).replace("\n", "\r\n")
 
 
-async def leave(rig: Rig) -> asyncio.Task[None]:
+async def start_shutdown(rig: Rig) -> asyncio.Task[None]:
     rig.server.lifecycle.times = SHORT_SHUTDOWN
-    rig.server.leave()
+    rig.server.begin_shutdown()
     return asyncio.create_task(rig.server.finish())
 
 
@@ -103,7 +103,7 @@
             return submit(now_ms, client_request, done)
 
         rig.server.core.submit = note  # type: ignore[method-assign]
-        end = await leave(rig)
+        end = await start_shutdown(rig)
 
         async def client(line: tuple[Reader, Writer], k: int) -> ServedClient:
             seen = ServedClient()
@@ -147,7 +147,7 @@
         await arrived.wait()
         while rig.server.core.unanswered < 2:
             await asyncio.sleep(0.01)
-        await (await leave(rig))
+        await (await start_shutdown(rig))
         assert [status for status, _, _ in await asyncio.gather(*owed)] == [503, 500]
 
     play(scenario)
@@ -162,7 +162,7 @@
         rig.http.answer = big
         good = await asyncio.open_connection("127.0.0.1", rig.port)
         bad, writer = await asyncio.open_connection("127.0.0.1", rig.port)
-        end, n = await leave(rig), 0
+        end, n = await start_shutdown(rig), 0
 
         async def nuisance() -> None:
             for k in range(10_000):
@@ -207,15 +207,15 @@
             rig.server.quiesce()
             assert await reader.read() == b""  # an idle connection ended with the drain
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
-        end = await leave(rig)
+        end = await start_shutdown(rig)
         began = asyncio.get_running_loop().time()
         await asyncio.sleep(0.2)  # the listener is closed by now
         shutdown = rig.server.lifecycle.shutdown
         assert shutdown is not None
         planned_end = shutdown.plan.completed_at
         if what == "again":  # as supervisors do
-            rig.server.leave()
-            rig.server.leave()
+            rig.server.begin_shutdown()
+            rig.server.begin_shutdown()
             assert shutdown.plan.completed_at == planned_end
         elif what == "interrupted":  # as people do
             rig.server.interrupt()
@@ -236,7 +236,7 @@
         first, headers, _ = await read_http(reader)
         assert first.split()[1] == "200"  # whatever it was: who is connected is served
         assert (headers.get("connection") == "close") >= (what == "quiesced before")
-        assert not rig.server.takes_clients
+        assert not rig.server.is_accepting_clients
         await end
         took = asyncio.get_running_loop().time() - began
         record = f"the loop was late by up to {lag.longest_s:.3f} s; {rig.server.core.metrics.answers}"
--- a/tests/application/test_start.py
+++ b/tests/application/test_start.py
@@ -28,7 +28,7 @@
         await new.open()
         new.start()
         assert new.listeners[0].port == rig.port
-        rig.server.leave()
+        rig.server.begin_shutdown()
         ending = asyncio.create_task(rig.server.finish())
         answers = []
         for n in range(60):  # before, during and after the old one's listener closes
@@ -37,9 +37,9 @@
         await ending
         answers += [(await ask(rig.port, GET.format(1, f"late{n}", INFO)))[0] for n in range(5)]
         assert answers == [200] * 65, answers  # none refused, closed or left unread
-        new.leave()
+        new.begin_shutdown()
         await new.finish()
-        setattr(rig.server, "leave", lambda: None)  # noqa: B010 - the rig's own end: already over
+        setattr(rig.server, "begin_shutdown", lambda: None)  # noqa: B010 - the rig's own end: already over
         setattr(rig.server, "finish", _over)  # noqa: B010
         assert not invariants.violations
 
@@ -51,7 +51,7 @@
         new = Server(replace(rig.config, name="young"), None, FAST_SHUTDOWN)
         run = asyncio.create_task(new.run())
         await asyncio.sleep(0)
-        new.leave()
+        new.begin_shutdown()
         async with asyncio.timeout(1):
             await run
         assert not new.listeners
@@ -87,7 +87,7 @@
         while not server.listeners:
             await asyncio.sleep(0.001)
         assert (b"plain" in server.core.nodes) is knows
-        server.leave()
+        server.begin_shutdown()
         await ends
         found.die()
 
--- a/tests/net/test_client_limits.py
+++ b/tests/net/test_client_limits.py
@@ -14,8 +14,8 @@
 
 def test_clients_stay_under_their_bound() -> None:
     async def scenario(rig: Rig) -> None:
-        clients = rig.server.fronts[0].clients
-        rig.server.fronts[0].max_clients = 1
+        clients = rig.server.frontends[0].clients
+        rig.server.frontends[0].max_clients = 1
         for said in (b"", b"GET /half"):
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
             writer.write(said)
@@ -56,7 +56,7 @@
 ) -> None:
     async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(frontend, "CROWDED_IDLE_TIMEOUT_S", 0.2)
-        http_front = rig.server.fronts[0]
+        http_front = rig.server.frontends[0]
         stays, one = await asyncio.open_connection("127.0.0.1", rig.port)
         one.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
         assert b"connection: close" not in (await stays.readuntil(b"\r\n\r\n")).lower()
@@ -76,7 +76,7 @@
 ) -> None:
     async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(frontend, "EVICTION_GRACE_S", 0.0)
-        rig.server.fronts[0].max_clients = 3
+        rig.server.frontends[0].max_clients = 3
         pairs = [await asyncio.open_connection("127.0.0.1", rig.port) for _ in range(3)]
         (asked, asker), (silent, _), (curious, looker) = pairs
         asker.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
@@ -90,7 +90,7 @@
             again[1].write(GET.format(1, id(again), INFO).replace("\n", "\r\n").encode())
             assert await again[0].readuntil(b"\r\n\r\n")
         assert not asked.at_eof()
-        assert len(rig.server.fronts[0].clients) == 3
+        assert len(rig.server.frontends[0].clients) == 3
         for _, writer in pairs:
             writer.close()
 
@@ -99,7 +99,7 @@
 
 def test_a_crowd_of_connections_is_accepted_in_batches() -> None:
     async def scenario(rig: Rig) -> None:
-        opened, clients = rig.server.listeners[0], rig.server.fronts[0].clients
+        opened, clients = rig.server.listeners[0], rig.server.frontends[0].clients
         crowd = [
             socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2 * listener.ACCEPT_BATCH + 1)
         ]
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("closes", [False, True])
 def test_a_failed_accept_hides_no_connection_and_never_spins(fault: int, *, closes: bool) -> None:
     async def scenario(rig: Rig) -> None:
-        opened, clients = rig.server.listeners[0], rig.server.fronts[0].clients
+        opened, clients = rig.server.listeners[0], rig.server.frontends[0].clients
         opened._socket = faulty = Faulty(opened._socket, [fault])  # type: ignore[assignment]
         known = set(clients)
         sock = socket.create_connection(("127.0.0.1", rig.port))
@@ -65,7 +65,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(rig: Rig) -> None:
-        clients, broken = rig.server.fronts[0].clients, list[bool]()
+        clients, broken = rig.server.frontends[0].clients, list[bool]()
         accepted = frontend.stream_of
 
         def breaks(sock: socket.socket) -> streams.IOStream:
--- a/tests/net/test_nvme.py
+++ b/tests/net/test_nvme.py
@@ -146,7 +146,9 @@
 def test_a_host_past_its_keep_alive_time_is_disconnected() -> None:
     async def scenario(rig: Rig) -> None:
         host = await rig.host()
-        target = next(c for c in rig.server.fronts[1].clients if isinstance(c, NvmeClientConnection)).target
+        target = next(
+            c for c in rig.server.frontends[1].clients if isinstance(c, NvmeClientConnection)
+        ).target
         target.keep_alive_ms = 50
         assert await host.admin(0x18) == 0
         assert await host.io[0].read() == b""  # its queues go with its controller
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -24,16 +24,16 @@
 
 def sweep(rig: Rig, line: Line) -> None:
     line.client.last_activity_s -= 3600  # it has rested for an hour
-    rig.server.fronts[0]._close_overdue()
+    rig.server.frontends[0]._close_overdue()
 
 
 def shed(rig: Rig, _line: Line) -> None:
-    rig.server.fronts[0].close_idle(asyncio.get_running_loop().time())
+    rig.server.frontends[0].close_idle(asyncio.get_running_loop().time())
 
 
 def crowd(rig: Rig, _line: Line) -> None:
-    rig.server.fronts[0].max_clients = 1
-    rig.server.fronts[0]._ensure_capacity()
+    rig.server.frontends[0].max_clients = 1
+    rig.server.frontends[0]._ensure_capacity()
 
 
 def quiesce(rig: Rig, _line: Line) -> None:
@@ -91,9 +91,9 @@
         monkeypatch.setattr(lifecycle, "GracefulShutdown", Scripted)
         Scripted.current = begins
         line = await Line.open(rig)
-        rig.server.leave()
+        rig.server.begin_shutdown()
         end = asyncio.create_task(rig.server.finish())
-        await until(lambda: rig.server.fronts[0].shutting_down)
+        await until(lambda: rig.server.frontends[0].shutting_down)
         await line.reach(step)
         Scripted.current = ShutdownPhase.COMPLETED
         rig.server.core._answers.answer_all_by_ms = -1e9  # all that is owed is due now
@@ -122,7 +122,7 @@
     async def scenario(rig: Rig) -> None:
         line = await Line.open(rig)
         if crowded:
-            rig.server.fronts[0].crowded_above = 0
+            rig.server.frontends[0].crowded_above = 0
         whole = b"".join(request(f"{n}-" + "x" * 1900) for n in range(many))
         fits = MAX_INPUT_BYTES // len(request("00-" + "x" * 1900))
         loop, answers = asyncio.get_running_loop(), b""
@@ -162,7 +162,7 @@
         asked = len(rig.http.seen)
         await until(lambda: outcomes)
         assert outcomes == [Outcome.CANCELLED]  # and not by its time
-        await until(lambda: line.client not in rig.server.fronts[0].clients)
+        await until(lambda: line.client not in rig.server.frontends[0].clients)
         assert len(rig.http.seen) == asked
         assert not rig.server.core.unanswered
 
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -135,7 +135,7 @@
         driver.cancel_timer()
         if writer.session is not None:
             writer.session.abort()
-        for front in self.server.fronts:
+        for front in self.server.frontends:
             front.closing = True
             for client in list(front.clients):
                 client.on_client_gone = lambda: None  # type: ignore[method-assign]
@@ -158,7 +158,7 @@
 
     async def shut_down(self) -> None:
         """The server ends in good order."""
-        self.server.leave()
+        self.server.begin_shutdown()
         await self.server.finish()
 
     async def put(
--- a/tests/store/sql_node_deployment.py
+++ b/tests/store/sql_node_deployment.py
@@ -51,7 +51,7 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.postgres.script = no_fault
-        self.server.leave()
+        self.server.begin_shutdown()
         await self.server.finish()
         self.discovery.die()
         await self.postgres.end()
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -66,7 +66,7 @@
     @classmethod
     async def open(cls, rig: Rig) -> Line:
         """Connect, and have one request answered, so that the connection is idle between requests."""
-        clients = rig.server.fronts[0].clients
+        clients = rig.server.frontends[0].clients
         known = set(clients)
         sock = socket.create_connection(("127.0.0.1", rig.port))
         sock.setblocking(False)
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -96,7 +96,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.server.leave()
+        self.server.begin_shutdown()
         await self.server.finish()
         for service in (self.http, self.nvme, self.discovery):
             service.die()
--- a/tests/tls/test_clients.py
+++ b/tests/tls/test_clients.py
@@ -67,7 +67,7 @@
 
     async def scenario(rig: TlsServerRig) -> None:
         port = rig.server.listeners[0].port
-        frontend = rig.server.fronts[0]
+        frontend = rig.server.frontends[0]
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", port, ssl=client_context(tmp_path), server_hostname="scheduler"
         )
--- a/tests/tls/tls_server_rig.py
+++ b/tests/tls/tls_server_rig.py
@@ -105,7 +105,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.server.leave()
+        self.server.begin_shutdown()
         await self.server.finish()
         if self._ends_node:
             self.node.die()
