--- a/sabledyke/application/__init__.py
+++ b/sabledyke/application/__init__.py
@@ -1,1 +1,1 @@
-"""The running program: its assembly from drivers and extensions, reload and lifecycle."""
+"""The server process: its assembly from drivers and extensions, its life cycle, and reload."""
--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -1,7 +1,7 @@
-"""Builds the server from its drivers and extensions, and connects them with each other.
+"""Builds the server from its drivers and extensions, and connects them to each other.
 
 Transports stack in a fixed order: the core first, then the extensions in the order of ``EXTENSIONS``, then
-the pool of connections. Requests and connections pass through the extensions in the same order.
+the connection pool. Requests and connections pass through the extensions in the same order.
 """
 
 from __future__ import annotations
@@ -30,27 +30,33 @@
 from sabledyke.protocol.gateway import MessageReader
 from sabledyke.protocol.request_ids import RequestIds
 
-if TYPE_CHECKING:  # loaded only where it is named: a plain start must be quick
+if TYPE_CHECKING:  # A start without an operator's file skips this import, which keeps it fast.
     from sabledyke.operator_config import OperatorConfig
 
 
 @dataclass(frozen=True, slots=True)
 class ExtensionFactory:
-    """Where an extension is made, and whether the operator's file asks for it; it is loaded only then."""
+    """Reference to the function that creates an extension; its module is imported only if it is configured.
+
+    Attributes:
+        module: Name of the module.
+        function: Name of the function, which takes the server's context and the operator's file.
+        is_configured: Returns a true value if the operator's file configures the extension.
+    """
 
     module: str
     function: str
     is_configured: Callable[[OperatorConfig], object]
 
     def load(self, context: ServerContext, operator: OperatorConfig) -> Extension | None:
-        """Load the module and make the extension, which may still find that it has nothing to do."""
-        made: Extension | None = getattr(importlib.import_module(self.module), self.function)(
+        """Import the module and create the extension; None if the extension has nothing to do."""
+        extension: Extension | None = getattr(importlib.import_module(self.module), self.function)(
             context, operator
         )
-        return made
+        return extension
 
 
-# The nearest to the core first.
+# The extension next to the core comes first.
 EXTENSIONS: tuple[ExtensionFactory, ...] = (
     ExtensionFactory("sabledyke.tls.extension", "set_up", lambda operator: operator.tls),
     ExtensionFactory("sabledyke.store.extension", "set_up", lambda operator: operator.store),
@@ -63,32 +69,32 @@
 
 
 class ServerControl(Protocol):
-    """What extensions may ask of the server that they are part of."""
+    """Operations of the server that extensions and signal handlers may call."""
 
     @property
     def is_accepting_clients(self) -> bool:
-        """Whether listeners are open and no client is sent away."""
+        """True if listeners are open and clients are accepted."""
 
     @property
     def stop_requested(self) -> bool:
-        """Whether the server was told to stop."""
+        """True if a shutdown was requested."""
 
     def reload(self) -> str:
-        """Read the configuration again: the reason why it is not used, or an empty string."""
+        """Reload the configuration, and return the reason if it was rejected, otherwise an empty string."""
 
     def begin_shutdown(self, *, planned: bool = False) -> None:
         """Begin a graceful shutdown."""
 
 
 class Assembly:
-    """The collaborators of one server.
+    """The components of one server.
 
     Attributes:
         config: The configuration in force.
-        parts: The extensions, the nearest to the core first.
-        fronts: The front ends, HTTP first.
-        listen_addresses: Where each front end listens, in the order of ``fronts``.
-        list_answered: Set once a call to discovery has ended, whatever it brought.
+        extensions: The extensions, the one next to the core first.
+        frontends: The front ends, HTTP first.
+        listen_addresses: Listen addresses of the front ends, in the order of ``frontends``.
+        list_answered: Set once a call to discovery has ended, with or without a list.
     """
 
     def __init__(self, config: Config, operator: OperatorConfig | None, control: ServerControl) -> None:
@@ -116,11 +122,11 @@
         self.apply_limits()
 
     def apply_limits(self) -> None:
-        """Divide descriptors and memory as the configuration in force says."""
+        """Divide descriptors and memory according to the configuration in force."""
         apply_resource_limits(self.config, self.frontends, self.pool, self.response_memory)
 
     def on_endpoint_list(self, listing: EndpointListing | None) -> None:
-        """Pass an endpoint list to the extensions, the core and the pool; None where a call failed."""
+        """Pass an endpoint list to the extensions, the core and the pool; None stands for a failed call."""
         self.list_answered.set()
         if listing is None:
             self.core.on_endpoint_list(EndpointList(ListKind.FAILED, 0, ()))
@@ -144,18 +150,18 @@
         if operator is None:
             return []
         context = self._make_context(control)
-        wanted = [factory for factory in EXTENSIONS if factory.is_configured(operator)]
-        made = [factory.load(context, operator) for factory in wanted]
-        return [extension for extension in made if extension is not None]
+        configured = [factory for factory in EXTENSIONS if factory.is_configured(operator)]
+        loaded = [factory.load(context, operator) for factory in configured]
+        return [extension for extension in loaded if extension is not None]
 
     def _make_context(self, control: ServerControl) -> ServerContext:
-        """Return what extensions see of the server; what is not made yet is looked up when it is used."""
+        """Return the extensions' context; its callables look up members of the server only when called."""
         return ServerContext(
             config=self.config,
             response_memory=self.response_memory,
             node_entry=lambda node: self.core.nodes[node],
             submit=lambda work, done: self._submit(work, done),
-            on_client_disconnected=self._on_client_gone,
+            on_client_disconnected=self._on_client_disconnected,
             connect=self._connect_through_all,
             preconnect=lambda node: self.pool.preconnect(node),
             is_accepting_clients=lambda: control.is_accepting_clients,
@@ -211,12 +217,12 @@
 
         def make(frontend: Frontend, stream: streams.Stream) -> HttpClientConnection:
             return HttpClientConnection(
-                frontend, stream, self.reader, ids, self._submit, self._on_client_gone
+                frontend, stream, self.reader, ids, self._submit, self._on_client_disconnected
             )
 
         return Frontend("HTTP", 0, make, self.response_memory)
 
-    def _on_client_gone(self, request_id: int) -> None:
+    def _on_client_disconnected(self, request_id: int) -> None:
         for extension in self.extensions:
             extension.on_client_disconnected(request_id)
         self.core.on_client_disconnected(request_id)
--- a/sabledyke/application/core_driver.py
+++ b/sabledyke/application/core_driver.py
@@ -1,4 +1,4 @@
-"""Runs the core on the event loop: hands it batches of events, and wakes it when its next timer is due."""
+"""Runs the core on the event loop: passes it batches of events, and calls it when its next timer is due."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 class CoreDriver:
     """Connects the core to the event loop and to the clock.
 
-    The core is pure: each of its calls is given the time. This driver knows the time and decides nothing.
-    ``core`` is set once, right after construction, as the core is given ``wake`` when it is made.
+    The core has no clock: each call passes it the time. This driver reads the clock and makes no decisions.
+    ``core`` is set once, right after construction, because the constructor of the core takes ``wake``.
 
     Attributes:
-        lateness: How late the event loop ran the core's timers.
-        rejection_log: Logs why the core rejected requests.
+        core: The core.
+        lateness: Delays with which the event loop ran the core's timers.
+        rejection_log: Logs the reasons for rejected and failed requests.
     """
 
     core: Core
@@ -32,7 +33,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def submit(self, work: ClientRequest, done: AnswerCallback) -> int:
-        """Hand a request to the core, as the last step of every front end's way.
+        """Submit a request to the core, after all extensions have processed it.
 
         Returns:
             The id of the request.
@@ -44,15 +45,16 @@
         self.core.on_attempt_completed(clock.now(), request_id, number, result)
 
     def may_send(self, request_id: int, number: int) -> bool:
-        """Tell whether an attempt may still be written now."""
+        """Return whether an attempt may still be written now."""
         return self.core.may_write(clock.now(), request_id, number)
 
     def end_by(self, answer_by_s: float, available_again_at_s: float) -> None:
-        """Have every request answered by a time of the event loop's clock.
+        """Set the time by which every request is answered.
 
         Args:
-            answer_by_s: When the last answer has to be given.
-            available_again_at_s: When rejected clients may expect a server at this address again.
+            answer_by_s: Due time of the last answer, on the event loop's clock.
+            available_again_at_s: Time from which rejected clients may expect a server at this address again,
+                on the event loop's clock.
         """
         now_ms = clock.now()
         offset_ms = now_ms - self._loop.time() * 1000
@@ -62,13 +64,13 @@
         self.wake()
 
     def wake(self) -> None:
-        """Schedule a batch: all events of this iteration of the loop go to the scheduler together."""
+        """Schedule a batch, which passes all events of this loop iteration to the scheduler together."""
         if not self._batch_scheduled:
             self._batch_scheduled = True
             self._loop.call_soon(self.run_batch)
 
     def run_batch(self) -> None:
-        """Process the events that wait and the timers that are due, and arm the timer of the next batch."""
+        """Process pending events and due timers, and set the timer of the next batch."""
         self._batch_scheduled = False
         now_ms = clock.now()
         self.core.run_batch(now_ms)
--- a/sabledyke/application/extensions.py
+++ b/sabledyke/application/extensions.py
@@ -1,8 +1,8 @@
-"""The hooks of an extension: what the server calls, so that it knows each extension by one name only.
+"""The interface between the server and its extensions: hooks that the server calls, and their context.
 
-An extension is set up by its own package from its own section of the operator's file (``set_up``), is loaded
-only when that section is there, and overrides the hooks it needs. Transports stack in the order in which
-``assembly.EXTENSIONS`` names their extensions: the first is next to the core, the last next to the pool.
+The ``set_up`` function of a package creates its extension from a section of the operator's file, and is
+loaded only if that section exists. An extension overrides the hooks it needs. Transports stack in the order
+of ``assembly.EXTENSIONS``: the first is next to the core, the last next to the connection pool.
 """
 
 from __future__ import annotations
@@ -53,25 +53,26 @@
 
 @dataclass(slots=True)
 class ServerContext:
-    """What an extension may use of the server that it is set up in.
+    """The interface of the server that an extension may use.
 
     Attributes:
         config: The configuration at the start.
         response_memory: The memory that all responses share.
-        node_entry: Returns a listed node's entry; a KeyError for any other.
+        node_entry: Returns the list entry of a node; raises KeyError for a node that is not listed.
         submit: Passes a request to the core, through all extensions.
-        on_client_disconnected: Tells the core and all extensions that a request's client has left.
+        on_client_disconnected: Notifies all extensions and the core that a request's client disconnected.
         connect: Connects to a node's address, through all extensions.
-        preconnect: Opens a connection to a node ahead of need.
-        is_accepting_clients: Whether the listeners take clients.
-        is_shutting_down: Whether the server was told to end.
-        reload: Applies the configuration as SIGHUP does; returns why it was rejected, or an empty string.
-        begin_shutdown: Ends the server as SIGTERM does.
+        preconnect: Opens a connection to a node before a request needs it.
+        is_accepting_clients: Returns whether listeners are open and clients are accepted.
+        is_shutting_down: Returns whether a shutdown was requested.
+        reload: Reloads the configuration as SIGHUP does; returns the reason if it was rejected, otherwise an
+            empty string.
+        begin_shutdown: Begins a graceful shutdown that belongs to a plan of the fleet.
         answer_totals: Returns the number of final answers, and how many of them were rejections or failures.
-        has_attempts_at: Whether an attempt of this scheduler is in flight at a node.
+        has_attempts_at: Returns whether an attempt of this scheduler is in flight at a node.
         apply_node_entries: Replaces the listed entries of some nodes.
-        connect_slack_ms: Milliseconds that ``connect`` may take beyond a plain connection, as set by the
-            extensions before.
+        connect_slack_ms: Milliseconds that ``connect`` may take beyond a plain connection; set by extensions
+            that are set up earlier.
     """
 
     config: Config
@@ -92,75 +93,75 @@
 
 
 class Extension:
-    """An optional part of the server; every hook does nothing unless it is overridden.
+    """An optional component of the server; every hook does nothing unless it is overridden.
 
     Attributes:
-        waits_for_budget: A disruption budget admits this process: the endpoint list is requested at once,
-            and the listeners wait until the budget has admitted it.
+        waits_for_budget: True if a disruption budget admits this process. The server then requests the
+            endpoint list at once, and opens its listeners when the call has ended or a timeout has passed.
     """
 
     waits_for_budget = False
 
     def wrap_report(self, onward: ReportAttempt) -> ReportAttempt:
-        """Return what this extension's transport reports to, given what is above it."""
+        """Return the callback for outcomes of attempts, given the callback that it passes them on to."""
         return onward
 
     def wrap_transport(self, inner: Transport) -> Transport:
-        """Return the transport of this extension around another."""
+        """Return this extension's transport, which wraps another."""
         return inner
 
     def dialers(self) -> dict[NodeId, Dial]:
-        """Return the nodes whose connections this extension opens, and how."""
+        """Return the dial functions of the nodes whose connections this extension opens."""
         return {}
 
     def wrap_connect(self, onward: Connect) -> Connect:
-        """Return how this extension connects to nodes, given the plain way."""
+        """Return the connect function of this extension, given the one that it wraps."""
         return onward
 
     def connection_guard(self, _front: str) -> Guard | None:
-        """Return what a connection must pass before this front end sees it as a client; None for nothing."""
+        """Return the guard that admits connections to a front end, or None to admit all."""
         return None
 
     def frontends(self) -> Sequence[tuple[Frontend, tuple[str, int]]]:
-        """Return the front ends that it adds, and where each listens."""
+        """Return the front ends that this extension adds, with their listen addresses."""
         return ()
 
     def submit(self, work: ClientRequest, done: AnswerCallback, onward: Submit) -> int:
-        """Pass a request from a front end on towards the core; return its number."""
+        """Pass a request from a front end on to the core, and return its id."""
         return onward(work, done)
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """The client of a request has left; the core has not been notified yet."""
+        """Handle the disconnection of a request's client, before the core is notified."""
 
     async def open(self) -> None:
         """Open what this extension needs, before any listener opens.
 
         Raises:
-            ConfigError: Where that fails; it ends the start in one plain line.
+            ConfigError: Opening failed; the start ends and prints the error in one line.
         """
 
     def apply_config(self, config: Config) -> None:
-        """A new configuration is in force."""
+        """Apply a new configuration, which is in force."""
 
     def check_operator_config(self, operator: OperatorConfig) -> None:
         """Check a new operator's file before any of it is applied.
 
         Raises:
-            ConfigError: Where this extension cannot apply it.
+            ConfigError: This extension cannot apply it.
         """
 
     def apply_operator_config(self, operator: OperatorConfig) -> None:
-        """A new operator's file is in force; all extensions have checked it."""
+        """Apply a new operator's file, which all extensions have checked."""
 
     def adjust_endpoint_list(self, update: EndpointList) -> EndpointList:
-        """Return what the core is given for an update of the endpoint list."""
+        """Return the update of the endpoint list that is passed on to the core."""
         return update
 
     def on_nodes_removed(self, removed: Iterable[NodeId]) -> None:
-        """These nodes have left the endpoint list."""
+        """Handle the removal of nodes from the endpoint list."""
 
     def on_shutdown(self, plan: GracefulShutdown) -> None:
-        """The program was told to end, and serves on until the plan is completed; ``close`` follows then."""
+        """Handle the begin of a graceful shutdown; ``close`` follows when the plan is completed."""
 
     async def close(self) -> None:
-        """Close what ``open`` opened: the program ends, and all that was accepted is answered."""
+        """Close what ``open`` opened, after all accepted requests were answered."""
--- a/sabledyke/application/lifecycle.py
+++ b/sabledyke/application/lifecycle.py
@@ -15,16 +15,16 @@
 from sabledyke.protocol.discovery import EndpointListing
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownTimes
 
-FIRST_LIST_TIMEOUT_S = 3.0  # for the endpoint list, where listeners wait for it
+FIRST_LIST_TIMEOUT_S = 3.0  # longest wait for the endpoint list before the listeners open
 
 
 class Lifecycle:
-    """Owns the listeners and the state of start, drain and stop.
+    """Manages the listeners and the start, drain and shutdown of the server.
 
     Attributes:
-        listeners: The open listeners of clients, HTTP's first.
-        times: How long each phase of a graceful shutdown takes.
-        shutdown: The graceful shutdown, once it has begun.
+        listeners: The open listeners for clients, the HTTP listener first.
+        times: Durations of the phases of a graceful shutdown.
+        shutdown: The graceful shutdown; None before it begins.
     """
 
     def __init__(
@@ -39,24 +39,24 @@
         self._loop = asyncio.get_running_loop()
         self._stop_event = asyncio.Event()
         self._interrupt_count = 0
-        self._stops_by_plan = False  # by a plan of the group that it belongs to
+        self._planned = False  # the shutdown belongs to a plan of the fleet
         self.shutdown: ShutdownDriver | None = None
 
     @property
     def stop_requested(self) -> bool:
-        """Whether the server was told to stop."""
+        """True if a shutdown was requested."""
         return self._stop_event.is_set()
 
     @property
     def is_accepting_clients(self) -> bool:
-        """Whether listeners are open and neither a drain nor a shutdown sends clients away."""
+        """True if listeners are open and neither a drain nor a shutdown is in progress."""
         if not self.listeners:
             return False
         return not any(frontend.quiesced or frontend.shutting_down for frontend in self._assembly.frontends)
 
     @property
     def console_port(self) -> int | None:
-        """Where the console listens, also where any port was asked for."""
+        """Port of the console's listener, also if the kernel chose it; None if the console is not open."""
         return None if self._console_listener is None else self._console_listener.port
 
     async def run(self) -> None:
@@ -64,30 +64,35 @@
         self._loop.add_signal_handler(signal.SIGHUP, self._control.reload)
         self._loop.add_signal_handler(signal.SIGTERM, self._control.begin_shutdown)
         self._loop.add_signal_handler(signal.SIGINT, self.interrupt)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # which the start holds back until now
+        # SIGHUP is blocked since the start of the process, until its handler is set.
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
         await self.open()
-        if not self.stop_requested:  # else it was told to stop before it accepted anything
+        if not self.stop_requested:  # A shutdown may be requested before any connection was accepted.
             self._begin()
             if any(extension.waits_for_budget for extension in self._assembly.extensions):
                 await self._await_first_list()
             self._open_listeners()
             gc.collect()
-            gc.freeze()  # guards against long collections of what stays for good
+            gc.freeze()  # Guards against long collections, which would scan permanent objects each time.
         await self._stop_event.wait()
         await self.finish()
 
     async def open(self) -> None:
-        """Open the extensions; a ConfigError where one cannot be."""
+        """Open the extensions.
+
+        Raises:
+            ConfigError: An extension cannot be opened.
+        """
         for extension in self._assembly.extensions:
             await extension.open()
 
     def start(self) -> None:
-        """Begin to watch the endpoint list, and open the listeners."""
+        """Start watching the endpoint list, and open the listeners."""
         self._begin()
         self._open_listeners()
 
     def quiesce(self) -> None:
-        """Send clients away: health says no, idle connections end now and busy ones with their answer."""
+        """Drain clients: report unhealthy, close idle connections now and busy ones after their answer."""
         frontends = self._assembly.frontends
         if not frontends[0].quiesced:
             name = self._assembly.config.name
@@ -99,7 +104,7 @@
             frontend.close_idle(self._loop.time())
 
     def resume(self) -> None:
-        """Take clients again."""
+        """Accept clients again after a drain."""
         frontends = self._assembly.frontends
         if frontends[0].quiesced:
             log.emit("drain", f"{self._assembly.config.name} accepts clients again")
@@ -107,24 +112,25 @@
             frontend.quiesced = False
 
     def begin_shutdown(self, *, planned: bool = False) -> None:
-        """Begin to stop; a later call changes nothing.
+        """Begin a graceful shutdown; later calls have no effect.
 
-        Guards against supervisors that tell it to stop more than once: clients use their connections until
-        the kill, so that an earlier end would cost them service.
+        Guards against supervisors that send SIGTERM more than once: clients use their connections until the
+        kill, so ending earlier would reject requests that could still be served.
 
         Args:
-            planned: A plan of the group asks for it, so that others are there for the clients.
+            planned: True if the shutdown belongs to a plan of the fleet, so that other members are
+                available to the clients.
         """
         name = self._assembly.config.name
         if not self.stop_requested:
-            self._stops_by_plan = planned
+            self._planned = planned
             log.emit("stop", f"{name} was told to stop; {self._assembly.core.unanswered} requests in flight")
             self._stop_event.set()
         else:
             log.emit("stop", f"{name} was told again to stop, and goes on as before")
 
     def interrupt(self) -> None:
-        """Begin to stop, as an operator at a terminal asks for; a second call hastens the shutdown."""
+        """Begin a graceful shutdown on SIGINT; a second call shortens it."""
         self._interrupt_count += 1
         if self._interrupt_count == 1:
             self.begin_shutdown()
@@ -133,7 +139,7 @@
             self.shutdown.hasten()
 
     async def finish(self) -> None:
-        """Shut down gracefully, and close everything."""
+        """Shut down gracefully, and close everything that the server opened."""
         settings = self._assembly.config.settings
         longest_deadline_s = max(class_.deadline_ms for class_ in settings.classes) / 1000
         plan = GracefulShutdown(
@@ -141,34 +147,34 @@
             longest_deadline_s,
             self._assembly.config.seed,
             self.times,
-            planned=self._stops_by_plan,
+            planned=self._planned,
         )
-        self.shutdown = ShutdownDriver(self._assembly, self.listeners, plan, planned=self._stops_by_plan)
+        self.shutdown = ShutdownDriver(self._assembly, self.listeners, plan, planned=self._planned)
         for extension in self._assembly.extensions:
             extension.on_shutdown(plan)
         await self.shutdown.run()
         await self._close()
 
     def _begin(self) -> None:
-        """Pass the cached endpoint list to the core, and begin to watch for changes."""
+        """Pass the cached endpoint list to the core, and start watching for changes."""
         empty = EndpointListing(EndpointList(ListKind.CACHED, 0, ()), {})
         self._assembly.on_endpoint_list(self._assembly.config.known or empty)
         self._assembly.watch.start()
         self._assembly.driver.run_batch()
 
     async def _await_first_list(self) -> None:
-        """Request the endpoint list, and wait for the answer.
+        """Request the endpoint list, and wait until the call ends, a shutdown begins or a timeout passes.
 
-        Guards against turning clients away for want of a list, while others of the group would serve them.
-        Only so many start at once as the budget allows, so that the calls need not be spread.
+        Guards against rejecting clients because no list is available, while other members of the fleet could
+        serve them. The disruption budget limits how many members start at once, so the calls need no jitter.
         """
         answered = self._assembly.list_answered
         answered.clear()
         self._assembly.watch.fetch()
-        waits = [self._loop.create_task(event.wait()) for event in (answered, self._stop_event)]
-        await asyncio.wait(waits, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
-        for wait in waits:
-            wait.cancel()
+        tasks = [self._loop.create_task(event.wait()) for event in (answered, self._stop_event)]
+        await asyncio.wait(tasks, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+        for task in tasks:
+            task.cancel()
 
     def _open_listeners(self) -> None:
         config = self._assembly.config
@@ -178,11 +184,11 @@
             log.emit("start", f"{config.name} serves at {address[0]}:{listener.port}")
         if self._console is not None and config.console is not None:
             self._console_listener = Listener(config.console, self._console.accept)
-            where = f"{config.console[0]}:{self._console_listener.port}"
-            log.emit("start", f"{config.name} serves the console at {where}")
+            console_address = f"{config.console[0]}:{self._console_listener.port}"
+            log.emit("start", f"{config.name} serves the console at {console_address}")
 
     async def _close(self) -> None:
-        """Close what the server has opened, and log whether an invariant was broken."""
+        """Close what the server opened, and log the number of violations of each invariant."""
         self._assembly.watch.stop()
         self._assembly.pool.close()
         if self._console_listener is not None and self._console is not None:
--- a/sabledyke/application/rejection_log.py
+++ b/sabledyke/application/rejection_log.py
@@ -1,6 +1,6 @@
-"""Logs why requests were rejected or failed: one line for many of them, a few seconds apart.
+"""Logs the reasons for rejected and failed requests, in at most one line every few seconds.
 
-It knows no clock: every call states the time, in milliseconds.
+The caller passes the time, in milliseconds.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 
 class RejectionLog:
-    """Compares the counts of a process with those that it logged last."""
+    """Logs the difference between the current counts by reason and those logged last."""
 
     def __init__(self) -> None:
-        """Make a log that has logged nothing."""
+        """Start with no counts logged."""
         self._logged: Counter[RejectReason] = Counter()
         self._next_line_at_ms = -inf
 
     def report(self, now_ms: float, rejections: Counter[RejectReason]) -> None:
-        """Log what is new, unless the last line is newer than ``LOG_INTERVAL_MS``.
+        """Log new rejections and failures, unless the last line is less than ``LOG_INTERVAL_MS`` old.
 
         Args:
-            now_ms: The time.
+            now_ms: The current time.
             rejections: Requests that were rejected or failed since the start, by reason.
         """
         if now_ms >= self._next_line_at_ms and self._log_new(rejections):
             self._next_line_at_ms = now_ms + LOG_INTERVAL_MS
 
     def report_remaining(self, rejections: Counter[RejectReason]) -> None:
-        """Log what is new, as the program ends."""
+        """Log all new rejections and failures, as the server stops."""
         self._log_new(rejections)
 
     def _log_new(self, rejections: Counter[RejectReason]) -> bool:
--- a/sabledyke/application/reload.py
+++ b/sabledyke/application/reload.py
@@ -1,4 +1,4 @@
-"""Takes on a new configuration while the server runs, as SIGHUP asks for: all of it, or none."""
+"""Reloads the configuration of a running server on SIGHUP: applies it completely or not at all."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class Reloader:
-    """Reads the configuration again and puts it in force; accepted requests and learnt state stay.
+    """Reads the configuration again and applies it; accepted requests and learnt state are kept.
 
     Attributes:
-        read_config: Reads the configuration, given the one in force.
+        read_config: Reads the configuration; takes the one in force.
     """
 
     def __init__(
@@ -35,17 +35,18 @@
         read_operator: ReadOperator | None,
     ) -> None:
         self._assembly = assembly
-        self._listeners = listeners  # shared with the life cycle; the first one is HTTP's
+        self._listeners = listeners  # shared with the life cycle; the HTTP listener is first
         self.read_config = read_config
         self._read_operator = read_operator
 
     def reload(self) -> str:
-        """Take on a new configuration, or none of it.
+        """Read the configuration again, and apply it completely or not at all.
 
-        Guards against ending on SIGHUP with all that was accepted, and against half a configuration.
+        Guards against SIGHUP ending the process, which would lose all accepted requests, and against applying
+        only part of a configuration.
 
         Returns:
-            Why the new configuration is not used; an empty string where it is in force.
+            The reason if the new configuration is rejected; an empty string if it is in force.
         """
         metrics = self._assembly.core.metrics
         try:
@@ -78,7 +79,7 @@
         return operator
 
     def _move_listener(self, config: Config) -> None:
-        """Listen for HTTP clients at the new address, where it differs and listeners are open."""
+        """Listen for HTTP clients at the new address, if it differs and listeners are open."""
         if config.listen == self._assembly.config.listen or not self._listeners:
             return
         listener = Listener(config.listen, self._assembly.frontends[0].accept)
@@ -102,7 +103,7 @@
 
 
 def _require_same_names(old: Settings, new: Settings) -> None:
-    """Raise a ConfigError where names differ by which open requests and learnt state are counted."""
+    """Raise a ConfigError if names differ that identify open requests and learnt state."""
     new_names = _fixed_names(new)
     for section, names in _fixed_names(old).items():
         if names != new_names[section]:
@@ -110,7 +111,7 @@
 
 
 def _fixed_names(settings: Settings) -> dict[str, list[str]]:
-    """Return the names that stay for the life of a process, by their section of the file."""
+    """Return the names that must not change while the process runs, by their section of the file."""
     return {
         "plans": [plan.name for plan in settings.plans],
         "zones": list(settings.zones),
--- a/sabledyke/application/resource_limits.py
+++ b/sabledyke/application/resource_limits.py
@@ -9,22 +9,24 @@
 from sabledyke.net.frontend import CROWDED_SHARE, Frontend
 from sabledyke.net.streams import ResponseMemory
 
-RESPONSE_MEMORY_SHARE = 0.25  # of the memory, for answers on their way
-NODE_DESCRIPTOR_DIVISOR = 3  # one descriptor in so many is for storage nodes, the others are for clients
-RESERVED_DESCRIPTORS = 32  # for listeners, discovery, associations, the log, and what Python opens
-CLIENT_READ_GRACE_S = 1.0  # past the longest deadline, for a client to read its answer
+RESPONSE_MEMORY_SHARE = 0.25  # share of the memory that buffers answers until they are sent
+NODE_DESCRIPTOR_DIVISOR = 3  # one in three descriptors is for storage nodes, the others are for clients
+RESERVED_DESCRIPTORS = (
+    32  # for listeners, discovery, NVMe associations, the log, and files of the Python runtime
+)
+CLIENT_READ_GRACE_S = 1.0  # time after the longest deadline for a client to read its answer
 
 
 def apply_resource_limits(
     config: Config, frontends: Sequence[Frontend], pool: ConnectionPool, response_memory: ResponseMemory
 ) -> None:
-    """Bound connections, and answers on their way, so that descriptors and memory suffice.
+    """Limit connections and buffered answers to the available descriptors and memory.
 
     Args:
-        config: States the descriptors and the memory that there are.
-        frontends: The HTTP front end first, which gets what the others leave.
+        config: Configuration with the available descriptors and memory.
+        frontends: The front ends; the HTTP front end is first and gets the descriptors that the others leave.
         pool: The connections to storage nodes.
-        response_memory: The memory for answers on their way.
+        response_memory: The memory for buffered answers.
     """
     settings = config.settings
     usable_descriptors = config.sockets - RESERVED_DESCRIPTORS
@@ -32,7 +34,7 @@
     longest_deadline_ms = max(class_.deadline_ms for class_ in settings.classes)
     http, *others = frontends
     response_memory.limit_bytes = int(config.memory_bytes * RESPONSE_MEMORY_SHARE)
-    for frontend in frontends:  # past its deadline a client has given up
+    for frontend in frontends:  # A client stops waiting when its deadline has passed.
         frontend.write_timeout_s = longest_deadline_ms / 1000 + CLIENT_READ_GRACE_S
     http.crowded_above = CROWDED_SHARE * settings.max_open_requests
     http.max_clients = usable_descriptors - node_connections - sum(other.max_clients for other in others)
--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -1,4 +1,4 @@
-"""One scheduler as a program: what the command line, the console and extensions may ask of it."""
+"""The server: one scheduler with the operations that the command line, console and extensions call."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from sabledyke.protocol.console import ConsoleCall
 from sabledyke.shutdown.graceful_shutdown import DEFAULT_TIMES, ShutdownTimes
 
-if TYPE_CHECKING:  # loaded only where it is named: a plain start must be quick
+if TYPE_CHECKING:  # A start without an operator's file skips this import, which keeps it fast.
     from sabledyke.operator_config import OperatorConfig
 
 
 class Server:
-    """One scheduler.
+    """One scheduler process with its front ends, console and life cycle.
 
     Args:
-        config: The configuration to start with.
-        operator: The operator's file, where there is one.
-        times: How long each phase of a graceful shutdown takes.
-        read_config: Reads the configuration again, given the one in force.
-        read_operator: Reads the operator's file again, given the new settings.
+        config: The configuration at the start.
+        operator: The operator's file; None if there is none.
+        times: Durations of the phases of a graceful shutdown.
+        read_config: Reads the configuration for a reload; takes the one in force.
+        read_operator: Reads the operator's file for a reload; takes the new settings.
     """
 
     def __init__(
@@ -49,68 +49,72 @@
 
     @property
     def console_port(self) -> int | None:
-        """Where the console listens, also where any port was asked for."""
+        """Port of the console's listener, also if the kernel chose it; None if the console is not open."""
         return self.lifecycle.console_port
 
     @property
     def is_accepting_clients(self) -> bool:
-        """Whether listeners are open and neither a drain nor a shutdown sends clients away."""
+        """True if listeners are open and neither a drain nor a shutdown is in progress."""
         return self.lifecycle.is_accepting_clients
 
     @property
     def stop_requested(self) -> bool:
-        """Whether the server was told to stop."""
+        """True if a shutdown was requested."""
         return self.lifecycle.stop_requested
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then finish what was accepted; SIGHUP has the configuration read again."""
+        """Serve until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads the configuration."""
         await self.lifecycle.run()
 
     async def open(self) -> None:
-        """Get the extensions ready; a ConfigError where one cannot be."""
+        """Open the extensions.
+
+        Raises:
+            ConfigError: An extension cannot be opened.
+        """
         await self.lifecycle.open()
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start watching the endpoint list, and open the listeners."""
         self.lifecycle.start()
 
     async def finish(self) -> None:
-        """Shut down gracefully, and close everything."""
+        """Shut down gracefully, and close everything that the server opened."""
         await self.lifecycle.finish()
 
     def reload(self) -> str:
-        """Take on a new configuration, or none of it: the reason why not, or an empty string."""
+        """Reload the configuration, and return the reason if it was rejected, otherwise an empty string."""
         return self.reloader.reload()
 
     def quiesce(self) -> None:
-        """Send clients away, and go on running."""
+        """Drain clients without stopping the process."""
         self.lifecycle.quiesce()
 
     def resume(self) -> None:
-        """Take clients again."""
+        """Accept clients again after a drain."""
         self.lifecycle.resume()
 
     def begin_shutdown(self, *, planned: bool = False) -> None:
-        """Begin a graceful shutdown; a later call changes nothing."""
+        """Begin a graceful shutdown; later calls have no effect."""
         self.lifecycle.begin_shutdown(planned=planned)
 
     def interrupt(self) -> None:
-        """Begin a graceful shutdown; a second call hastens it."""
+        """Begin a graceful shutdown; a second call shortens it."""
         self.lifecycle.interrupt()
 
     def metrics(self) -> list[str]:
-        """Return the metrics in their line form."""
+        """Return the metrics, one line of text for each."""
         core = self.core
         classes = [
             class_.name
             for class_ in core.settings.classes
             if class_.name not in core.settings.retired_classes
         ]
-        avoiding = unresponsive_count(core.scheduler.nodes.values())
-        return core.metrics.format_lines(classes, core.unanswered, core.nodes.values(), avoiding)
+        unresponsive = unresponsive_count(core.scheduler.nodes.values())
+        return core.metrics.format_lines(classes, core.unanswered, core.nodes.values(), unresponsive)
 
     def _on_console_call(self, call: ConsoleCall) -> tuple[int, bytes]:
-        """Carry out an operator's call, and return the status and body of its answer."""
+        """Execute an operator's call, and return the status and body of its answer."""
         match call:
             case ConsoleCall.HEALTH:
                 return (200, b"yes\n") if self.is_accepting_clients else (503, b"no\n")
--- a/sabledyke/application/shutdown_driver.py
+++ b/sabledyke/application/shutdown_driver.py
@@ -1,6 +1,6 @@
-"""Carries out a graceful shutdown: closes listeners and idle connections in time, and answers what is owed.
+"""Executes a graceful shutdown: closes listeners and idle connections, and answers all accepted requests.
 
-When each phase begins, and which connections close, is decided by ``shutdown.graceful_shutdown``.
+``shutdown.graceful_shutdown`` decides when each phase begins and which connections close.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
     ShutdownPhase.DRAINING_CONNECTIONS: "answers end their connections",
     ShutdownPhase.FINAL_ANSWERS: "final answers",
 }
-POLL_INTERVAL_S = 0.01  # between checks of how far the shutdown has come
-SETTLE_S = 0.04  # before the end, from which on nothing is read any more
-SETTLE_POLL_INTERVAL_S = 0.002  # between checks whether all that was read has its answer
+POLL_INTERVAL_S = 0.01  # interval between checks of the phase
+SETTLE_S = 0.04  # time before the end during which nothing is read and pending answers are sent
+SETTLE_POLL_INTERVAL_S = 0.002  # interval between checks for unanswered requests while settling
 
 
 class ShutdownDriver:
@@ -31,13 +31,13 @@
     ) -> None:
         self.plan = plan
         self._assembly = assembly
-        self._listeners = listeners  # shared with the life cycle: those that still accept
+        self._listeners = listeners  # open listeners, shared with the life cycle
         self._closing_listeners: list[Listener] = []
         self._planned = planned
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
-        """Serve on for as long as the kill leaves time, and answer all that was accepted."""
+        """Serve until shortly before the earliest kill, and answer all accepted requests."""
         for frontend in self._assembly.frontends:
             frontend.shutdown = self.plan
         self._set_end()
@@ -48,11 +48,12 @@
         lateness = self._assembly.driver.lateness
         if lateness.longest_s >= LOGGED_S:
             log.emit("loop", f"late in all: {lateness.describe()}")
-        for frontend in self._assembly.frontends:  # those that stopped halfway, and those that never read
+        # Clients may still be connected that sent part of a request or do not read their answers.
+        for frontend in self._assembly.frontends:
             frontend.close()
 
     def hasten(self) -> None:
-        """End sooner."""
+        """Shorten the shutdown, after a second SIGINT."""
         self.plan.hasten(self._loop.time())
         self._set_end()
 
@@ -75,7 +76,7 @@
             await self._sleep_until_poll()
 
     async def _sleep_until_poll(self) -> None:
-        """Sleep, and end earlier where the loop is late, so that no answer is due at the kill."""
+        """Sleep; if the event loop is late, move the end earlier, so that no answer is pending at the kill."""
         lateness = self._assembly.driver.lateness
         due_s = self._loop.time() + POLL_INTERVAL_S
         await asyncio.sleep(POLL_INTERVAL_S)
@@ -113,10 +114,10 @@
         return phase >= ShutdownPhase.FINAL_ANSWERS
 
     async def _settle(self) -> None:
-        """Read nothing more, and answer what was read last.
+        """Stop reading, and answer the requests read last.
 
-        Guards against a close over a request that came in the last moment: it was read, so it is owed an
-        answer, and what was not read its client sends once more elsewhere.
+        Guards against closing a connection on a request that was read last: a request that was read needs an
+        answer, and one that was not read is sent again by its client to another scheduler.
         """
         frontends = self._assembly.frontends
         end_s = self._loop.time() + SETTLE_S
