--- a/sabledyke/application/shutdown_driver.py
+++ b/sabledyke/application/shutdown_driver.py
@@ -76,7 +76,7 @@
             await self._sleep_until_poll()
 
     async def _sleep_until_poll(self) -> None:
-        """Sleep; if the event loop is late, move the end earlier, so that no answer is pending at the kill."""
+        """Sleep; if the event loop is late, move the end earlier, so that no answer is due at the kill."""
         lateness = self._assembly.driver.lateness
         due_s = self._loop.time() + POLL_INTERVAL_S
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/sabledyke/protocol/__init__.py
+++ b/sabledyke/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols as state machines that are fed bytes, and the meaning of their messages; no socket here."""
+"""Protocols as state machines that are fed bytes, and the mapping of their messages; without sockets."""
--- a/sabledyke/protocol/client_request.py
+++ b/sabledyke/protocol/client_request.py
@@ -1,4 +1,4 @@
-"""Parsing of what a client's HTTP request says about itself: its data, and its cost."""
+"""Parsing of a client's HTTP request: its method, the location of its data, and its cost."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sabledyke.protocol import platform_names as names
 from sabledyke.protocol.http import HttpError, HttpMessage
 
-_METHODS = ("GET", "PUT")  # a read and a write
+_METHODS = ("GET", "PUT")  # read and write
 _HEX_ID = re.compile(r"[0-9a-fA-F]{1,16}")
 _DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?")
 _INTEGER = re.compile(r"-?[0-9]{1,9}")
@@ -16,11 +16,11 @@
 
 @dataclass(slots=True)
 class DataLocation:
-    """The piece of data that a request is for.
+    """Location of the piece of data that a request reads or writes.
 
     Attributes:
-        volume: Its volume.
-        key: Its number within the volume.
+        volume: Id of the volume.
+        key: Key of the piece of data within the volume.
     """
 
     volume: int
@@ -28,26 +28,28 @@
 
     @classmethod
     def parse(cls, target: str) -> DataLocation:
-        """Read the location from a request's target.
+        """Parse the location from a request's target.
 
         Raises:
-            HttpError: The target names none.
+            HttpError: The target does not end in a volume id and a data key.
         """
         segments = target.partition("?")[0].split("/")
         if len(segments) < 3 or not (_HEX_ID.fullmatch(segments[-1]) and _HEX_ID.fullmatch(segments[-2])):
-            raise HttpError("path names no volume and piece of data")
+            raise HttpError(
+                "path does not end in a volume id and a data key, in up to 16 hexadecimal digits each"
+            )
         return cls(int(segments[-2], 16), int(segments[-1], 16))
 
 
 @dataclass(slots=True)
 class RequestCost:
-    """What a request costs and how long its client waits, as the client states it.
+    """Cost and deadline of a request, as the client states them.
 
     Attributes:
         units: Cost in units.
         host_count: Number of hosts that share the volume.
-        shard: The shard that holds the data; negative where the client does not know.
-        deadline_ms: How long the client waits.
+        shard: The shard that holds the data; negative if the client does not know it.
+        deadline_ms: Time that the client waits for the answer, in milliseconds.
     """
 
     units: float
@@ -57,10 +59,10 @@
 
     @classmethod
     def parse(cls, headers: dict[str, str]) -> RequestCost:
-        """Read the cost from a request's headers.
+        """Parse the cost from a request's headers.
 
         Raises:
-            HttpError: A value is missing, malformed or out of range.
+            HttpError: A value is malformed or out of range, or the deadline is missing.
         """
         info = parse_pairs(headers.get(names.REQUEST_COST, ""))
         units_text = info.get(names.COST_UNITS, "1")
@@ -80,14 +82,14 @@
     """Check that a request is a read or a write.
 
     Raises:
-        HttpError: It is neither, or a read with a body.
+        HttpError: The method is neither GET nor PUT, or a read has a body.
     """
     if message.method not in _METHODS:
-        raise HttpError(f"no method for a read or write: {message.method[:20]}", 405)
+        raise HttpError(f"method must be GET or PUT, not {message.method[:20]}", 405)
     if message.method == "GET" and message.body:
-        raise HttpError("a read with a body")
+        raise HttpError("a read must not have a body")
 
 
 def parse_pairs(text: str) -> dict[str, str]:
-    """Return the values of a header of the form ``key=value, key=value``, by key."""
+    """Return the pairs of a header value of the form ``key=value, key=value`` as a dictionary."""
     return dict(pair.strip().partition("=")[::2] for pair in text.split(","))
--- a/sabledyke/protocol/console.py
+++ b/sabledyke/protocol/console.py
@@ -1,6 +1,6 @@
-"""Operators' requests to the console and their responses; fed complete messages, without I/O.
+"""Operators' calls to the console and their responses; works on complete messages, without I/O.
 
-Each request is one HTTP/1.1 request on a connection of its own, which the response closes.
+Each call is one HTTP/1.1 request on its own connection, which the response closes.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 from sabledyke.protocol.http import HttpError, HttpMessage, encode_response
 
 MAX_CALL_BYTES = 8 * 1024
-"""Limit of a request's head and body: none of the calls needs a body."""
+"""Limit of a call's head and body together; no call needs a body."""
 
 
 class ConsoleCall(Enum):
-    """What an operator may request."""
+    """The calls that the console accepts."""
 
     HEALTH = "health"
-    """Report whether this process accepts clients."""
+    """Reports whether this process accepts clients."""
     STATS = "stats"
-    """Report the metrics."""
+    """Reports the metrics."""
     QUIESCE = "quiesce"
-    """Stop accepting clients."""
+    """Drains clients: no new clients are accepted."""
     RESUME = "resume"
-    """Accept clients again."""
+    """Accepts clients again after a drain."""
 
 
 ROUTES = {
@@ -35,10 +35,10 @@
 
 
 def route(message: HttpMessage) -> ConsoleCall:
-    """Return the call that a request makes.
+    """Return the call that a request's method and path stand for.
 
     Raises:
-        HttpError: With status 404 for an unknown path, and 405 for another method than the call's.
+        HttpError: The path is unknown (status 404), or the call requires another method (status 405).
     """
     path = message.target.partition("?")[0]
     if path not in ROUTES:
@@ -46,7 +46,7 @@
     method, call = ROUTES[path]
     is_head_of_get = method == "GET" and message.method == "HEAD"
     if message.method != method and not is_head_of_get:
-        raise HttpError(f"{path} takes {method}, not {message.method[:10]}", 405)
+        raise HttpError(f"{path} requires {method}, not {message.method[:10]}", 405)
     return call
 
 
@@ -54,9 +54,9 @@
     """Return the response to a call, which ends its connection.
 
     Args:
-        status: Its status.
-        body: Its body, as text.
-        head: Whether the request was a HEAD: the response has the body's length without the body.
+        status: Status of the response.
+        body: Body of the response, as text.
+        head: Whether the request was a HEAD; its response states the body's length and omits the body.
     """
     headers = [("Content-Type", "text/plain; charset=utf-8"), ("Cache-Control", "no-store")]
     if status == 405:
--- a/sabledyke/protocol/discovery.py
+++ b/sabledyke/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint lists: the requests for them, and the parsing of their responses."""
+"""Discovery's endpoint lists: targets of the requests, and parsing of the responses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Address(NamedTuple):
-    """Where a server listens."""
+    """Address at which a server listens."""
 
     host: str
     port: int
@@ -36,9 +36,9 @@
     """An endpoint list, and the addresses of its nodes.
 
     Attributes:
-        update: The list, or what changed of it.
-        addresses: The addresses of its nodes, except of those that were removed.
-        error: What is wrong with entries that were left out; empty where none were.
+        update: The full list, or the changes to it.
+        addresses: Addresses of its nodes, without the removed ones.
+        error: Reason why an invalid entry was left out; empty if no entry was.
     """
 
     update: EndpointList
@@ -50,8 +50,8 @@
     """Return the target of a request for the list.
 
     Args:
-        since_version: The version that is held: what changed since is requested; None for the full list.
-        wait_ms: How long discovery may wait for a change.
+        since_version: Requests the changes since this version; None requests the full list.
+        wait_ms: Longest time that discovery waits for a change, in milliseconds.
     """
     if since_version is None:
         return LIST_PATH
@@ -59,10 +59,10 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that ``host:port`` states.
+    """Return the address that a text of the form ``host:port`` states.
 
     Raises:
-        ListError: The text is no address.
+        ListError: The text is not an address.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) <= _MAX_PORT:
@@ -71,32 +71,32 @@
 
 
 def parse_listing(text: bytes, settings: Settings) -> EndpointListing:
-    """Return the list in the body of a response.
+    """Parse the endpoint list in the body of a response.
 
     Raises:
-        ListError: The body is no list.
+        ListError: The body is not an endpoint list.
     """
     try:
         document = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise ListError(f"the list is no JSON: {error}") from None
+        raise ListError(f"the list is not valid JSON: {error}") from None
     return read_listing(document, settings)
 
 
 def read_listing(document: object, settings: Settings, *, cached: bool = False) -> EndpointListing:
-    """Return the list in a JSON document that is decoded already.
+    """Return the endpoint list in a decoded JSON document.
 
-    A cached list is read completely or not at all. Of a list from discovery, invalid entries are left out and
-    it counts as a change: guards against an invalid entry hiding the drain of another node, and against the
-    node that it names being taken for removed.
+    A cached list must be valid as a whole. Invalid entries of a list from discovery are left out, and the
+    list counts as a change. Guards against an invalid entry that hides the drain of another node, and against
+    treating the node of the invalid entry as removed.
 
     Args:
         document: The decoded document.
-        settings: The settings that name zones and kinds.
-        cached: Whether the list is a cached one.
+        settings: The settings, which name zones and node kinds.
+        cached: Whether the list comes from the configuration instead of discovery.
 
     Raises:
-        ListError: The document is no list.
+        ListError: The document is not an endpoint list.
     """
     try:
         if not isinstance(document, dict):
@@ -132,7 +132,7 @@
     zone = fields.get(names.NODE_ZONE)
     kind = fields.get(names.NODE_KIND)
     started_ms = float(fields[names.NODE_STARTED_MS])
-    # A value that is not equal to itself would look like a restart with each list.
+    # NaN differs from itself, so that each list would look like a restart of the node.
     if not (isfinite(started_ms) and started_ms >= 0):
         raise ValueError(f"{names.NODE_STARTED_MS}: {started_ms}")
     return NodeEntry(
--- a/sabledyke/protocol/gateway.py
+++ b/sabledyke/protocol/gateway.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP messages: requests as ``ClientRequest``, responses as ``AttemptResult``."""
+"""Mapping of the platform's HTTP messages to and from ``ClientRequest``, ``AttemptResult`` and ``Answer``."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class MessageReader:
-    """Reads messages under the settings in force."""
+    """Converts HTTP messages to requests and attempt results under the settings in force."""
 
     def __init__(self, settings: Settings) -> None:
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Read messages under these settings from now on."""
+        """Replace the settings."""
         self._settings = settings
         self._load_reports = LoadReportParser(settings.report_fields)
         self._plan_indexes = {plan.name: index for index, plan in enumerate(settings.plans)}
@@ -33,11 +33,11 @@
     def read_request(self, message: HttpMessage) -> ClientRequest:
         """Return a client's request.
 
-        What a client states beyond the settings' bounds counts for no more than they allow: guards against
-        one client's values distorting what is learnt from all.
+        Values that exceed the limits of the settings are reduced to the limits: guards against one client
+        distorting the estimates that are learnt from all clients.
 
         Raises:
-            HttpError: The request is invalid; the text says why.
+            HttpError: The request is invalid.
         """
         check_method(message)
         headers = message.headers
@@ -45,7 +45,7 @@
         plan_index = self._plan_indexes.get(headers.get(names.PLAN, ""))
         request_id = headers.get(names.REQUEST_ID, "")
         if class_index is None or plan_index is None or not request_id:
-            raise HttpError("no known Req-Kind, Tier or Req-Id")
+            raise HttpError("Req-Kind, Tier or Req-Id is missing or unknown")
         location = DataLocation.parse(message.target)
         cost = RequestCost.parse(headers)
         return ClientRequest(
@@ -67,7 +67,7 @@
         )
 
     def read_node_response(self, message: HttpMessage) -> AttemptResult:
-        """Return what a storage node's response says of the attempt."""
+        """Return the outcome of an attempt and the load metrics from a storage node's response."""
         outcome = read_outcome(message)
         used_percent = read_usage(message, names.VOLUME_USED_PERCENT)
         others_units = read_usage(message, names.OTHER_HOSTS_UNITS)
@@ -82,12 +82,12 @@
 
 
 def encode_node_request(work: ClientRequest, address: str, timeout_ms: float) -> bytes:
-    """Return a request to a storage node.
+    """Encode a request to a storage node.
 
     Args:
-        work: The request; one that did not come from an HTTP client is given the platform's form.
+        work: The request; without an HTTP method and target of its own it gets those of the platform.
         address: The storage node's address, for the Host header.
-        timeout_ms: Deadline of the attempt.
+        timeout_ms: Deadline of the attempt, in milliseconds.
     """
     headers = [
         ("Host", address),
@@ -102,7 +102,7 @@
 
 
 def encode_client_response(answer: Answer, *, close: bool) -> bytes:
-    """Return the final answer as a response to an HTTP client.
+    """Encode the final answer as a response to an HTTP client.
 
     Args:
         answer: The answer.
--- a/sabledyke/protocol/http/__init__.py
+++ b/sabledyke/protocol/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as state machines that are fed bytes: requests on one side, responses on the other."""
+"""HTTP/1.1 as state machines that are fed bytes: parsing and encoding of requests and responses."""
 
 from sabledyke.protocol.http.encoding import REASON_PHRASES, encode_request, encode_response
 from sabledyke.protocol.http.message import (
--- a/sabledyke/protocol/http/chunked.py
+++ b/sabledyke/protocol/http/chunked.py
@@ -12,7 +12,7 @@
 
 
 class ChunkedBody:
-    """Moves the body of one message from a buffer of received bytes to the message."""
+    """Decodes the chunked body of one message from a buffer of received bytes."""
 
     def __init__(self, max_body_bytes: int) -> None:
         self._max_body_bytes = max_body_bytes
@@ -20,11 +20,11 @@
         self._trailer_bytes = 0
 
     def read(self, buffer: bytearray, message: HttpMessage) -> bool:
-        """Move all complete chunks.
+        """Move all complete chunks from the buffer to the message.
 
         Args:
-            buffer: Received bytes; what is read is removed.
-            message: The message that the body is added to.
+            buffer: Received bytes; decoded bytes are removed.
+            message: The message that the decoded body is added to.
 
         Returns:
             Whether the body and its trailer are complete.
@@ -49,7 +49,7 @@
         del buffer[:line_bytes]
 
     def _read_chunk(self, line: bytes, buffer: bytearray, message: HttpMessage) -> bool:
-        """Move the chunk whose size line is given, if it is complete."""
+        """Move the chunk with the given size line, and return True unless it is incomplete."""
         size_digits = line.partition(b";")[0].rstrip(b" \t")
         if not _CHUNK_SIZE.fullmatch(size_digits):
             raise HttpError("malformed chunk size")
@@ -65,14 +65,14 @@
         if len(buffer) < end + len(_LINE_END):
             return False
         if buffer[end : end + len(_LINE_END)] != _LINE_END:
-            raise HttpError("chunk does not end where it says")
+            raise HttpError("chunk does not end with CRLF after its stated size")
         message.body += bytes(buffer[start:end])
         del buffer[: end + len(_LINE_END)]
         return True
 
 
 def _next_line(buffer: bytearray) -> bytes | None:
-    """Return the buffer's first line without its end, or None where it is not complete."""
+    """Return the buffer's first line without its line end, or None if it is incomplete."""
     end = buffer.find(_LINE_END)
     if end >= 0:
         return bytes(buffer[:end])
--- a/sabledyke/protocol/http/encoding.py
+++ b/sabledyke/protocol/http/encoding.py
@@ -20,7 +20,7 @@
 
 
 def encode_request(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes) -> bytes:
-    """Return a request; its length is stated wherever it has a body or its method usually has one."""
+    """Encode a request, with Content-Length if it has a body or its method usually has one."""
     lines = [f"{method} {target} HTTP/1.1", *(f"{name}: {value}" for name, value in headers)]
     if body or method not in ("GET", "HEAD"):
         lines.append(f"Content-Length: {len(body)}")
@@ -30,13 +30,13 @@
 def encode_response(
     status: int, headers: Iterable[tuple[str, str]] = (), body: bytes = b"", *, close: bool = False
 ) -> bytes:
-    """Return a response with its length.
+    """Encode a response with Content-Length.
 
     Args:
-        status: Its status.
-        headers: Its headers, beside Content-Length and Connection.
-        body: Its body.
-        close: Whether it says that the connection ends after it.
+        status: Status of the response.
+        headers: Headers other than Content-Length and Connection.
+        body: Body of the response.
+        close: Whether the response announces the close of the connection.
     """
     lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Unknown')}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in headers]
--- a/sabledyke/protocol/http/head.py
+++ b/sabledyke/protocol/http/head.py
@@ -17,12 +17,12 @@
 
 
 def parse_head(lines: list[bytes], *, response: bool, http_1_0: bool) -> HttpMessage:
-    """Return the message that a head belongs to.
+    """Parse the head of a message, and return the message without its body.
 
     Args:
         lines: The lines of the head, without the blank line that ends it.
-        response: Whether it is the head of a response.
-        http_1_0: Whether its first line states the version HTTP/1.0.
+        response: Whether the message is a response.
+        http_1_0: Whether the first line states the version HTTP/1.0.
 
     Raises:
         HttpError: The head is malformed.
@@ -67,7 +67,7 @@
         message.headers[key] = text
         return
     if key in _NEVER_REPEATED:
-        raise HttpError(f"more than one {key}")
+        raise HttpError(f"more than one {key} header")
     message.headers[key] = f"{message.headers[key]}, {text}"
 
 
--- a/sabledyke/protocol/http/message.py
+++ b/sabledyke/protocol/http/message.py
@@ -1,4 +1,4 @@
-"""HTTP messages, their limits, and the error that an invalid one is."""
+"""HTTP messages, their limits, and the error for invalid ones."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 MAX_RESPONSE_BODY_BYTES = 1024 * 1024
 """Limit of a response's body; storage nodes were seen to send 350 KB."""
 MAX_INPUT_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES
-"""What may be buffered of requests: a head, and a body in small chunks."""
+"""Limit of buffered request bytes: a head, and a body whose chunked coding doubles its size."""
 
 
 class HttpError(SabledykeError):
-    """The bytes are not a message of this protocol, or the message is too large or not acceptable.
+    """The bytes are not a valid message, or the message is too large or not acceptable.
 
     Attributes:
-        status: The status with which a client is answered.
+        status: Status of the response to a client.
     """
 
     code = "http"
@@ -35,10 +35,10 @@
     """A complete request or response.
 
     Attributes:
-        method: Method of a request.
-        target: Target of a request.
-        status: Status of a response; 0 of a request.
-        headers: Values by name in lower case; repeated headers are joined by commas.
+        method: Method of a request; empty in a response.
+        target: Target of a request; empty in a response.
+        status: Status of a response; 0 in a request.
+        headers: Header values by lower-case name; values of repeated headers are joined by commas.
         body: The body, without its transfer coding.
         keep_alive: Whether the connection continues after this message.
     """
--- a/sabledyke/protocol/http/parser.py
+++ b/sabledyke/protocol/http/parser.py
@@ -17,44 +17,44 @@
 _LENGTH = re.compile(rb"[0-9]{1,9}")
 _LINE_END = b"\r\n"
 _HEAD_END = b"\r\n\r\n"
-_STATUSES_WITHOUT_BODY = (0, 204, 304)  # 0: a request
+_STATUSES_WITHOUT_BODY = (0, 204, 304)  # 0 stands for a request
 
 
 class HttpParser:
     """Splits a stream of bytes into messages.
 
-    Feed it bytes in chunks of any size and call ``next_message`` until it returns None. A parser that raised
-    cannot be used any further.
+    Feed it bytes in chunks of any size and call ``next_message`` until it returns None. After an error the
+    parser cannot be used any more.
     """
 
     def __init__(self, *, responses: bool = False) -> None:
         self._responses = responses
         self._max_body_bytes = MAX_RESPONSE_BODY_BYTES if responses else MAX_BODY_BYTES
         self._data = bytearray()
-        self._message: HttpMessage | None = None  # its head is read, and its body is not
-        self._body_bytes = 0  # length of the body, where it is neither chunked nor ends with the connection
+        self._message: HttpMessage | None = None  # message whose body is incomplete
+        self._body_bytes = 0  # length from Content-Length
         self._chunked_body: ChunkedBody | None = None
         self._body_ends_with_stream = False
-        self._interim_bytes = 0  # of interim responses before this one
+        self._interim_bytes = 0  # size of the interim responses before this message
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of a message was received."""
+        """True if no part of a message is buffered."""
         return not self._data and self._message is None
 
     @property
     def buffered_bytes(self) -> int:
-        """Number of bytes that are waiting for the rest of their message."""
+        """Number of buffered bytes of incomplete messages."""
         return len(self._data) + (len(self._message.body) if self._message is not None else 0)
 
     @property
     def receiving_body(self) -> bool:
-        """Whether the head of a message is read and its body is not."""
+        """True if the head of a message is complete and its body is not."""
         return self._message is not None
 
     @property
     def expects_continue(self) -> bool:
-        """Whether the sender of the body waits for an interim response with status 100."""
+        """True if the sender of the body waits for an interim response with status 100."""
         message = self._message
         return message is not None and message.headers.get("expect", "").lower() == "100-continue"
 
@@ -62,17 +62,17 @@
         """Append received bytes.
 
         Raises:
-            HttpError: More bytes are waiting than one message may have.
+            HttpError: The buffered bytes exceed the limit of one message.
         """
         self._data += data
         if len(self._data) > MAX_HEAD_BYTES + 2 * self._max_body_bytes:
-            raise HttpError("more input than one message may have")
+            raise HttpError("buffered input exceeds the limit of one message")
 
     def next_message(self) -> HttpMessage | None:
-        """Return the next complete message, or None until more bytes are fed.
+        """Return the next complete message, or None if more bytes are needed.
 
         Raises:
-            HttpError: The bytes are not a message that is accepted.
+            HttpError: The bytes are not a valid or supported message.
         """
         while self._message is None:
             if not self._read_head():
@@ -84,7 +84,7 @@
         return message
 
     def on_end_of_stream(self) -> HttpMessage | None:
-        """Return the response whose body ends with the connection, or None where there is none.
+        """Return the response whose body ends with the connection, or None if there is none.
 
         Raises:
             HttpError: The connection ended within a message.
@@ -98,11 +98,11 @@
             self._body_ends_with_stream = False
             return message
         if not self.idle:
-            raise HttpError("a message cut off by the end of its connection")
+            raise HttpError("connection ended within a message")
         return None
 
     def _read_head(self) -> bool:
-        """Read one head, if it is complete; that of an interim response is skipped."""
+        """Parse one head, and return False if it is incomplete; an interim response is skipped."""
         self._skip_blank_lines()
         end = self._data.find(_HEAD_END, 0, MAX_HEAD_BYTES)
         if end < 0:
@@ -130,10 +130,10 @@
         """Skip an interim response, which has no body and precedes the final one."""
         self._interim_bytes += head_bytes
         if self._interim_bytes > MAX_HEAD_BYTES:
-            raise HttpError("interim answers without end")
+            raise HttpError("interim responses exceed the limit of a head")
 
     def _start_body(self, message: HttpMessage, *, http_1_0: bool) -> None:
-        """Determine where the body ends."""
+        """Determine the end of the body from the headers and the status."""
         self._chunked_body = None
         self._body_ends_with_stream = False
         coding = message.headers.get("transfer-encoding")
@@ -158,7 +158,7 @@
         return length_bytes
 
     def _read_body(self, message: HttpMessage) -> bool:
-        """Read the body, if it is complete."""
+        """Move the body to the message, and return whether it is complete."""
         if self._chunked_body is not None:
             return self._chunked_body.read(self._data, message)
         if self._body_ends_with_stream or len(self._data) < self._body_bytes:
--- a/sabledyke/protocol/node_response.py
+++ b/sabledyke/protocol/node_response.py
@@ -1,4 +1,4 @@
-"""Parsing of what a storage node's HTTP response says: the outcome of an attempt, and the node's load."""
+"""Parsing of a storage node's HTTP response: the outcome of an attempt, and the node's load metrics."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from sabledyke.protocol.http import HttpMessage
 
 MAX_REPORTED_VALUE = 1e9
-"""Largest value of a usage metric or load report that a storage node can mean."""
+"""Largest valid value of a usage metric or of a field of a load report."""
 
 _INVALID_REPORT = (-1.0,)
 _REPORT_PREFIX = "TEXT"
 
 
 def read_outcome(message: HttpMessage) -> Outcome:
-    """Return the outcome of the attempt; all but a rejected attempt may have run."""
+    """Return the outcome of the attempt; any attempt but a rejected one may have run."""
     if message.status == 200:
         return Outcome.OK
     if message.status in (503, 504) and message.headers.get(names.REJECTED) == "1":
@@ -25,11 +25,10 @@
 
 
 def read_usage(message: HttpMessage, header: str) -> int | None:
-    """Return a usage metric.
+    """Return the usage metric in a header of a response; an invalid one is logged and ignored.
 
     Returns:
-        The metric; None where there is none, or where it is logged and ignored as nothing that a storage node
-        can mean.
+        The metric; None if it is missing or invalid.
     """
     text = message.headers.get(header)
     if text is None:
@@ -51,10 +50,10 @@
         self._field_names = field_names
 
     def parse(self, message: HttpMessage) -> tuple[float, ...]:
-        """Return the values of a response's load report in the order of the settings' fields.
+        """Return the load report of a response; an invalid one is logged and ignored.
 
         Returns:
-            The values; empty where there is no report, or where it is logged and ignored as invalid.
+            The values in the order of the settings' fields; empty if the report is missing or invalid.
         """
         text = message.headers.get(names.LOAD_REPORT, "")
         if not text or not self._field_names:
@@ -66,7 +65,7 @@
         return ()
 
     def _values(self, text: str) -> tuple[float, ...]:
-        """Read all fields, under the settings' names or the simulator's: nodes use either, and never both."""
+        """Return the values of all fields; nodes use the settings' names or the simulator's, never both."""
         fields = parse_pairs(text.removeprefix(_REPORT_PREFIX))
         try:
             return tuple(float(_reported(fields, name)) for name in self._field_names)
--- a/sabledyke/protocol/nvme/__init__.py
+++ b/sabledyke/protocol/nvme/__init__.py
@@ -1,12 +1,12 @@
 """A subset of NVMe over TCP as state machines that are fed bytes.
 
-``Target`` is the controller's side of one connection (hosts reach us through it) and ``Initiator`` the host's
-side of one (we reach storage nodes through it). Neither knows a socket: each leaves the bytes that it wants
-written in ``output``. Written from the NVMe base, NVM command set and TCP transport specifications; digests,
+``Target`` is the controller's side of a connection from a host, and ``Initiator`` is the host's side of a
+connection to a storage node. Neither uses a socket: each appends the bytes to send to ``output``. The
+implementation follows the NVMe base, NVM command set and TCP transport specifications. Digests,
 authentication and discovery subsystems are not supported.
 
-``sabledyke.protocol.nvme.blocks`` translates between NVMe commands and scheduled requests. It depends on the
-core, which this package does not, and is therefore imported by its own name.
+``sabledyke.protocol.nvme.blocks`` translates between NVMe commands and scheduled requests. It is not exported
+here, because it depends on the core and this package does not.
 """
 
 from sabledyke.protocol.nvme.commands import (
--- a/sabledyke/protocol/nvme/admin.py
+++ b/sabledyke/protocol/nvme/admin.py
@@ -1,4 +1,4 @@
-"""Execution of the commands of the admin queue, and of fabrics commands after Connect."""
+"""Execution of admin commands, and of fabrics commands after Connect."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """How a command that needs no storage node is answered.
+    """Result of a command that is executed without a storage node.
 
     Attributes:
-        status: Its status; a command that failed must not be retried.
-        result: Its result, where it has one.
-        data: What is sent before the completion.
+        status: Status of the completion; a failed command must not be retried.
+        result: Result of the completion; 0 if the command has none.
+        data: Data that is sent before the completion.
     """
 
     status: Status
@@ -44,7 +44,7 @@
 
 
 def execute_admin_command(command: Command, subsystem: Subsystem, controller: Controller) -> Reply:
-    """Execute any other command of the admin queue."""
+    """Execute a command of the admin queue other than a fabrics command."""
     if command.opcode == AdminOpcode.KEEP_ALIVE:
         return Reply(Status.OK)
     if not controller.enabled:
@@ -71,7 +71,7 @@
 
 
 def _set_features(command: Command) -> Reply:
-    """Grant I/O queues: their number is the only feature that can be set. Counts are zero-based."""
+    """Grant I/O queues; their number is the only feature that can be set, and its counts are zero-based."""
     if command.dwords[0] & 0xFF != _FEATURE_NUMBER_OF_QUEUES:
         return Reply(Status.INVALID_FIELD)
     submission_queues = min(command.dwords[1] & 0xFFFF, MAX_IO_QUEUES - 1)
@@ -80,11 +80,11 @@
 
 
 def _identify(command: Command, subsystem: Subsystem, controller: Controller) -> Reply:
-    what = command.dwords[0] & 0xFF
-    page = identify_page(what, command.namespace_id, subsystem, controller)
+    cns = command.dwords[0] & 0xFF
+    page = identify_page(cns, command.namespace_id, subsystem, controller)
     if page is None:
-        about_a_namespace = what in (IdentifyTarget.NAMESPACE, IdentifyTarget.NAMESPACE_DESCRIPTORS)
-        return Reply(Status.INVALID_NAMESPACE if about_a_namespace else Status.INVALID_FIELD)
+        is_namespace_page = cns in (IdentifyTarget.NAMESPACE, IdentifyTarget.NAMESPACE_DESCRIPTORS)
+        return Reply(Status.INVALID_NAMESPACE if is_namespace_page else Status.INVALID_FIELD)
     if command.sgl_length < len(page):
         return Reply(Status.INVALID_FIELD)
     return Reply(Status.OK, data=page)
--- a/sabledyke/protocol/nvme/blocks.py
+++ b/sabledyke/protocol/nvme/blocks.py
@@ -1,8 +1,8 @@
 """Translation between NVMe commands and scheduled requests, for hosts and for storage nodes.
 
-Hosts' commands become ``ClientRequest``, and its answer their completion; ``ClientRequest`` becomes
-commands to storage nodes, and their completions the outcome of an attempt. A piece of data of an HTTP
-client is stored in blocks with a prefix that holds its length.
+A host's command becomes a ``ClientRequest``, and the final answer becomes the command's completion. A
+``ClientRequest`` becomes a command to a storage node, and its completion becomes the outcome of an attempt.
+A piece of data of an HTTP client is stored in blocks, after a prefix that holds its length.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 from sabledyke.protocol.nvme.subsystem import Namespace, Subsystem
 
 DEFAULT_RETRY_DELAY_MS = 100.0
-"""Retry delay of a rejected command where the policy gave no advice."""
+"""Retry delay of a rejected command if the policy gives no advice."""
 
-_LENGTH_PREFIX_BYTES = 4  # the length of an HTTP client's data + 1; 0 where none was written
+_LENGTH_PREFIX_BYTES = 4  # holds the length of the data + 1; 0 if nothing was written
 _KEY_DIGITS = re.compile("[0-9a-f]{16}")
 
 
 class UnmappableRequestError(SabledykeError):
-    """The request has no place on a storage node that speaks NVMe; the text says why."""
+    """The request cannot be mapped to blocks of an NVMe storage node."""
 
     code = "nvme-volume"
     remedy = "correct nvme.volume in the operator's file"
@@ -44,22 +44,22 @@
 
 @dataclass(slots=True, frozen=True)
 class NvmeVolume:
-    """A volume as a namespace, and how its commands are scheduled; one row of the operator's file.
+    """A volume as an NVMe namespace, and the scheduling of its commands; a row of the operator's file.
 
     Attributes:
-        namespace_id: The namespace.
-        volume_id: The volume that it is.
+        namespace_id: Id of the namespace.
+        volume_id: Id of the volume.
         plan_index: Index of its plan in the settings.
         read_class: Index of the request class of its reads.
         write_class: Index of the request class of its writes.
-        block_count: Its size.
-        stripe_shards: The shards that hold its data in turn ...
-        stripe_blocks: ... for this many blocks each.
+        block_count: Size of the volume in blocks.
+        stripe_shards: Shards over which the data is striped, in order.
+        stripe_blocks: Blocks of a stripe, which one shard holds.
         host_count: Number of hosts that share the volume.
         unit_bytes: Bytes that count as one unit of a request's cost.
-        read_deadline_ms: Deadline of a read.
-        write_deadline_ms: Deadline of a write.
-        object_blocks: Capacity of one piece of data that an HTTP client writes.
+        read_deadline_ms: Deadline of a read, in milliseconds.
+        write_deadline_ms: Deadline of a write, in milliseconds.
+        object_blocks: Blocks reserved for one piece of data of an HTTP client.
     """
 
     namespace_id: int
@@ -83,11 +83,11 @@
 
 
 class Translator:
-    """Translates in both directions, under the volumes of an operator's file.
+    """Translates commands and requests of the volumes in the operator's file, in both directions.
 
     Attributes:
-        settings: The settings in force; the caller replaces them.
-        subsystem: What hosts connect to.
+        settings: The settings in force; the caller replaces them on a reload.
+        subsystem: The subsystem that hosts connect to.
     """
 
     def __init__(self, settings: Settings, nqn: str, volumes: tuple[NvmeVolume, ...]) -> None:
@@ -100,7 +100,7 @@
         self._by_volume_id = {volume.volume_id: volume for volume in volumes}
 
     def to_client_request(self, command: Command, data: bytes) -> ClientRequest:
-        """Return a host's read or write, which was checked against its namespace, as a request."""
+        """Return the request for a host's read or write, which must be within its namespace."""
         volume = self._by_namespace_id[command.namespace_id]
         write = command.opcode == IoOpcode.WRITE
         size_bytes = command.block_count * BLOCK_BYTES
@@ -117,29 +117,29 @@
             repeated=False,
             write=write,
             client_request_id=secrets.token_hex(8),
-            idempotency_key=_token(command.idempotency_key) if write else "",
+            idempotency_key=_key_text(command.idempotency_key) if write else "",
             body=data,
             read_size_bytes=0 if write else size_bytes,
         )
 
     def to_completion(self, command: Command, answer: Answer) -> Response:
-        """Return the final answer for a host: a rejected request may be retried, a failed one may not."""
+        """Return the completion for a final answer; it allows a retry of a rejected request only."""
         if answer.status is AnswerStatus.REJECTED:
             delay_index = retry_delay_index(answer.retry_after_ms or DEFAULT_RETRY_DELAY_MS)
             rejection = Completion(command.command_id, Status.NOT_READY, retry_delay_index=delay_index)
             return Response(rejection, b"")
         is_read = command.opcode == IoOpcode.READ
-        # A storage node may also return less than was requested.
+        # A storage node may return less data than was requested.
         too_short = is_read and len(answer.body) != command.block_count * BLOCK_BYTES
         if answer.status is AnswerStatus.FAILED or too_short:
             return Response(Completion(command.command_id, Status.INTERNAL, do_not_retry=True), b"")
         return Response(Completion(command.command_id, Status.OK), answer.body if is_read else b"")
 
     def to_node_command(self, work: ClientRequest) -> Submission:
-        """Return a request as a command to a storage node.
+        """Return the command to a storage node for a request.
 
         Raises:
-            UnmappableRequestError: The request has no place on a storage node that speaks NVMe.
+            UnmappableRequestError: The request cannot be mapped to blocks of the node.
         """
         volume = self._by_volume_id.get(work.volume)
         if volume is None:
@@ -152,7 +152,7 @@
         return _write_submission(volume.namespace_id, work.data_key, work.body, work.idempotency_key)
 
     def from_node_completion(self, work: ClientRequest, completion: Completion, data: bytes) -> AttemptResult:
-        """Return a storage node's completion as the outcome of an attempt."""
+        """Return the outcome of an attempt from a storage node's completion."""
         if completion.status == Status.NOT_READY and not completion.do_not_retry:
             return AttemptResult(Outcome.REJECTED, may_have_run=False)
         if completion.status != Status.OK:
@@ -166,9 +166,9 @@
 
 
 def _object_command(work: ClientRequest, volume: NvmeVolume) -> Submission:
-    """Return the command for an HTTP client's piece of data.
+    """Return the command for a piece of data of an HTTP client.
 
-    Each piece has as many blocks as its volume gives one, and its number says where they start.
+    Each piece has ``object_blocks`` blocks of its volume, which start at its key times ``object_blocks``.
     """
     start_block = work.data_key * volume.object_blocks
     capacity_bytes = volume.object_blocks * BLOCK_BYTES
@@ -186,27 +186,27 @@
 
 
 def _object_body(data: bytes) -> bytes | None:
-    """Return the piece of data that blocks hold, or None where they hold none."""
+    """Return the piece of data that is stored in blocks, or None if the length prefix is invalid or 0."""
     size_bytes = int.from_bytes(data[:_LENGTH_PREFIX_BYTES], "big") - 1
     if not 0 <= size_bytes <= len(data) - _LENGTH_PREFIX_BYTES:
         return None
     return data[_LENGTH_PREFIX_BYTES : _LENGTH_PREFIX_BYTES + size_bytes]
 
 
-def _write_submission(namespace_id: int, start_block: int, data: bytes, token: str) -> Submission:
-    key = _idempotency_key(token)
+def _write_submission(namespace_id: int, start_block: int, data: bytes, key_text: str) -> Submission:
+    key = _key_number(key_text)
     return Submission(transfer_command(IoOpcode.WRITE, namespace_id, start_block, len(data), key), data)
 
 
-def _token(idempotency_key: int) -> str:
-    """Return the key of a host's write as text; a write without one is given its own."""
+def _key_text(idempotency_key: int) -> str:
+    """Return the idempotency key of a host's write as text; a write without one gets a random key."""
     return f"{idempotency_key:016x}" if idempotency_key else secrets.token_hex(8)
 
 
-def _idempotency_key(token: str) -> int:
-    """Return an idempotency key as the 64 bits that a write command has for it; 0 for none."""
-    if not token:
+def _key_number(key_text: str) -> int:
+    """Return an idempotency key as the 64-bit number of a write command; 0 stands for none."""
+    if not key_text:
         return 0
-    if _KEY_DIGITS.fullmatch(token):
-        return int(token, 16)
-    return int.from_bytes(hashlib.sha256(token.encode()).digest()[:8], "big")
+    if _KEY_DIGITS.fullmatch(key_text):
+        return int(key_text, 16)
+    return int.from_bytes(hashlib.sha256(key_text.encode()).digest()[:8], "big")
--- a/sabledyke/protocol/nvme/commands.py
+++ b/sabledyke/protocol/nvme/commands.py
@@ -1,4 +1,4 @@
-"""Submission and completion queue entries, and the commands that an initiator builds."""
+"""Submission and completion queue entries, and functions that build commands for an initiator."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from sabledyke.protocol.nvme.limits import BLOCK_BYTES, QUEUE_ENTRIES
 
 DYNAMIC_CONTROLLER_ID = 0xFFFF
-"""Controller id with which a host asks for any controller."""
+"""Controller id with which a host requests a new controller."""
 SGL_IN_CAPSULE = 0x01
 """SGL type of data inside the command's capsule."""
 SGL_TRANSPORT_DATA = 0x5A
-"""SGL type of data in PDUs of its own."""
+"""SGL type of data in separate data PDUs."""
 CONNECT_DATA_BYTES = 1024
-"""Data of a Connect command."""
+"""Bytes of a Connect command's data."""
 
 _SUBMISSION_ENTRY = struct.Struct("<BBHIQQQI3xB6I")
 _COMPLETION_ENTRY = struct.Struct("<QHHHH")
@@ -69,13 +69,13 @@
     """A submission queue entry.
 
     Attributes:
-        opcode: An ``IoOpcode`` or ``AdminOpcode``, or what else a host sent.
+        opcode: An ``IoOpcode`` or ``AdminOpcode``, or another value that a host sent.
         command_id: Identifies the command on its queue until it is completed.
         namespace_id: The namespace; of a fabrics command, its type.
-        idempotency_key: CDW2 and CDW3 as one number, which carry a write's key here.
-        sgl_address: Offset of the data inside the capsule.
+        idempotency_key: CDW2 and CDW3 as one number, which hold the idempotency key of a write.
+        sgl_address: Offset of the data inside the capsule, in bytes.
         sgl_length: Bytes of data that the command transfers.
-        sgl_type: How the data is transferred.
+        sgl_type: ``SGL_IN_CAPSULE`` or ``SGL_TRANSPORT_DATA``, or another value that a host sent.
         dwords: CDW10 to CDW15.
     """
 
@@ -89,7 +89,7 @@
     dwords: Dwords = (0, 0, 0, 0, 0, 0)
 
     def pack(self) -> bytes:
-        """Return its 64 bytes."""
+        """Return the entry as 64 bytes."""
         return _SUBMISSION_ENTRY.pack(
             self.opcode,
             _SGL_FLAGS,
@@ -105,7 +105,7 @@
 
     @classmethod
     def unpack(cls, data: bytes) -> Command:
-        """Read one from its 64 bytes."""
+        """Parse an entry of 64 bytes."""
         opcode, _, command_id, namespace_id, key, _, *sgl_and_dwords = _SUBMISSION_ENTRY.unpack(data)
         sgl_address, sgl_length, sgl_type, *dwords = sgl_and_dwords
         return cls(opcode, command_id, namespace_id, key, sgl_address, sgl_length, sgl_type, tuple(dwords))
@@ -132,10 +132,10 @@
 
     Attributes:
         command_id: The command that is completed.
-        status: A ``Status``, or what else a controller sent.
-        result: The command's result, where it has one.
-        do_not_retry: The same command would fail again.
-        retry_delay_index: Which of the controller's retry delays applies; 0 for none.
+        status: A ``Status``, or another value that a controller sent.
+        result: The command's result; 0 if it has none.
+        do_not_retry: True if the same command would fail again.
+        retry_delay_index: Number of the controller's retry delay that applies, from 1; 0 for none.
     """
 
     command_id: int
@@ -145,7 +145,7 @@
     retry_delay_index: int = 0
 
     def pack(self, queue_head: int, queue_id: int) -> bytes:
-        """Return its 16 bytes."""
+        """Return the entry as 16 bytes."""
         status = self.status | self.retry_delay_index << _RETRY_DELAY_SHIFT
         if self.do_not_retry:
             status |= _DO_NOT_RETRY
@@ -153,7 +153,7 @@
 
     @classmethod
     def unpack(cls, data: bytes) -> Completion:
-        """Read one from its 16 bytes."""
+        """Parse an entry of 16 bytes."""
         result, _, _, command_id, status_and_phase = _COMPLETION_ENTRY.unpack(data)
         status = status_and_phase >> 1
         return cls(
@@ -166,14 +166,14 @@
 
 
 class Submission(NamedTuple):
-    """A command with the data that goes with it; reads have none."""
+    """A command with the data that it transfers to the controller; empty for a read."""
 
     command: Command
     data: bytes
 
 
 class Response(NamedTuple):
-    """A completion with the data that goes with it: of a read or an admin command that returns some."""
+    """A completion with the data that the command returns; empty for a write."""
 
     completion: Completion
     data: bytes
@@ -181,11 +181,11 @@
 
 @dataclass(slots=True, frozen=True)
 class HostIdentity:
-    """Who a host says it is when it connects.
+    """Identity that a host states when it connects.
 
     Attributes:
-        host_id: The 16 bytes of its identifier.
-        nqn: Its NVMe qualified name.
+        host_id: The host identifier, 16 bytes.
+        nqn: The host's NVMe qualified name.
     """
 
     host_id: bytes
@@ -194,16 +194,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectRequest:
-    """What a Connect command asks for, as a target reads it.
+    """The fields of a Connect command, as parsed by a target.
 
     Attributes:
-        record_format: Format of the command; 0 is the only one there is.
+        record_format: Format of the command; only 0 is defined.
         queue_id: The queue that the connection carries; 0 for the admin queue.
-        queue_entries: How many entries it has.
+        queue_entries: Number of entries of the queue.
         keep_alive_ms: Time without a command after which the host counts as failed; 0 for never.
-        controller_id: The controller whose queue it is, or ``DYNAMIC_CONTROLLER_ID``.
-        subsystem_nqn: The subsystem that the host wants.
-        host_identity: The host's identifier and name, as they were sent.
+        controller_id: The controller that the queue belongs to, or ``DYNAMIC_CONTROLLER_ID``.
+        subsystem_nqn: Name of the subsystem to connect to.
+        host_identity: The host's identifier and name, as received.
     """
 
     record_format: int
@@ -216,7 +216,7 @@
 
     @classmethod
     def parse(cls, command: Command, data: bytes) -> ConnectRequest:
-        """Read a Connect command and its data; fields missing from the data are empty."""
+        """Parse a Connect command and its data; fields that the data lacks are empty."""
         return cls(
             record_format=command.dwords[0] & 0xFFFF,
             queue_id=command.dwords[0] >> 16,
@@ -235,9 +235,9 @@
 
     Args:
         nqn: Name of the subsystem to connect to.
-        queue_id: The queue that the connection is to carry; 0 for the admin queue.
-        controller_id: The controller, or ``DYNAMIC_CONTROLLER_ID`` with the admin queue.
-        host: Who connects.
+        queue_id: The queue that the connection carries; 0 for the admin queue.
+        controller_id: The controller of an I/O queue, or ``DYNAMIC_CONTROLLER_ID`` for the admin queue.
+        host: Identity of the connecting host.
         keep_alive_ms: Time without a command after which the controller may end the association.
     """
     data = bytearray(CONNECT_DATA_BYTES)
@@ -268,14 +268,14 @@
 ) -> Command:
     """Build a read or write of whole blocks.
 
-    Writes ask for Force Unit Access, so that what a storage node acknowledges is not only in its cache.
+    Writes set Force Unit Access, so that acknowledged data is not only in the storage node's cache.
 
     Args:
         opcode: ``READ`` or ``WRITE``.
         namespace_id: The namespace.
         start_block: First block.
-        size_bytes: A multiple of ``BLOCK_BYTES``.
-        idempotency_key: Key of a write; 0 for none.
+        size_bytes: Bytes to transfer, a multiple of ``BLOCK_BYTES``.
+        idempotency_key: Idempotency key of a write; 0 for none.
     """
     access = _FORCE_UNIT_ACCESS if opcode is IoOpcode.WRITE else 0
     block_count = size_bytes // BLOCK_BYTES
--- a/sabledyke/protocol/nvme/identify.py
+++ b/sabledyke/protocol/nvme/identify.py
@@ -19,7 +19,7 @@
 _RETRY_DELAY_UNIT_MS = 100
 _KEEP_ALIVE_UNITS_OF_100_MS = 10
 _QUEUE_ENTRY_SIZES = b"\x66\x44"  # 64 and 16 bytes
-_SGL_SUPPORT = 1 | 1 << 20  # SGLs, with data inside capsules
+_SGL_SUPPORT = 1 | 1 << 20  # SGLs, including data inside capsules
 _CAPSULE_UNIT_BYTES = 16
 _SUBMISSION_ENTRY_BYTES = 64
 _COMPLETION_ENTRY_UNITS = 1
@@ -29,7 +29,7 @@
 
 
 class IdentifyTarget(IntEnum):
-    """What an Identify command asks for (CNS)."""
+    """Values of the CNS field of an Identify command: the requested data structure."""
 
     NAMESPACE = 0
     CONTROLLER = 1
@@ -37,28 +37,28 @@
     NAMESPACE_DESCRIPTORS = 3
 
 
-def identify_page(what: int, namespace_id: int, subsystem: Subsystem, controller: Controller) -> bytes | None:
-    """Return the page that an Identify command asks for.
+def identify_page(cns: int, namespace_id: int, subsystem: Subsystem, controller: Controller) -> bytes | None:
+    """Return the data structure that an Identify command requests.
 
     Args:
-        what: The command's CNS field.
+        cns: The command's CNS field.
         namespace_id: The command's namespace id.
         subsystem: The subsystem that the host is connected to.
         controller: The host's controller.
 
     Returns:
-        The page; None where the namespace does not exist or this kind of page is not supported.
+        The page; None if the namespace does not exist or the data structure is not supported.
     """
-    if what == IdentifyTarget.CONTROLLER:
+    if cns == IdentifyTarget.CONTROLLER:
         return _controller_page(subsystem, controller)
-    if what == IdentifyTarget.ACTIVE_NAMESPACES:
+    if cns == IdentifyTarget.ACTIVE_NAMESPACES:
         return _active_namespaces_page(subsystem, namespace_id)
     namespace = subsystem.namespaces.get(namespace_id)
     if namespace is None:
         return None
-    if what == IdentifyTarget.NAMESPACE:
+    if cns == IdentifyTarget.NAMESPACE:
         return _namespace_page(namespace)
-    if what == IdentifyTarget.NAMESPACE_DESCRIPTORS:
+    if cns == IdentifyTarget.NAMESPACE_DESCRIPTORS:
         return _namespace_descriptors_page(namespace_id)
     return None
 
--- a/sabledyke/protocol/nvme/initiator.py
+++ b/sabledyke/protocol/nvme/initiator.py
@@ -1,4 +1,4 @@
-"""The host's side of one connection."""
+"""The host's side of one NVMe/TCP connection."""
 
 from __future__ import annotations
 
@@ -27,17 +27,16 @@
 
 _MAX_COMMAND_ID = 0xFFFE
 _MIN_DATA_PDU_BYTES = 4096
-_VERSION_OFFSET = 8  # of the protocol version, in the header of an ICResp
-_COMMAND_ID_OFFSET = 8  # in the header of a data PDU
+_VERSION_OFFSET = 8  # offset of the protocol version in the header of an ICResp
+_COMMAND_ID_OFFSET = 8  # offset in the header of a data PDU
 
 
 class Initiator:
     """Sends one command at a time, and receives its completion and data.
 
     Attributes:
-        output: Bytes to write to the connection; the caller takes them.
-        write_data_sent: Whether some of the current command's data was put into ``output``, other than in
-            its capsule.
+        output: Bytes to write to the connection; the caller writes and clears them.
+        write_data_sent: True if data of the current command was added to ``output`` in data PDUs.
     """
 
     def __init__(self) -> None:
@@ -53,23 +52,23 @@
 
     @property
     def has_surplus_input(self) -> bool:
-        """Whether more was received than belongs to the last command: the connection cannot be reused."""
+        """True if bytes follow the response to the last command; the connection cannot be reused then."""
         return self._parser.pending_bytes > 0
 
     def submit(self, command: Command, data: bytes = b"", *, in_capsule: bool = False) -> None:
-        """Send a command; its id and the type of its SGL are set here.
+        """Send a command, and set its id and the type of its SGL.
 
         Args:
             command: The command.
             data: The data that it transfers to the controller.
-            in_capsule: Whether the data is sent in the command's capsule, instead of when the controller
-                requests it.
+            in_capsule: Whether the data is sent in the command's capsule; otherwise it is sent when the
+                controller requests it.
 
         Raises:
-            ValueError: Another command is not completed yet.
+            ValueError: Another command is in flight.
         """
         if self._command is not None:
-            raise ValueError("a command is out already")
+            raise ValueError("another command is in flight")
         self._last_command_id = self._last_command_id % _MAX_COMMAND_ID + 1
         command.command_id = self._last_command_id
         if data:
@@ -86,8 +85,8 @@
         """Process received bytes.
 
         Returns:
-            The response to the command, where it is complete; otherwise an empty list. What follows it is
-            left unread, so that it cannot spoil the response, and shows in ``has_surplus_input``.
+            The response to the command if it is complete, otherwise an empty list. Bytes after the response
+            are not parsed, so that an error in them cannot discard it; see ``has_surplus_input``.
 
         Raises:
             NvmeError: The controller violated the protocol.
@@ -110,24 +109,30 @@
             return self._on_response(command, Completion.unpack(pdu.header))
         header = DataHeader.unpack(pdu.header)
         if header.command_id != command.command_id:
-            raise NvmeError("PDU of no command", FatalStatus.INVALID_HEADER_FIELD, _COMMAND_ID_OFFSET)
+            raise NvmeError(
+                "PDU for a command that is not in flight",
+                FatalStatus.INVALID_HEADER_FIELD,
+                _COMMAND_ID_OFFSET,
+            )
         if pdu.pdu_type is PduType.R2T:
             self._send_write_data(header)
             return None
         if pdu.pdu_type is PduType.C2H_DATA:
             return self._on_read_data(command, header, pdu)
-        raise NvmeError("PDU of the wrong direction", FatalStatus.INVALID_HEADER_FIELD)
+        raise NvmeError("PDU type is not valid from controller to host", FatalStatus.INVALID_HEADER_FIELD)
 
     def _on_connection_initialized(self, pdu: ReceivedPdu) -> None:
         version, alignment, digests, max_data_pdu_bytes = struct.unpack_from("<HBBI", pdu.header)
         if version or alignment or digests or max_data_pdu_bytes < _MIN_DATA_PDU_BYTES:
-            raise NvmeError("unsupported parameters", FatalStatus.UNSUPPORTED_PARAMETER, _VERSION_OFFSET)
+            raise NvmeError(
+                "unsupported parameters in ICResp", FatalStatus.UNSUPPORTED_PARAMETER, _VERSION_OFFSET
+            )
         self._max_data_pdu_bytes = max_data_pdu_bytes
         self._initialized = True
 
     def _on_response(self, command: Command, completion: Completion) -> Response:
         if completion.command_id != command.command_id:
-            raise NvmeError("completion of no command", FatalStatus.SEQUENCE_ERROR)
+            raise NvmeError("completion for a command that is not in flight", FatalStatus.SEQUENCE_ERROR)
         expected_bytes = 0 if self._write_data else command.sgl_length
         if completion.status == Status.OK and len(self._read_data) != expected_bytes:
             raise NvmeError("completion before all data", FatalStatus.SEQUENCE_ERROR)
@@ -136,7 +141,7 @@
     def _send_write_data(self, request: DataHeader) -> None:
         end_bytes = request.offset_bytes + request.length_bytes
         if not request.length_bytes or end_bytes > len(self._write_data):
-            raise NvmeError("R2T out of range", FatalStatus.OUT_OF_RANGE)
+            raise NvmeError("R2T is empty or exceeds the data of the command", FatalStatus.OUT_OF_RANGE)
         self.write_data_sent = True
         for offset_bytes in range(request.offset_bytes, end_bytes, self._max_data_pdu_bytes):
             chunk = self._write_data[offset_bytes : min(offset_bytes + self._max_data_pdu_bytes, end_bytes)]
--- a/sabledyke/protocol/nvme/io_checks.py
+++ b/sabledyke/protocol/nvme/io_checks.py
@@ -1,4 +1,4 @@
-"""Checks of I/O commands that need no storage node."""
+"""Checks of I/O commands before they are sent to a storage node."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def immediate_status(command: Command, subsystem: Subsystem, controller: Controller) -> Status | None:
-    """Return the status with which an I/O command is completed at once.
+    """Return the status of an I/O command that is completed without a storage node.
 
-    Flushes succeed at once: nothing is cached here, and what was acknowledged is at its storage node.
+    A flush succeeds immediately: nothing is cached here, and acknowledged data is on its storage node.
 
     Returns:
         The status, or None for a read or write that a storage node has to execute.
--- a/sabledyke/protocol/nvme/pdu.py
+++ b/sabledyke/protocol/nvme/pdu.py
@@ -1,4 +1,4 @@
-"""PDUs of the NVMe/TCP transport: encoding them, and parsing them from a stream of bytes."""
+"""Encoding of NVMe/TCP PDUs, and parsing of PDUs from a stream of bytes."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 _COMMON_HEADER = struct.Struct("<BBBBI")
 _DATA_HEADER = struct.Struct("<HHIII")
 _DIGEST_FLAGS = 0x03
-_MAX_REPORTED_BYTES = 128  # of a faulty PDU, in the PDU that ends the connection
+_MAX_REPORTED_BYTES = 128  # limit for the part of an invalid PDU that is returned in a termination PDU
 
 
 class PduType(IntEnum):
-    """PDU types."""
+    """PDU types of the NVMe/TCP transport."""
 
     IC_REQ = 0x00
     IC_RESP = 0x01
@@ -35,7 +35,7 @@
 
 
 class FatalStatus(IntEnum):
-    """Why a connection is terminated: the Fatal Error Status of a termination PDU."""
+    """The Fatal Error Status of a termination PDU: the reason for ending the connection."""
 
     INVALID_HEADER_FIELD = 1
     SEQUENCE_ERROR = 2
@@ -64,12 +64,12 @@
 
 
 class NvmeError(SabledykeError):
-    """The peer violated the protocol, and the connection has to be terminated.
+    """The peer violated the protocol, and the connection must be terminated.
 
     Attributes:
-        fatal_status: The Fatal Error Status that the termination PDU carries.
-        fatal_information: Offset of the faulty field in the PDU's header, where there is one.
-        header: The start of the faulty PDU, where it is reported back.
+        fatal_status: The Fatal Error Status of the termination PDU.
+        fatal_information: Offset of the invalid field in the PDU's header; 0 if there is none.
+        header: The start of the invalid PDU, which the termination PDU returns; empty if it does not.
     """
 
     code = "nvme"
@@ -90,13 +90,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ReceivedPdu:
-    """One PDU as it was received.
+    """A received PDU.
 
     Attributes:
-        pdu_type: Its type.
-        flags: The flags of its common header.
-        header: Its header after the common part.
-        data: Its payload.
+        pdu_type: Type of the PDU.
+        flags: Flags of the common header.
+        header: Header after the common header.
+        data: Payload.
     """
 
     pdu_type: PduType
@@ -107,13 +107,13 @@
 
 @dataclass(slots=True, frozen=True)
 class DataHeader:
-    """The header that data PDUs and R2T PDUs have in common.
+    """The type-specific header of data PDUs and R2T PDUs.
 
     Attributes:
         command_id: The command that the data belongs to.
-        tag: The transfer tag by which a controller recognises data it requested; 0 in C2H data.
-        offset_bytes: Where the data starts within the command's data.
-        length_bytes: How long it is.
+        tag: The transfer tag with which a controller identifies data that it requested; 0 in C2H data.
+        offset_bytes: Offset of the data within the command's data.
+        length_bytes: Length of the data.
     """
 
     command_id: int
@@ -122,12 +122,12 @@
     length_bytes: int
 
     def pack(self) -> bytes:
-        """Return its bytes in the PDU's header."""
+        """Return the header as bytes."""
         return _DATA_HEADER.pack(self.command_id, self.tag, self.offset_bytes, self.length_bytes, 0)
 
     @classmethod
     def unpack(cls, header: bytes) -> DataHeader:
-        """Read one from a PDU's header after the common part."""
+        """Parse a PDU's header, without the common header."""
         command_id, tag, offset_bytes, length_bytes, _ = _DATA_HEADER.unpack_from(header)
         return cls(command_id, tag, offset_bytes, length_bytes)
 
@@ -136,10 +136,10 @@
     """Return one PDU as bytes.
 
     Args:
-        pdu_type: Its type.
-        header: Its header after the common part; it is padded with zeros.
-        data: Its payload.
-        flags: The flags of its common header.
+        pdu_type: Type of the PDU.
+        header: Header after the common header; it is padded with zeros.
+        data: Payload.
+        flags: Flags of the common header.
     """
     header_bytes = HEADER_BYTES[pdu_type]
     data_offset = header_bytes if data else 0
@@ -148,7 +148,7 @@
 
 
 def encode_termination(error: NvmeError) -> bytes:
-    """Return the C2HTermReq PDU that tells a host why its connection ends."""
+    """Return the C2HTermReq PDU that states the reason for ending a host's connection."""
     information = struct.pack("<HI", error.fatal_status, error.fatal_information)
     return encode_pdu(PduType.C2H_TERM, information, error.header[:_MAX_REPORTED_BYTES])
 
@@ -156,8 +156,8 @@
 class PduParser:
     """Splits a stream of bytes into PDUs.
 
-    Feed it bytes in chunks of any size and call ``next_pdu`` until it returns None. A parser that raised
-    cannot be used any further.
+    Feed it bytes in chunks of any size and call ``next_pdu`` until it returns None. After an error the
+    parser cannot be used any more.
     """
 
     def __init__(self) -> None:
@@ -165,7 +165,7 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Number of bytes received of a PDU that is not complete yet."""
+        """Number of buffered bytes that were not parsed yet."""
         return len(self._data)
 
     def feed(self, data: bytes) -> None:
@@ -173,10 +173,10 @@
         self._data += data
 
     def next_pdu(self) -> ReceivedPdu | None:
-        """Return the next complete PDU, or None until more bytes are fed.
+        """Return the next complete PDU, or None if more bytes are needed.
 
         Raises:
-            NvmeError: The bytes are not a PDU that this side accepts.
+            NvmeError: The bytes are not a valid or supported PDU.
         """
         if len(self._data) < _COMMON_HEADER.size:
             return None
@@ -185,13 +185,15 @@
             raise self._header_error(f"unknown PDU type {type_number}", 0)
         pdu_type = PduType(type_number)
         if header_bytes != HEADER_BYTES[pdu_type]:
-            raise self._header_error(f"header of {header_bytes} bytes", 2)
+            raise self._header_error(f"invalid PDU header length of {header_bytes} bytes", 2)
         if flags & _DIGEST_FLAGS:
-            raise self._header_error("digests were not agreed on", 1)
+            raise self._header_error("digest flags are set, but digests were not negotiated", 1)
         data_start = data_offset if pdu_bytes > header_bytes else header_bytes
         too_long = pdu_bytes - data_start > _MAX_PAYLOAD_BYTES.get(pdu_type, 0)
         if not header_bytes <= data_start <= pdu_bytes or too_long:
-            raise self._header_error(f"PDU of {pdu_bytes} bytes with data at {data_offset}", 4)
+            raise self._header_error(
+                f"invalid PDU length of {pdu_bytes} bytes with data offset {data_offset}", 4
+            )
         if len(self._data) < pdu_bytes:
             return None
         header = bytes(self._data[_COMMON_HEADER.size : header_bytes])
--- a/sabledyke/protocol/nvme/status.py
+++ b/sabledyke/protocol/nvme/status.py
@@ -1,15 +1,15 @@
-"""Status codes of completions, and the retry delays that go with them."""
+"""Status codes of completions, and the retry delays of rejected commands."""
 
 from __future__ import annotations
 
 from enum import IntEnum
 
 RETRY_DELAYS_MS = (100, 300, 500)
-"""What the Command Retry Delay values 1, 2 and 3 stand for (CRDT1 to CRDT3 of Identify Controller)."""
+"""Delays for the Command Retry Delay values 1, 2 and 3 (CRDT1 to CRDT3 of Identify Controller)."""
 
 
 class Status(IntEnum):
-    """Status code type and code together, as they stand in a completion above its phase bit."""
+    """Status code type and status code as one number, as in a completion above its phase bit."""
 
     OK = 0x000
     INVALID_OPCODE = 0x001
@@ -25,13 +25,13 @@
 
 
 def retry_delay_index(delay_ms: float) -> int:
-    """Return the Command Retry Delay value of the shortest delay that is long enough.
+    """Return the Command Retry Delay value of the shortest sufficient delay.
 
     Args:
-        delay_ms: How long the host should wait before it retries.
+        delay_ms: Time that the host should wait before a retry, in milliseconds.
 
     Returns:
-        1 to 3; 3, the longest delay, where none is long enough.
+        A value from 1 to 3; 3, the longest delay, if none is sufficient.
     """
     for index, available_ms in enumerate(RETRY_DELAYS_MS, 1):
         if available_ms >= delay_ms:
--- a/sabledyke/protocol/nvme/subsystem.py
+++ b/sabledyke/protocol/nvme/subsystem.py
@@ -1,4 +1,4 @@
-"""What hosts connect to: a subsystem, its namespaces, and the controllers that hosts were given."""
+"""The subsystem that hosts connect to, its namespaces, and the controllers of the connected hosts."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Namespace:
-    """What a host may know of a namespace.
+    """Properties of a namespace that hosts can query.
 
     Attributes:
-        block_count: Its size.
-        boundary_blocks: Commands may not cross a multiple of this many blocks; 0 for no such boundary.
+        block_count: Size in blocks.
+        boundary_blocks: Commands must not cross a multiple of this number of blocks; 0 for no boundary.
     """
 
     block_count: int
@@ -40,7 +40,7 @@
         return start_block + block_count <= self.block_count
 
     def crosses_boundary(self, start_block: int, block_count: int) -> bool:
-        """Return whether the range crosses a boundary."""
+        """Return whether the range crosses a multiple of ``boundary_blocks``."""
         if not self.boundary_blocks:
             return False
         return start_block % self.boundary_blocks + block_count > self.boundary_blocks
@@ -48,13 +48,13 @@
 
 @dataclass(slots=True)
 class Controller:
-    """One host's association.
+    """The controller of one host's association.
 
     Attributes:
-        controller_id: Its id within the subsystem.
-        host_identity: The bytes by which the host identified itself when it connected.
+        controller_id: Id within the subsystem.
+        host_identity: The host's identifier and name, as received when it connected.
         configuration: The Controller Configuration property.
-        queue_ids: The queues that are connected.
+        queue_ids: Ids of the connected queues.
     """
 
     controller_id: int
@@ -64,7 +64,7 @@
 
     @property
     def enabled(self) -> bool:
-        """Whether the host has enabled the controller."""
+        """True if the host has enabled the controller."""
         return bool(self.configuration & _CONFIGURATION_ENABLE)
 
     @property
@@ -79,7 +79,7 @@
         return _STATUS_READY if self.enabled else 0
 
     def property_value(self, offset: int) -> int | None:
-        """Return the value of a property, or None where there is none at this offset."""
+        """Return the value of a property, or None if there is no property at this offset."""
         values = {
             Property.CAP: _CAPABILITIES,
             Property.VS: NVME_VERSION,
@@ -91,12 +91,12 @@
 
 @dataclass(slots=True)
 class Subsystem:
-    """What hosts connect to; shared by all connections.
+    """The NVM subsystem that hosts connect to; shared by all connections.
 
     Attributes:
-        nqn: Its NVMe qualified name.
-        namespaces: Its namespaces, by namespace id.
-        controllers: The controllers that hosts were given, by controller id.
+        nqn: NVMe qualified name of the subsystem.
+        namespaces: Namespaces by namespace id.
+        controllers: Controllers of the connected hosts, by controller id.
     """
 
     nqn: str
@@ -108,10 +108,10 @@
         """Create a controller for a host.
 
         Raises:
-            NvmeError: There are as many controllers as there may be.
+            NvmeError: The limit of controllers is reached.
         """
         if len(self.controllers) >= _MAX_CONTROLLERS:
-            raise NvmeError("no controller to spare", FatalStatus.UNSUPPORTED_PARAMETER)
+            raise NvmeError("the limit of controllers is reached", FatalStatus.UNSUPPORTED_PARAMETER)
         controller = Controller(self._unused_controller_id(), host_identity)
         self.controllers[controller.controller_id] = controller
         return controller
--- a/sabledyke/protocol/nvme/target.py
+++ b/sabledyke/protocol/nvme/target.py
@@ -1,4 +1,4 @@
-"""The controller's side of one connection."""
+"""The controller's side of one NVMe/TCP connection."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 _NOT_CONNECTED = -1
 _TAGS = 0x10000
 _MIN_QUEUE_ENTRIES = 2
-_VERSION_OFFSET = 8  # of the protocol version, in the header of an ICReq
-_COMMAND_ID_OFFSET = 8  # in the header of a data PDU
+_VERSION_OFFSET = 8  # offset of the protocol version in the header of an ICReq
+_COMMAND_ID_OFFSET = 8  # offset in the header of a data PDU
 
 
 @dataclass(slots=True)
@@ -57,16 +57,16 @@
 
 
 class Target:
-    """Receives the commands of one host queue, and answers them.
+    """Receives the commands of one queue of a host, and answers them.
 
-    Feed it the connection's bytes; it returns the reads and writes that a storage node has to execute, which
-    the caller completes with ``complete`` in any order. All other commands it answers itself.
+    ``feed`` takes the connection's bytes and returns the reads and writes that a storage node has to execute.
+    The caller completes these with ``complete``, in any order. The target answers all other commands itself.
 
     Attributes:
-        subsystem: What the host connects to.
-        output: Bytes to write to the connection; the caller takes them.
-        controller: The host's controller, once the queue is connected.
-        queue_id: The queue that the connection carries, once it is connected; negative before.
+        subsystem: The subsystem that the host connects to.
+        output: Bytes to write to the connection; the caller writes and clears them.
+        controller: The host's controller; None before the queue is connected and after ``close``.
+        queue_id: The queue that the connection carries; negative before it is connected.
         keep_alive_ms: Time without a command after which the host counts as failed; 0 for never.
         pdus_received: Number of complete PDUs received.
     """
@@ -81,26 +81,28 @@
         self._parser = PduParser()
         self._initialized = False  # the ICReq was answered
         self._transfers: dict[int, _WriteTransfer] = {}  # by command id
-        self._outstanding: dict[int, Command] = {}  # returned by feed and not completed, by command id
+        self._outstanding: dict[
+            int, Command
+        ] = {}  # commands returned by feed and not completed, by command id
         self._queue_entries = QUEUE_ENTRIES
         self._queue_head = 0
         self._last_tag = 0
 
     @property
     def idle(self) -> bool:
-        """Whether no command is outstanding or partly received."""
+        """True if no command is outstanding or partly received."""
         return not self._outstanding and not self.has_partial_input
 
     @property
     def has_partial_input(self) -> bool:
-        """Whether a PDU, or the data of a write, was received only in part."""
+        """True if a PDU or the data of a write is incomplete."""
         return bool(self._transfers or self._parser.pending_bytes)
 
     def feed(self, data: bytes) -> list[Submission]:
         """Process received bytes.
 
         Returns:
-            The reads, and the writes with their data, that are to be executed and completed.
+            The reads, and the writes with their data, which the caller has to execute and complete.
 
         Raises:
             NvmeError: The host violated the protocol. The caller writes ``output`` and closes the connection.
@@ -117,17 +119,17 @@
         return submissions
 
     def complete(self, completion: Completion, data: bytes = b"") -> None:
-        """Answer a command that ``feed`` returned; one that is not outstanding is ignored.
+        """Answer a command that ``feed`` returned; a completion of any other command is ignored.
 
         Args:
-            completion: Its completion.
-            data: What was read; it is sent before the completion.
+            completion: The completion of the command.
+            data: Data of a read, which is sent before the completion.
         """
         if self._outstanding.pop(completion.command_id, None) is not None:
             self._send_response(completion, data)
 
     def close(self) -> None:
-        """Release the queue after its connection has ended, and the controller with its admin queue."""
+        """Release the queue after its connection has ended, and the controller if it is the admin queue."""
         if self.controller is None:
             return
         self.controller.queue_ids.discard(self.queue_id)
@@ -137,7 +139,7 @@
 
     def _on_pdu(self, pdu: ReceivedPdu) -> list[Submission]:
         if pdu.pdu_type is PduType.H2C_TERM:
-            raise NvmeError("the host ended the connection", FatalStatus.SEQUENCE_ERROR)
+            raise NvmeError("the host terminated the connection (H2CTermReq)", FatalStatus.SEQUENCE_ERROR)
         if (pdu.pdu_type is PduType.IC_REQ) is self._initialized:
             raise NvmeError("PDU out of sequence", FatalStatus.SEQUENCE_ERROR)
         if pdu.pdu_type is PduType.IC_REQ:
@@ -147,12 +149,14 @@
             return self._on_command(Command.unpack(pdu.header), pdu.data)
         if pdu.pdu_type is PduType.H2C_DATA:
             return self._on_write_data(pdu)
-        raise NvmeError("PDU of the wrong direction", FatalStatus.INVALID_HEADER_FIELD)
+        raise NvmeError("PDU type is not valid from host to controller", FatalStatus.INVALID_HEADER_FIELD)
 
     def _on_initialize_connection(self, pdu: ReceivedPdu) -> None:
         version, alignment = struct.unpack_from("<HB", pdu.header)
         if version != 0 or alignment != 0:
-            raise NvmeError("unsupported parameters", FatalStatus.UNSUPPORTED_PARAMETER, _VERSION_OFFSET)
+            raise NvmeError(
+                "unsupported parameters in ICReq", FatalStatus.UNSUPPORTED_PARAMETER, _VERSION_OFFSET
+            )
         self._initialized = True
         self.output += encode_pdu(PduType.IC_RESP, struct.pack("<HBBI", 0, 0, 0, MAX_DATA_BYTES))
 
@@ -166,7 +170,7 @@
         if self.queue_id == _NOT_CONNECTED:
             self._reply(command, self._execute_before_connect(command, data))
             return []
-        if self.controller is None:  # closed
+        if self.controller is None:  # ``close`` was called
             self._reply(command, Reply(Status.SEQUENCE))
             return []
         if command.opcode == AdminOpcode.FABRICS:
@@ -199,7 +203,7 @@
         return Reply(Status.OK, controller.controller_id)
 
     def _controller_for(self, request: ConnectRequest) -> Controller | None:
-        """Create the controller of an admin queue, or find that of an I/O queue."""
+        """Create the controller of an admin queue, or return the existing one of an I/O queue."""
         if request.queue_id == ADMIN_QUEUE_ID:
             if request.controller_id != DYNAMIC_CONTROLLER_ID:
                 return None
@@ -238,7 +242,7 @@
         header = DataHeader.unpack(pdu.header)
         transfer = self._transfers.get(header.command_id)
         if transfer is None or transfer.tag != header.tag:
-            error = "data that was not requested"
+            error = "data PDU for a transfer that was not requested"
             raise NvmeError(error, FatalStatus.INVALID_HEADER_FIELD, _COMMAND_ID_OFFSET)
         size_bytes = transfer.command.sgl_length
         end_bytes = header.offset_bytes + header.length_bytes
@@ -248,7 +252,9 @@
         transfer.data += pdu.data
         complete = len(transfer.data) == size_bytes
         if bool(pdu.flags & FLAG_LAST_PDU) != complete:
-            raise NvmeError("last data PDU where it should not be", FatalStatus.OUT_OF_RANGE)
+            raise NvmeError(
+                "the flag of the last data PDU does not match the end of the data", FatalStatus.OUT_OF_RANGE
+            )
         if not complete:
             return []
         del self._transfers[header.command_id]
@@ -259,7 +265,7 @@
         return Submission(command, data)
 
     def _reply(self, command: Command, reply: Reply) -> None:
-        """Complete a command that was not returned by ``feed``."""
+        """Complete a command that ``feed`` does not return to the caller."""
         failed = reply.status is not Status.OK
         completion = Completion(command.command_id, reply.status, reply.result, do_not_retry=failed)
         self._send_response(completion, reply.data)
--- a/sabledyke/protocol/platform_names.py
+++ b/sabledyke/protocol/platform_names.py
@@ -1,7 +1,7 @@
-"""The platform's names for fields on the wire, each mapped once to the field's own term.
+"""The platform's names for fields on the wire, as constants with the usual terms.
 
-The platform's names never change and stay out of the rest of the program. Header names that are read are in
-lower case, as ``HttpMessage`` holds them; those that are sent are as the platform writes them.
+The platform's names never change; the rest of the program uses only the constants. Names of received headers
+are in lower case, as ``HttpMessage`` stores them; names of sent headers are spelled as the platform does.
 """
 
 # Headers of clients' requests.
@@ -32,7 +32,7 @@
     "tps": "qps",
     "err_ps": "eps",
 }
-"""Fields of a load report: the settings' names, and those that the platform's simulator uses instead."""
+"""Names that the platform's simulator uses for fields of a load report, by the settings' names."""
 
 # Headers of requests to storage nodes.
 SENT_REQUEST_ID = "Req-Id"
--- a/sabledyke/protocol/request_ids.py
+++ b/sabledyke/protocol/request_ids.py
@@ -1,4 +1,4 @@
-"""Tracking of the request ids that are in use."""
+"""Tracking of request ids that are in use, to reject duplicates."""
 
 from __future__ import annotations
 
@@ -9,36 +9,37 @@
 
 MAX_TRACKED_IDS = 16384
 
-_MAX_EXPIRED_PER_CLAIM = 2  # more than are added, so that expired ids do not pile up
+_MAX_EXPIRED_PER_CLAIM = 2  # more than one per added id, so that expired ids do not accumulate
 
 
 class RequestIds:
-    """The ids of requests whose clients may still be waiting.
+    """The ids of requests whose deadlines have not passed.
 
-    Guards against a second request under an id that is in use: its answer could be the other's, and a storage
-    node would take it for a retry. Bounded: ids past their deadline are dropped first, then the oldest.
+    Guards against a second request with an id that is in use: it could get the answer of the first, and a
+    storage node would treat it as a retry. The number of ids is limited: expired ids are dropped first, then
+    the oldest.
     """
 
     def __init__(self, max_ids: int = MAX_TRACKED_IDS) -> None:
         self._max_ids = max_ids
-        # By hash, so that a long id takes no more memory; in the order of claims.
+        # Keyed by the hash of the id, so that long ids use no more memory; in the order of claims.
         self._expires_ms: dict[int, float] = {}
 
     @property
     def tracked_count(self) -> int:
-        """Number of ids that are remembered, expired ones included."""
+        """Number of tracked ids, including expired ones that were not dropped yet."""
         return len(self._expires_ms)
 
     def claim(self, now_ms: float, work: ClientRequest) -> None:
-        """Mark a request's id as in use until the request's deadline.
+        """Mark the id of a request as in use until the request's deadline.
 
         Raises:
-            HttpError: The id is in use already.
+            HttpError: The id is already in use (status 409).
         """
         self._drop_expired(now_ms)
         key = hash(work.client_request_id)
         if self._expires_ms.get(key, now_ms) > now_ms:
-            raise HttpError("the id of a request that is not over", 409)
+            raise HttpError("Req-Id is in use by another request whose deadline has not passed", 409)
         self._expires_ms.pop(key, None)
         if len(self._expires_ms) >= self._max_ids:
             oldest = next(iter(self._expires_ms))
--- a/sabledyke/protocol/versions.py
+++ b/sabledyke/protocol/versions.py
@@ -1,7 +1,7 @@
-"""Decision whether a response of discovery is newer than the list in force, by versions alone.
+"""Comparison of versions, to accept or ignore a response of discovery.
 
-Source: PROTOCOL, 'Discovery': a watch names the version that it has, and is answered with what changed since
-or with the full list. What is cut off, repeated, out of order or older must not undo a drain.
+Source: PROTOCOL, 'Discovery': a watch names its version, and the response contains the changes since then or
+the full list. Truncated, repeated, reordered or older responses must not undo a drain.
 """
 
 from __future__ import annotations
@@ -12,36 +12,36 @@
 
 
 class VersionStatus(Enum):
-    """What becomes of a response."""
+    """Result of comparing a response's version with the version in force."""
 
     ACCEPTED = "accepted"
     UNCHANGED = "unchanged"
-    """It has nothing that is not in force already."""
+    """Contains nothing new."""
     STALE = "stale"
-    """It is ignored, and the next request is for the full list."""
+    """Is ignored; the next request is for the full list."""
 
 
 class VersionTracker:
-    """Tracks the version that is in force, and what the next request asks for.
+    """Tracks the version in force and the version that the next request names.
 
     Attributes:
-        current: The version that is in force; None where there is none.
-        since: The version that the next request names; None to request the full list.
+        current: The version in force; None without a list.
+        since: The version that the next request names; None requests the full list.
     """
 
     def __init__(self, current: int | None = None) -> None:
         self.current = current
         self.since = current
-        self._ignored_older_list = False  # an older full list came, and was ignored once
+        self._ignored_older_list = False  # one older full list was ignored
 
     def reset(self) -> None:
-        """Start with the full list, whatever its version: another service may number its lists otherwise."""
+        """Accept any version next, as another discovery service may number its lists differently."""
         self.current = None
         self.since = None
         self._ignored_older_list = False
 
     def request_full_list(self) -> None:
-        """Request the full list next, as a response could be read only in part."""
+        """Request the full list next, after a response that was valid only in part."""
         self.since = None
 
     def is_newer(self, update: EndpointList) -> bool:
@@ -49,10 +49,11 @@
         return self.current is None or update.version > self.current
 
     def evaluate(self, update: EndpointList) -> VersionStatus:
-        """Accept an update or ignore it.
+        """Accept or ignore an update, and return which.
 
-        An older full list is accepted when a second request for the full list brings one too: the service was
-        set up anew and counts from the start. Guards against keeping a list that is never updated again.
+        An older full list is accepted if the next request for the full list also returns an older one: the
+        service was reinstalled and numbers its lists from the start again. Guards against keeping a list that
+        is never updated again.
         """
         if self.is_newer(update):
             return self._accept(update)
--- a/sabledyke/protocol/watch_timeout.py
+++ b/sabledyke/protocol/watch_timeout.py
@@ -1,12 +1,12 @@
-"""When a watch on the endpoint list has timed out, and when the next request follows.
+"""Timeouts of list watches, and delays before the next request.
 
-One schedule for lists that are polled from discovery and lists that an agent pushes. It is notified of how
-requests end and given a seed; it has neither a socket nor a clock.
+The same schedule applies to lists polled from discovery and lists pushed by an agent. It is notified of the
+results of requests and takes a seed; it uses neither sockets nor a clock.
 
-Source: STANDING, 'One clock for silence': a request without its complete response is broken and has to be
-made again; what it missed counts as known 6 s after it timed out, or 2 s after its wait is over, whichever is
-later. PROTOCOL, 'Discovery': a watch continues where the next request comes within 0.2 s of the last
-response.
+Source: STANDING, 'One clock for silence': a request without a complete response has failed and must be
+repeated; the changes that it missed count as known 6 s after it timed out, or 2 s after its wait ended,
+whichever is later. PROTOCOL, 'Discovery': a watch continues if the next request arrives within 0.2 s of the
+last response.
 """
 
 from __future__ import annotations
@@ -19,31 +19,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """A pause that doubles from its minimum up to its maximum.
+    """An exponential backoff: the pause doubles from a minimum to a maximum.
 
     Attributes:
-        min_s: The first pause.
-        max_s: The longest pause.
+        min_s: The first pause, in seconds.
+        max_s: The longest pause, in seconds.
     """
 
     min_s: float
     max_s: float
 
     def next_s(self, last_s: float) -> float:
-        """Return the pause after one of ``last_s``; 0 for no pause before."""
+        """Return the pause that follows a pause of ``last_s`` seconds; 0 stands for none."""
         return min(max(self.min_s, 2 * last_s), self.max_s)
 
 
 @dataclass(frozen=True, slots=True)
 class WatchTiming:
-    """How one kind of list is requested.
+    """Timing of the requests of one kind of list watch.
 
     Attributes:
-        wait_s: For how long discovery may wait for a change before it responds.
-        response_margin_s: How much later than that its complete response may come.
-        jitter_s: The range over which requests after a timeout are spread, as those of all hosts may time out
-            at once.
-        backoff: The pauses after rejected or broken requests.
+        wait_s: Longest time that discovery waits for a change before it responds, in seconds.
+        response_margin_s: Time after ``wait_s`` until the complete response is due, in seconds.
+        jitter_s: Range of the random delay after a timeout, in seconds, as the requests of all hosts may time
+            out at the same time.
+        backoff: Pauses after rejected or truncated requests.
     """
 
     wait_s: float
@@ -55,24 +55,24 @@
 _BACKOFF = Backoff(min_s=0.05, max_s=0.4)
 
 POLLED_DISCOVERY = WatchTiming(wait_s=2.0, response_margin_s=1.0, jitter_s=1.0, backoff=_BACKOFF)
-"""One discovery for all hosts.
+"""Timing for one discovery service that all hosts poll.
 
-What it missed counts as known 2 s after the wait, which leaves 1 s for the response and 1 s for the jitter.
-The policy waits out rejected requests.
+Missed changes count as known 2 s after the wait, which leaves 1 s for the response and 1 s for the jitter.
+The policy schedules the next request after a rejected one.
 """
 LOCAL_AGENT = WatchTiming(wait_s=0.5, response_margin_s=0.25, jitter_s=0.05, backoff=_BACKOFF)
-"""An agent on this machine.
+"""Timing for an agent on this machine.
 
-Requests to it cost nothing, and what it has counts as known at once, also right after an outage in which it
-did not respond; a drain leaves 2 s.
+Requests to it are cheap. Its changes count as known immediately, also right after an outage in which it did
+not respond; a drain leaves 2 s to notice it.
 """
 
 
 class WatchTimeout:
-    """Schedule of one sequence of requests, of which at most one is outstanding.
+    """Schedule of one list watch, with at most one outstanding request.
 
     Attributes:
-        consecutive_timeouts: Number of requests in a row without their complete response.
+        consecutive_timeouts: Number of requests that timed out since the last complete response.
     """
 
     def __init__(self, seed: int) -> None:
@@ -81,21 +81,22 @@
         self.consecutive_timeouts = 0
 
     def on_response(self) -> None:
-        """Note that a request got its complete response."""
+        """Record a complete response."""
         self.consecutive_timeouts = 0
         self._pause_s = 0.0
 
     def on_timeout(self, timing: WatchTiming) -> float:
-        """Return the seconds until the next request, after one that timed out.
+        """Return the delay in seconds before the request that follows a timeout.
 
-        The range of the jitter doubles once, from the second timeout in a row on: guards against 200 hosts
-        sending requests in step to a discovery that hangs, and against requesting too late.
+        The range of the jitter is doubled from the second consecutive timeout on, and not increased further.
+        Guards against 200 hosts sending requests at the same times to an unresponsive discovery, and against
+        requests that come too late.
         """
         self.consecutive_timeouts += 1
         jitter_factor = min(self.consecutive_timeouts, _MAX_JITTER_FACTOR)
         return self._random.random() * timing.jitter_s * jitter_factor
 
     def on_failure(self, timing: WatchTiming) -> float:
-        """Return the seconds until the next request, after one that was rejected or cut off."""
+        """Return the delay in seconds before the request that follows a rejected or truncated one."""
         self._pause_s = timing.backoff.next_s(self._pause_s)
         return self._pause_s
--- a/tests/protocol/test_gateway.py
+++ b/tests/protocol/test_gateway.py
@@ -62,7 +62,7 @@
         assert error.value.status == status
     ids = RequestIds(2)
     ids.claim(0, work)
-    with pytest.raises(HttpError, match="not over"):
+    with pytest.raises(HttpError, match="in use by another request"):
         ids.claim(work.remaining_ms - 1, work)
     ids.claim(work.remaining_ms, work)
     for request_id in "abc":
