--- a/tests/application/__init__.py
+++ b/tests/application/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the running server: start, reload, console, drain and shutdown."""
+"""Tests of the server process: start, reload, console, drain and shutdown."""
--- a/tests/application/test_rejection_log.py
+++ b/tests/application/test_rejection_log.py
@@ -1,4 +1,4 @@
-"""The log of reasons: one line for many requests, a few seconds apart, with a field for each reason."""
+"""Tests of the rejection log: one line for many requests, with a field for each reason."""
 
 from __future__ import annotations
 
--- a/tests/application/test_reload.py
+++ b/tests/application/test_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration by SIGHUP: all of it is put in force, or none."""
+"""Tests of the reload on SIGHUP, which applies a configuration completely or not at all."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 from tests.support.settings import HELD
 
 
-def test_sighup_takes_on_a_whole_configuration_or_none_of_it(capfd: pytest.CaptureFixture[str]) -> None:
-    """A request in work lives through both; discovery is watched at its new address at once."""
+def test_sighup_applies_a_configuration_completely_or_not_at_all(capfd: pytest.CaptureFixture[str]) -> None:
+    """A request in flight survives both reloads; the list watch moves to the new address of discovery."""
 
     async def scenario(rig: Rig) -> None:
-        async def reloaded(line: str) -> None:
+        async def reload(line: str) -> None:
             os.kill(os.getpid(), signal.SIGHUP)
             while line not in capfd.readouterr().err:
                 await asyncio.sleep(0.001)
 
         run = asyncio.create_task(rig.server.run())
         arrived, release = hold_answers(rig)
-        one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        response = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
         await arrived.wait()
         old, new = rig.config, Discovery()
         await new.open()
         new.add("plain", rig.http.port, 0)
         renamed = replace(DEPLOYMENT, plans=DEPLOYMENT.plans[::-1])
         rig.config = replace(old, settings=renamed, discovery=("127.0.0.1", new.port))
-        await reloaded("is not used: the names of its plans differ")
+        await reload("is not used: the names of its plans differ")
         assert rig.server.core.settings is DEPLOYMENT
         assert not new.calls
         settings = replace(DEPLOYMENT, mean_units=3, plans=(replace(DEPLOYMENT.plans[0], weight=9), HELD))
         rig.config = replace(old, settings=settings, discovery=("127.0.0.1", new.port), sockets=128)
-        await reloaded("the new configuration is in force")
+        await reload("the new configuration is in force")
         while len(new.calls) < 2:
             await asyncio.sleep(0.001)
         assert new.calls[0] == "GET /catalog/members HTTP/1.1"
@@ -51,7 +51,7 @@
         assert b"plain" in scheduler.nodes
         assert rig.server.pool.max_connections == 32
         release.set()
-        assert (await one)[::2] == (200, b"late")
+        assert (await response)[::2] == (200, b"late")
         os.kill(os.getpid(), signal.SIGTERM)
         await run
         new.die()
@@ -59,25 +59,25 @@
     play(scenario)
 
 
-def test_merged_classes_keep_their_places_and_removed_ones_are_retired() -> None:
+def test_merged_classes_keep_their_indexes_and_removed_ones_are_retired() -> None:
     read, write = DEPLOYMENT.classes
     added = replace(DEPLOYMENT, classes=(replace(write, deadline_ms=500), read, replace(read, name="new")))
-    once = merge(DEPLOYMENT, added)
-    assert [c.name for c in once.classes] == ["read", "write", "new"]
-    assert not once.retired_classes
-    assert once.classes[1].deadline_ms == 500  # its effects change in its place
-    removed = merge(once, replace(DEPLOYMENT, classes=(replace(read, name="new"),)))
+    merged = merge(DEPLOYMENT, added)
+    assert [c.name for c in merged.classes] == ["read", "write", "new"]
+    assert not merged.retired_classes
+    assert merged.classes[1].deadline_ms == 500  # the class keeps its index and gets the new deadline
+    removed = merge(merged, replace(DEPLOYMENT, classes=(replace(read, name="new"),)))
     assert [c.name for c in removed.classes] == ["read", "write", "new"]
     assert removed.retired_classes == {"read", "write"}
-    back = merge(removed, DEPLOYMENT)
-    assert [c.name for c in back.classes] == ["read", "write", "new"]
-    assert back.retired_classes == {"new"}
+    restored = merge(removed, DEPLOYMENT)
+    assert [c.name for c in restored.classes] == ["read", "write", "new"]
+    assert restored.retired_classes == {"new"}
     many = replace(DEPLOYMENT, classes=tuple(replace(read, name=f"c{n}") for n in range(MAX_CLASSES)))
     with pytest.raises(SettingsError):
         merge(DEPLOYMENT, many)
 
 
-def test_a_class_added_then_removed_binds_new_requests_and_spares_open_ones() -> None:
+def test_an_added_and_a_removed_class_apply_to_new_requests_only() -> None:
     async def scenario(rig: Rig) -> None:
         read, write = DEPLOYMENT.classes
         arrived, release = hold_answers(rig)
@@ -96,10 +96,10 @@
         fewer = replace(DEPLOYMENT, classes=(write, replace(read, name="fresh")))
         rig.config = replace(rig.config, settings=fewer)
         rig.server.reload()
-        assert (await ask(rig.port, GET.format(1, "gone", INFO)))[0] == 400  # "read" takes no new request
+        assert (await ask(rig.port, GET.format(1, "gone", INFO)))[0] == 400  # "read" accepts no new requests
         assert (await ask(rig.port, named.format("new-2")))[0] == 200
         release.set()
-        assert (await open_read)[0] == 200  # it kept its class through both
+        assert (await open_read)[0] == 200  # the open request kept its class through both reloads
         metrics = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
         assert metrics["svc.success.fresh"] == 2
         assert metrics["svc.success.read"] == 1
@@ -109,12 +109,12 @@
     play(scenario, console=True)
 
 
-def test_a_bad_file_is_rejected_completely_and_counted(capfd: pytest.CaptureFixture[str]) -> None:
+def test_an_invalid_file_is_rejected_completely_and_counted(capfd: pytest.CaptureFixture[str]) -> None:
     async def scenario(rig: Rig) -> None:
-        def bad(_: object) -> Config:
+        def read_invalid_config(_: object) -> Config:
             raise ConfigError("config.json: setting deadline of read must be above 0, not -5.0")
 
-        rig.server.reloader.read_config = bad
+        rig.server.reloader.read_config = read_invalid_config
         before = rig.server.core.settings
         rig.server.reload()
         assert rig.server.core.settings is before
--- a/tests/application/test_shutdown_soak.py
+++ b/tests/application/test_shutdown_soak.py
@@ -1,4 +1,4 @@
-"""Shutdowns of the real program under seeded signals, clients and faults: nothing that was read is lost."""
+"""Tests that the real program loses no request that it read in shutdowns with seeded signals and faults."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from tests.transcripts.support import Deployment, play
 
 SEEDS = range(1, 37)
-MIN_SERVICE_S = 3.0  # after the first SIGTERM, on connections that stay open
+MIN_SERVICE_S = 3.0  # service after the first SIGTERM on connections that stay open
 
 
 @pytest.fixture(scope="module")
 def reports(
     request: pytest.FixtureRequest, tmp_path_factory: pytest.TempPathFactory
 ) -> dict[int, SoakReport]:
-    """The plays of the selected tests, some at a time: most of it is waiting."""
+    """Run the plans of the selected tests, several at a time, as they spend most of their time waiting."""
     seeds = [int(str(params["seed"])) for params in selected_parameters(request) if params]
     return asyncio.run(play_all(seeds, tmp_path_factory.mktemp("soak")))
 
@@ -32,9 +32,9 @@
     report = reports[seed]
     assert len(report.requests) > 50
     assert not report.lost, report.describe()
-    # on a busy machine the kill may come first, with nothing left to answer
+    # On a busy machine SIGKILL may come before the exit, after all requests were answered.
     assert report.exit_status in (0, -signal.SIGKILL), report.describe()
-    if not report.plan.crowd:  # a crowded front end closes connections with their answers at any time
+    if not report.plan.crowd:  # A crowded front end closes connections after their answers at any time.
         assert report.first_close_s >= MIN_SERVICE_S, report.describe()
 
 
@@ -50,7 +50,7 @@
 """
 
 
-def test_a_reload_that_is_asked_for_during_the_start_does_not_end_the_program(tmp_path: Path) -> None:
+def test_a_reload_that_is_requested_during_the_start_does_not_end_the_program(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Deployment(tmp_path, program=("-c", RELOAD_DURING_START)) as deployment:
             deployment.terminate()
@@ -59,9 +59,9 @@
     play(scenario())
 
 
-def test_the_plays_repeat_signals_and_some_have_a_crowd() -> None:
+def test_the_plans_repeat_signals_and_some_have_a_crowd() -> None:
     plans = [draw_plan(seed) for seed in SEEDS]
     numbers = [[timed.number for timed in plan.signals] for plan in plans]
-    assert sum(sent.count(signal.SIGTERM) > 1 for sent in numbers) >= len(plans) / 4
-    assert sum(signal.SIGHUP in sent for sent in numbers) >= len(plans) / 2
+    assert sum(signals_sent.count(signal.SIGTERM) > 1 for signals_sent in numbers) >= len(plans) / 4
+    assert sum(signal.SIGHUP in signals_sent for signals_sent in numbers) >= len(plans) / 2
     assert sum(plan.crowd for plan in plans) >= len(plans) / 3
--- a/tests/application/test_start.py
+++ b/tests/application/test_start.py
@@ -1,4 +1,4 @@
-"""How a server starts: beside an older one, told to stop at once, or in its turn."""
+"""Tests of the start: beside an older server, with an immediate stop, and within a disruption budget."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 from tests.support.settings import FAST_SHUTDOWN
 
 
-async def _over() -> None:
+async def _do_nothing() -> None:
     return None
 
 
-def test_a_new_version_takes_over_the_address_with_no_request_rejected() -> None:
+def test_a_new_version_takes_over_the_address_without_rejecting_a_request() -> None:
     async def scenario(rig: Rig) -> None:
         config = replace(rig.config, name="n0-new", listen=("127.0.0.1", rig.port))
-        new = Server(config, None, FAST_SHUTDOWN)  # binding the same port fails without SO_REUSEPORT
+        new = Server(config, None, FAST_SHUTDOWN)  # binding the same port requires SO_REUSEPORT
         await new.open()
         new.start()
         assert new.listeners[0].port == rig.port
         rig.server.begin_shutdown()
         ending = asyncio.create_task(rig.server.finish())
         answers = []
-        for n in range(60):  # before, during and after the old one's listener closes
+        for n in range(60):  # before, during and after the close of the old listener
             answers.append((await ask(rig.port, GET.format(1, f"i{n}", INFO)))[0])
             await asyncio.sleep(0.005)
         await ending
         answers += [(await ask(rig.port, GET.format(1, f"late{n}", INFO)))[0] for n in range(5)]
-        assert answers == [200] * 65, answers  # none refused, closed or left unread
+        assert answers == [200] * 65, answers  # no request was refused, cut off or left unread
         new.begin_shutdown()
         await new.finish()
-        setattr(rig.server, "begin_shutdown", lambda: None)  # noqa: B010 - the rig's own end: already over
-        setattr(rig.server, "finish", _over)  # noqa: B010
+        setattr(rig.server, "begin_shutdown", lambda: None)  # noqa: B010 - the rig would shut the server down again
+        setattr(rig.server, "finish", _do_nothing)  # noqa: B010
         assert not invariants.violations
 
     play(scenario)
@@ -67,28 +67,30 @@
 def test_a_server_started_within_a_budget_has_the_list_before_its_listeners_open(
     *, in_turn: bool, down: bool, knows: bool
 ) -> None:
-    """Nobody waits for a discovery that cannot be called.
+    """A start within a budget requests the list at once, and does not wait if discovery is unreachable.
 
-    Others ask by chance within seconds, as many may start together.
+    Other servers request it after a random delay of seconds, as many may start at the same time.
     """
 
     async def run() -> None:
-        found, part = Discovery(), Extension()
-        await found.open()
-        found.add("plain", 1, 0)
+        discovery, extension = Discovery(), Extension()
+        await discovery.open()
+        discovery.add("plain", 1, 0)
         settings = replace(DEPLOYMENT, scheduler_count=64)
-        here = ("127.0.0.1", 1 if down else found.port)
+        discovery_address = ("127.0.0.1", 1 if down else discovery.port)
         server = Server(
-            Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, None, settings), None, SHORT_SHUTDOWN
+            Config("n0", ("127.0.0.1", 0), discovery_address, 1, 256, 1 << 22, None, settings),
+            None,
+            SHORT_SHUTDOWN,
         )
-        part.waits_for_budget = in_turn
-        server.extensions.append(part)
+        extension.waits_for_budget = in_turn
+        server.extensions.append(extension)
         ends = asyncio.create_task(server.run())
         while not server.listeners:
             await asyncio.sleep(0.001)
         assert (b"plain" in server.core.nodes) is knows
         server.begin_shutdown()
         await ends
-        found.die()
+        discovery.die()
 
     asyncio.run(asyncio.wait_for(run(), 60))
--- a/tests/protocol/__init__.py
+++ b/tests/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the protocol state machines and of the meaning of their messages."""
+"""Tests of the protocol state machines and of the mapping of their messages."""
--- a/tests/protocol/support.py
+++ b/tests/protocol/support.py
@@ -1,4 +1,4 @@
-"""Messages that several of these tests use."""
+"""Messages and helpers for the tests of protocols."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def parse_http(parser: HttpParser, chunks: list[bytes]) -> list[HttpMessage]:
-    """Feed a parser chunk by chunk, and return the messages that come out."""
+    """Feed a parser chunk by chunk, and return the parsed messages."""
     messages = []
     for chunk in chunks:
         parser.feed(chunk)
@@ -27,12 +27,12 @@
 
 
 def new_target() -> nvme.Target:
-    """Return a connection to a subsystem with one namespace."""
+    """Return the target of a new connection to a subsystem with one namespace."""
     return nvme.Target(nvme.Subsystem(NQN, {1: nvme.Namespace(4096)}))
 
 
 def feed_target(chunks: list[bytes]) -> nvme.Target:
-    """Return a new connection that was fed chunk by chunk."""
+    """Return the target of a new connection that received the chunks."""
     target = new_target()
     for chunk in chunks:
         target.feed(chunk)
@@ -40,7 +40,7 @@
 
 
 def host_session() -> bytes:
-    """Return what a host sends to set up its admin queue and to identify a namespace."""
+    """Return the bytes that a host sends to set up its admin queue and identify a namespace."""
     host = nvme.Initiator()
     target = new_target()
     sent = bytearray()
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint lists, valid and spoilt."""
+"""Tests of parsing valid and damaged endpoint lists."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @FIXED
 @given(st.one_of(damaged(LIST), JSON.map(orjson.dumps)))
-def test_spoilt_lists_are_a_list_error_or_a_list(data: bytes) -> None:
+def test_a_damaged_list_raises_a_list_error_or_is_parsed(data: bytes) -> None:
     settings = replace(SETTINGS, node_kinds=("m",))
     valid = discovery.parse_listing(LIST, settings)
     assert valid.addresses == {b"s1": ("127.0.0.1", 80)}
--- a/tests/protocol/test_gateway.py
+++ b/tests/protocol/test_gateway.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP messages: clients' requests and storage nodes' responses, valid and spoilt."""
+"""Tests of reading valid and damaged HTTP requests of clients and responses of storage nodes."""
 
 from __future__ import annotations
 
@@ -19,38 +19,38 @@
 
 @FIXED
 @given(st.dictionaries(st.sampled_from([*REQUEST_HEADERS, "x"]), st.text(max_size=12)), st.text(max_size=30))
-def test_spoilt_headers_are_an_http_error_or_work(changes: dict[str, str], target: str) -> None:
+def test_damaged_headers_raise_an_http_error_or_give_a_request(changes: dict[str, str], target: str) -> None:
     reader = MessageReader(SETTINGS)
     valid = reader.read_request(HttpMessage("GET", "/api/00000003b4d60021/7f", headers=REQUEST_HEADERS))
     assert (valid.volume, valid.data_key) == (0x3B4D60021, 0x7F)
     assert (valid.units, valid.shard, valid.scheduler_count) == (2, 5, 2)
     assert valid.remaining_ms == 500
     assert not valid.write
-    spoilt_request = HttpMessage("PUT", target, headers={**REQUEST_HEADERS, **changes})
+    damaged_request = HttpMessage("PUT", target, headers={**REQUEST_HEADERS, **changes})
     with contextlib.suppress(HttpError):
-        assert reader.read_request(spoilt_request).remaining_ms > 0
-    spoilt_headers = {"srv-load": target, "volume-load": target, "other-hosts": target}
-    assert reader.read_node_response(HttpMessage(status=200, headers=spoilt_headers)).may_have_run
+        assert reader.read_request(damaged_request).remaining_ms > 0
+    damaged_headers = {"srv-load": target, "volume-load": target, "other-hosts": target}
+    assert reader.read_node_response(HttpMessage(status=200, headers=damaged_headers)).may_have_run
 
 
 @pytest.mark.parametrize("text", ["TEXT concurrent=7, mean_ms=66.5", "TEXT inflight=7, latency_ms=66.5"])
 def test_a_load_report_is_read_under_the_settings_names_and_the_simulators(text: str) -> None:
-    """Guards against reports that are never read: storage nodes were seen to use either."""
+    """Guards against ignoring all load reports: storage nodes use either set of names."""
     reader = MessageReader(replace(SETTINGS, report_fields=("concurrent", "mean_ms")))
     response = HttpMessage(status=200, headers={"srv-load": text})
     assert reader.read_node_response(response).load_report == (7.0, 66.5)
 
 
 @pytest.mark.parametrize(("value", "units"), [("12", 12), (None, 0), ("-4", 0), ("1e300", 0), ("nan", 0)])
-def test_metrics_that_no_storage_node_can_mean_are_ignored(value: str | None, units: int) -> None:
+def test_metrics_out_of_range_are_ignored(value: str | None, units: int) -> None:
     reader = MessageReader(replace(SETTINGS, report_fields=("latency_ms",)))
     headers = {} if value is None else {"other-hosts": value, "srv-load": f"TEXT latency_ms={value}"}
-    ended = reader.read_node_response(HttpMessage(status=200, headers=headers))
-    assert ended.other_schedulers_units == units
-    assert ended.load_report == ((12.0,) if units else ())
+    result = reader.read_node_response(HttpMessage(status=200, headers=headers))
+    assert result.other_schedulers_units == units
+    assert result.load_report == ((12.0,) if units else ())
 
 
-def test_a_client_is_held_to_the_limits_of_the_settings() -> None:
+def test_a_clients_values_are_limited_by_the_settings() -> None:
     reader = MessageReader(SETTINGS)
     excessive = {"io-info": "units=999999,hosts=999999,shard=1", "req-deadline": "999999999"}
     work = reader.read_request(HttpMessage("PUT", "/api/1/2", headers=REQUEST_HEADERS | excessive))
--- a/tests/protocol/test_http_parser.py
+++ b/tests/protocol/test_http_parser.py
@@ -1,4 +1,4 @@
-"""The HTTP parser under random cuts of valid bytes, and under spoilt bytes."""
+"""Tests of the HTTP parser with valid bytes in random chunks, and with damaged bytes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @FIXED
 @given(SIZES)
-def test_http_messages_are_the_same_in_any_cuts(sizes: list[int]) -> None:
+def test_http_messages_are_the_same_in_any_chunks(sizes: list[int]) -> None:
     put, get = parse_http(HttpParser(), pieces(REQUESTS, sizes))
     assert (put.method, put.target, put.body) == ("PUT", "/api/1/2?x", b"body")
     assert put.headers["x"] == ""
@@ -46,7 +46,9 @@
 
 @FIXED
 @given(data=st.one_of(damaged(REQUESTS), damaged(RESPONSES)), sizes=SIZES, responses=st.booleans())
-def test_spoilt_http_is_an_http_error_or_a_message(data: bytes, sizes: list[int], *, responses: bool) -> None:
+def test_damaged_http_raises_an_http_error_or_gives_messages(
+    data: bytes, sizes: list[int], *, responses: bool
+) -> None:
     with contextlib.suppress(HttpError):
         for message in parse_http(HttpParser(responses=responses), pieces(data, sizes)):
             assert len(message.body) <= MAX_BODY_BYTES
@@ -59,7 +61,7 @@
         b"HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
     ],
     ids=["interim", "old and chunked"],
-)  # one without a length ends with its connection
+)  # A response without a length is valid: it ends with its connection.
 def test_a_response_whose_end_cannot_be_determined_is_an_error(head: bytes) -> None:
     with pytest.raises(HttpError):
         parse_http(HttpParser(responses=True), [head])
--- a/tests/protocol/test_nvme_blocks.py
+++ b/tests/protocol/test_nvme_blocks.py
@@ -1,4 +1,4 @@
-"""Translation between requests and NVMe commands."""
+"""Tests of the translation between requests and NVMe commands."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @FIXED
 @given(body=st.binary(max_size=2000), piece=st.integers(0, 7), keyed=st.booleans())
-def test_an_http_object_comes_back_from_blocks_as_it_was(body: bytes, piece: int, *, keyed: bool) -> None:
+def test_an_http_object_is_read_from_blocks_unchanged(body: bytes, piece: int, *, keyed: bool) -> None:
     translator = Translator(SETTINGS, NQN, operator_config.read(OPERATOR_FILE, SETTINGS).nvme.volumes)
     headers = {**REQUEST_HEADERS, "idempotency-key": "k" * keyed}
     reader = MessageReader(SETTINGS)
--- a/tests/protocol/test_nvme_connection.py
+++ b/tests/protocol/test_nvme_connection.py
@@ -1,4 +1,4 @@
-"""Both sides of an NVMe connection, under random cuts of valid bytes and under spoilt bytes."""
+"""Tests of both sides of an NVMe connection with valid bytes in random chunks, and with damaged bytes."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 HOST_BYTES = host_session()
 TARGET_BYTES = bytes(feed_target([HOST_BYTES]).output)
-CONNECT_RESPONSE_BYTES = 128 + 24  # an ICResp and a response
+CONNECT_RESPONSE_BYTES = 128 + 24  # an ICResp PDU and a response PDU
 
 
 @FIXED
 @given(SIZES)
-def test_nvme_sessions_are_the_same_in_any_cuts(sizes: list[int]) -> None:
+def test_nvme_sessions_are_the_same_in_any_chunks(sizes: list[int]) -> None:
     assert feed_target(pieces(HOST_BYTES, sizes)).output == TARGET_BYTES
     initiator = nvme.Initiator()
     connect = nvme.connect_command(NQN, 0, nvme.DYNAMIC_CONTROLLER_ID, HOST, 0)
@@ -32,7 +32,7 @@
 
 @FIXED
 @given(damaged(HOST_BYTES), damaged(TARGET_BYTES), SIZES)
-def test_spoilt_nvme_is_an_nvme_error_or_an_answer(
+def test_damaged_nvme_bytes_raise_an_nvme_error_or_get_a_response(
     host_bytes: bytes, target_bytes: bytes, sizes: list[int]
 ) -> None:
     target = new_target()
@@ -50,7 +50,7 @@
             initiator.feed(chunk)
 
 
-def test_a_host_with_more_commands_than_its_queue_is_cut_off() -> None:
+def test_more_commands_than_the_queue_has_entries_are_an_error() -> None:
     target = feed_target([HOST_BYTES])
     assert target.controller is not None
     target.queue_id = 1
@@ -63,7 +63,7 @@
         target.feed(nvme.encode_pdu(nvme.PduType.COMMAND, read.pack()))
 
 
-def test_what_follows_a_completion_does_not_spoil_it() -> None:
+def test_bytes_after_a_completion_do_not_discard_it() -> None:
     initiator = nvme.Initiator()
     initiator.submit(nvme.Command(nvme.AdminOpcode.KEEP_ALIVE, 0))
     initialized = nvme.encode_pdu(nvme.PduType.IC_RESP, struct.pack("<HBBI", 0, 0, 0, 4096))
