--- a/sabledyke/application/assembly.py
+++ b/sabledyke/application/assembly.py
@@ -30,7 +30,7 @@
 from sabledyke.protocol.gateway import MessageReader
 from sabledyke.protocol.request_ids import RequestIds
 
-if TYPE_CHECKING:  # A start without an operator's file skips this import, which keeps it fast.
+if TYPE_CHECKING:  # types only: a start without an operator's file must be fast
     from sabledyke.operator_config import OperatorConfig
 
 
--- a/sabledyke/application/lifecycle.py
+++ b/sabledyke/application/lifecycle.py
@@ -64,7 +64,7 @@
         self._loop.add_signal_handler(signal.SIGHUP, self._control.reload)
         self._loop.add_signal_handler(signal.SIGTERM, self._control.begin_shutdown)
         self._loop.add_signal_handler(signal.SIGINT, self.interrupt)
-        # SIGHUP is blocked since the start of the process, until its handler is set.
+        # The start of the process blocks SIGHUP until this handler is set.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
         await self.open()
         if not self.stop_requested:  # A shutdown may be requested before any connection was accepted.
--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -13,7 +13,7 @@
 from sabledyke.protocol.console import ConsoleCall
 from sabledyke.shutdown.graceful_shutdown import DEFAULT_TIMES, ShutdownTimes
 
-if TYPE_CHECKING:  # A start without an operator's file skips this import, which keeps it fast.
+if TYPE_CHECKING:  # types only: a start without an operator's file must be fast
     from sabledyke.operator_config import OperatorConfig
 
 
--- a/sabledyke/protocol/http/parser.py
+++ b/sabledyke/protocol/http/parser.py
@@ -32,7 +32,7 @@
         self._max_body_bytes = MAX_RESPONSE_BODY_BYTES if responses else MAX_BODY_BYTES
         self._data = bytearray()
         self._message: HttpMessage | None = None  # message whose body is incomplete
-        self._body_bytes = 0  # length from Content-Length
+        self._body_bytes = 0  # length of a body that is neither chunked nor ended by the connection
         self._chunked_body: ChunkedBody | None = None
         self._body_ends_with_stream = False
         self._interim_bytes = 0  # size of the interim responses before this message
@@ -44,7 +44,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Number of buffered bytes of incomplete messages."""
+        """Number of bytes that are buffered until their message is complete."""
         return len(self._data) + (len(self._message.body) if self._message is not None else 0)
 
     @property
--- a/sabledyke/protocol/nvme/commands.py
+++ b/sabledyke/protocol/nvme/commands.py
@@ -173,7 +173,7 @@
 
 
 class Response(NamedTuple):
-    """A completion with the data that the command returns; empty for a write."""
+    """A completion with the data that the command returns; empty if it returns none."""
 
     completion: Completion
     data: bytes
--- a/sabledyke/protocol/request_ids.py
+++ b/sabledyke/protocol/request_ids.py
@@ -39,7 +39,7 @@
         self._drop_expired(now_ms)
         key = hash(work.client_request_id)
         if self._expires_ms.get(key, now_ms) > now_ms:
-            raise HttpError("Req-Id is in use by another request whose deadline has not passed", 409)
+            raise HttpError("the id of a request that is not over", 409)
         self._expires_ms.pop(key, None)
         if len(self._expires_ms) >= self._max_ids:
             oldest = next(iter(self._expires_ms))
