--- a/sabledyke/application/server.py
+++ b/sabledyke/application/server.py
@@ -1,4 +1,4 @@
-"""One scheduler as a program: what the command line, the console and extensions may ask of it."""
+"""The server: one scheduler with the operations that the command line, console and extensions call."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from sabledyke.protocol.console import ConsoleCall
 from sabledyke.shutdown.graceful_shutdown import DEFAULT_TIMES, ShutdownTimes
 
-if TYPE_CHECKING:  # loaded only where it is named: a plain start must be quick
+if TYPE_CHECKING:  # types only: a start without an operator's file must be fast
     from sabledyke.operator_config import OperatorConfig
 
 
 class Server:
-    """One scheduler.
+    """One scheduler process with its front ends, console and life cycle.
 
     Args:
-        config: The configuration to start with.
-        operator: The operator's file, where there is one.
-        times: How long each phase of a graceful shutdown takes.
-        reread: Reads the configuration again, given the one in force.
-        reread_operator: Reads the operator's file again, given the new settings.
+        config: The configuration at the start.
+        operator: The operator's file; None if there is none.
+        times: Durations of the phases of a graceful shutdown.
+        read_config: Reads the configuration for a reload; takes the one in force.
+        read_operator: Reads the operator's file for a reload; takes the new settings.
     """
 
     def __init__(
@@ -33,87 +33,91 @@
         config: Config,
         operator: OperatorConfig | None = None,
         times: ShutdownTimes = DEFAULT_TIMES,
-        reread: ReadConfig = lambda config: config,
-        reread_operator: ReadOperator | None = None,
+        read_config: ReadConfig = lambda config: config,
+        read_operator: ReadOperator | None = None,
     ) -> None:
         self.assembly = Assembly(config, operator, self)
         self.core = self.assembly.core
-        self.fronts = self.assembly.fronts
-        self.parts = self.assembly.parts
+        self.frontends = self.assembly.frontends
+        self.extensions = self.assembly.extensions
         self.pool = self.assembly.pool
         self.watch = self.assembly.watch
         self.console = Console(self._on_console_call) if config.console else None
         self.lifecycle = Lifecycle(self.assembly, self, self.console, times)
         self.listeners = self.lifecycle.listeners
-        self.reloader = Reloader(self.assembly, self.listeners, reread, reread_operator)
+        self.reloader = Reloader(self.assembly, self.listeners, read_config, read_operator)
 
     @property
     def console_port(self) -> int | None:
-        """Where the console listens, also where any port was asked for."""
+        """Port of the console's listener, also if the kernel chose it; None if the console is not open."""
         return self.lifecycle.console_port
 
     @property
-    def takes_clients(self) -> bool:
-        """Whether listeners are open and neither a drain nor a shutdown sends clients away."""
-        return self.lifecycle.takes_clients
+    def is_accepting_clients(self) -> bool:
+        """True if listeners are open and neither a drain nor a shutdown is in progress."""
+        return self.lifecycle.is_accepting_clients
 
     @property
     def stop_requested(self) -> bool:
-        """Whether the server was told to stop."""
+        """True if a shutdown was requested."""
         return self.lifecycle.stop_requested
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then finish what was accepted; SIGHUP has the configuration read again."""
+        """Serve until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads the configuration."""
         await self.lifecycle.run()
 
     async def open(self) -> None:
-        """Get the extensions ready; a ConfigError where one cannot be."""
+        """Open the extensions.
+
+        Raises:
+            ConfigError: An extension cannot be opened.
+        """
         await self.lifecycle.open()
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start watching the endpoint list, and open the listeners."""
         self.lifecycle.start()
 
     async def finish(self) -> None:
-        """Shut down gracefully, and close everything."""
+        """Shut down gracefully, and close everything that the server opened."""
         await self.lifecycle.finish()
 
     def reload(self) -> str:
-        """Take on a new configuration, or none of it: the reason why not, or an empty string."""
+        """Reload the configuration, and return the reason if it was rejected, otherwise an empty string."""
         return self.reloader.reload()
 
     def quiesce(self) -> None:
-        """Send clients away, and go on running."""
+        """Drain clients without stopping the process."""
         self.lifecycle.quiesce()
 
     def resume(self) -> None:
-        """Take clients again."""
+        """Accept clients again after a drain."""
         self.lifecycle.resume()
 
-    def leave(self, *, planned: bool = False) -> None:
-        """Begin a graceful shutdown; a later call changes nothing."""
-        self.lifecycle.leave(planned=planned)
+    def begin_shutdown(self, *, planned: bool = False) -> None:
+        """Begin a graceful shutdown; later calls have no effect."""
+        self.lifecycle.begin_shutdown(planned=planned)
 
     def interrupt(self) -> None:
-        """Begin a graceful shutdown; a second call hastens it."""
+        """Begin a graceful shutdown; a second call shortens it."""
         self.lifecycle.interrupt()
 
     def metrics(self) -> list[str]:
-        """Return the metrics in their line form."""
+        """Return the metrics, one line of text for each."""
         core = self.core
         classes = [
             class_.name
             for class_ in core.settings.classes
             if class_.name not in core.settings.retired_classes
         ]
-        avoiding = unresponsive_count(core.scheduler.nodes.values())
-        return core.metrics.format_lines(classes, core.unanswered, core.nodes.values(), avoiding)
+        unresponsive = unresponsive_count(core.scheduler.nodes.values())
+        return core.metrics.format_lines(classes, core.unanswered, core.nodes.values(), unresponsive)
 
     def _on_console_call(self, call: ConsoleCall) -> tuple[int, bytes]:
-        """Carry out an operator's call, and return the status and body of its answer."""
+        """Execute an operator's call, and return the status and body of its answer."""
         match call:
             case ConsoleCall.HEALTH:
-                return (200, b"yes\n") if self.takes_clients else (503, b"no\n")
+                return (200, b"yes\n") if self.is_accepting_clients else (503, b"no\n")
             case ConsoleCall.STATS:
                 return 200, "".join(line + "\n" for line in self.metrics()).encode()
             case ConsoleCall.QUIESCE:
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -111,7 +111,7 @@
         if self._frontend.rejects_requests:  # guards against a constantly busy host delaying the shutdown
             self.target.complete(*self._translator.to_completion(command, Answer(AnswerStatus.REJECTED)))
             return
-        request = self._translator.to_request(command, payload)
+        request = self._translator.to_client_request(command, payload)
         if not streams.may_access_volume(self.stream, request.volume):
             self.target.complete(Completion(command.command_id, Status.ACCESS_DENIED, do_not_retry=True), b"")
             return
--- a/tests/net/test_client_limits.py
+++ b/tests/net/test_client_limits.py
@@ -14,8 +14,8 @@
 
 def test_at_the_limit_an_idle_or_incomplete_connection_is_closed_for_a_new_one() -> None:
     async def scenario(rig: Rig) -> None:
-        clients = rig.server.fronts[0].clients
-        rig.server.fronts[0].max_clients = 1
+        clients = rig.server.frontends[0].clients
+        rig.server.frontends[0].max_clients = 1
         for sent in (b"", b"GET /half"):
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
             writer.write(sent)
@@ -58,7 +58,7 @@
 ) -> None:
     async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(frontend, "CROWDED_IDLE_TIMEOUT_S", 0.2)
-        http_front = rig.server.fronts[0]
+        http_front = rig.server.frontends[0]
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         writer.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
         assert b"connection: close" not in (await reader.readuntil(b"\r\n\r\n")).lower()
@@ -78,7 +78,7 @@
 ) -> None:
     async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(frontend, "EVICTION_GRACE_S", 0.0)
-        rig.server.fronts[0].max_clients = 3
+        rig.server.frontends[0].max_clients = 3
         pairs = [await asyncio.open_connection("127.0.0.1", rig.port) for _ in range(3)]
         (request_reader, request_writer), (unused_reader, _), (health_reader, health_writer) = pairs
         request_writer.write(GET.format(1, "a", INFO).replace("\n", "\r\n").encode())
@@ -92,7 +92,7 @@
             new[1].write(GET.format(1, id(new), INFO).replace("\n", "\r\n").encode())
             assert await new[0].readuntil(b"\r\n\r\n")
         assert not request_reader.at_eof()
-        assert len(rig.server.fronts[0].clients) == 3
+        assert len(rig.server.frontends[0].clients) == 3
         for _, writer in pairs:
             writer.close()
 
@@ -101,7 +101,7 @@
 
 def test_many_connections_at_once_are_accepted_in_batches() -> None:
     async def scenario(rig: Rig) -> None:
-        opened, clients = rig.server.listeners[0], rig.server.fronts[0].clients
+        opened, clients = rig.server.listeners[0], rig.server.frontends[0].clients
         sockets = [
             socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2 * listener.ACCEPT_BATCH + 1)
         ]
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("closes", [False, True])
 def test_a_failed_accept_loses_no_connection_and_causes_no_busy_loop(fault: int, *, closes: bool) -> None:
     async def scenario(rig: Rig) -> None:
-        opened, clients = rig.server.listeners[0], rig.server.fronts[0].clients
+        opened, clients = rig.server.listeners[0], rig.server.frontends[0].clients
         opened._socket = faulty = FaultySocket(opened._socket, [fault])  # type: ignore[assignment]
         known_clients = set(clients)
         sock = socket.create_connection(("127.0.0.1", rig.port))
@@ -65,7 +65,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(rig: Rig) -> None:
-        clients, broken = rig.server.fronts[0].clients, list[bool]()
+        clients, broken = rig.server.frontends[0].clients, list[bool]()
         stream_from_socket = frontend.stream_from_socket
 
         def fail_once(sock: socket.socket) -> streams.IOStream:
