--- a/benchmarks/rollout_decisions.py
+++ b/benchmarks/rollout_decisions.py
@@ -46,8 +46,8 @@
     view.plans[PLAN] = Plan(PLAN, names, max_out=5, max_out_per_site=1, released=released, offset=PLAN_OFFSET)
 
     def decide() -> None:
-        move = planner.decide(view, COORDINATOR, TOKEN, 0.0, ChangeTracker(), Timeouts())
-        assert move is not None
+        change = planner.decide(view, COORDINATOR, TOKEN, 0.0, ChangeTracker(), Timeouts())
+        assert change is not None
 
     print(f"a decision over {member_count} members: {_time_us(decide, TICKET_ROUNDS):.0f} us")
 
@@ -67,8 +67,8 @@
     node_by_name = {node.name: node for node in nodes}
 
     def decide() -> None:
-        move = node_drain.decide(view, TOKEN, 0.0, ChangeTracker(), Timeouts(), node_by_name)
-        assert move is None
+        change = node_drain.decide(view, TOKEN, 0.0, ChangeTracker(), Timeouts(), node_by_name)
+        assert change is None
 
     print(
         f"a decision over {node_count} boxes, {len(draining)} of them drained, and {member_count} members:"
--- a/sabledyke/cli/fleet.py
+++ b/sabledyke/cli/fleet.py
@@ -17,9 +17,9 @@
 from sabledyke.rollout import commands, plan_changes
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.heartbeats import LOAD_KEY_PREFIX
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.plan_file import load_plan
 from sabledyke.rollout.records import HEARTBEATS_TOPIC, Plan, PlanStage
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.toml_tables import section_from
 
 STAGE_OF_COMMAND = {
@@ -68,15 +68,15 @@
         if arguments["status"]:
             print("\n".join(describe(await commands.read_view(log, reader))))
             return
-        move = await commands.apply(log, reader, lambda view: _decide(arguments, view, new_plan))
+        change = await commands.apply(log, reader, lambda view: _decide(arguments, view, new_plan))
         if arguments["forget"]:
             await _delete_registers(log, arguments["MEMBER"])
-        print(move.description)
+        print(change.description)
     finally:
         await log.backend.close()
 
 
-def _decide(arguments: Mapping[str, Any], view: FleetView, new_plan: Plan | None) -> Move:
+def _decide(arguments: Mapping[str, Any], view: FleetView, new_plan: Plan | None) -> StateChange:
     """Return the move that a command asks for, as the fleet stands now."""
     if arguments["forget"]:
         return plan_changes.forget_member(arguments["MEMBER"], view)
@@ -85,7 +85,7 @@
     else:
         command = next(name for name in STAGE_OF_COMMAND if arguments[name])
         plan = _change_plan(arguments["PLAN"], STAGE_OF_COMMAND[command], view)
-    return Move(f"plan {plan.name}: {plan.stage.value}", (plan,), expected_end=view.next_offset)
+    return StateChange(f"plan {plan.name}: {plan.stage.value}", (plan,), expected_end=view.next_offset)
 
 
 def _begin_plan(plan: Plan, view: FleetView) -> Plan:
--- a/sabledyke/placement/evacuation.py
+++ b/sabledyke/placement/evacuation.py
@@ -21,8 +21,8 @@
     nearest_site_with_capacity,
 )
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import EVACUATION_STEPS, MemberState, Plan, PlanStage
+from sabledyke.rollout.state_changes import StateChange
 
 PLACEMENTS_TOPIC = "homes"
 STORED_FIELDS = ("site", "member", "origin_site", "previous_member", "move_count")
@@ -129,7 +129,7 @@
     soak_ms: float,
     *,
     survivors_well: bool,
-) -> Move | None:
+) -> StateChange | None:
     """Return the next step of a plan all of whose moves are done, None where it has to wait.
 
     Args:
@@ -151,7 +151,7 @@
     else:
         return None
     description = f"site {plan.retiring_site}: step {step} of {EVACUATION_STEPS}"
-    return Move(description, (replace(plan, step=step),), expected_end=view.next_offset)
+    return StateChange(description, (replace(plan, step=step),), expected_end=view.next_offset)
 
 
 class _PlacedLoads:
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -17,8 +17,8 @@
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.heartbeats import decode_heartbeat, decode_loads
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import MemberState, Plan
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.rollout.timeouts import Timeouts
 
 COORDINATOR = "coordinator"
@@ -51,7 +51,7 @@
         now_ms: float,
         tracker: ChangeTracker,
         timeouts: Timeouts,
-    ) -> Move | PlacementBatch | None:
+    ) -> StateChange | PlacementBatch | None:
         """Write placements, or return a move for the fleet's topic.
 
         Args:
@@ -77,11 +77,11 @@
         for plan in plans:
             well = self._survivors_well(plan, view, registers)
             unchanged_ms = tracker.unchanged_ms(now_ms, f"step/{plan.name}")
-            move = evacuation.next_step(
+            change = evacuation.next_step(
                 plan, view, placements, unchanged_ms, timeouts.canary_soak_ms, survivors_well=well
             )
-            if move is not None:
-                return move
+            if change is not None:
+                return change
         return None
 
     def _begin(self, token: int) -> None:
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -12,24 +12,24 @@
 from sabledyke.compacted_log.records import Draft
 from sabledyke.errors import CompactedLogError, WriteConflictError
 from sabledyke.rollout.fleet_view import FleetView, view_of
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import encode, key_of
 from sabledyke.rollout.records import FLEET_TOPIC
+from sabledyke.rollout.state_changes import StateChange
 
 OPERATOR = "operator"
 """Name of the writer."""
 
 
-async def append_move(writer: LogWriter, move: Move) -> None:
+async def append_change(writer: LogWriter, change: StateChange) -> None:
     """Write a move to the log.
 
     Raises:
         Conflict: What the move rests on no longer stands.
         StaleWriterError: Another writer holds a later token.
     """
-    drafts = [Draft(key_of(record), encode(record)) for record in move.records]
-    drafts += [Draft(key, None) for key in move.deleted_keys]
-    await writer.append(drafts, dict(move.expected_offsets), move.expected_end)
+    drafts = [Draft(key_of(record), encode(record)) for record in change.records]
+    drafts += [Draft(key, None) for key in change.deleted_keys]
+    await writer.append(drafts, dict(change.expected_offsets), change.expected_end)
 
 
 async def read_view(compacted_log: CompactedLog, reader: LogReader) -> FleetView:
@@ -39,8 +39,11 @@
 
 
 async def apply(
-    compacted_log: CompactedLog, reader: LogReader, decide: Callable[[FleetView], Move], retries: int = 0
-) -> Move:
+    compacted_log: CompactedLog,
+    reader: LogReader,
+    decide: Callable[[FleetView], StateChange],
+    retries: int = 0,
+) -> StateChange:
     """Write the move that is decided by the current view, and return it.
 
     Args:
@@ -51,18 +54,18 @@
         written; it takes effect once.
     """
     while True:
-        move = decide(await read_view(compacted_log, reader))
+        change = decide(await read_view(compacted_log, reader))
         # Takes over from an operator that wrote before.
         writer = await compacted_log.claim_writer(FLEET_TOPIC, OPERATOR)
-        if await _written(writer, move, retries):
-            return move
+        if await _written(writer, change, retries):
+            return change
 
 
-async def _written(writer: LogWriter, move: Move, retries: int) -> bool:
+async def _written(writer: LogWriter, change: StateChange, retries: int) -> bool:
     """Return whether the move was written; False where it is to be decided anew."""
     for retries_left in reversed(range(retries + 1)):
         try:
-            await append_move(writer, move)
+            await append_change(writer, change)
             return True
         except WriteConflictError:
             return False
--- a/sabledyke/rollout/coordinator_driver.py
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -16,13 +16,13 @@
 from sabledyke.rollout import node_drain, planner
 from sabledyke.rollout.canary_analysis import Baseline, failing_plans
 from sabledyke.rollout.change_tracker import ChangeTracker, tracked_values
-from sabledyke.rollout.commands import append_move
+from sabledyke.rollout.commands import append_change
 from sabledyke.rollout.fleet_log import FleetLog
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.heartbeats import decode_heartbeats
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.node_list import NodeList
 from sabledyke.rollout.records import FLEET_TOPIC, HEARTBEATS_TOPIC
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.rollout.timeouts import Timeouts
 
 COORDINATOR = "coordinator"
@@ -90,8 +90,8 @@
         for _ in range(self._fleet_log.record_count + 1):
             view = await self._fleet_log.read()
             now_ms = boottime_ms()
-            move = self._decide(view, now_ms)
-            if move is None and self._sites is not None:
+            change = self._decide(view, now_ms)
+            if change is None and self._sites is not None:
                 self._lease.current_token()
                 done = await self._sites.step(
                     view, self._token, self._registers, now_ms, self._tracker, self.timeouts
@@ -99,10 +99,10 @@
                 if isinstance(done, PlacementBatch):
                     log.emit("fleet", done.description, token=self._token)
                     continue
-                move = done
-            if move is None:
+                change = done
+            if change is None:
                 return
-            await self._write(writer, move)
+            await self._write(writer, change)
 
     async def clean_topics(self) -> None:
         """Compact the topics that the coordinator is responsible for.
@@ -128,25 +128,25 @@
             self._registers = await registers.read_values(self._compacted_log.backend, HEARTBEATS_TOPIC)
             self._registers_read_at_ms = boottime_ms()
 
-    def _decide(self, view: FleetView, now_ms: float) -> Move | None:
+    def _decide(self, view: FleetView, now_ms: float) -> StateChange | None:
         heartbeats = decode_heartbeats(self._registers)
         values = {name: heartbeat.values for name, heartbeat in heartbeats.items()}
         self._tracker.observe(now_ms, tracked_values(view, values))
         counts = {name: heartbeat.count for name, heartbeat in heartbeats.items()}
         failing = failing_plans(view.active, self._baseline.since_first_seen(counts))
-        move = planner.decide(view, self._name, self._token, now_ms, self._tracker, self.timeouts, failing)
-        if move is not None:
-            return move
+        change = planner.decide(view, self._name, self._token, now_ms, self._tracker, self.timeouts, failing)
+        if change is not None:
+            return change
         if not view.drains and not any(plan.nodes for plan in view.active):
             return None
         nodes = self._nodes.by_name()
         return node_drain.decide(view, self._token, now_ms, self._tracker, self.timeouts, nodes)
 
-    async def _write(self, writer: LogWriter, move: Move) -> None:
+    async def _write(self, writer: LogWriter, change: StateChange) -> None:
         """Write a move; after a conflict the next one is decided at once, as a fleet is never still."""
         self._lease.current_token()
         try:
-            await append_move(writer, move)
+            await append_change(writer, change)
         except WriteConflictError:
             return
-        log.emit_change("fleet", "move", move.description, token=self._token)
+        log.emit_change("fleet", "move", change.description, token=self._token)
--- a/sabledyke/rollout/member_driver.py
+++ b/sabledyke/rollout/member_driver.py
@@ -15,12 +15,11 @@
 from sabledyke.errors import CompactedLogError, StaleWriterError
 from sabledyke.lease.manager import boottime_ms
 from sabledyke.rollout.canary_analysis import AnswerCount
-from sabledyke.rollout.commands import append_move
+from sabledyke.rollout.commands import append_change
 from sabledyke.rollout.configuration_switch import RETIRED_VERSION, VersionFile, switch_settings
 from sabledyke.rollout.fleet_log import FleetLog
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.heartbeats import LOAD_KEY_PREFIX, VolumeLoads, encode_heartbeat
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.node_drain import DrainAcknowledger
 from sabledyke.rollout.participant import GOES_OUT, Participant
 from sabledyke.rollout.record_codec import key_of
@@ -35,6 +34,7 @@
 )
 from sabledyke.rollout.release_order import current_target
 from sabledyke.rollout.section import Section
+from sabledyke.rollout.state_changes import StateChange
 
 READY_POLL_INTERVAL_MS = 10
 """Between checks of this process's own listeners, while they are not open yet."""
@@ -101,7 +101,7 @@
                 self._compacted_log.backend, HEARTBEATS_TOPIC, heartbeats.identity
             )
             # It writes that it lives before it reads for the first time: see ``node_drain``.
-            await append_move(self._writer, Move("warming", (self._record(MemberState.WARMING),)))
+            await append_change(self._writer, StateChange("warming", (self._record(MemberState.WARMING),)))
             return await self._fleet_log.read()
         except StaleWriterError as fault:
             raise ConfigError(f"board {self._log_section}: {fault}") from None
@@ -132,7 +132,7 @@
         view = await self._fleet_log.read()
         state = self._state()
         if self._record_differs(view, state):
-            await append_move(self._writer, Move(state.value, (self._record(state),)))
+            await append_change(self._writer, StateChange(state.value, (self._record(state),)))
             view = await self._fleet_log.read()
         due = self._participant.due_settings(view)
         if due is not None:
@@ -143,11 +143,11 @@
             self._leave(ticket)  # its use stands on the log, though the answer to that write was lost
             return
         now_ms = boottime_ms()
-        move = self._acknowledger.step(view, now_ms, lambda node: self._host.has_attempts_at(node.encode()))
-        if move is None and state is MemberState.READY:
-            move = self._participant.step(view, now_ms)
-        if move is not None:
-            await self._write(move, view)
+        change = self._acknowledger.step(view, now_ms, lambda node: self._host.has_attempts_at(node.encode()))
+        if change is None and state is MemberState.READY:
+            change = self._participant.step(view, now_ms)
+        if change is not None:
+            await self._write(change, view)
 
     async def send_heartbeat(self) -> None:
         """Write the heartbeat, and the loads of volumes since the last one."""
@@ -164,7 +164,7 @@
         try:
             async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
                 state = MemberState.RETIRED if self._retires else MemberState.OUT
-                await append_move(self._writer, Move("out", (self._record(state),)))
+                await append_change(self._writer, StateChange("out", (self._record(state),)))
         except (CompactedLogError, TimeoutError) as fault:
             log.emit("fleet", f"{self._name} could not say that it is out: {fault or 'no answer'}")
 
@@ -180,21 +180,21 @@
         done = replace(ticket, settings_result=reason or SETTINGS_APPLIED)
         description = f"settings {ticket.target}: {done.settings_result}"
         expected = ((key_of(ticket), ticket.offset),)
-        await append_move(self._writer, Move(description, (done,), expected_offsets=expected))
+        await append_change(self._writer, StateChange(description, (done,), expected_offsets=expected))
         log.emit("fleet", description, member=self._name)
 
-    async def _write(self, move: Move, view: FleetView) -> None:
-        self._check_version_file(move, view)
-        await append_move(self._writer, move)
-        goes_out = move.description == GOES_OUT
-        message = f"{self._name} goes out" if goes_out else move.description
+    async def _write(self, change: StateChange, view: FleetView) -> None:
+        self._check_version_file(change, view)
+        await append_change(self._writer, change)
+        goes_out = change.description == GOES_OUT
+        message = f"{self._name} goes out" if goes_out else change.description
         log.emit_change("fleet", "move", message, member=self._name)
         if goes_out and not view.tickets[self._name].settings:
             self._leave(view.tickets[self._name])
 
-    def _check_version_file(self, move: Move, view: FleetView) -> None:
+    def _check_version_file(self, change: StateChange, view: FleetView) -> None:
         """Check that the version file can be written, before a ticket is requested that needs it."""
-        for record in move.records:
+        for record in change.records:
             if not isinstance(record, TicketRequest):
                 continue
             plan = view.plans[record.plan]
--- a/sabledyke/rollout/node_drain.py
+++ b/sabledyke/rollout/node_drain.py
@@ -18,7 +18,6 @@
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.disruption_budget import max_nodes_out
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import key_of
 from sabledyke.rollout.records import (
     Drain,
@@ -30,6 +29,7 @@
     Plan,
     PlanStage,
 )
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.rollout.timeouts import Timeouts
 
 Nodes = Mapping[str, ListedNode]
@@ -80,7 +80,7 @@
 
 def decide(
     view: FleetView, token: int, now_ms: float, tracker: ChangeTracker, timeouts: Timeouts, nodes: Nodes
-) -> Move | None:
+) -> StateChange | None:
     """Return the coordinator's next move for storage nodes, None where there is none.
 
     Args:
@@ -91,8 +91,8 @@
         timeouts: How long it waits for what.
         nodes: The nodes as its own list has them.
     """
-    move = _DrainPlanner(view, token, now_ms, tracker, timeouts, nodes).next_move()
-    return replace(move, expected_end=view.next_offset) if move is not None else None
+    change = _DrainPlanner(view, token, now_ms, tracker, timeouts, nodes).next_change()
+    return replace(change, expected_end=view.next_offset) if change is not None else None
 
 
 @dataclass(slots=True)
@@ -115,7 +115,7 @@
     grace_ms: float
     closed_since_ms: dict[int, float] = field(default_factory=dict)
 
-    def step(self, view: FleetView, now_ms: float, busy: Callable[[str], bool]) -> Move | None:
+    def step(self, view: FleetView, now_ms: float, busy: Callable[[str], bool]) -> StateChange | None:
         """Return the acknowledgement of the drains that hold, None where the log has it already.
 
         Args:
@@ -133,7 +133,7 @@
             return None
         names = ", ".join(drain.name for drain in done) or "no box"
         acknowledgement = DrainAcknowledgement(self.name, self.incarnation, offsets)
-        return Move(f"{self.name} has nothing out at {names}", (acknowledgement,))
+        return StateChange(f"{self.name} has nothing out at {names}", (acknowledgement,))
 
     def _grace_is_over(self, drain: Drain, now_ms: float) -> bool:
         closed_ms = now_ms - self.closed_since_ms[drain.begun_offset]
@@ -158,39 +158,41 @@
     timeouts: Timeouts
     nodes: Nodes
 
-    def next_move(self) -> Move | None:
+    def next_change(self) -> StateChange | None:
         for drain in self.view.drains.values():
             plan = self.view.plans.get(drain.plan)
-            move = _withdrawn(drain, plan) or self._advanced(drain, plan)
-            if move is not None:
-                return move
+            change = _withdrawn(drain, plan) or self._advanced(drain, plan)
+            if change is not None:
+                return change
         for plan in self.view.active:
             if not plan.nodes or plan.stage is not PlanStage.RUNNING:
                 continue
-            move = self._halt(plan) or self._begin_drain(plan)
-            if move is not None:
-                return move
+            change = self._halt(plan) or self._begin_drain(plan)
+            if change is not None:
+                return change
         return None
 
     def _unchanged_ms(self, name: str) -> float:
         return self.tracker.unchanged_ms(self.now_ms, name)
 
-    def _advanced(self, drain: Drain, plan: Plan | None) -> Move | None:
+    def _advanced(self, drain: Drain, plan: Plan | None) -> StateChange | None:
         """Return the move by which a drain enters its next phase, or ends."""
         if drain.phase is DrainPhase.LEAVING:
             if unacknowledged_by(self.view, drain):
                 return None
-            return Move(f"{drain.name} is drained", (replace(drain, phase=DrainPhase.DRAINED),))
+            return StateChange(f"{drain.name} is drained", (replace(drain, phase=DrainPhase.DRAINED),))
         node = self.nodes.get(drain.name)
         if plan is not None and (self._is_removed(plan, node) or self._is_warm(drain)):
             released = replace(plan, released=(*plan.released, drain.name))
             what = "is gone" if node is None else "is warm again"
-            return Move(f"{drain.name} {what}", (released,), (key_of(drain),))
+            return StateChange(f"{drain.name} {what}", (released,), (key_of(drain),))
         if drain.phase is not DrainPhase.DRAINED or node is None or not node.ready:
             return None
         if node.started == drain.node_started:
             return None
-        return Move(f"{drain.name} is listed as a later start", (replace(drain, phase=DrainPhase.WARMING),))
+        return StateChange(
+            f"{drain.name} is listed as a later start", (replace(drain, phase=DrainPhase.WARMING),)
+        )
 
     def _is_removed(self, plan: Plan, node: ListedNode | None) -> bool:
         return plan.removes_nodes and node is None and bool(self.nodes)
@@ -200,12 +202,12 @@
             return False
         return self._unchanged_ms(f"warm/{drain.name}") >= self.timeouts.warm_up_ms
 
-    def _halt(self, plan: Plan) -> Move | None:
+    def _halt(self, plan: Plan) -> StateChange | None:
         reason = self._too_many_unplanned(plan) or self._drain_too_slow(plan) or self._first_node_unfit(plan)
         if not reason:
             return None
         halted = replace(plan, stage=PlanStage.HALTED, reason=reason)
-        return Move(f"plan {plan.name} halts: {reason}", (halted,))
+        return StateChange(f"plan {plan.name} halts: {reason}", (halted,))
 
     def _too_many_unplanned(self, plan: Plan) -> str:
         unplanned = nodes_out(self.view, self.nodes) - set(self.view.drains)
@@ -237,7 +239,7 @@
             return f"{name} alone holds shard {node.shard}"
         return ""
 
-    def _begin_drain(self, plan: Plan) -> Move | None:
+    def _begin_drain(self, plan: Plan) -> StateChange | None:
         soaked_ms = self._unchanged_ms(f"released/{plan.name}")
         if plan.canary and len(plan.released) == 1 and soaked_ms < self.timeouts.canary_soak_ms:
             return None
@@ -249,13 +251,13 @@
                 continue
             node = self.nodes.get(name)
             if node is None and self._is_removed(plan, node):
-                return Move(f"{name} is gone", (replace(plan, released=(*plan.released, name)),))
+                return StateChange(f"{name} is gone", (replace(plan, released=(*plan.released, name)),))
             # Nodes are looked at one by one only where the budget lets any of them out.
             if node is None or is_budget_spent or not self._may_go_out(node):
                 continue  # who is out keeps nobody waiting
             drain = Drain(name, plan.name, self.token, node.started, self.view.next_offset)
             description = f"{name} is to be drained, {self._drains_of(plan) + 1} under way"
-            return Move(description, (drain,))
+            return StateChange(description, (drain,))
         return None
 
     def _may_go_out(self, node: ListedNode) -> bool:
@@ -267,13 +269,13 @@
         return sum(drain.plan == plan.name for drain in self.view.drains.values())
 
 
-def _withdrawn(drain: Drain, plan: Plan | None) -> Move | None:
+def _withdrawn(drain: Drain, plan: Plan | None) -> StateChange | None:
     """Return the move that withdraws a drain: on the way back, or by a halt before the node was drained."""
     is_back = plan is None or plan.stage in (PlanStage.ROLLING_BACK, PlanStage.ROLLED_BACK)
     is_halted = plan is not None and plan.stage is PlanStage.HALTED and drain.phase is DrainPhase.LEAVING
     if not is_back and not is_halted:
         return None
-    return Move(f"{drain.name} is not drained any more", deleted_keys=(key_of(drain),))
+    return StateChange(f"{drain.name} is not drained any more", deleted_keys=(key_of(drain),))
 
 
 def _has_acknowledged(view: FleetView, member: Member, drain: Drain) -> bool:
--- a/sabledyke/rollout/participant.py
+++ b/sabledyke/rollout/participant.py
@@ -11,10 +11,10 @@
 
 from sabledyke.errors import StaleTicketError
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import key_of
 from sabledyke.rollout.records import EPOCH_KEY, Plan, Ticket, TicketRequest
 from sabledyke.rollout.release_order import next_members, remaining_members
+from sabledyke.rollout.state_changes import StateChange
 
 GOES_OUT = "goes out"
 """``Move.description`` of the move by which a member uses its ticket."""
@@ -47,7 +47,7 @@
     last_request: SentRequest | None = None
     last_request_number: int = 0
 
-    def step(self, view: FleetView, now_ms: float) -> Move | None:
+    def step(self, view: FleetView, now_ms: float) -> StateChange | None:
         """Return the next move: a request, a ticket given back, or the use of one (``GOES_OUT``)."""
         member = view.members.get(self.name)
         if member is None or member.incarnation != self.incarnation:
@@ -104,7 +104,7 @@
         ticket = view.tickets[self.name]
         return ticket if ticket.target not in ("", version) else None
 
-    def _use_or_return(self, ticket: Ticket, view: FleetView, now_ms: float) -> Move | None:
+    def _use_or_return(self, ticket: Ticket, view: FleetView, now_ms: float) -> StateChange | None:
         if ticket.used:
             return None  # by this incarnation, which leaves, or by a former one, as the coordinator sees
         key = key_of(ticket)
@@ -112,9 +112,9 @@
             self._check_usable(ticket, view, now_ms)
         except StaleTicketError as fault:
             self.last_request = None
-            return Move(str(fault), deleted_keys=(key,), expected_offsets=((key, ticket.offset),))
+            return StateChange(str(fault), deleted_keys=(key,), expected_offsets=((key, ticket.offset),))
         conditions = (key, f"plan/{ticket.plan}", EPOCH_KEY)
-        return Move(
+        return StateChange(
             GOES_OUT,
             (replace(ticket, used=True),),
             expected_offsets=tuple((name, view.offset_of(name)) for name in conditions),
@@ -126,12 +126,12 @@
             return False
         return now_ms - request.sent_at_ms <= self.request_validity_ms / 2
 
-    def _request(self, plan: Plan, now_ms: float) -> Move:
+    def _request(self, plan: Plan, now_ms: float) -> StateChange:
         """Return a new request; its age counts from here, as the grant may be long on its way."""
         self.last_request_number += 1
         self.last_request = SentRequest(plan.name, self.last_request_number, now_ms)
         request = TicketRequest(self.name, plan.name, self.incarnation, self.last_request_number)
-        return Move(f"{self.name} asks to go out", (request,))
+        return StateChange(f"{self.name} asks to go out", (request,))
 
     def _check_usable(self, ticket: Ticket, view: FleetView, now_ms: float) -> None:
         """Raise StaleTicketError where the ticket may not be used: it is given back, and requested anew."""
--- a/sabledyke/rollout/plan_changes.py
+++ b/sabledyke/rollout/plan_changes.py
@@ -7,7 +7,6 @@
 
 from sabledyke.errors import PlanError
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import (
     ACTIVE_STAGES,
     MAX_MEMBERS,
@@ -17,6 +16,7 @@
     PlanStage,
 )
 from sabledyke.rollout.release_order import without
+from sabledyke.rollout.state_changes import StateChange
 
 UNFINISHED_STAGES = (*ACTIVE_STAGES, PlanStage.HALTED)
 FORGETTABLE_STATES = (MemberState.OUT, MemberState.SILENT, MemberState.RETIRED)
@@ -41,7 +41,7 @@
         raise PlanError(f"plan {plan.name}: {problem}")
 
 
-def forget_member(name: str, view: FleetView) -> Move:
+def forget_member(name: str, view: FleetView) -> StateChange:
     """Return the move by which a member counts nowhere, and is in no plan any more.
 
     One that comes back all the same is a member again as soon as it writes its own record.
@@ -65,7 +65,7 @@
         if plan.stage in UNFINISHED_STAGES and name in plan.members
     )
     keys = tuple(key for kind in MEMBER_RECORDS if view.offset_of(key := f"{kind}/{name}"))
-    return Move(f"{name} is forgotten", plans, keys, view.next_offset)
+    return StateChange(f"{name} is forgotten", plans, keys, view.next_offset)
 
 
 def change_stage(plan: Plan, stage: PlanStage, reason: str) -> Plan:
--- a/sabledyke/rollout/planner.py
+++ b/sabledyke/rollout/planner.py
@@ -16,7 +16,6 @@
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.disruption_budget import has_capacity
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import key_of
 from sabledyke.rollout.records import (
     ACTIVE_STAGES,
@@ -36,6 +35,7 @@
     request_of,
     without,
 )
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.rollout.timeouts import Timeouts
 
 ABSENT_STATES = (MemberState.OUT, MemberState.SILENT)
@@ -49,7 +49,7 @@
     tracker: ChangeTracker,
     timeouts: Timeouts,
     failing: Sequence[str] = (),
-) -> Move | None:
+) -> StateChange | None:
     """Return the coordinator's next move for members, None where there is none.
 
     Args:
@@ -63,9 +63,9 @@
     """
     if view.epoch is None or view.epoch.token != token:
         epoch = Epoch(coordinator, token)
-        return Move(f"coordinates under token {token}", (epoch,), expected_end=view.next_offset)
-    move = _Planner(view, token, now_ms, tracker, timeouts).next_move(failing)
-    return replace(move, expected_end=view.next_offset) if move is not None else None
+        return StateChange(f"coordinates under token {token}", (epoch,), expected_end=view.next_offset)
+    change = _Planner(view, token, now_ms, tracker, timeouts).next_change(failing)
+    return replace(change, expected_end=view.next_offset) if change is not None else None
 
 
 @dataclass(slots=True, frozen=True)
@@ -78,7 +78,7 @@
     tracker: ChangeTracker
     timeouts: Timeouts
 
-    def next_move(self, failing: Sequence[str]) -> Move | None:
+    def next_change(self, failing: Sequence[str]) -> StateChange | None:
         return (
             self._mark_silent_member()
             or self._settle_ticket()
@@ -90,32 +90,32 @@
     def _unchanged_ms(self, name: str) -> float:
         return self.tracker.unchanged_ms(self.now_ms, name)
 
-    def _mark_silent_member(self) -> Move | None:
+    def _mark_silent_member(self) -> StateChange | None:
         for member in self.view.members.values():
             if member.state in (*ABSENT_STATES, MemberState.RETIRED):
                 continue
             if self._unchanged_ms(f"beat/{member.name}") > self.timeouts.heartbeat_timeout_ms:
-                return Move(f"{member.name} is silent", (replace(member, state=MemberState.SILENT),))
+                return StateChange(f"{member.name} is silent", (replace(member, state=MemberState.SILENT),))
         return None
 
-    def _settle_ticket(self) -> Move | None:
+    def _settle_ticket(self) -> StateChange | None:
         for ticket in self.view.tickets.values():
             member = self.view.members.get(ticket.name)
             if member is None:
                 continue
-            move = _settled(ticket, member, self.view.plans.get(ticket.plan))
-            if move is not None:
-                return move
+            change = _settled(ticket, member, self.view.plans.get(ticket.plan))
+            if change is not None:
+                return change
         return None
 
-    def _halt_plan(self, failing: Sequence[str]) -> Move | None:
+    def _halt_plan(self, failing: Sequence[str]) -> StateChange | None:
         for plan in self.view.active:
             if plan.nodes or plan.stage is not PlanStage.RUNNING:
                 continue
             reason = self._reason_to_halt(plan, failing)
             if reason:
                 halted = replace(plan, stage=PlanStage.HALTED, reason=reason)
-                return Move(f"plan {plan.name} halts: {reason}", (halted,))
+                return StateChange(f"plan {plan.name} halts: {reason}", (halted,))
         return None
 
     def _reason_to_halt(self, plan: Plan, failing: Sequence[str]) -> str:
@@ -134,7 +134,7 @@
             return f"{unplanned} are out unplanned"
         return ""
 
-    def _finish_plan(self) -> Move | None:
+    def _finish_plan(self) -> StateChange | None:
         busy = {ticket.plan for ticket in self.view.tickets.values()}
         busy |= {drain.plan for drain in self.view.drains.values()}
         for plan in self.view.active:
@@ -143,18 +143,20 @@
             if plan.stage is PlanStage.RUNNING and not plan.remaining:
                 done = replace(plan, stage=PlanStage.DONE)
                 follow_up = plan.follow_up
-                return Move(f"plan {plan.name} is done", (done, follow_up) if follow_up else (done,))
+                return StateChange(f"plan {plan.name} is done", (done, follow_up) if follow_up else (done,))
             if plan.stage is PlanStage.ROLLING_BACK and _is_rolled_back(plan):
-                return Move(f"plan {plan.name} is undone", (replace(plan, stage=PlanStage.ROLLED_BACK),))
+                return StateChange(
+                    f"plan {plan.name} is undone", (replace(plan, stage=PlanStage.ROLLED_BACK),)
+                )
         return None
 
-    def _grant_ticket(self) -> Move | None:
+    def _grant_ticket(self) -> StateChange | None:
         for plan in self.view.active:
             if self._observes_canary(plan):
                 continue
-            move = self._grant_under(plan)
-            if move is not None:
-                return move
+            change = self._grant_under(plan)
+            if change is not None:
+                return change
         return None
 
     def _observes_canary(self, plan: Plan) -> bool:
@@ -162,21 +164,21 @@
             return False
         return self._unchanged_ms(f"released/{plan.name}") < self.timeouts.canary_soak_ms
 
-    def _grant_under(self, plan: Plan) -> Move | None:
+    def _grant_under(self, plan: Plan) -> StateChange | None:
         candidates = next_members(plan, self.view)
         # Whoever is next gets the time of a few heartbeats to request its ticket.
         waited = self._unchanged_ms(f"turn/{plan.name}") >= self.timeouts.heartbeat_timeout_ms
         if waited and (blocking := blocking_members(plan, self.view, candidates)):
             deferred = (*without(plan.deferred, *blocking), *blocking)
             description = f"{', '.join(blocking)}: no ask in its turn, others come first"
-            return Move(description, (replace(plan, deferred=deferred),))
+            return StateChange(description, (replace(plan, deferred=deferred),))
         for member in candidates:
             request = request_of(plan, self.view, member)
             if request is None and not waited:
                 return None
             if request is not None and has_capacity(self.view, member):
                 ticket = self._ticket(plan, request)
-                return Move(f"{member.name} may go out", (ticket,))
+                return StateChange(f"{member.name} may go out", (ticket,))
         return None
 
     def _ticket(self, plan: Plan, request: TicketRequest) -> Ticket:
@@ -198,27 +200,27 @@
     return not plan.released or not plan.target
 
 
-def _settled(ticket: Ticket, member: Member, plan: Plan | None) -> Move | None:
+def _settled(ticket: Ticket, member: Member, plan: Plan | None) -> StateChange | None:
     """Return the move that ends a ticket: its holder is back, has retired, or has switched its settings.
 
     A holder may also have died before it went out, and come back all the same.
     """
     if plan is not None and ticket.is_final and member.state is MemberState.RETIRED:
         released = replace(plan, released=(*plan.released, member.name))
-        return Move(f"{member.name} has retired", (released,), (key_of(ticket),))
+        return StateChange(f"{member.name} has retired", (released,), (key_of(ticket),))
     if plan is not None and ticket.settings and ticket.used:
         return _after_settings(ticket, plan) if ticket.settings_result else None
     if member.incarnation <= ticket.incarnation or member.state is not MemberState.READY:
         return None
     if plan is None or not ticket.used or ticket.is_final:
-        return Move(f"{ticket.name} is back", deleted_keys=(key_of(ticket),))
+        return StateChange(f"{ticket.name} is back", deleted_keys=(key_of(ticket),))
     if ticket.target and member.version != ticket.target:
         reason = f"{member.name} came back as {member.version or 'no version'}, not {ticket.target}"
         return _halted_by(ticket, plan, reason)
     return _released(ticket, plan, "is back")
 
 
-def _after_settings(ticket: Ticket, plan: Plan) -> Move:
+def _after_settings(ticket: Ticket, plan: Plan) -> StateChange:
     """Return the move after a switch of settings: released, or its plan halts with the member's reason."""
     if ticket.settings_result == SETTINGS_APPLIED:
         return _released(ticket, plan, f"has taken on {ticket.target}")
@@ -226,17 +228,17 @@
     return _halted_by(ticket, plan, reason)
 
 
-def _released(ticket: Ticket, plan: Plan, what: str) -> Move:
+def _released(ticket: Ticket, plan: Plan, what: str) -> StateChange:
     """Return the move by which a ticket's holder is released, or on the way back no longer is."""
     released = without(plan.released, ticket.name)
     went_back = ticket.target == plan.previous and ticket.target != plan.target
     if not went_back:
         released = (*released, ticket.name)
     description = f"{ticket.name} {what}, {len(released)} released"
-    return Move(description, (replace(plan, released=released),), (key_of(ticket),))
+    return StateChange(description, (replace(plan, released=released),), (key_of(ticket),))
 
 
-def _halted_by(ticket: Ticket, plan: Plan, reason: str) -> Move:
+def _halted_by(ticket: Ticket, plan: Plan, reason: str) -> StateChange:
     if plan.stage in ACTIVE_STAGES:
         plan = replace(plan, stage=PlanStage.HALTED, reason=reason)
-    return Move(reason, (plan,), (key_of(ticket),))
+    return StateChange(reason, (plan,), (key_of(ticket),))
--- a/sabledyke/rollout/moves.py
+++ b/sabledyke/rollout/state_changes.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Move:
+class StateChange:
     """Records to write and keys to delete in one append, which is rejected where its conditions do not hold.
 
     Attributes:
--- a/sabledyke/testbed/drain_model/member_transitions.py
+++ b/sabledyke/testbed/drain_model/member_transitions.py
@@ -7,8 +7,8 @@
 
 from sabledyke.rollout import node_drain
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import Member, MemberState
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.testbed.drain_model.state import DrainState, Instance, Safeguards
 from sabledyke.testbed.fleet_transitions import PLAN_NAME
 from sabledyke.testbed.model_log import with_append, with_instance
@@ -98,7 +98,7 @@
     def is_busy(node: str) -> bool:
         return safeguards.waits_for_in_flight and node in instance.in_flight_at
 
-    move = acknowledger.step(view, THIS_READ_MS, is_busy)
+    change = acknowledger.step(view, THIS_READ_MS, is_busy)
     read = instance._replace(
         closed_nodes=node_drain.closed_nodes(view),
         known_drains=frozenset(acknowledger.closed_since_ms),
@@ -106,10 +106,10 @@
     )
     known = view.members[name]
     if known.incarnation != instance.incarnation or known.state is not MemberState.READY:
-        ready = Move("is ready", (Member(name, instance.incarnation, state=MemberState.READY),))
+        ready = StateChange("is ready", (Member(name, instance.incarnation, state=MemberState.READY),))
         serving = read._replace(pending=ready)
         yield Transition(f"{name} looks, and serves", with_instance(state, index, serving))
-    elif move is not None or read != instance:
-        description = move.description if move else "nothing to say"
-        decided = read._replace(pending=move)
+    elif change is not None or read != instance:
+        description = change.description if change else "nothing to say"
+        decided = read._replace(pending=change)
         yield Transition(f"{name} looks: {description}", with_instance(state, index, decided))
--- a/sabledyke/testbed/drain_model/state.py
+++ b/sabledyke/testbed/drain_model/state.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import Epoch, ListedNode, Member, MemberState, Plan, Record
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.testbed.fleet_transitions import PLAN_NAME
 from sabledyke.testbed.model_log import Coordinator
 
@@ -67,7 +67,7 @@
     closed_nodes: frozenset[str] = frozenset()
     known_drains: frozenset[int] = frozenset()
     in_flight_at: frozenset[str] = frozenset()
-    pending: Move | None = None
+    pending: StateChange | None = None
 
 
 class DrainState(NamedTuple):
--- a/sabledyke/testbed/drain_model/transitions.py
+++ b/sabledyke/testbed/drain_model/transitions.py
@@ -8,8 +8,8 @@
 from sabledyke.rollout import node_drain, planner
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import Drain, DrainPhase, Epoch, MemberState
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.testbed.drain_model.member_transitions import member_transitions
 from sabledyke.testbed.drain_model.state import DrainState, Safeguards
 from sabledyke.testbed.fleet_transitions import (
@@ -55,16 +55,16 @@
         action = f"c{index} writes: {coordinator.pending.description}"
         yield Transition(action, _write(safeguards, state, index, coordinator.pending))
         return
-    move = _decide(safeguards, state, index, view)
-    if move is not None:
-        yield Transition(f"c{index} decides: {move.description}", with_decision(state, index, move))
+    change = _decide(safeguards, state, index, view)
+    if change is not None:
+        yield Transition(f"c{index} decides: {change.description}", with_decision(state, index, change))
 
 
-def _decide(safeguards: Safeguards, state: DrainState, index: int, view: FleetView) -> Move | None:
+def _decide(safeguards: Safeguards, state: DrainState, index: int, view: FleetView) -> StateChange | None:
     name = f"c{index}"
     token = state.coordinators[index].token
     if view.epoch is None or view.epoch.token != token:
-        return Move("coordinates", (Epoch(name, token),), expected_end=view.next_offset)
+        return StateChange("coordinates", (Epoch(name, token),), expected_end=view.next_offset)
     known = view if safeguards.waits_for_silent_members else _with_silent_as_out(view)
     nodes = {node.name: node for node in state.nodes}
     drain_move = node_drain.decide(known, token, 0.0, ChangeTracker(), TIMEOUTS, nodes)
@@ -79,17 +79,17 @@
     return replace(view, members=members)
 
 
-def _write(safeguards: Safeguards, state: DrainState, index: int, move: Move) -> DrainState:
+def _write(safeguards: Safeguards, state: DrainState, index: int, change: StateChange) -> DrainState:
     coordinator = state.coordinators[index]
     state = without_decision(state, index)
     checks_order = safeguards.checks_order
-    if not accepts(state, coordinator, move, checks_token=checks_order, checks_end=checks_order):
+    if not accepts(state, coordinator, change, checks_token=checks_order, checks_end=checks_order):
         return state
-    state = written(state, coordinator, move)
+    state = written(state, coordinator, change)
     view = view_of(state)
     out = node_drain.nodes_out(view, {})
     begins_drain = any(
-        isinstance(record, Drain) and record.phase is DrainPhase.LEAVING for record in move.records
+        isinstance(record, Drain) and record.phase is DrainPhase.LEAVING for record in change.records
     )
     if begins_drain and len(out) > view.plans[PLAN_NAME].max_out:
         return state._replace(violation=f"{sorted(out)} are out")
@@ -111,7 +111,7 @@
     ranks = OffsetRanks(state, known_drains)
     instances = tuple(
         instance._replace(
-            pending=ranks.move(instance.pending),
+            pending=ranks.change(instance.pending),
             known_drains=frozenset(ranks.offsets[offset] for offset in instance.known_drains),
         )
         for instance in state.instances
--- a/sabledyke/testbed/fleet.py
+++ b/sabledyke/testbed/fleet.py
@@ -21,8 +21,8 @@
 from sabledyke.placement.volume_placement import VolumePlacement
 from sabledyke.rollout import commands, disruption_budget, plan_changes
 from sabledyke.rollout.fleet_view import FleetView, view_of
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import FLEET_TOPIC, Plan, PlanStage
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.testbed import fleet_faults
 from sabledyke.testbed.availability import Availability, max_out_at_once, probe_until
 from sabledyke.testbed.cluster import Cluster
@@ -161,9 +161,9 @@
             PlanError: It cannot be.
         """
 
-        def decide(view: FleetView) -> Move:
+        def decide(view: FleetView) -> StateChange:
             plan_changes.validate(plan, view)
-            return Move("plan", (plan,), expected_end=view.next_offset)
+            return StateChange("plan", (plan,), expected_end=view.next_offset)
 
         await self._command(decide)
 
@@ -174,9 +174,9 @@
             PlanError: It cannot be.
         """
 
-        def decide(view: FleetView) -> Move:
+        def decide(view: FleetView) -> StateChange:
             changed = plan_changes.change_stage(view.plans[plan], stage, "by the experiment")
-            return Move("word", (changed,), expected_end=view.next_offset)
+            return StateChange("word", (changed,), expected_end=view.next_offset)
 
         await self._command(decide)
 
@@ -212,7 +212,7 @@
         """Return how many members were out at once, at the worst moment so far."""
         return max_out_at_once(self.availability, time.monotonic())
 
-    async def _command(self, decide: Callable[[FleetView], Move]) -> None:
+    async def _command(self, decide: Callable[[FleetView], StateChange]) -> None:
         await commands.apply(self.log, self._reader, decide, retries=COMMAND_RETRIES)
 
     def _prepare(self, number: int) -> None:
--- a/sabledyke/testbed/fleet_transitions.py
+++ b/sabledyke/testbed/fleet_transitions.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from dataclasses import replace
 
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import Plan, PlanStage
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.rollout.timeouts import Timeouts
 from sabledyke.testbed.model_log import Coordinator, F, with_append, with_coordinator
 from sabledyke.testbed.state_search import Transition
@@ -21,9 +21,9 @@
 SECOND_TOKEN = 2
 
 
-def with_decision(state: F, index: int, move: Move) -> F:
+def with_decision(state: F, index: int, change: StateChange) -> F:
     """Return the state in which a coordinator has decided on a move, and not written it yet."""
-    return with_coordinator(state, index, state.coordinators[index]._replace(pending=move))
+    return with_coordinator(state, index, state.coordinators[index]._replace(pending=change))
 
 
 def without_decision(state: F, index: int) -> F:
@@ -31,25 +31,27 @@
     return with_coordinator(state, index, state.coordinators[index]._replace(pending=None))
 
 
-def accepts(state: F, coordinator: Coordinator, move: Move, *, checks_token: bool, checks_end: bool) -> bool:
+def accepts(
+    state: F, coordinator: Coordinator, change: StateChange, *, checks_token: bool, checks_end: bool
+) -> bool:
     """Return whether the log accepts a coordinator's move.
 
     Args:
         state: The fleet when the move is written.
         coordinator: Who writes it.
-        move: What it writes.
+        change: What it writes.
         checks_token: The log rejects writers under an older token than the highest that has written.
         checks_end: The log rejects moves that were decided by an older end of the log.
     """
     if checks_token and coordinator.token < state.highest_token:
         return False
-    return not checks_end or move.expected_end == state.next_offset
+    return not checks_end or change.expected_end == state.next_offset
 
 
-def written(state: F, coordinator: Coordinator, move: Move) -> F:
+def written(state: F, coordinator: Coordinator, change: StateChange) -> F:
     """Return the state after a coordinator's move was written."""
     fenced: F = state._replace(highest_token=max(state.highest_token, coordinator.token))
-    return with_append(fenced, move.records, move.deleted_keys)
+    return with_append(fenced, change.records, change.deleted_keys)
 
 
 def takeover_transitions(state: F) -> Iterator[Transition[F]]:
--- a/sabledyke/testbed/model_log.py
+++ b/sabledyke/testbed/model_log.py
@@ -8,9 +8,9 @@
 from typing import Any, NamedTuple, Protocol, TypeVar
 
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import key_of
 from sabledyke.rollout.records import Record
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.testbed.state_updates import replaced_at
 
 CACHED_VIEWS = 4096
@@ -20,7 +20,7 @@
     """A process that believes to hold the coordinator's lease under this token."""
 
     token: int
-    pending: Move | None = None
+    pending: StateChange | None = None
     """Decided, and not written yet."""
 
 
--- a/sabledyke/testbed/offset_ranks.py
+++ b/sabledyke/testbed/offset_ranks.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 from typing import Any
 
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import Drain, DrainAcknowledgement, Record
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.testbed.model_log import F, FleetState
 from sabledyke.testbed.state_updates import ranks
 
@@ -23,9 +23,9 @@
         offsets = {NO_OFFSET, state.next_offset, *other_offsets}
         for record in mentioned_records(state):
             offsets.update(_record_offsets(record))
-        for move in _pending_moves(state):
-            offsets.add(move.expected_end or NO_OFFSET)
-            offsets.update(offset for _, offset in move.expected_offsets)
+        for change in _pending_changes(state):
+            offsets.add(change.expected_end or NO_OFFSET)
+            offsets.update(offset for _, offset in change.expected_offsets)
         self.offsets = ranks(offsets)
 
     def record(self, record: Record) -> Record:
@@ -41,15 +41,15 @@
             fields["drains"] = tuple(self.offsets[offset] for offset in record.drains)
         return fields
 
-    def move(self, move: Move | None) -> Move | None:
+    def change(self, change: StateChange | None) -> StateChange | None:
         """Return the move with ranks."""
-        if move is None:
+        if change is None:
             return None
         return replace(
-            move,
-            records=tuple(self.record(record) for record in move.records),
-            expected_end=None if move.expected_end is None else self.offsets[move.expected_end],
-            expected_offsets=tuple((key, self.offsets[offset]) for key, offset in move.expected_offsets),
+            change,
+            records=tuple(self.record(record) for record in change.records),
+            expected_end=None if change.expected_end is None else self.offsets[change.expected_end],
+            expected_offsets=tuple((key, self.offsets[offset]) for key, offset in change.expected_offsets),
         )
 
     def state(self, state: F, instances: tuple[object, ...]) -> F:
@@ -59,7 +59,7 @@
             next_offset=self.offsets[state.next_offset],
             instances=instances,
             coordinators=tuple(
-                coordinator._replace(pending=self.move(coordinator.pending))
+                coordinator._replace(pending=self.change(coordinator.pending))
                 for coordinator in state.coordinators
             ),
         )
@@ -69,11 +69,11 @@
 def mentioned_records(state: FleetState) -> Iterator[Record]:
     """Return the records of the log and of all pending moves."""
     yield from state.records
-    for move in _pending_moves(state):
-        yield from move.records
+    for change in _pending_changes(state):
+        yield from change.records
 
 
-def _pending_moves(state: FleetState) -> Iterator[Move]:
+def _pending_changes(state: FleetState) -> Iterator[StateChange]:
     for process in (*state.instances, *state.coordinators):
         if process.pending is not None:
             yield process.pending
--- a/sabledyke/testbed/ticket_model/canonical.py
+++ b/sabledyke/testbed/ticket_model/canonical.py
@@ -53,5 +53,5 @@
             incarnation=self._incarnations[name][instance.incarnation],
             request_number=request_numbers[instance.request_number],
             last_request_number=request_numbers[instance.last_request_number],
-            pending=self.move(instance.pending),
+            pending=self.change(instance.pending),
         )
--- a/sabledyke/testbed/ticket_model/member_transitions.py
+++ b/sabledyke/testbed/ticket_model/member_transitions.py
@@ -6,9 +6,9 @@
 from dataclasses import replace
 
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.participant import GOES_OUT, Participant, SentRequest
 from sabledyke.rollout.records import ACTIVE_STAGES, Member, MemberState
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.testbed.fleet_transitions import PLAN_NAME
 from sabledyke.testbed.model_log import with_append, with_instance
 from sabledyke.testbed.state_search import Transition
@@ -61,21 +61,21 @@
     name = f"n{index}"
     instance = state.instances[index]
     participant = _participant(name, instance)
-    move = participant.step(view, now_ms)
-    if move is None:
+    change = participant.step(view, now_ms)
+    if change is None:
         return
     request = participant.last_request
     decided = instance._replace(
         request_number=request.request_number if request else NO_REQUEST,
         last_request_number=participant.last_request_number,
-        pending=move,
+        pending=change,
     )
-    if move.expected_offsets:
-        yield Transition(f"{name} decides: {move.description}", with_instance(state, index, decided))
+    if change.expected_offsets:
+        yield Transition(f"{name} decides: {change.description}", with_instance(state, index, decided))
         return
     # A request has no conditions: when it is written makes no difference.
     requested = with_instance(state, index, decided._replace(pending=None))
-    yield Transition(f"{name} {move.description}", with_append(requested, move.records))
+    yield Transition(f"{name} {change.description}", with_append(requested, change.records))
 
 
 def _participant(name: str, instance: Instance) -> Participant:
@@ -90,17 +90,17 @@
 
 
 def _write(
-    safeguards: Safeguards, state: TicketState, index: int, move: Move, view: FleetView
+    safeguards: Safeguards, state: TicketState, index: int, change: StateChange, view: FleetView
 ) -> TicketState:
     instance = state.instances[index]._replace(pending=None)
-    is_stale = any(view.offset_of(key) != offset for key, offset in move.expected_offsets)
+    is_stale = any(view.offset_of(key) != offset for key, offset in change.expected_offsets)
     if is_stale and safeguards.checks_expected_offsets:
         return with_instance(state, index, instance)
-    if move.description == GOES_OUT:
+    if change.description == GOES_OUT:
         violation = _violation_of_going_out(state, index, view)
         instance = instance._replace(is_up=False, is_out_by_ticket=True)
         state = state._replace(violation=violation)
-    return with_append(with_instance(state, index, instance), move.records, move.deleted_keys)
+    return with_append(with_instance(state, index, instance), change.records, change.deleted_keys)
 
 
 def _violation_of_going_out(state: TicketState, index: int, view: FleetView) -> str:
--- a/sabledyke/testbed/ticket_model/state.py
+++ b/sabledyke/testbed/ticket_model/state.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import Member, MemberState, Plan, Record
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.testbed.fleet_transitions import PLAN_NAME
 from sabledyke.testbed.model_log import Coordinator
 
@@ -66,7 +66,7 @@
     is_out_by_ticket: bool = False
     request_number: int = NO_REQUEST
     last_request_number: int = NO_REQUEST
-    pending: Move | None = None
+    pending: StateChange | None = None
 
 
 class TicketState(NamedTuple):
--- a/sabledyke/testbed/ticket_model/transitions.py
+++ b/sabledyke/testbed/ticket_model/transitions.py
@@ -9,8 +9,8 @@
 from sabledyke.rollout import disruption_budget, planner
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import ACTIVE_STAGES, MemberState, Ticket
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.testbed.fleet_transitions import (
     PLAN_NAME,
     TIMEOUTS,
@@ -71,16 +71,16 @@
         yield Transition(action, _write(safeguards, state, index, coordinator.pending))
         return
     known = view if safeguards.counts_unplanned else _with_all_ready(view)
-    move = planner.decide(known, name, coordinator.token, 0.0, ChangeTracker(), TIMEOUTS)
-    if move is not None:
-        yield Transition(f"{name} decides: {move.description}", with_decision(state, index, move))
+    change = planner.decide(known, name, coordinator.token, 0.0, ChangeTracker(), TIMEOUTS)
+    if change is not None:
+        yield Transition(f"{name} decides: {change.description}", with_decision(state, index, change))
         return
     if not state.budget.turn_timeouts:
         return
-    move = planner.decide(known, name, coordinator.token, 0.0, _TurnsTimedOut(), TIMEOUTS)
-    if move is not None:
-        decided = with_decision(spend(state, "turn_timeouts"), index, move)
-        yield Transition(f"{name} has waited: {move.description}", decided)
+    change = planner.decide(known, name, coordinator.token, 0.0, _TurnsTimedOut(), TIMEOUTS)
+    if change is not None:
+        decided = with_decision(spend(state, "turn_timeouts"), index, change)
+        yield Transition(f"{name} has waited: {change.description}", decided)
 
 
 def _with_all_ready(view: FleetView) -> FleetView:
@@ -88,20 +88,20 @@
     return replace(view, members=members)
 
 
-def _write(safeguards: Safeguards, state: TicketState, index: int, move: Move) -> TicketState:
+def _write(safeguards: Safeguards, state: TicketState, index: int, change: StateChange) -> TicketState:
     coordinator = state.coordinators[index]
     state = without_decision(state, index)
     is_accepted = accepts(
         state,
         coordinator,
-        move,
+        change,
         checks_token=safeguards.checks_token,
         checks_end=safeguards.checks_end,
     )
     if not is_accepted:
         return state
-    state = written(state, coordinator, move)
-    if not any(isinstance(record, Ticket) for record in move.records):
+    state = written(state, coordinator, change)
+    if not any(isinstance(record, Ticket) for record in change.records):
         return state
     view = view_of(state)
     out = disruption_budget.members_out(view)
--- a/tests/placement/test_evacuation.py
+++ b/tests/placement/test_evacuation.py
@@ -39,8 +39,8 @@
     plan: Plan, seen: FleetView, made: dict[str, VolumePlacement], loads: dict[str, float], where: SiteMap
 ) -> None:
     """All that this step moves, an append after the other."""
-    while (moves := evacuation.next_batch(plan, seen, made, loads, where)) is not None:
-        made.update((home.volume, home) for home in moves.placements)
+    while (batch := evacuation.next_batch(plan, seen, made, loads, where)) is not None:
+        made.update((home.volume, home) for home in batch.placements)
 
 
 def play(plan: Plan, *of: Any) -> Plan:
--- a/tests/rollout/support.py
+++ b/tests/rollout/support.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from sabledyke.rollout import moves, planner
+from sabledyke.rollout import planner, state_changes
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.records import Epoch, Member, MemberState, Plan, TicketRequest
@@ -35,7 +35,7 @@
 
 def decide(
     seen: FleetView, now: float = 0.0, watch: ChangeTracker | None = None, **of: Any
-) -> moves.Move | None:
+) -> state_changes.StateChange | None:
     return planner.decide(seen, "c", 1, now, watch or ChangeTracker(), TIMEOUTS, **of)
 
 
--- a/tests/rollout/test_fleet_log.py
+++ b/tests/rollout/test_fleet_log.py
@@ -11,10 +11,10 @@
 
 from sabledyke.compacted_log.client import CompactedLog, LogWriter
 from sabledyke.compacted_log.records import Cell
-from sabledyke.rollout.commands import append_move
+from sabledyke.rollout.commands import append_change
 from sabledyke.rollout.fleet_log import FleetLog
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import FLEET_TOPIC, Member, MemberState
+from sabledyke.rollout.state_changes import StateChange
 from tests.compacted_log.support import BACKENDS, FaultyBackend, Setup, run_on
 
 MAX_KEYS = 100
@@ -56,7 +56,7 @@
 
 
 async def write(writer: LogWriter, member: str, state: MemberState) -> None:
-    await append_move(writer, Move("", (Member(member, 1, "1", "s0", state),)))
+    await append_change(writer, StateChange("", (Member(member, 1, "1", "s0", state),)))
 
 
 @pytest.mark.parametrize("backend_name", BACKENDS)
--- a/tests/rollout/test_node_drain.py
+++ b/tests/rollout/test_node_drain.py
@@ -79,13 +79,13 @@
     nodes = {
         n: replace(b, **(changed.get(n) or {})) for n, b in NODES.items() if changed.get(n, {}) is not None
     }
-    move = node_drain.decide(seen, 1, 0.0, ChangeTracker(), TIMEOUTS, nodes)
+    change = node_drain.decide(seen, 1, 0.0, ChangeTracker(), TIMEOUTS, nodes)
     if not said:
-        assert move is None
+        assert change is None
         return
-    assert move is not None
-    assert said in move.description
-    assert move.expected_end == 100
+    assert change is not None
+    assert said in change.description
+    assert change.expected_end == 100
 
 
 @pytest.mark.parametrize(
@@ -104,10 +104,10 @@
     for now in (0.0, 1001.0):
         assert node_drain.decide(seen, 1, now, watch, TIMEOUTS, nodes) is None or now
         watch.observe(now, change_tracker.tracked_values(seen, {}))
-    move = node_drain.decide(seen, 1, 1001.0, watch, TIMEOUTS, nodes)
-    assert move is not None
-    assert why in move.description
-    assert "halts" in move.description
+    change = node_drain.decide(seen, 1, 1001.0, watch, TIMEOUTS, nodes)
+    assert change is not None
+    assert why in change.description
+    assert "halts" in change.description
 
 
 def test_a_member_says_that_it_is_clear_after_its_grace_and_once_nothing_is_out() -> None:
@@ -115,17 +115,17 @@
     closing = node_drain.DrainAcknowledger("n0", 1, 50.0)
     acknowledged = []
     for now, busy in ((0.0, ""), (40.0, ""), (50.0, "b0"), (60.0, "b0"), (70.0, "")):
-        move = closing.step(seen, now, busy.__eq__)
-        for record in move.records if move else ():
+        change = closing.step(seen, now, busy.__eq__)
+        for record in change.records if change else ():
             assert isinstance(record, DrainAcknowledgement)
             seen.acknowledgements["n0"] = record
             acknowledged.append((now, record.drains))
     assert acknowledged == [(50.0, (81,)), (70.0, (80, 81))]
     assert node_drain.unacknowledged_by(seen, seen.drains["b0"]) == ["n1"]
     seen.drains.clear()
-    move = closing.step(seen, 80.0, lambda _: False)
-    assert move is not None
-    assert move.records == (DrainAcknowledgement("n0", 1),)
+    change = closing.step(seen, 80.0, lambda _: False)
+    assert change is not None
+    assert change.records == (DrainAcknowledgement("n0", 1),)
     assert not closing.closed_since_ms
 
 
--- a/tests/rollout/test_operator_commands.py
+++ b/tests/rollout/test_operator_commands.py
@@ -12,9 +12,9 @@
 from sabledyke.compacted_log.client import CompactedLog
 from sabledyke.compacted_log.sqlite_backend import SqliteBackend
 from sabledyke.rollout import (
-    moves,
+    state_changes,
 )
-from sabledyke.rollout.commands import append_move
+from sabledyke.rollout.commands import append_change
 from sabledyke.rollout.records import (
     FLEET_TOPIC,
     Drain,
@@ -68,7 +68,9 @@
         pen = await board.claim_writer(FLEET_TOPIC, "w")
         seen = fleet(READY, READY, MemberState.SILENT, sites=1)
         drain = Drain("b9", "gone", 1, 0.0, 3)
-        await append_move(pen, moves.Move("", (Epoch("n0.a", 1), *seen.members.values(), drain)))
+        await append_change(
+            pen, state_changes.StateChange("", (Epoch("n0.a", 1), *seen.members.values(), drain))
+        )
         await board.backend.close()
 
     asyncio.run(prepare())
--- a/tests/rollout/test_participant.py
+++ b/tests/rollout/test_participant.py
@@ -30,12 +30,12 @@
     ):
         mine = replace(participant)
         seen.tickets["n0"] = Ticket("n0", "p", 1, number, token, offset=70)
-        move = mine.step(seen, now)
-        assert move is not None, (now, token, number)
-        assert (move.description == GOES_OUT) is goes, (now, token, number)
-        assert ("ticket/n0", 70) in move.expected_offsets
+        change = mine.step(seen, now)
+        assert change is not None, (now, token, number)
+        assert (change.description == GOES_OUT) is goes, (now, token, number)
+        assert ("ticket/n0", 70) in change.expected_offsets
         assert (
-            goes or move.deleted_keys == ("ticket/n0",) and mine.last_request is None
+            goes or change.deleted_keys == ("ticket/n0",) and mine.last_request is None
         )  # given back, and asked for anew
     watch = ChangeTracker()
     for now in (0, 50, 101):
--- a/tests/rollout/test_planner.py
+++ b/tests/rollout/test_planner.py
@@ -55,10 +55,14 @@
 def test_a_ticket_is_granted_inside_all_budgets_and_in_order(
     states: tuple[MemberState, ...], options: dict[str, Any], granted: str
 ) -> None:
-    move = decide(fleet(*states, **options))
-    tickets = [record for record in move.records if isinstance(record, Ticket)] if move else []
+    state_change = decide(fleet(*states, **options))
+    tickets = (
+        [record for record in state_change.records if isinstance(record, Ticket)] if state_change else []
+    )
     assert [ticket.name for ticket in tickets] == ([granted] if granted else [])
-    assert move is None or move.expected_end == 100  # written only if nothing was written since
+    assert (
+        state_change is None or state_change.expected_end == 100
+    )  # written only if nothing was written since
 
 
 def test_a_member_is_waited_for_in_its_turn_but_not_for_ever() -> None:
@@ -102,11 +106,11 @@
 
     def _step_members(self, step: int, silent_count: int) -> None:
         for name, participant in list(self.participants.items())[silent_count:]:
-            move = participant.step(self.view, step * 1000.0)
-            if move is None:
+            state_change = participant.step(self.view, step * 1000.0)
+            if state_change is None:
                 continue
-            self._write(*move.records, deleted_keys=move.deleted_keys)
-            if move.description != GOES_OUT:
+            self._write(*state_change.records, deleted_keys=state_change.deleted_keys)
+            if state_change.description != GOES_OUT:
                 self.request_count += 1
                 continue
             self.going_out_count += 1
@@ -118,12 +122,12 @@
         heartbeats = dict.fromkeys(self.participants, step)
         while True:
             self._tracker.observe(step * 1000.0, change_tracker.tracked_values(self.view, heartbeats))
-            move = decide(self.view, step * 1000.0, self._tracker)
-            if move is None:
+            state_change = decide(self.view, step * 1000.0, self._tracker)
+            if state_change is None:
                 return
             assert len(disruption_budget.members_out(self.view)) <= self._max_out
-            self.deferral_count += "no ask in its turn" in move.description
-            self._write(*move.records, deleted_keys=move.deleted_keys)
+            self.deferral_count += "no ask in its turn" in state_change.description
+            self._write(*state_change.records, deleted_keys=state_change.deleted_keys)
 
     def _write(self, *records: Record, deleted_keys: tuple[str, ...] = ()) -> None:
         log = model_log.append(model_log.LogContents((), self.view.next_offset), records, deleted_keys)
@@ -177,11 +181,11 @@
             now,
             {k: v for k, v in change_tracker.tracked_values(view, {}).items() if not k.startswith("beat")},
         )
-    move = decide(view, 1001.0, tracker, failing=change.get("bad", ()))
-    assert move is not None
-    assert reason in move.description
-    assert isinstance(move.records[0], Plan)
-    assert move.records[0].stage is PlanStage.HALTED
+    state_change = decide(view, 1001.0, tracker, failing=change.get("bad", ()))
+    assert state_change is not None
+    assert reason in state_change.description
+    assert isinstance(state_change.records[0], Plan)
+    assert state_change.records[0].stage is PlanStage.HALTED
 
 
 def test_who_comes_back_as_another_version_halts_the_plan_and_frees_its_ticket() -> None:
@@ -189,10 +193,10 @@
     view.tickets["n0"] = Ticket("n0", "p", 1, 1, 1, "2", used=True, offset=70)
     assert decide(view) is None  # the same incarnation: it has not gone yet, or is on its way
     view.members["n0"] = replace(view.members["n0"], incarnation=2)
-    move = decide(view)
-    assert move is not None
-    assert "came back as 1, not 2" in move.description
-    assert move.deleted_keys == ("ticket/n0",)
+    state_change = decide(view)
+    assert state_change is not None
+    assert "came back as 1, not 2" in state_change.description
+    assert state_change.deleted_keys == ("ticket/n0",)
     view.members["n0"] = replace(view.members["n0"], version="2")
     done = decide(view)
     assert done is not None
