--- a/sabledyke/placement/__init__.py
+++ b/sabledyke/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement of volumes on members, and the evacuation of a site, whose clients move step by step.
+"""Placement of volumes on members, and the evacuation of a site, whose volumes move step by step.
 
-It stands on the log beside ``rollout`` and reads the same plans.
+The package uses the same log as ``rollout``, and reads the same plans.
 """
--- a/sabledyke/placement/evacuation.py
+++ b/sabledyke/placement/evacuation.py
@@ -1,8 +1,8 @@
-"""What a coordinator does for a site that retires, or comes back: its weight changes step by step. Pure.
+"""The coordinator's decisions on a retiring site: evacuation and its rollback in steps of weight. Pure.
 
-Volumes move in nested sets (``volume_placement.is_moved_at``), so each moves at most once on the way out, and
-on the way back only to where it was. A step waits until all that it moves is written, every survivor is
-ready, and the survivors reject and fail no more than before.
+Volumes move in nested sets (``volume_placement.is_moved_at``): each moves at most once during an evacuation,
+and a rollback only returns it to its site of origin. The next step waits until all placements of this one are
+written, every member of another site is ready, and these members reject and fail no more than before.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 PLACEMENTS_TOPIC = "homes"
 STORED_FIELDS = ("site", "member", "origin_site", "previous_member", "move_count")
-"""A placement is stored under its volume as a JSON array of these, in this order."""
+"""Fields of a placement, which is stored under its volume as a JSON array of them in this order."""
 CLOSED_STAGES = (PlanStage.RUNNING, PlanStage.HALTED, PlanStage.DONE)
 """Stages of a plan in which the site that it retires accepts no volumes."""
 
 
 def encode(placement: VolumePlacement) -> bytes:
-    """Encode a placement as it is stored."""
+    """Encode a placement in its stored form."""
     return orjson.dumps([getattr(placement, name) for name in STORED_FIELDS])
 
 
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementBatch:
-    """Placements to write at the end of their topic, and what they are for the log."""
+    """Placements to write at the end of their topic, and their description for the log."""
 
     placements: tuple[VolumePlacement, ...]
     description: str
@@ -58,7 +58,7 @@
     placements: Mapping[str, VolumePlacement],
     loads: Mapping[str, Mapping[str, float]],
 ) -> PlacementBatch | None:
-    """Place volumes that have no placement yet on the member that most of their clients come to.
+    """Place volumes without a placement on the member that serves most of their load.
 
     Args:
         view: The fleet's records.
@@ -66,7 +66,7 @@
         loads: Units per second by volume, by member.
 
     Returns:
-        As many as one append takes; None where there are none.
+        As many placements as fit in one append; None if there are none.
     """
     busiest = _busiest_members(view, loads)
     volumes = [volume for volume in sorted(busiest) if volume not in placements][:MAX_APPEND_MESSAGES]
@@ -76,7 +76,7 @@
     for volume in volumes:
         member = view.members[busiest[volume]]
         placed.append(VolumePlacement(volume, member.site, member.name, member.site))
-    return PlacementBatch(tuple(placed), f"{len(placed)} new")
+    return PlacementBatch(tuple(placed), f"{len(placed)} new volumes placed")
 
 
 def next_batch(
@@ -86,17 +86,17 @@
     load_by_volume: Mapping[str, float],
     site_map: SiteMap,
 ) -> PlacementBatch | None:
-    """Return the volumes that the plan's step moves and that have not moved yet.
+    """Return new placements of the volumes that the plan's step moves and that have not moved yet.
 
     Args:
         plan: A plan that retires a site.
         view: The fleet's records.
         placements: Placements by volume.
-        load_by_volume: Units per second.
+        load_by_volume: Units per second by volume.
         site_map: Capacities and distances of sites.
 
     Returns:
-        As many as one append takes; None where there are none, or none fits anywhere.
+        As many placements as fit in one append; None if there are none, or no site has capacity for them.
     """
     loads = _PlacedLoads(placements, load_by_volume)
     moved = []
@@ -104,7 +104,7 @@
         load = load_by_volume.get(placement.volume, 0.0)
         target = _target_site(plan, view, placement, load, site_map, loads)
         if target is None:
-            continue  # no capacity anywhere: it stays, and the step waits
+            continue  # no site has capacity: the volume stays, and the step waits
         ready = [
             member.name
             for member in view.members.values()
@@ -130,14 +130,14 @@
     *,
     survivors_well: bool,
 ) -> StateChange | None:
-    """Return the next step of a plan all of whose moves are done, None where it has to wait.
+    """Return the next step of a plan whose volumes have all moved, or None if it has to wait.
 
     Args:
         plan: A plan that may retire a site.
         view: The fleet's records.
         placements: Placements by volume.
-        unchanged_ms: For how long the plan has been at its step.
-        soak_ms: For how long it must have been.
+        unchanged_ms: Time for which the plan has been at its step.
+        soak_ms: Minimum time at each step.
         survivors_well: Whether the members of other sites reject and fail no more than before.
     """
     if not plan.retiring_site or _volumes_to_move(plan, placements):
@@ -155,7 +155,7 @@
 
 
 class _PlacedLoads:
-    """Load of sites and members by the volumes that are placed there."""
+    """Load of each site and member, as the sum over the volumes that are placed there."""
 
     def __init__(
         self, placements: Mapping[str, VolumePlacement], load_by_volume: Mapping[str, float]
@@ -171,7 +171,7 @@
 
 
 def _busiest_members(view: FleetView, loads: Mapping[str, Mapping[str, float]]) -> dict[str, str]:
-    """Return the member with the highest load of each volume; of equal ones the last by name."""
+    """Return the member with the highest load for each volume; among equal ones the last by name."""
     busiest: dict[str, tuple[float, str]] = {}
     for member, load_by_volume in loads.items():
         if member not in view.members:
@@ -182,7 +182,7 @@
 
 
 def _volumes_to_move(plan: Plan, placements: Mapping[str, VolumePlacement]) -> list[VolumePlacement]:
-    """Return the volumes that move at the plan's step, and have not moved yet."""
+    """Return the placements of volumes that move at the plan's step, and have not moved yet."""
     remaining_weight = _remaining_weight(plan)
     return [
         placement
@@ -202,7 +202,7 @@
 
 
 def _remaining_weight(plan: Plan) -> float:
-    """Return the fraction of its weight that the site has at this step; 0 beyond the last one."""
+    """Return the fraction of its weight that the site keeps at this step; 0 after the last step."""
     return 1 - min(EVACUATION_STEPS, max(0, plan.step)) / EVACUATION_STEPS
 
 
@@ -221,7 +221,7 @@
 
 
 def _closed_sites(view: FleetView) -> list[str]:
-    """Return the sites that accept no volumes, as they retire."""
+    """Return the retiring and retired sites, which accept no volumes."""
     return [
         plan.retiring_site
         for plan in view.plans.values()
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -1,6 +1,6 @@
-"""Drives placements for the coordinator: reads them and the members' loads, and writes what is decided.
+"""Drives placements for the coordinator: reads placements and members' loads, and writes new placements.
 
-``evacuation`` decides.
+The decisions are made in ``evacuation``.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from sabledyke.rollout.timeouts import Timeouts
 
 COORDINATOR = "coordinator"
-"""Name of the writer."""
+"""Writer name of coordinators on the log."""
 
 
 class EvacuationDriver:
-    """Evacuations of one coordinator; what it has observed is begun anew with each token."""
+    """Runs the evacuations of one coordinator; each new token resets all observations."""
 
     def __init__(self, compacted_log: CompactedLog, site_map: SiteMap) -> None:
         """Create a driver that has read nothing yet.
@@ -39,7 +39,7 @@
         self._site_map = site_map
         self._reader = LogReader()
         self._token = 0
-        self._calm = AnswerTotal(0, 0)  # of the survivors before any volume moved
+        self._before_evacuation = AnswerTotal(0, 0)  # answers of surviving members before any volume moved
         self._baseline = Baseline()
         self._observed_step = ("", 0)
 
@@ -52,18 +52,18 @@
         tracker: ChangeTracker,
         timeouts: Timeouts,
     ) -> StateChange | PlacementBatch | None:
-        """Write placements, or return a move for the fleet's topic.
+        """Write placements, or return a change for the fleet's topic.
 
         Args:
             view: The fleet's records.
             token: Fencing token of the coordinator's lease.
-            registers: Heartbeats and loads of members, as they are stored.
+            registers: Heartbeats and loads of members, as stored.
             now_ms: Time on the coordinator's clock.
-            tracker: For how long things have stood still on that clock.
-            timeouts: How long the coordinator waits for what.
+            tracker: Time for which each value has been unchanged on that clock.
+            timeouts: Timeouts of the coordinator.
 
         Returns:
-            A move that is still to be written, placements that were written, or None where nothing is to do.
+            A change that is still to be written, placements that were written, or None if there is neither.
         """
         if token != self._token:
             self._begin(token)
@@ -112,7 +112,7 @@
         await self._writer.append(drafts, end=self._reader.position)
 
     def _survivors_well(self, plan: Plan, view: FleetView, registers: Mapping[str, bytes]) -> bool:
-        """Return whether members of other sites reject and fail no more, since the last step, than before."""
+        """Return whether members of other sites reject and fail no more since the last step than before."""
         counts = {
             member.name: decode_heartbeat(registers[member.name]).count
             for member in view.members.values()
@@ -125,8 +125,8 @@
             self._baseline = Baseline()
         since_step = total_of(self._baseline.since_first_seen(counts).values())
         if plan.step == 0:
-            self._calm = since_step
-        return not is_worse(since_step, self._calm)
+            self._before_evacuation = since_step
+        return not is_worse(since_step, self._before_evacuation)
 
 
 def _total_by_volume(loads: Mapping[str, Mapping[str, float]]) -> dict[str, float]:
--- a/sabledyke/placement/section.py
+++ b/sabledyke/placement/section.py
@@ -1,4 +1,4 @@
-"""The operator's section ``[sites]``, which says what each site can serve, and how far they are apart."""
+"""The operator's section ``[sites]``: capacity of each site, and distances between sites."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 class DistanceRow(Table, frozen=True, kw_only=True):
-    """Two sites, and how far they are apart."""
+    """Distance between two sites, in milliseconds."""
 
     between: tuple[str, ...]
     ms: Annotated[float, Meta(ge=0, le=1e6)]
 
 
 class SitesTable(Table, frozen=True, kw_only=True):
-    """The section's keys, as they stand in the file."""
+    """Keys of the section in the operator's file."""
 
     room: Annotated[dict[str, UnitsPerSecond], Meta(min_length=1, max_length=MAX_SITES)]
     distance: tuple[DistanceRow, ...] = ()
 
 
 def read(data: dict[str, Any]) -> SiteMap | None:
-    """Return the section, None where there is none.
+    """Return the section, or None if the file has none.
 
     Raises:
-        OperatorError: It is not as it must be.
+        OperatorError: The section is invalid.
     """
     if not data:
         return None
@@ -56,6 +56,6 @@
     site, other = pair
     known_ms = distance_ms.get((site, other), row.ms)
     if known_ms != row.ms:
-        raise OperatorError(f"{where}: {site} and {other} are {known_ms:g} ms apart elsewhere")
+        raise OperatorError(f"{where}: {site} and {other} are {known_ms:g} ms apart in another row")
     distance_ms[site, other] = row.ms
     distance_ms[other, site] = row.ms
--- a/sabledyke/placement/volume_placement.py
+++ b/sabledyke/placement/volume_placement.py
@@ -1,8 +1,8 @@
-"""Where a volume is placed: weighted rendezvous hashing with bounded loads, and distances. Pure.
+"""Placement of volumes by weighted rendezvous hashing with bounded loads, and by distance. Pure.
 
-The same names give the same placement everywhere; nothing is drawn at random. Sources: rendezvous (highest
-random weight) hashing, its weighted form ``w / -ln(u)``, and consistent hashing with bounded loads: a place
-accepts no more than its bound, and what does not fit goes to the next best.
+The placement is deterministic: the same names give the same placement in every process. Sources: rendezvous
+(highest random weight) hashing, its weighted form ``w / -ln(u)``, and consistent hashing with bounded loads:
+a member or site accepts no load beyond its bound, and a volume that does not fit goes to the next best.
 """
 
 from __future__ import annotations
@@ -13,23 +13,24 @@
 from math import log
 
 MAX_LOAD_RATIO = 1.25
-"""Load that one member may have, as a multiple of the mean of its site's members."""
+"""Maximum load of a member, as a multiple of the mean over the members of its site."""
 
 
 @dataclass(slots=True, frozen=True)
 class VolumePlacement:
-    """The member that a volume's clients go to.
+    """The member that serves a volume's clients.
 
-    Who began a write with an idempotency key at ``previous_member`` repeats it at ``member`` in its window.
+    A client that began a write with an idempotency key at ``previous_member`` may repeat it at ``member``
+    within the deduplication window.
 
     Attributes:
-        volume: The volume, 16 hex digits.
+        volume: The volume, as 16 hex digits.
         site: The site of the member.
         member: The member.
-        origin_site: The site where the volume was placed first.
-        previous_member: The member where it was placed last, "" before it has moved.
-        move_count: How often it has moved.
-        offset: Where the placement stands on the log; not stored with it.
+        origin_site: The site where the volume was first placed.
+        previous_member: The member where the volume was placed before, "" if it has not moved.
+        move_count: Number of moves of the volume.
+        offset: Offset of the placement on the log; not stored with it.
     """
 
     volume: str
@@ -49,20 +50,20 @@
     distance_ms: Mapping[tuple[str, str], float]
 
     def distance_between_ms(self, site: str, other: str) -> float:
-        """Return the distance of two sites; 0 of a site to itself."""
+        """Return the distance between two sites in milliseconds; 0 from a site to itself."""
         return 0.0 if site == other else self.distance_ms[site, other]
 
 
 def ranked_by_weight(volume: str, weights: Mapping[str, float]) -> list[str]:
-    """Return names by weighted rendezvous, the best first; those without weight are left out."""
+    """Return names by weighted rendezvous, the best first; names without weight are omitted."""
     scores = {name: weight / -log(unit_hash(volume, name)) for name, weight in weights.items() if weight > 0}
     return sorted(scores, key=lambda name: (-scores[name], name))
 
 
 def is_moved_at(volume: str, site: str, remaining_weight: float) -> bool:
-    """Return whether a volume moves away while so much of its site's weight remains.
+    """Return whether a volume is moved off its site while this fraction of the site's weight remains.
 
-    The sets are nested: a volume that moves at some weight moves at every smaller one, too.
+    The sets of moved volumes are nested: a volume that is moved at some weight is moved at every smaller one.
     """
     return unit_hash(volume, site, "leaves") >= remaining_weight
 
@@ -75,18 +76,18 @@
     load_by_site: Mapping[str, float],
     closed: Iterable[str],
 ) -> str | None:
-    """Return the nearest site with capacity for a volume, by rendezvous among those as near.
+    """Return the nearest site with capacity for a volume, by rendezvous among sites at equal distance.
 
     Args:
         volume: The volume.
         load: Its load in units per second.
         site: The site that it moves away from.
         site_map: Capacities and distances.
-        load_by_site: Load of each site, of volumes that are placed there.
+        load_by_site: Load of each site by the volumes that are placed there.
         closed: Sites that accept no volumes.
 
     Returns:
-        The site; None where none has the capacity.
+        The site; None if no site has the capacity.
     """
     excluded = {site, *closed}
     by_distance: dict[float, dict[str, float]] = {}
@@ -106,7 +107,7 @@
     """Return the member of a site that a volume is placed on, within ``MAX_LOAD_RATIO``.
 
     Returns:
-        The member; None where there are no members.
+        The member; None if there are no members.
     """
     names = sorted(members)
     if not names:
@@ -119,6 +120,6 @@
 
 
 def unit_hash(*names: str) -> float:
-    """Return a number in (0, 1) that the names alone decide."""
+    """Return a number in (0, 1) that depends only on the names."""
     digest = blake2b("\0".join(names).encode(), digest_size=8).digest()
     return (int.from_bytes(digest, "big") + 0.5) / 2**64
--- a/sabledyke/rollout/__init__.py
+++ b/sabledyke/rollout/__init__.py
@@ -1,5 +1,5 @@
-"""Drains and releases agreed across a fleet: tickets to go out, inside a budget, with a halt and a way back.
+"""Drains and releases coordinated across a fleet: tickets within a disruption budget, halts and rollbacks.
 
-It stands on the compacted log and on a lease; it knows members, plans and tickets, never volumes or their
-placements.
+The package builds on the compacted log and on a lease. It handles members, plans and tickets; volumes and
+their placements are handled in ``placement``.
 """
--- a/sabledyke/rollout/canary_analysis.py
+++ b/sabledyke/rollout/canary_analysis.py
@@ -1,8 +1,8 @@
-"""Whether released members fail more than those that are not released yet. Pure.
+"""Compares the failure rate of released members with that of members not released yet. Pure.
 
-A one-sided two-proportion test, whose threshold is far out because it is repeated while a release runs:
-noise alone halts fewer than one plan in a hundred (a test counts it). A difference must also matter, and
-either side must have answered enough requests.
+The comparison is a one-sided two-proportion test. Its threshold is high because the test is repeated while a
+release runs: noise alone halts fewer than one plan in a hundred, which a test verifies. In addition, the
+difference must reach a minimum, and each side must have answered a minimum number of requests.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 Z_THRESHOLD = 4.5
 """Standard deviations that the difference of the failure rates must exceed."""
 MIN_RATE_DIFFERENCE = 0.02
-"""Difference of the failure rates, as a fraction of all answers, below which nothing is concluded."""
+"""Minimum difference of the failure rates, as a fraction of all answers."""
 MIN_ANSWERS = 200
-"""Answers of either side below which nothing is concluded."""
+"""Minimum number of answers on each side."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,14 +32,14 @@
 
 
 class AnswerTotal(NamedTuple):
-    """Answers of several members within some time, and how many of them were rejections or failures."""
+    """Answers of several members over a period, and how many of them were rejections or failures."""
 
     answered: int
     failed: int
 
     @property
     def failure_rate(self) -> float:
-        """The fraction of all answers that were rejections or failures."""
+        """Fraction of all answers that were rejections or failures."""
         return self.failed / self.answered
 
 
@@ -50,7 +50,7 @@
 
 
 def is_worse(released: AnswerTotal, others: AnswerTotal) -> bool:
-    """Return whether the released side fails more than the others."""
+    """Return whether the released members fail significantly more than the others."""
     if released.answered < MIN_ANSWERS or others.answered < MIN_ANSWERS:
         return False
     difference = released.failure_rate - others.failure_rate
@@ -62,14 +62,14 @@
 
 
 class Baseline:
-    """Counts of each incarnation when it was first seen: what came before a plan is held against nobody."""
+    """Counts of each incarnation when it was first seen, so that earlier answers are not counted."""
 
     def __init__(self) -> None:
-        """Create a baseline that has seen nobody."""
+        """Create a baseline without counts."""
         self._first: dict[str, AnswerCount] = {}
 
     def since_first_seen(self, counts: Mapping[str, AnswerCount]) -> dict[str, AnswerTotal]:
-        """Return the answers by member since then; a new incarnation counts from its start."""
+        """Return the answers by member since it was first seen; a new incarnation counts from its start."""
         since = {}
         for name, count in counts.items():
             first = self._first_count(name, count)
@@ -91,8 +91,8 @@
     """Return the names of plans whose released members fail more than those that are yet to be released.
 
     Args:
-        plans: Plans that are under way.
-        since: Answers by member, see ``Baseline``.
+        plans: Plans in progress.
+        since: Answers by member, as returned by ``Baseline.since_first_seen``.
     """
     failing = []
     for plan in plans:
--- a/sabledyke/rollout/change_tracker.py
+++ b/sabledyke/rollout/change_tracker.py
@@ -1,6 +1,6 @@
-"""For how long values have stood still, on one clock: the only measure of time that the coordinator uses.
+"""Tracks for how long values have been unchanged: the only measure of time that the coordinator uses.
 
-No time stands on the log. Whoever judges how long something lasts watches it on its own clock.
+Records on the log hold no timestamps, so the coordinator measures every duration on its own clock.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class ChangeTracker:
-    """Remembers since when each value is unchanged; bounded by the values of the last observation."""
+    """Time of the last change of each value; holds only the values of the last observation."""
 
     def __init__(self) -> None:
         """Create a tracker that has observed nothing."""
         self._unchanged_since: dict[str, tuple[object, float]] = {}
 
     def observe(self, now_ms: float, values: Mapping[str, object]) -> None:
-        """Take all values as they are now; names that are not among them are dropped."""
+        """Record the current values; names that are not among them are dropped."""
         before = self._unchanged_since
         self._unchanged_since = {
             name: before[name] if name in before and before[name][0] == value else (value, now_ms)
@@ -28,17 +28,17 @@
         }
 
     def unchanged_ms(self, now_ms: float, name: str) -> float:
-        """Return for how long a value has stood still; 0 for a name that was not observed."""
+        """Return for how long a value has been unchanged; 0 for a name that was not observed."""
         found = self._unchanged_since.get(name)
         return now_ms - found[1] if found is not None else 0.0
 
 
 def tracked_values(view: FleetView, heartbeats: Mapping[str, object]) -> dict[str, object]:
-    """Return the values whose stillness the coordinator decides by.
+    """Return the values whose time without change the coordinator decides by.
 
     Args:
         view: The fleet's records.
-        heartbeats: A value by member that changes with each of its heartbeats.
+        heartbeats: For each member, a value that changes with each of its heartbeats.
     """
     values: dict[str, object] = {f"beat/{name}": heartbeats.get(name) for name in view.members}
     for ticket in view.tickets.values():
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -1,4 +1,4 @@
-"""Moves of an operator: decided by the current view, and decided anew where another write came between.
+"""Changes by an operator: decided from the current view, and decided again after a write conflict.
 
 Used by the command line and by experiments.
 """
@@ -17,14 +17,14 @@
 from sabledyke.rollout.state_changes import StateChange
 
 OPERATOR = "operator"
-"""Name of the writer."""
+"""Writer name of operators' commands on the log."""
 
 
 async def append_change(writer: LogWriter, change: StateChange) -> None:
-    """Write a move to the log.
+    """Write a change to the log.
 
     Raises:
-        Conflict: What the move rests on no longer stands.
+        WriteConflictError: A condition of the change no longer holds.
         StaleWriterError: Another writer holds a later token.
     """
     drafts = [Draft(key_of(record), encode(record)) for record in change.records]
@@ -33,7 +33,7 @@
 
 
 async def read_view(compacted_log: CompactedLog, reader: LogReader) -> FleetView:
-    """Read the log to its end, and return all records that hold there."""
+    """Read the log to its end, and return the view of its records."""
     await compacted_log.catch_up(FLEET_TOPIC, reader)
     return view_of(reader.latest, reader.position)
 
@@ -44,25 +44,25 @@
     decide: Callable[[FleetView], StateChange],
     retries: int = 0,
 ) -> StateChange:
-    """Write the move that is decided by the current view, and return it.
+    """Write the change that is decided from the current view, and return it.
 
     Args:
         compacted_log: The log.
         reader: A reader of the fleet's topic.
-        decide: Called with the view, again after a conflict; what it raises ends the call.
-        retries: How often one move is tried again after a CompactedLogError, after which it may have been
-        written; it takes effect once.
+        decide: Called with the view, and again after a conflict; its exceptions are passed on.
+        retries: Number of retries after a CompactedLogError, which leaves unknown whether the change was
+            written; the change takes effect once.
     """
     while True:
         change = decide(await read_view(compacted_log, reader))
-        # Takes over from an operator that wrote before.
+        # Fences off the operator command that wrote before.
         writer = await compacted_log.claim_writer(FLEET_TOPIC, OPERATOR)
         if await _written(writer, change, retries):
             return change
 
 
 async def _written(writer: LogWriter, change: StateChange, retries: int) -> bool:
-    """Return whether the move was written; False where it is to be decided anew."""
+    """Return whether the change was written; False if it must be decided again."""
     for retries_left in reversed(range(retries + 1)):
         try:
             await append_change(writer, change)
--- a/sabledyke/rollout/configuration_switch.py
+++ b/sabledyke/rollout/configuration_switch.py
@@ -1,7 +1,7 @@
-"""Files that a plan has a member write: its settings, and the version to start next.
+"""Files that a member writes under a plan: its settings, and the version to start next.
 
-Beside the settings file that ``GW_CONFIG`` names stand those that a plan may name, each with its label after
-a dot: ``config.json.8``.
+The settings that a plan may name are files beside the settings file that ``GW_CONFIG`` names, with their
+label after a dot: ``config.json.8``.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from sabledyke.errors import WantedVersionError
 
 RETIRED_VERSION = "gone"
-"""What the version file says of a member that has retired, and is not to be started again."""
+"""Content of the version file of a retired member, which must not be started again."""
 
 
 def switch_settings(path: str, label: str, reload: Callable[[], str]) -> str:
-    """Put the settings of a label in force, and the former ones back where they are not accepted.
+    """Switch to the settings of a label; restore the former ones if they are not accepted.
 
-    Switching twice to one label changes nothing.
+    A second switch to the same label changes nothing.
 
     Args:
         path: The settings file, "" for none.
-        label: Suffix of the file to put in its place.
-        reload: Has the settings file read; returns "", or why it was not accepted.
+        label: Suffix of the file that replaces it.
+        reload: Reloads the settings file; returns "", or the reason why it was not accepted.
 
     Returns:
-        "" where the settings are in force, else the reason in one line.
+        "" if the settings are in force, else the reason in one line.
     """
     if not path:
-        return "no file of settings is named"
+        return "no settings file is configured"
     if "/" in label:
-        return f"{label} is no label"
+        return f"label {label} must not contain a slash"
     settings_file = Path(path)
     try:
         former = settings_file.read_bytes()
@@ -46,23 +46,23 @@
 
 
 class VersionFile:
-    """The file that says which version to start next, for whoever starts this member."""
+    """File that names the version to start next, for the supervisor of this member."""
 
     def __init__(self, path: str) -> None:
-        """Use the file at this path; "" for none, in which case nothing is announced."""
+        """Use the file at this path; "" for no file, in which case no version is announced."""
         self._path = Path(path) if path else None
 
     def read(self) -> str | None:
-        """Return what the file says, "" before it is first written; None where there is no such file."""
+        """Return the content of the file, "" before it is first written; None if no file is configured."""
         if self._path is None:
             return None
         return self._path.read_text().strip() if self._path.exists() else ""
 
     def announce(self, version: str) -> None:
-        """Have the file say which version is to be started next; "" leaves it as it is.
+        """Write the version to start next to the file; "" leaves the file as it is.
 
         Raises:
-            WantedVersionError: It cannot be written.
+            WantedVersionError: The file cannot be written.
         """
         self._write(version, write_atomically)
 
@@ -70,7 +70,7 @@
         """Check that ``announce`` could write the file.
 
         Raises:
-            WantedVersionError: It could not.
+            WantedVersionError: The file cannot be written.
         """
         self._write(version, _prepare)
 
@@ -84,12 +84,12 @@
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Replace a file as a whole or not at all, also where the machine fails."""
+    """Replace a file atomically, even if the machine fails."""
     os.replace(_prepare(path, data), path)
 
 
 def _prepare(path: Path, data: bytes) -> Path:
-    """Do all but the last step: from here on it is known that there is space, and permission to write."""
+    """Write the data to a temporary file beside the target, which verifies space and write permission."""
     work = path.with_name(f"{path.name}.working")
     with open(work, "wb") as file:
         file.write(data)
--- a/sabledyke/rollout/coordinator_driver.py
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -1,4 +1,4 @@
-"""Drives the coordinator while this process holds its lease: writes planners' moves, and cleans topics."""
+"""Drives the coordinator while this process holds the lease: writes its changes, and compacts topics."""
 
 from __future__ import annotations
 
@@ -26,13 +26,16 @@
 from sabledyke.rollout.timeouts import Timeouts
 
 COORDINATOR = "coordinator"
-"""Name of the writer."""
+"""Writer name of coordinators on the log."""
 
 
 class CoordinatorDriver:
-    """What this process does as the coordinator; it decides nothing.
+    """Runs the coordinator in this process; ``planner`` and ``node_drain`` decide.
 
-    What was observed is begun anew with each token, as it was observed under another lease.
+    Each new token resets all observations, as they were made under another lease.
+
+    Attributes:
+        timeouts: Timeouts of the coordinator.
     """
 
     def __init__(
@@ -50,15 +53,15 @@
         """Create a driver that holds no lease yet.
 
         Args:
-            host: The server around it.
+            host: The server that this driver runs in.
             name: Name of this coordinator, different in each incarnation.
             compacted_log: The log.
             log_section: The operator's section of the log.
             fleet_log: The fleet's topic as this process reads it.
             lease: The coordinator's lease.
-            nodes: Storage nodes as discovery has them.
-            sites: Drives evacuations; None where the operator names no sites.
-            heartbeat_interval_ms: Between heartbeats of a member.
+            nodes: Storage nodes as listed by discovery.
+            sites: Driver of evacuations; None if the operator names no sites.
+            heartbeat_interval_ms: Interval between heartbeats of a member.
         """
         self.timeouts = Timeouts()
         self._host = host
@@ -78,10 +81,10 @@
         self._registers_read_at_ms = -inf
 
     async def step(self) -> None:
-        """Write moves until none is left to decide.
+        """Write changes until there is none left to decide.
 
         Raises:
-            Lost: The lease is another's.
+            LeaseLostError: This process does not hold the lease.
         """
         if self._host.is_shutting_down():
             return
@@ -104,11 +107,11 @@
                 return
             await self._write(writer, change)
 
-    async def clean_topics(self) -> None:
+    async def compact_topics(self) -> None:
         """Compact the topics that the coordinator is responsible for.
 
         Raises:
-            Lost: The lease is another's.
+            LeaseLostError: This process does not hold the lease.
         """
         for topic in (FLEET_TOPIC, PLACEMENTS_TOPIC, *self._log_section.topics):
             await self._compacted_log.compact(
@@ -143,7 +146,7 @@
         return node_drain.decide(view, self._token, now_ms, self._tracker, self.timeouts, nodes)
 
     async def _write(self, writer: LogWriter, change: StateChange) -> None:
-        """Write a move; after a conflict the next one is decided at once, as a fleet is never still."""
+        """Write a change; after a conflict the next one is decided at once, as members write all the time."""
         self._lease.current_token()
         try:
             await append_change(writer, change)
--- a/sabledyke/rollout/disruption_budget.py
+++ b/sabledyke/rollout/disruption_budget.py
@@ -1,7 +1,7 @@
-"""How many members may be out at once, over all plans that are under way.
+"""Disruption budgets: how many members may be out of service at once, over all plans in progress.
 
-Every member that is not ready counts as out, planned or not, and so does every holder of a ticket. The
-budgets of all active plans hold together.
+Every member that is not ready counts as out of service, planned or not, and so does every ticket holder. The
+budgets of all active plans apply together.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 def members_out(view: FleetView) -> set[str]:
-    """Return the members that are out, or may go out at any moment."""
+    """Return the members that are out of service, or may leave at any moment."""
     in_service = (MemberState.READY, MemberState.RETIRED)
     away = {member.name for member in view.members.values() if member.state not in in_service}
     return away | set(view.tickets)
 
 
 def has_work_under_way(view: FleetView) -> bool:
-    """Return whether somebody may have to answer soon; else all that can happen is that a plan begins."""
+    """Return whether a member may have to react soon; if not, the only possible event is a new plan."""
     if view.tickets or view.drains:
         return True
     stages = (*ACTIVE_STAGES, PlanStage.HALTED)
@@ -31,7 +31,7 @@
 
 
 def has_capacity(view: FleetView, member: Member) -> bool:
-    """Return whether the budgets of all active plans let this member go out as well."""
+    """Return whether the budgets of all active plans allow this member out of service as well."""
     out = members_out(view) | {member.name}
     out_of_site = sum(name in view.members and view.members[name].site == member.site for name in out)
     for plan in view.active:
@@ -45,13 +45,13 @@
 
 
 def max_members_out(plan: Plan, view: FleetView) -> float:
-    """Return how many members this plan alone would let be out at once."""
+    """Return how many members may be out of service at once by the budget of this plan alone."""
     fleet_size = sum(member.state is not MemberState.RETIRED for member in view.members.values())
     return min(plan.max_out, _rounded_share(plan, fleet_size))
 
 
 def max_nodes_out(plan: Plan, node_count: int) -> float:
-    """Return how many of so many storage nodes this plan alone would let be out at once."""
+    """Return how many of ``node_count`` nodes may be out of service by the budget of this plan alone."""
     return min(plan.max_out, _rounded_share(plan, node_count))
 
 
--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -1,7 +1,7 @@
-"""Takes part in releases: this process as a member, and as the coordinator where it holds that lease.
+"""Takes part in releases, as a member and, while this process holds the lease, as the coordinator.
 
-``participant`` and ``planner`` decide; the drivers write their moves to the log. Whoever coordinates also
-cleans the log's topics.
+``participant`` and ``planner`` decide; the drivers write their changes to the log. The coordinator also
+compacts the log's topics.
 """
 
 from __future__ import annotations
@@ -38,14 +38,19 @@
     from sabledyke.operator_config import OperatorConfig
 
 LEASE_NAME = "rollout"
-"""Task that the lease is held for; its token also fences the cleaning of the log."""
+"""Name of the coordinator's lease, whose token also fences the compaction of the log."""
 JOIN_RETRY_INTERVAL_S = 0.1
 MAX_IDLE_INTERVAL_S = 1.0
-"""Between polls of the log, where nothing is under way and heartbeats are further apart."""
+"""Maximum interval between polls of the log while no plan is in progress."""
 
 
 class RolloutExtension(Extension):
-    """See ``Extension``."""
+    """Extension that makes this process a member of a fleet.
+
+    Attributes:
+        compacted_log: The log that the fleet shares.
+        member: Driver of this process as a member.
+    """
 
     def __init__(
         self,
@@ -58,11 +63,11 @@
         """Set up a member that has not joined yet.
 
         Args:
-            host: The server around it.
+            host: The server that this extension runs in.
             section: The operator's section of releases.
             log_section: The operator's section of the log.
             lease: The operator's section of the coordinator's lease.
-            sites: Capacities and distances of sites; None where the operator names none.
+            sites: Capacities and distances of sites; None if the operator names none.
         """
         self._host = host
         self._section = section
@@ -72,25 +77,27 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._nodes = NodeList(lambda entries: host.apply_node_entries(entries))
         self._loads = VolumeLoads() if sites is not None else None
-        self.board = CompactedLog(log_section.create_backend(), host.config.seed)
-        self._fleet_log = FleetLog(self.board, log_section.max_keys, self._on_view)
+        self.compacted_log = CompactedLog(log_section.create_backend(), host.config.seed)
+        self._fleet_log = FleetLog(self.compacted_log, log_section.max_keys, self._on_view)
         self._lease = LeaseManager(LEASE_NAME, self._identity, self._authority, lease.times, host.config.seed)
-        self.member = MemberDriver(host, section, self.board, log_section, self._fleet_log, self._loads)
+        self.member = MemberDriver(
+            host, section, self.compacted_log, log_section, self._fleet_log, self._loads
+        )
         self._coordinator = CoordinatorDriver(
             host=host,
             name=self._identity,
-            compacted_log=self.board,
+            compacted_log=self.compacted_log,
             log_section=log_section,
             fleet_log=self._fleet_log,
             lease=self._lease,
             nodes=self._nodes,
-            sites=EvacuationDriver(self.board, sites) if sites is not None else None,
+            sites=EvacuationDriver(self.compacted_log, sites) if sites is not None else None,
             heartbeat_interval_ms=section.heartbeat_interval_ms,
         )
         self.apply_config(host.config)
 
     async def open(self) -> None:
-        """See ``Extension``: returns once the log answers and this incarnation has begun."""
+        """Join the fleet; returns once the log answers and this incarnation has begun."""
         await self._authority.open()
         while (view := await self.member.join()) is None:
             if self._host.is_shutting_down():
@@ -102,26 +109,26 @@
         log.emit("fleet", f"{self._identity} is a member, incarnation {incarnation}, {self._section}")
 
     def apply_config(self, config: Config) -> None:
-        """See ``Extension``: how long a node warms up is the deployment's setting."""
+        """Apply the deployment's warm-up time of nodes to the coordinator's timeouts."""
         self._coordinator.timeouts = replace(self._section.timeouts, warm_up_ms=config.settings.warm_up_ms)
 
     def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
-        """See ``Extension``: the load of each volume is published with the heartbeats."""
+        """Count the load of the request's volume, which is published with the heartbeats."""
         if self._loads is not None:
             self._loads.add(work.volume, work.units)
         return onward(work, done)
 
     def adjust_endpoint_list(self, update: EndpointList) -> EndpointList:
-        """See ``Extension``: nodes that are drained by a plan are draining."""
+        """Mark nodes that a plan drains as draining."""
         return self._nodes.on_update(update)
 
     def check_operator_config(self, operator: OperatorConfig) -> None:
-        """See ``Extension``."""
+        """Reject a changed section ``[board]``, which only a restart can apply."""
         if operator.board != self._log_section:
-            raise ConfigError("the board differs, which takes a restart")
+            raise ConfigError("section [board] has changed: restart to apply it")
 
     async def close(self) -> None:
-        """See ``Extension``: the member writes that it is out, and gives its lease up."""
+        """Write that the member is out of service, and release the lease."""
         if self._tasks:
             lease_task, *tasks = self._tasks
             for task in tasks:
@@ -131,7 +138,7 @@
             await self._lease.stop()
             await asyncio.gather(lease_task, return_exceptions=True)
         await self._authority.close()
-        await self.board.backend.close()
+        await self.compacted_log.backend.close()
 
     def _start_tasks(self) -> None:
         loop = asyncio.get_running_loop()
@@ -141,7 +148,7 @@
             (self.member.step, self._poll_interval_s),
             (self.member.send_heartbeat, lambda: heartbeat_s),
             (self._coordinator.step, self._poll_interval_s),
-            (self._coordinator.clean_topics, lambda: self._log_section.compaction_interval_s),
+            (self._coordinator.compact_topics, lambda: self._log_section.compaction_interval_s),
         ):
             self._tasks.append(loop.create_task(run_periodically(action, interval_s)))
 
@@ -153,12 +160,12 @@
         return max(interval_s, min(heartbeat_s, MAX_IDLE_INTERVAL_S))
 
     def _on_view(self, view: FleetView) -> None:
-        """Have drains that were read in force before anything is decided by them."""
+        """Close drained nodes, before any decision is made from the view."""
         self._nodes.close(closed_nodes(view))
 
 
 def set_up(host: ServerContext, operator: OperatorConfig) -> Extension | None:
-    """Return a member of a fleet, where the operator's file says that this process is one."""
+    """Return the extension, or None if the operator's file does not configure a fleet member."""
     if operator.rollout is None or operator.board is None or operator.lease is None:
         return None
     return RolloutExtension(host, operator.rollout, operator.board, operator.lease, operator.sites)
--- a/sabledyke/rollout/fleet_log.py
+++ b/sabledyke/rollout/fleet_log.py
@@ -1,4 +1,4 @@
-"""The fleet's topic as one process reads it: the view of the last read, and what follows from a new one."""
+"""Reader of the fleet's topic, with the view as of the last read and a callback for new views."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 
 class FleetLog:
-    """Reads the topic for all tasks of a process."""
+    """Reads the topic for all tasks of a process, one task at a time.
+
+    Attributes:
+        view: View as of the last read.
+    """
 
     def __init__(
         self, compacted_log: CompactedLog, max_keys: int, on_change: Callable[[FleetView], None]
@@ -21,8 +25,8 @@
 
         Args:
             compacted_log: The log.
-            max_keys: Keys that the topic may hold.
-            on_change: Called with each new view before anything is decided by it.
+            max_keys: Maximum number of keys of the topic.
+            on_change: Called with each new view before any decision is made from it.
         """
         self.view = FleetView(0)
         self._compacted_log = compacted_log
@@ -36,10 +40,10 @@
         return len(self._reader.latest)
 
     async def read(self) -> FleetView:
-        """Read the topic to its end, and return the view; it is made anew only where something changed.
+        """Read the topic to its end, and return the view, which is rebuilt only if records have changed.
 
-        One task reads at a time: a page that is applied after another task has read on sets the reader back,
-        and what it is set back by is skipped by the page that another task applies next.
+        Only one task reads at a time. If a task applied its page after another task had read further, it
+        would set the reader back, and the next page applied by another task would skip the records between.
         """
         async with self._reading:
             has_changed = await self._compacted_log.catch_up(FLEET_TOPIC, self._reader)
--- a/sabledyke/rollout/fleet_view.py
+++ b/sabledyke/rollout/fleet_view.py
@@ -1,4 +1,4 @@
-"""All records of the fleet's topic that hold at one offset: what coordinators and members decide by."""
+"""View of all current records of the fleet's topic, from which coordinators and members decide."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class FleetView:
-    """Records by the name that they are of, as of all offsets below ``next_offset``."""
+    """Records by name, as of all offsets below ``next_offset``."""
 
     next_offset: int = 1
     members: dict[str, Member] = field(default_factory=dict)
@@ -36,11 +36,11 @@
 
     @property
     def active(self) -> list[Plan]:
-        """Plans under which somebody may go out, by name."""
+        """Plans in progress, ordered by name."""
         return [plan for _, plan in sorted(self.plans.items()) if plan.stage in ACTIVE_STAGES]
 
     def offset_of(self, key: str) -> int:
-        """Return the offset that a key stands at, 0 where it holds nothing."""
+        """Return the offset of the record under a key, 0 if there is none."""
         if key == EPOCH_KEY:
             return self.epoch.offset if self.epoch else 0
         kind, _, name = key.partition("/")
@@ -56,7 +56,7 @@
         return found.offset if found is not None else 0
 
     def put(self, record: Record) -> None:
-        """Have a record hold from now on, in place of the one under its key."""
+        """Store a record in place of the previous one under its key."""
         match record:
             case Member():
                 self.members[record.name] = record
@@ -75,7 +75,7 @@
 
 
 def view_of(state: Mapping[str, Message], next_offset: int) -> FleetView:
-    """Return the view of a reader's state, leaving out records that this version does not know."""
+    """Return the view of a reader's state, without records of kinds that this version does not know."""
     view = FleetView(next_offset)
     for message in state.values():
         record = decode(message)
--- a/sabledyke/rollout/heartbeats.py
+++ b/sabledyke/rollout/heartbeats.py
@@ -1,7 +1,7 @@
-"""What members write between decisions: heartbeats, and the load of each volume by their clients.
+"""Registers that members write periodically: heartbeats, and the load of each volume by their clients.
 
-Both are registers of ``HEARTBEATS_TOPIC``: a heartbeat under the member's name, loads under that name after a
-prefix.
+Both are registers of ``HEARTBEATS_TOPIC``: a heartbeat has the member's name as its key, and loads have that
+name after ``LOAD_KEY_PREFIX``.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 LOAD_KEY_PREFIX = "load/"
 MAX_PUBLISHED_LOADS = 400
-"""Volumes that one member writes the load of."""
+"""Number of volumes whose load one member publishes."""
 MAX_COUNTED_VOLUMES = 4 * MAX_PUBLISHED_LOADS
 
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """One member's last heartbeat.
+    """The last heartbeat of a member.
 
     Attributes:
-        count: Its answers so far.
-        values: All that was written, which differs from one heartbeat to the next.
+        count: Answers of the member so far.
+        values: All values as written, which differ between any two heartbeats.
     """
 
     count: AnswerCount
@@ -33,7 +33,7 @@
 
 
 def encode_heartbeat(count: AnswerCount, now_ms: float) -> bytes:
-    """Encode a heartbeat; the time only tells it from the one before."""
+    """Encode a heartbeat; the time serves only to make it differ from the previous one."""
     return orjson.dumps([count.incarnation, count.answered, count.failed, round(now_ms)])
 
 
@@ -70,13 +70,13 @@
         self._units: dict[str, float] = {}
 
     def add(self, volume: int, units: float) -> None:
-        """Count units of a volume; a volume too many is not counted."""
+        """Count units of a volume; volumes beyond ``MAX_COUNTED_VOLUMES`` are not counted."""
         name = f"{volume:016x}"
         if name in self._units or len(self._units) < MAX_COUNTED_VOLUMES:
             self._units[name] = self._units.get(name, 0.0) + units
 
     def encode_and_reset(self, seconds: float) -> bytes:
-        """Encode the busiest volumes' units per second, and count from 0 again."""
+        """Encode the units per second of the busiest volumes, and reset all counts to 0."""
         units = self._units
         self._units = {}
         busiest = sorted(units, key=lambda volume: -units[volume])[:MAX_PUBLISHED_LOADS]
--- a/sabledyke/rollout/member_driver.py
+++ b/sabledyke/rollout/member_driver.py
@@ -1,4 +1,4 @@
-"""Drives this process as a member: writes the moves of the participant, and leaves by a used ticket."""
+"""Drives this process as a member: writes the participant's changes, and shuts down on a used ticket."""
 
 from __future__ import annotations
 
@@ -37,15 +37,15 @@
 from sabledyke.rollout.state_changes import StateChange
 
 READY_POLL_INTERVAL_MS = 10
-"""Between checks of this process's own listeners, while they are not open yet."""
+"""Interval between checks whether this process's listeners are open."""
 MAX_REASON_LENGTH = 300
-"""Characters of the reason why settings were not accepted."""
+"""Number of characters kept of the reason why settings were not accepted."""
 FINAL_WRITE_TIMEOUT_S = 0.5
-"""For the last record that a member writes."""
+"""Time limit for the last record that a member writes."""
 
 
 class MemberDriver:
-    """One incarnation of a member; it decides nothing."""
+    """Runs one incarnation of a member; ``Participant`` and ``DrainAcknowledger`` decide."""
 
     def __init__(
         self,
@@ -59,12 +59,12 @@
         """Create a driver that has not joined yet.
 
         Args:
-            host: The server around it.
+            host: The server that this driver runs in.
             section: The operator's section of releases.
             compacted_log: The log.
             log_section: The operator's section of the log, for messages.
             fleet_log: The fleet's topic as this process reads it.
-            loads: Loads of volumes to publish; None where the operator names no sites.
+            loads: Loads of volumes to publish; None if the operator names no sites.
         """
         self._host = host
         self._section = section
@@ -79,19 +79,20 @@
 
     @property
     def incarnation(self) -> int:
-        """The incarnation that this process has joined as."""
+        """Number of the incarnation that this process has joined as."""
         return self._writer.identity.incarnation
 
     async def join(self) -> FleetView | None:
-        """Begin a new incarnation on the log, and return the view that it finds.
+        """Begin a new incarnation on the log, and return the current view.
+
+        A start must not fail permanently because the log is unavailable for a moment, nor accept clients
+        before this process has read which nodes are drained.
 
         Returns:
-            The view, once all others can know of this incarnation; None where the log does not answer now. A
-            start is not to fail for good because the log stood still for a moment, nor to accept clients
-            before it knows which nodes are drained.
+            The view, once all other members can read of this incarnation; None if the log does not answer.
 
         Raises:
-            ConfigError: Another incarnation of this name took over.
+            ConfigError: A later incarnation of this name has joined.
         """
         try:
             await self._compacted_log.backend.open()
@@ -100,7 +101,7 @@
             self._heartbeats = registers.RegisterWriter(
                 self._compacted_log.backend, HEARTBEATS_TOPIC, heartbeats.identity
             )
-            # It writes that it lives before it reads for the first time: see ``node_drain``.
+            # The member's record precedes its first read of the log: ``node_drain`` relies on this order.
             await append_change(self._writer, StateChange("warming", (self._record(MemberState.WARMING),)))
             return await self._fleet_log.read()
         except StaleWriterError as fault:
@@ -111,10 +112,10 @@
             return None
 
     def begin(self, view: FleetView) -> bool:
-        """Begin to take part, as of the view that it joined with.
+        """Start to take part in plans, as of the view that this incarnation joined with.
 
         Returns:
-            Whether this start replaces an incarnation that went out by a ticket.
+            True if this start replaces an incarnation that left by a ticket.
         """
         grace_ms = self._host.config.settings.drain_grace_ms
         self._participant = Participant(self._name, self.incarnation, self._section.request_validity_ms)
@@ -127,7 +128,7 @@
         return replaces_released
 
     async def step(self) -> None:
-        """Publish this member's state, then do what is due: settings, drains, a ticket, or leaving by it."""
+        """Publish this member's state, then handle new settings, a used ticket, a drain or a new request."""
         await self._wait_until_ready()
         view = await self._fleet_log.read()
         state = self._state()
@@ -140,7 +141,7 @@
             return
         ticket = self._participant.used_ticket(view)
         if ticket is not None and state is not MemberState.LEAVING:
-            self._leave(ticket)  # its use stands on the log, though the answer to that write was lost
+            self._leave(ticket)  # the log holds its use, although the answer to that write was lost
             return
         now_ms = boottime_ms()
         change = self._acknowledger.step(view, now_ms, lambda node: self._host.has_attempts_at(node.encode()))
@@ -150,7 +151,7 @@
             await self._write(change, view)
 
     async def send_heartbeat(self) -> None:
-        """Write the heartbeat, and the loads of volumes since the last one."""
+        """Write a heartbeat, with the loads of volumes since the previous one."""
         answered, failed = self._host.answer_totals()
         count = AnswerCount(self.incarnation, answered, failed)
         values = {self._name: encode_heartbeat(count, boottime_ms())}
@@ -160,7 +161,7 @@
         await self._heartbeats.put(values)
 
     async def write_final_state(self) -> None:
-        """Write that this member is out, as long as the log answers soon."""
+        """Write that this member is out of service; skipped if the log does not answer in time."""
         try:
             async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
                 state = MemberState.RETIRED if self._retires else MemberState.OUT
@@ -169,7 +170,7 @@
             log.emit("fleet", f"{self._name} could not say that it is out: {fault or 'no answer'}")
 
     async def _wait_until_ready(self) -> None:
-        """Wait for one poll interval at most, so that open listeners are published at once."""
+        """Wait at most one poll interval for open listeners, so that they are published at once."""
         for _ in range(int(self._section.poll_interval_ms / READY_POLL_INTERVAL_MS)):
             if self._state() is not MemberState.WARMING:
                 return
@@ -193,7 +194,7 @@
             self._leave(view.tickets[self._name])
 
     def _check_version_file(self, change: StateChange, view: FleetView) -> None:
-        """Check that the version file can be written, before a ticket is requested that needs it."""
+        """Check that the version file can be written, before requesting a ticket that requires it."""
         for record in change.records:
             if not isinstance(record, TicketRequest):
                 continue
@@ -203,7 +204,7 @@
                 self._version_file.check_writable(version)
 
     def _leave(self, ticket: Ticket) -> None:
-        """Have the server end; the version file says what is started next, or that this member retires."""
+        """Begin the shutdown; the version file names the next version, or marks this member as retired."""
         self._version_file.announce(RETIRED_VERSION if ticket.is_final else ticket.target)
         self._retires = ticket.is_final
         self._host.begin_shutdown()
--- a/sabledyke/rollout/node_drain.py
+++ b/sabledyke/rollout/node_drain.py
@@ -1,12 +1,12 @@
-"""Drains of storage nodes by plans: which node may go out next, when it is drained, when it is back. Pure.
+"""Drains of storage nodes by plans: which node is drained next, and when it is drained or back. Pure.
 
-The coordinator decides by the view of the log, its own list of nodes as discovery has it, its token and the
-time on its clock. A node is drained only when every member that may live has acknowledged, after it read the
-drain, that it has nothing in flight there; one that is silent may live. A timer alone never frees a node: it
-is out until it is listed as a later start and warm, or is removed for good.
+The coordinator decides from the view of the log, its own endpoint list, its token and the time on its clock.
+A node is drained only when every member that may be alive has read the drain and acknowledged that it has
+nothing in flight there; an unresponsive member may be alive. A timer alone never ends a drain: the node is
+out of service until it is listed as a later start and warm, or is removed permanently.
 
-Members write that they live before they read the log for the first time, and read it before they accept a
-client: a drain that they do not find there was begun after that, and waits for them.
+A member writes its record before it reads the log for the first time, and reads the log before it accepts a
+client. A drain that it does not find there begins later, and therefore waits for this member.
 """
 
 from __future__ import annotations
@@ -36,17 +36,17 @@
 CLOSED_PHASES = (DrainPhase.LEAVING, DrainPhase.DRAINED)
 """Phases in which a node is sent no new requests."""
 ABSENT_STATES = (MemberState.OUT, MemberState.RETIRED)
-"""States that a member writes itself when it has nothing in flight anywhere."""
+"""States that a member itself writes once it has nothing in flight at any node."""
 MAX_NAMED_IN_REASON = 3
 
 
 def closed_nodes(view: FleetView) -> frozenset[str]:
-    """Return the nodes that members send no new requests."""
+    """Return the names of the nodes that get no new requests."""
     return frozenset(drain.name for drain in view.drains.values() if drain.phase in CLOSED_PHASES)
 
 
 def unacknowledged_by(view: FleetView, drain: Drain) -> list[str]:
-    """Return the members that have not acknowledged that they have nothing in flight at this node."""
+    """Return the members that have not acknowledged that they have nothing in flight at the drain's node."""
     return sorted(
         member.name
         for member in view.members.values()
@@ -55,12 +55,12 @@
 
 
 def nodes_out(view: FleetView, nodes: Nodes) -> set[str]:
-    """Return the nodes that are out, or may be taken away at any moment."""
+    """Return the nodes that are out of service, or may be removed at any moment."""
     return {node.name for node in nodes.values() if not node.ready} | set(view.drains)
 
 
 def has_capacity(view: FleetView, node: ListedNode, nodes: Nodes) -> bool:
-    """Return whether the budgets of all active plans of nodes let this one go out as well."""
+    """Return whether the budgets of all active plans of nodes allow this node out of service as well."""
     out = nodes_out(view, nodes) | {node.name}
     if len(out) > _max_out(view, nodes, out):
         return False
@@ -81,15 +81,15 @@
 def decide(
     view: FleetView, token: int, now_ms: float, tracker: ChangeTracker, timeouts: Timeouts, nodes: Nodes
 ) -> StateChange | None:
-    """Return the coordinator's next move for storage nodes, None where there is none.
+    """Return the coordinator's next change for storage nodes, or None.
 
     Args:
         view: All records as of the end of the log.
         token: Fencing token of the coordinator's lease.
-        now_ms: Time on its own clock.
-        tracker: For how long things have stood still on that clock.
-        timeouts: How long it waits for what.
-        nodes: The nodes as its own list has them.
+        now_ms: Time on the coordinator's clock.
+        tracker: Time for which each value has been unchanged on that clock.
+        timeouts: Timeouts of the coordinator.
+        nodes: Nodes in the coordinator's endpoint list.
     """
     change = _DrainPlanner(view, token, now_ms, tracker, timeouts, nodes).next_change()
     return replace(change, expected_end=view.next_offset) if change is not None else None
@@ -97,17 +97,17 @@
 
 @dataclass(slots=True)
 class DrainAcknowledger:
-    """One member's side: acknowledges drains of nodes at which it has nothing in flight.
+    """Acknowledges, for one member, drains of nodes at which it has nothing in flight.
 
-    A drain may be acknowledged ``grace_ms`` after this member stopped sending new requests. Within the grace
-    it may still send what no other node can serve.
+    A drain may be acknowledged ``grace_ms`` after this member stopped sending new requests. During the grace
+    period it may still send requests that no other node can serve.
 
     Attributes:
         name: The member's name.
-        incarnation: Its incarnation.
-        grace_ms: Time after which a closed node counts as closed.
-        closed_since_ms: When this member closed each node, by the offset at which its drain began; entries
-            end with their drains.
+        incarnation: The member's incarnation.
+        grace_ms: Grace period after this member has closed a node.
+        closed_since_ms: Time at which this member closed each node, by the offset at which its drain began;
+            entries are removed with their drains.
     """
 
     name: str
@@ -116,12 +116,12 @@
     closed_since_ms: dict[int, float] = field(default_factory=dict)
 
     def step(self, view: FleetView, now_ms: float, busy: Callable[[str], bool]) -> StateChange | None:
-        """Return the acknowledgement of the drains that hold, None where the log has it already.
+        """Return the acknowledgement of all current drains that allow one, or None if the log has it already.
 
         Args:
             view: The fleet's records.
             now_ms: Time on this member's clock.
-            busy: Returns whether this member has something in flight at a node.
+            busy: Returns whether this member has a request in flight at a node.
         """
         closed = [drain for _, drain in sorted(view.drains.items()) if drain.phase in CLOSED_PHASES]
         self.closed_since_ms = {
@@ -137,10 +137,10 @@
 
     def _grace_is_over(self, drain: Drain, now_ms: float) -> bool:
         closed_ms = now_ms - self.closed_since_ms[drain.begun_offset]
-        return closed_ms > 0 and closed_ms >= self.grace_ms  # never at the step that closed the node
+        return closed_ms > 0 and closed_ms >= self.grace_ms  # not at the step that closed the node
 
     def _acknowledged(self, view: FleetView) -> tuple[int, ...] | None:
-        """Return what the log has of this incarnation; None where it has another one's."""
+        """Return the drains acknowledged on the log; None if another incarnation has written there."""
         known = view.acknowledgements.get(self.name)
         if known is None:
             return ()
@@ -149,7 +149,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _DrainPlanner:
-    """One decision: the view, the list of nodes and the clock that it is made by."""
+    """Makes one decision from the view, the list of nodes and the clock."""
 
     view: FleetView
     token: int
@@ -176,7 +176,7 @@
         return self.tracker.unchanged_ms(self.now_ms, name)
 
     def _advanced(self, drain: Drain, plan: Plan | None) -> StateChange | None:
-        """Return the move by which a drain enters its next phase, or ends."""
+        """Return the change by which a drain enters its next phase, or ends."""
         if drain.phase is DrainPhase.LEAVING:
             if unacknowledged_by(self.view, drain):
                 return None
@@ -184,7 +184,7 @@
         node = self.nodes.get(drain.name)
         if plan is not None and (self._is_removed(plan, node) or self._is_warm(drain)):
             released = replace(plan, released=(*plan.released, drain.name))
-            what = "is gone" if node is None else "is warm again"
+            what = "is removed" if node is None else "is warm again"
             return StateChange(f"{drain.name} {what}", (released,), (key_of(drain),))
         if drain.phase is not DrainPhase.DRAINED or node is None or not node.ready:
             return None
@@ -211,7 +211,9 @@
 
     def _too_many_unplanned(self, plan: Plan) -> str:
         unplanned = nodes_out(self.view, self.nodes) - set(self.view.drains)
-        return f"{len(unplanned)} boxes are out unplanned" if len(unplanned) > plan.max_out > 0 else ""
+        return (
+            f"{len(unplanned)} storage nodes are out unplanned" if len(unplanned) > plan.max_out > 0 else ""
+        )
 
     def _drain_too_slow(self, plan: Plan) -> str:
         for drain in self.view.drains.values():
@@ -220,13 +222,13 @@
             if self._unchanged_ms(key_of(drain)) <= self.timeouts.return_timeout_ms:
                 continue
             if drain.phase is not DrainPhase.LEAVING:
-                return f"{drain.name} is not back in its time: it is {drain.phase.value}"
+                return f"{drain.name} is not back in time: it is {drain.phase.value}"
             members = ", ".join(unacknowledged_by(self.view, drain)[:MAX_NAMED_IN_REASON])
             return f"{drain.name} is not drained in time: {members} may send to it"
         return ""
 
     def _first_node_unfit(self, plan: Plan) -> str:
-        """Return why the node that is first cannot go out, where no drain of the plan is under way."""
+        """Return why the plan's next node cannot be drained, "" if it can or a drain is in progress."""
         if not self.nodes or not plan.remaining or self._drains_of(plan):
             return ""
         if self._unchanged_ms(f"released/{plan.name}") <= self.timeouts.heartbeat_timeout_ms:
@@ -234,7 +236,7 @@
         name = plan.remaining[0]
         node = self.nodes.get(name)
         if node is None:
-            return "" if plan.removes_nodes else f"no box {name} is listed"
+            return "" if plan.removes_nodes else f"no storage node {name} is listed"
         if node.ready and is_last_of_shard(self.view, node, self.nodes):
             return f"{name} alone holds shard {node.shard}"
         return ""
@@ -251,10 +253,10 @@
                 continue
             node = self.nodes.get(name)
             if node is None and self._is_removed(plan, node):
-                return StateChange(f"{name} is gone", (replace(plan, released=(*plan.released, name)),))
-            # Nodes are looked at one by one only where the budget lets any of them out.
+                return StateChange(f"{name} is removed", (replace(plan, released=(*plan.released, name)),))
+            # Single nodes are examined only if the budget allows another node out of service.
             if node is None or is_budget_spent or not self._may_go_out(node):
-                continue  # who is out keeps nobody waiting
+                continue  # a node that is out of service does not delay the others
             drain = Drain(name, plan.name, self.token, node.started, self.view.next_offset)
             description = f"{name} is to be drained, {self._drains_of(plan) + 1} under way"
             return StateChange(description, (drain,))
@@ -270,12 +272,12 @@
 
 
 def _withdrawn(drain: Drain, plan: Plan | None) -> StateChange | None:
-    """Return the move that withdraws a drain: on the way back, or by a halt before the node was drained."""
+    """Return the change that withdraws a drain on a rollback, or on a halt before the node is drained."""
     is_back = plan is None or plan.stage in (PlanStage.ROLLING_BACK, PlanStage.ROLLED_BACK)
     is_halted = plan is not None and plan.stage is PlanStage.HALTED and drain.phase is DrainPhase.LEAVING
     if not is_back and not is_halted:
         return None
-    return StateChange(f"{drain.name} is not drained any more", deleted_keys=(key_of(drain),))
+    return StateChange(f"{drain.name} is no longer drained", deleted_keys=(key_of(drain),))
 
 
 def _has_acknowledged(view: FleetView, member: Member, drain: Drain) -> bool:
@@ -286,6 +288,6 @@
 
 
 def _max_out(view: FleetView, nodes: Nodes, out: set[str]) -> float:
-    """Return how many nodes may be out, by the smallest budget of all active plans of nodes."""
+    """Return how many nodes may be out of service, by the smallest budget of all active plans of nodes."""
     node_count = len({*nodes, *out})
     return min((max_nodes_out(plan, node_count) for plan in view.active if plan.nodes), default=inf)
--- a/sabledyke/rollout/node_list.py
+++ b/sabledyke/rollout/node_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as a member uses it: nodes that a plan drains are draining, whatever discovery says."""
+"""The endpoint list of a member, in which nodes that a plan drains are marked as draining."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class NodeList:
-    """Nodes as discovery has them, and those among them that plans have closed."""
+    """Nodes as listed by discovery, and the names of those that plans have closed."""
 
     def __init__(self, relist: Callable[[Sequence[NodeEntry]], None]) -> None:
         """Create an empty list.
 
         Args:
-            relist: Has the scheduler use these entries in place of the ones that it has.
+            relist: Replaces entries of the scheduler's list by these.
         """
         self._relist = relist
         self._entries: dict[NodeId, NodeEntry] = {}
         self._closed: frozenset[str] = frozenset()
 
     def close(self, names: frozenset[str]) -> None:
-        """Have only these nodes closed: they are sent no new requests, and others as the list has them."""
+        """Send these nodes no new requests; all other nodes are used as discovery lists them."""
         changed = names ^ self._closed
         self._closed = names
         entries = [self._entries.get(name.encode()) for name in sorted(changed)]
@@ -32,7 +32,7 @@
             self._relist(relisted)
 
     def on_update(self, update: EndpointList) -> EndpointList:
-        """Take an update of discovery, and return it as the scheduler is to have it."""
+        """Store an update from discovery, and return it with closed nodes marked as draining."""
         if update.kind is not ListKind.DELTA:
             self._entries = {}
         self._entries.update((entry.node_id, entry) for entry in update.entries)
@@ -42,7 +42,7 @@
         return replace(update, entries=tuple(self._effective(entry) for entry in update.entries))
 
     def by_name(self) -> dict[str, ListedNode]:
-        """Return the nodes as discovery has them, by name."""
+        """Return the nodes as listed by discovery, by name."""
         nodes = (_listed_node(entry) for entry in self._entries.values())
         return {node.name: node for node in nodes}
 
--- a/sabledyke/rollout/participant.py
+++ b/sabledyke/rollout/participant.py
@@ -1,8 +1,8 @@
-"""One member's side: when to request a ticket, and whether a granted one may still be used. Pure.
+"""A member's decisions on tickets: when to request one, and whether a granted one may still be used. Pure.
 
-The participant gets the view of the log and the time on its own clock. The last check is the log's: the use
-of a ticket is written only if ticket, plan and epoch stand as they were seen, so that a halt, a new
-coordinator or a withdrawn ticket comes before it or after it, never between.
+The participant gets the view of the log and the time on its own clock. The log makes the last check: the use
+of a ticket is written only if ticket, plan and epoch are unchanged since they were read. A halt, a new
+coordinator or a withdrawn ticket therefore takes effect either before or after the use, never in between.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from sabledyke.rollout.state_changes import StateChange
 
 GOES_OUT = "goes out"
-"""``Move.description`` of the move by which a member uses its ticket."""
+"""``StateChange.description`` of the change by which a member uses its ticket."""
 
 
 @dataclass(slots=True, frozen=True)
 class SentRequest:
-    """The last request, and when it was made on this member's clock: before it was written."""
+    """The last request, with the time on this member's clock before it was written."""
 
     plan: str
     request_number: int
@@ -31,13 +31,13 @@
 
 @dataclass(slots=True)
 class Participant:
-    """What one incarnation of a member knows.
+    """Decides for one incarnation of a member.
 
     Attributes:
         name: The member's name.
-        incarnation: Its incarnation.
-        request_validity_ms: A ticket that was granted later than this after its request is not used.
-        last_request: The request that waits for its answer.
+        incarnation: The member's incarnation.
+        request_validity_ms: Maximum time from a request to the use of its ticket.
+        last_request: The request without an answer yet, if any.
         last_request_number: Number of the last request of this incarnation, 0 for none.
     """
 
@@ -48,7 +48,7 @@
     last_request_number: int = 0
 
     def step(self, view: FleetView, now_ms: float) -> StateChange | None:
-        """Return the next move: a request, a ticket given back, or the use of one (``GOES_OUT``)."""
+        """Return the next change: a request, an unused ticket's return, or a ticket's use (``GOES_OUT``)."""
         member = view.members.get(self.name)
         if member is None or member.incarnation != self.incarnation:
             return None
@@ -60,16 +60,16 @@
             self.last_request = None
             return None
         if member not in next_members(plan, view):
-            return None  # others come first, and a request would only cross the coordinator's moves
+            return None  # others go first; a request would only conflict with the coordinator's changes
         if self._has_recent_request(plan, now_ms):
             return None
         return self._request(plan, now_ms)
 
     def used_ticket(self, view: FleetView) -> Ticket | None:
-        """Return the ticket that this incarnation has used, and is to leave by now.
+        """Return the ticket that this incarnation has used and must now leave by.
 
-        The answer to that write may have been lost: the use stands on the log, and nobody else may use the
-        ticket.
+        The answer to that write may have been lost. The log holds the use in any case, and no other process
+        may use the ticket.
         """
         ticket = view.tickets.get(self.name)
         if ticket is None or not ticket.used or ticket.settings:
@@ -79,7 +79,7 @@
     def due_settings(self, view: FleetView) -> Ticket | None:
         """Return a used ticket for new settings whose result this member has not written yet.
 
-        A former incarnation may have used it.
+        The ticket may have been used by an earlier incarnation.
         """
         ticket = view.tickets.get(self.name)
         if ticket is None or not ticket.settings or not ticket.used:
@@ -87,17 +87,16 @@
         return None if ticket.settings_result else ticket
 
     def replaces_released(self, view: FleetView) -> bool:
-        """Return whether a former incarnation went out by a ticket, so that a budget bounds this start."""
+        """Return whether an earlier incarnation left by a ticket, so that a budget limits this start."""
         ticket = view.tickets.get(self.name)
         if ticket is None or not ticket.used or ticket.settings:
             return False
         return ticket.incarnation < self.incarnation
 
     def unfinished(self, view: FleetView, version: str) -> Ticket | None:
-        """Return the ticket of a former incarnation after which this one started as another version.
+        """Return the ticket of an earlier incarnation, if this one runs another version than its target.
 
-        The former one may have died between using its ticket and writing the file that says which version to
-        start.
+        The earlier one may have crashed after using its ticket and before writing the version file.
         """
         if not self.replaces_released(view):
             return None
@@ -106,7 +105,9 @@
 
     def _use_or_return(self, ticket: Ticket, view: FleetView, now_ms: float) -> StateChange | None:
         if ticket.used:
-            return None  # by this incarnation, which leaves, or by a former one, as the coordinator sees
+            return (
+                None  # used by this incarnation, which leaves, or by an earlier one: the coordinator ends it
+            )
         key = key_of(ticket)
         try:
             self._check_usable(ticket, view, now_ms)
@@ -127,28 +128,30 @@
         return now_ms - request.sent_at_ms <= self.request_validity_ms / 2
 
     def _request(self, plan: Plan, now_ms: float) -> StateChange:
-        """Return a new request; its age counts from here, as the grant may be long on its way."""
+        """Return a new request, whose age counts from now, as the write and the grant may be delayed."""
         self.last_request_number += 1
         self.last_request = SentRequest(plan.name, self.last_request_number, now_ms)
         request = TicketRequest(self.name, plan.name, self.incarnation, self.last_request_number)
         return StateChange(f"{self.name} asks to go out", (request,))
 
     def _check_usable(self, ticket: Ticket, view: FleetView, now_ms: float) -> None:
-        """Raise StaleTicketError where the ticket may not be used: it is given back, and requested anew."""
+        """Raise StaleTicketError if the ticket must be returned unused and requested again."""
         request = self.last_request
         if (
             request is None
             or ticket.request_number != request.request_number
             or ticket.incarnation != self.incarnation
         ):
-            raise StaleTicketError(f"{self.name}: the ticket answers an earlier ask")
+            raise StaleTicketError(f"{self.name}: the ticket answers an earlier request")
         age_ms = now_ms - request.sent_at_ms
         if age_ms > self.request_validity_ms:
-            raise StaleTicketError(f"{self.name}: the ticket came {age_ms:.0f} ms after it was asked for")
+            raise StaleTicketError(
+                f"{self.name}: the ticket came {age_ms:.0f} ms after its request, too late"
+            )
         if view.epoch is None or ticket.token != view.epoch.token:
             raise StaleTicketError(
                 f"{self.name}: the ticket is under token {ticket.token}, which is no longer in force"
             )
         plan = view.plans.get(ticket.plan)
         if plan is None or self.name not in remaining_members(plan):
-            raise StaleTicketError(f"{self.name}: plan {ticket.plan} does not go on")
+            raise StaleTicketError(f"{self.name}: plan {ticket.plan} no longer releases this member")
--- a/sabledyke/rollout/periodic.py
+++ b/sabledyke/rollout/periodic.py
@@ -1,4 +1,4 @@
-"""Runs the tasks of a fleet's process again and again, whatever becomes of one run."""
+"""Runs the periodic tasks of a fleet member; a failed run does not end its task."""
 
 from __future__ import annotations
 
@@ -21,10 +21,12 @@
 
 
 async def run_periodically(action: Callable[[], Awaitable[None]], interval_s: Callable[[], float]) -> None:
-    """Run an action for ever; faults of the log, the lease or a file are logged, and it is run again.
+    """Run an action periodically; after a failure of the log, the lease or a file it is run again.
+
+    Write conflicts and a lost lease are expected; all other failures are logged.
 
     Args:
-        action: What to run.
+        action: The action to run.
         interval_s: Returns the time from the start of one run to the start of the next.
     """
     while True:
@@ -32,13 +34,13 @@
         try:
             await action()
         except (WriteConflictError, LeaseLostError):
-            pass  # somebody wrote first, or the lease is another's: the next run reads anew
+            pass  # another process wrote first or holds the lease; the next run reads the log again
         except StaleWriterError as fault:
             log.emit("fleet", str(fault), **fault.fields)
             await asyncio.sleep(STALE_WRITER_PAUSE_S)
         except (CompactedLogError, AuthorityError, WantedVersionError) as fault:
             log.emit("fleet", str(fault), **fault.fields)
         except Exception as fault:
-            # A task that ended silently would leave a member that sends heartbeats and never moves.
-            invariants.report_violation("a turn in the fleet", repr(fault))
+            # If this task ended, the member would still send heartbeats but never take part in a plan.
+            invariants.report_violation("a periodic fleet task raises no unexpected error", repr(fault))
         await asyncio.sleep(max(MIN_PAUSE_S, interval_s() - (time.monotonic() - started_s)))
--- a/sabledyke/rollout/plan_changes.py
+++ b/sabledyke/rollout/plan_changes.py
@@ -1,4 +1,4 @@
-"""What an operator may change: begin a plan, halt, resume or roll it back, and forget a member."""
+"""Changes by operators: begin a plan, halt it, resume it or roll it back, and forget a member."""
 
 from __future__ import annotations
 
@@ -19,41 +19,43 @@
 from sabledyke.rollout.state_changes import StateChange
 
 UNFINISHED_STAGES = (*ACTIVE_STAGES, PlanStage.HALTED)
-FORGETTABLE_STATES = (MemberState.OUT, MemberState.SILENT, MemberState.RETIRED)
+FORGETTABLE_STATES = (MemberState.OUT, MemberState.UNRESPONSIVE, MemberState.RETIRED)
 MEMBER_RECORDS = ("member", "ask", "ticket", "clear")
-"""Prefixes of the keys that hold what a member has written, or was granted."""
+"""Prefixes of the keys of a member's own records and of its ticket."""
 MAX_NAMED_IN_ERROR = 3
 ALLOWED_CHANGES = {
     PlanStage.HALTED: ACTIVE_STAGES,
     PlanStage.RUNNING: (PlanStage.HALTED,),
     PlanStage.ROLLING_BACK: (PlanStage.RUNNING, PlanStage.HALTED),
 }
-"""Stages that an operator may set, and those that each may follow."""
+"""Stages that an operator may set, each with the stages that it may follow."""
 
 
 def validate(plan: Plan, view: FleetView) -> None:
     """Check that a plan may begin in this fleet.
 
     Raises:
-        PlanError: It may not; the message is the first thing found, in one line.
+        PlanError: The plan is invalid; the message names the first problem, in one line.
     """
     for problem in _problems(plan, view):
         raise PlanError(f"plan {plan.name}: {problem}")
 
 
 def forget_member(name: str, view: FleetView) -> StateChange:
-    """Return the move by which a member counts nowhere, and is in no plan any more.
+    """Return the change that deletes a member's records, and removes the member from unfinished plans.
 
-    One that comes back all the same is a member again as soon as it writes its own record.
+    If the member returns nevertheless, it is a member again as soon as it writes its own record.
 
     Raises:
-        PlanError: There is no such member, or it responded lately.
+        PlanError: There is no such member, or it is not out of service.
     """
     member = view.members.get(name)
     if member is None:
-        raise PlanError(f"{name} is no member")
+        raise PlanError(f"{name} is not a member")
     if member.state not in FORGETTABLE_STATES:
-        raise PlanError(f"{name} is {member.state.value}, and only who is out can be forgotten")
+        raise PlanError(
+            f"{name} is {member.state.value}; only a member that is out of service can be forgotten"
+        )
     plans = tuple(
         replace(
             plan,
@@ -69,10 +71,10 @@
 
 
 def change_stage(plan: Plan, stage: PlanStage, reason: str) -> Plan:
-    """Return the plan in the stage that an operator has set; setting it twice changes nothing.
+    """Return the plan in the stage that an operator sets; a second call changes nothing.
 
     Raises:
-        PlanError: The stage that the plan is in does not allow it.
+        PlanError: The current stage of the plan does not allow the new one.
     """
     if plan.stage is stage:
         return plan
@@ -90,16 +92,16 @@
 
 def _naming_problems(plan: Plan, view: FleetView) -> Iterator[str]:
     if plan.name in view.plans:
-        yield f"plan {plan.name} is there already"
+        yield f"plan {plan.name} exists already"
     if plan.follow_up is not None and plan.follow_up.name in view.plans:
-        yield f"plan {plan.follow_up.name} is there already"
+        yield f"plan {plan.follow_up.name} exists already"
     if not plan.members and not plan.nodes:
-        yield "it names nobody"
+        yield "it names neither members nor storage nodes"
     if len(set(plan.members)) < len(plan.members):
         yield "it names a member twice"
     nodes = plan.nodes or plan.nodes_removed_next
     if len(set(nodes)) < len(nodes):
-        yield "it names a box twice"
+        yield "it names a storage node twice"
     unknown = [name for name in plan.members if name not in view.members]
     if unknown:
         yield f"no such member: {', '.join(unknown[:MAX_NAMED_IN_ERROR])}"
@@ -107,7 +109,7 @@
     conflicts = [claim for claim in _claims(plan) if claim in claimed]
     if conflicts:
         names = ", ".join(name for _, name in conflicts[:MAX_NAMED_IN_ERROR])
-        yield f"{names}: in plan {claimed[conflicts[0]]}, which is not over"
+        yield f"{names}: in plan {claimed[conflicts[0]]}, which has not ended"
 
 
 def _budget_problems(plan: Plan, view: FleetView) -> Iterator[str]:
@@ -125,7 +127,7 @@
         return
     sites = {m.site for m in view.members.values() if m.state is not MemberState.RETIRED}
     if not sites - {plan.retiring_site}:
-        yield f"no site would be left without {plan.retiring_site}"
+        yield f"retiring {plan.retiring_site} would leave no site"
     stages = (*UNFINISHED_STAGES, PlanStage.DONE)
     others = (other for other in view.plans.values() if other.stage in stages)
     if any(other.retiring_site == plan.retiring_site for other in others):
@@ -154,6 +156,6 @@
 
 
 def _claims(plan: Plan) -> list[tuple[bool, str]]:
-    """Return what a plan takes out, now or later: whether it is a storage node, and its name."""
+    """Return the storage nodes (True) and members (False) that a plan takes out of service, by name."""
     nodes = [(True, name) for name in plan.nodes or plan.nodes_removed_next]
     return nodes + [(False, name) for name in plan.members]
--- a/sabledyke/rollout/plan_file.py
+++ b/sabledyke/rollout/plan_file.py
@@ -1,4 +1,4 @@
-"""Plans as operators write them, in TOML files of their own."""
+"""Plan files of operators, in TOML."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BudgetTable(Table, frozen=True, kw_only=True):
-    """How many may be out at once; whether the fleet allows it is for ``plan_changes.validate``."""
+    """Disruption budget of a plan; ``plan_changes.validate`` checks it against the fleet."""
 
     most: int = 1
     per_site: int | None = None
@@ -19,7 +19,7 @@
 
 
 class PlanTable(Table, frozen=True, kw_only=True):
-    """The keys of a plan's file."""
+    """Keys of a plan file."""
 
     name: str
     members: tuple[str, ...] = ()
@@ -40,7 +40,7 @@
     """Return the plan of a file.
 
     Raises:
-        PlanError: It cannot be read; the message is one line.
+        PlanError: The file cannot be read or holds no valid plan; the message is one line.
     """
     try:
         return from_file(path, lambda text: plan_of(parsed(text)))
@@ -49,10 +49,10 @@
 
 
 def plan_of(data: dict[str, Any]) -> Plan:
-    """Return the plan of a file's content; whether the fleet can do it is for ``plan_changes.validate``.
+    """Return the plan of a file's content, which ``plan_changes.validate`` checks against the fleet.
 
     Raises:
-        OperatorError: The content is no plan.
+        OperatorError: The content is not a valid plan.
     """
     table = convert(data, PlanTable, "plan")
     retires = bool(table.retire)
@@ -84,7 +84,7 @@
     if plan.nodes and names_members:
         raise OperatorError("a plan that drains boxes names neither members nor versions")
     if plan.removes_nodes and not plan.nodes:
-        raise OperatorError("plan.gone is said of boxes, and it names none")
+        raise OperatorError("plan.gone requires plan.boxes, which names none")
     if plan.settings and not plan.target:
         raise OperatorError("a plan of new settings names both labels, to and before")
     if bool(plan.target) != bool(plan.previous):
--- a/sabledyke/rollout/planner.py
+++ b/sabledyke/rollout/planner.py
@@ -1,9 +1,9 @@
-"""The coordinator's decisions on members: who may go out, and when a plan halts, ends or is rolled back.
+"""The coordinator's decisions on members: which may leave, and when a plan halts, ends or is rolled back.
 
 The planner is pure: it gets the view of the log, its token and the time on its own clock, and returns at most
-one move. The move is written under the token, and only if nothing was written since that view, so that what
-was counted still holds when a grant takes effect. A timer alone never frees a ticket: it is spent until a
-later incarnation of its holder is ready.
+one change. The change is written under the token, and only if nothing was written since that view, so that
+the counts that a grant relies on still hold when it takes effect. A timer alone never ends a ticket, which
+counts until a later incarnation of its holder is ready.
 
 Sources: disruption budgets and surge bounds of rolling updates, canaries.
 """
@@ -38,7 +38,7 @@
 from sabledyke.rollout.state_changes import StateChange
 from sabledyke.rollout.timeouts import Timeouts
 
-ABSENT_STATES = (MemberState.OUT, MemberState.SILENT)
+UNAVAILABLE_STATES = (MemberState.OUT, MemberState.UNRESPONSIVE)
 
 
 def decide(
@@ -50,15 +50,15 @@
     timeouts: Timeouts,
     failing: Sequence[str] = (),
 ) -> StateChange | None:
-    """Return the coordinator's next move for members, None where there is none.
+    """Return the coordinator's next change for members, or None.
 
     Args:
         view: All records as of the end of the log.
         coordinator: Name of this coordinator.
-        token: Fencing token of its lease.
-        now_ms: Time on its own clock.
-        tracker: For how long things have stood still on that clock.
-        timeouts: How long it waits for what.
+        token: Fencing token of the coordinator's lease.
+        now_ms: Time on the coordinator's clock.
+        tracker: Time for which each value has been unchanged on that clock.
+        timeouts: Timeouts of the coordinator.
         failing: Names of plans whose released members fail more than the others.
     """
     if view.epoch is None or view.epoch.token != token:
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Planner:
-    """One decision: the view and the clock that it is made by."""
+    """Makes one decision from the view and the clock."""
 
     view: FleetView
     token: int
@@ -80,7 +80,7 @@
 
     def next_change(self, failing: Sequence[str]) -> StateChange | None:
         return (
-            self._mark_silent_member()
+            self._mark_unresponsive_member()
             or self._settle_ticket()
             or self._halt_plan(failing)
             or self._finish_plan()
@@ -90,12 +90,14 @@
     def _unchanged_ms(self, name: str) -> float:
         return self.tracker.unchanged_ms(self.now_ms, name)
 
-    def _mark_silent_member(self) -> StateChange | None:
+    def _mark_unresponsive_member(self) -> StateChange | None:
         for member in self.view.members.values():
-            if member.state in (*ABSENT_STATES, MemberState.RETIRED):
+            if member.state in (*UNAVAILABLE_STATES, MemberState.RETIRED):
                 continue
             if self._unchanged_ms(f"beat/{member.name}") > self.timeouts.heartbeat_timeout_ms:
-                return StateChange(f"{member.name} is silent", (replace(member, state=MemberState.SILENT),))
+                return StateChange(
+                    f"{member.name} is silent", (replace(member, state=MemberState.UNRESPONSIVE),)
+                )
         return None
 
     def _settle_ticket(self) -> StateChange | None:
@@ -125,13 +127,13 @@
             if ticket.plan != plan.name or not ticket.used:
                 continue
             if self._unchanged_ms(key_of(ticket)) > self.timeouts.return_timeout_ms:
-                return f"{ticket.name} is not back in its time"
+                return f"{ticket.name} is not back in time"
         unplanned = sum(
-            member.state in ABSENT_STATES and member.name not in self.view.tickets
+            member.state in UNAVAILABLE_STATES and member.name not in self.view.tickets
             for member in self.view.members.values()
         )
         if unplanned > plan.max_out > 0:
-            return f"{unplanned} are out unplanned"
+            return f"{unplanned} members are out unplanned"
         return ""
 
     def _finish_plan(self) -> StateChange | None:
@@ -166,11 +168,11 @@
 
     def _grant_under(self, plan: Plan) -> StateChange | None:
         candidates = next_members(plan, self.view)
-        # Whoever is next gets the time of a few heartbeats to request its ticket.
+        # The next members get a few heartbeat intervals to request their tickets.
         waited = self._unchanged_ms(f"turn/{plan.name}") >= self.timeouts.heartbeat_timeout_ms
         if waited and (blocking := blocking_members(plan, self.view, candidates)):
             deferred = (*without(plan.deferred, *blocking), *blocking)
-            description = f"{', '.join(blocking)}: no ask in its turn, others come first"
+            description = f"{', '.join(blocking)}: no request in time, others go first"
             return StateChange(description, (replace(plan, deferred=deferred),))
         for member in candidates:
             request = request_of(plan, self.view, member)
@@ -201,9 +203,9 @@
 
 
 def _settled(ticket: Ticket, member: Member, plan: Plan | None) -> StateChange | None:
-    """Return the move that ends a ticket: its holder is back, has retired, or has switched its settings.
+    """Return the change that ends a ticket whose holder is back, has retired, or has switched its settings.
 
-    A holder may also have died before it went out, and come back all the same.
+    A holder may also have crashed before it used the ticket, and be back after a restart.
     """
     if plan is not None and ticket.is_final and member.state is MemberState.RETIRED:
         released = replace(plan, released=(*plan.released, member.name))
@@ -221,7 +223,7 @@
 
 
 def _after_settings(ticket: Ticket, plan: Plan) -> StateChange:
-    """Return the move after a switch of settings: released, or its plan halts with the member's reason."""
+    """Return the change after a switch of settings: the member is released, or its plan halts."""
     if ticket.settings_result == SETTINGS_APPLIED:
         return _released(ticket, plan, f"has taken on {ticket.target}")
     reason = f"{ticket.name} did not take on {ticket.target}: {ticket.settings_result}"
@@ -229,7 +231,7 @@
 
 
 def _released(ticket: Ticket, plan: Plan, what: str) -> StateChange:
-    """Return the move by which a ticket's holder is released, or on the way back no longer is."""
+    """Return the change that marks a ticket's holder as released or, on a rollback, as no longer released."""
     released = without(plan.released, ticket.name)
     went_back = ticket.target == plan.previous and ticket.target != plan.target
     if not went_back:
--- a/sabledyke/rollout/record_codec.py
+++ b/sabledyke/rollout/record_codec.py
@@ -1,8 +1,8 @@
-"""How records of the fleet's topic are stored: keys, and JSON objects with names of their own.
+"""Stored form of the records of the fleet's topic: keys, and JSON objects with names of their own.
 
-The stored names are a contract with every version of the program that shares a log: a rolling release has
-old and new versions read each other's records. They are therefore listed here one by one, apart from the
-names of the dataclass fields, which may change. A reader ignores stored names that it does not know.
+The stored names are a contract between all versions of the program that share a log: during a rolling
+release, old and new versions read each other's records. They are therefore listed here one by one, apart from
+the names of the dataclass fields, which may change. A reader ignores stored names that it does not know.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     Drain: "drain",
     DrainAcknowledgement: "clear",
 }
-"""Record types by the first segment of their key; an ``Epoch`` has the whole key ``EPOCH``."""
+"""First segment of the key of each record type; the key of an ``Epoch`` is ``EPOCH_KEY``."""
 
 STORED_NAMES: dict[type[Record], dict[str, str]] = {
     Member: {
@@ -102,7 +102,7 @@
         "token": "token",
     },
 }
-"""Dataclass field to stored name, in stored order. ``offset`` is the record's place, and is not stored."""
+"""Stored name of each dataclass field, in stored order; ``offset`` is the record's position, not stored."""
 
 STORED_ENUMS: dict[str, type[Enum]] = {"state": MemberState, "stage": PlanStage, "phase": DrainPhase}
 """Stored names whose values are members of an enumeration."""
@@ -111,7 +111,7 @@
 
 
 def key_of(record: Record) -> str:
-    """Return the key that a record stands under."""
+    """Return the key of a record."""
     if isinstance(record, Epoch):
         return EPOCH_KEY
     return f"{KEY_PREFIXES[type(record)]}/{record.name}"
--- a/sabledyke/rollout/records.py
+++ b/sabledyke/rollout/records.py
@@ -1,10 +1,10 @@
-"""Records of releases: members, plans, requests, tickets and drains, as they stand on the log. Plain data.
+"""Records of releases on the log: members, plans, requests, tickets and drains. Plain data.
 
-All of them are keys of one topic. The members' heartbeats are registers of another one, which have no end
-that moves could conflict on, and no past. No time stands on the log: whoever judges how long something lasts
-watches it stand still on its own clock.
+All of them are keys of one topic. The members' heartbeats are registers of another topic, which has no end
+offset that state changes could conflict on, and no history. Records hold no timestamps: a process measures on
+its own clock for how long a record has been unchanged.
 
-``offset`` says where a record stands, and is not stored with it (see ``record_codec``).
+``offset`` is the position of a record on the log, and is not stored with it (see ``record_codec``).
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 FLEET_TOPIC = "fleet"
 HEARTBEATS_TOPIC = "beats"
 EPOCH_KEY = "epoch"
-"""Key that each new coordinator writes first, by which the one before is fenced off."""
+"""Key that each new coordinator writes first, which fences off the previous coordinator."""
 MAX_MEMBERS = 1000
 MAX_PLANS = 64
 SETTINGS_APPLIED = "taken"
 """``Ticket.settings_result`` of settings that are in force."""
 EVACUATION_STEPS = 4
-"""Steps in which the weight of a site goes down, or comes back."""
+"""Number of steps in which the weight of a site is reduced or restored."""
 
 
 class MemberState(Enum):
-    """State of a member."""
+    """State of a member, as stored on the log."""
 
     READY = "ready"
     LEAVING = "leaving"
     OUT = "out"
     WARMING = "warming"
-    SILENT = "silent"
-    """Without heartbeats, as only a coordinator says: the member may still serve."""
+    UNRESPONSIVE = "silent"
+    """Set by the coordinator for a member without heartbeats, which may still serve."""
     RETIRED = "retired"
-    """Out for good: it counts nowhere any more."""
+    """Permanently out of service, and no longer counted in budgets."""
 
 
 class PlanStage(Enum):
-    """Stage of a plan."""
+    """Stage of a plan, as stored on the log."""
 
     RUNNING = "running"
     HALTED = "halted"
@@ -48,23 +48,23 @@
 
 
 ACTIVE_STAGES = (PlanStage.RUNNING, PlanStage.ROLLING_BACK)
-"""Stages in which members or nodes may go out."""
+"""Stages in which members or nodes may be taken out of service."""
 
 
 class DrainPhase(Enum):
     """Phase of the drain of a storage node."""
 
     LEAVING = "leaving"
-    """It gets no new requests; members may still wait for responses of it."""
+    """The node gets no new requests; members may still wait for its responses."""
     DRAINED = "drained"
-    """Nobody has anything in flight there: it may be taken away."""
+    """No member has anything in flight at the node, which may be removed."""
     WARMING = "warming"
-    """It is listed again as a later start, and accepts requests as the list allows."""
+    """The node is listed again after a restart, and accepts requests as the list allows."""
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """What an instance publishes of itself, or a coordinator of one that is silent."""
+    """State that an instance publishes of itself, or that the coordinator sets for an unresponsive one."""
 
     name: str
     incarnation: int
@@ -80,24 +80,24 @@
 
     Attributes:
         name: The plan's name.
-        members: Members that go out, in this order.
-        max_out: Members (or nodes) that may be out at once, planned or not.
-        max_out_per_site: The same of one site (or zone); None for no such bound.
-        max_out_fraction: The same as a fraction of all; None for no such bound.
-        target: Version, or label of settings, to come back as; "" for any.
-        previous: Version or label to go back to.
-        canary: The first one goes alone, and is observed before others follow.
+        members: Members to release, in this order.
+        max_out: Members (or nodes) that may be out of service at once, planned or not.
+        max_out_per_site: Bound for each site (or zone); None for no such bound.
+        max_out_fraction: Bound as a fraction of all members (or nodes); None for no such bound.
+        target: Version, or label of settings, that members return with; "" for any.
+        previous: Version, or label of settings, to roll back to.
+        canary: The first member (or node) is released alone, and is observed before others follow.
         settings: ``target`` and ``previous`` are labels of settings, which members switch to in service.
-        nodes: Storage nodes that are drained instead, and come back as later starts.
-        removes_nodes: The nodes go for good.
-        retiring_site: The site that goes for good, once its volumes have moved; "" for none.
-        nodes_removed_next: Nodes that go for good by a plan of their own, once the site's members have.
-        step: Evacuation step, of ``EVACUATION_STEPS``; beyond them once all volumes have moved, below 0 once
-            all are back.
+        nodes: Storage nodes to drain instead of members; each returns as a later start.
+        removes_nodes: The nodes are removed permanently.
+        retiring_site: Site that is removed permanently once its volumes have moved; "" for none.
+        nodes_removed_next: Nodes that a follow-up plan removes once the members of the site have retired.
+        step: Evacuation step, up to ``EVACUATION_STEPS``; above it once all volumes have moved, below 0 once
+            all have returned.
         stage: Stage of the plan.
-        released: Who has gone out and is back, in this order.
-        deferred: Who did not request a ticket in its turn and follows all others, in this order.
-        reason: Why the plan is in its stage.
+        released: Members (or nodes) whose release is complete, in this order.
+        deferred: Members that did not request a ticket in their turn and follow all others, in this order.
+        reason: Reason why the plan is in its stage.
     """
 
     name: str
@@ -122,7 +122,7 @@
 
     @property
     def follow_up(self) -> Plan | None:
-        """The plan that removes the nodes of a retired site, inside the same budgets."""
+        """The plan that removes the nodes of a retired site, within the same budgets; None for no nodes."""
         if not self.nodes_removed_next:
             return None
         return Plan(
@@ -137,13 +137,13 @@
 
     @property
     def remaining(self) -> list[str]:
-        """Who has still to go out, in order."""
+        """Names of the members (or nodes) that are still to be released, in order."""
         return [name for name in self.nodes or self.members if name not in self.released]
 
 
 @dataclass(slots=True, frozen=True)
 class TicketRequest:
-    """A member requests to go out under a plan; each request of an incarnation has a new number."""
+    """A member's request for a ticket of a plan; each request of an incarnation has a new number."""
 
     name: str
     plan: str
@@ -154,22 +154,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Ticket:
-    """Permission of a member to go out.
+    """Permission of a member to go out of service.
 
-    It is spent from its grant until a later incarnation of the member is ready, or the member gives it back
-    unused.
+    It counts against the budgets from its grant until a later incarnation of the member is ready, or the
+    member returns it unused.
 
     Attributes:
         name: The member.
-        plan: The plan that it goes out under.
+        plan: The plan that the ticket belongs to.
         incarnation: The member's incarnation.
         request_number: The request that the ticket answers.
         token: Fencing token of the coordinator that granted it.
-        target: Version, or label of settings, to come back as; "" for any.
-        is_final: The member does not come back.
-        settings: The member switches its settings, and does not go.
-        used: The member goes out, or switches its settings.
-        settings_result: ``SETTINGS_APPLIED``, or why they are not in force; "" while it is not known.
+        target: Version, or label of settings, that the member returns with; "" for any.
+        is_final: The member does not return.
+        settings: The member switches its settings, and stays in service.
+        used: The member has begun to leave, or to switch its settings.
+        settings_result: ``SETTINGS_APPLIED``, or why the settings are not in force; "" while unknown.
     """
 
     name: str
@@ -187,14 +187,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """A storage node that goes out under a plan; it counts as out until it is warm again, or removed.
+    """Drain of a storage node by a plan; the node counts as out of service until it is warm again or removed.
 
     Attributes:
         name: The node.
-        plan: The plan that it goes out under.
-        token: Fencing token of the coordinator that began it.
-        node_started: When the node started, as the list had it then; another start is another incarnation.
-        begun_offset: The offset at which the drain began, which tells it from every other drain.
+        plan: The plan that the drain belongs to.
+        token: Fencing token of the coordinator that began the drain.
+        node_started: Start time of the node as listed when the drain began; a later one is a new incarnation.
+        begun_offset: Offset at which the drain began, which identifies the drain.
         phase: Phase of the drain.
     """
 
@@ -209,9 +209,12 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainAcknowledgement:
-    """An incarnation of a member has nothing in flight under these drains, and sends nothing more.
+    """Confirmation by a member that it has nothing in flight at drained nodes, and sends nothing more.
 
-    ``name`` is the member's; ``drains`` are their ``Drain.begun_offset``.
+    Attributes:
+        name: The member.
+        incarnation: The member's incarnation.
+        drains: ``Drain.begun_offset`` of each acknowledged drain.
     """
 
     name: str
@@ -222,7 +225,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedNode:
-    """A storage node as the coordinator's own list has it; not on the log."""
+    """A storage node in the coordinator's endpoint list; not stored on the log."""
 
     name: str
     zone: int
@@ -233,7 +236,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Epoch:
-    """Who coordinates, under which fencing token."""
+    """The current coordinator and its fencing token."""
 
     name: str
     token: int
--- a/sabledyke/rollout/release_order.py
+++ b/sabledyke/rollout/release_order.py
@@ -1,4 +1,4 @@
-"""In which order the members of a plan go out, and what they come back as."""
+"""Order in which the members of a plan are released, and the version that they return with."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 def remaining_members(plan: Plan) -> list[str]:
-    """Return the members that have still to go out under this plan, in order.
+    """Return the members that are still to be released under this plan, in order.
 
-    They go out as named, or on the way back the last first; those that did not request a ticket in their
-    turn follow all others.
+    The order is that of the plan, or the reverse during a rollback; members that did not request a ticket in
+    their turn follow all others.
     """
     names = _in_plan_order(plan)
     return [*without(names, *plan.deferred), *(name for name in plan.deferred if name in names)]
 
 
 def next_members(plan: Plan, view: FleetView) -> list[Member]:
-    """Return the members that may be let out next under this plan, in order.
+    """Return the members that may request a ticket now under this plan, in order.
 
-    They are as many as the plan's budgets let out at once, and one more of each. All others keep still: of
-    forty members that all requested a ticket, each request crossed the coordinator's next move, and none was
-    granted anything within four minutes.
+    They are as many as each of the plan's budgets allows at once, plus one. All others send no request: when
+    all of forty members requested a ticket, each request conflicted with the coordinator's next change, and
+    no ticket was granted within four minutes.
     """
     names = remaining_members(plan)
     if plan.canary and not plan.released:
@@ -45,7 +45,7 @@
             break
         member = view.members.get(name)
         if member is None or name in view.tickets or member.state is not MemberState.READY:
-            continue  # who is out keeps nobody waiting
+            continue  # a member that is out of service does not delay the others
         if plan.max_out_per_site is None or chosen_by_site[member.site] <= plan.max_out_per_site:
             chosen.append(member)
             chosen_by_site[member.site] += 1
@@ -53,12 +53,12 @@
 
 
 def current_target(plan: Plan) -> str:
-    """Return what members that go out now are to come back as; "" for whatever they are."""
+    """Return the version (or label) that members released now must return with; "" for any."""
     return plan.previous if plan.stage is PlanStage.ROLLING_BACK else plan.target
 
 
 def request_of(plan: Plan, view: FleetView, member: Member) -> TicketRequest | None:
-    """Return the request that this incarnation of a member has made under the plan, if there is one."""
+    """Return the request of this incarnation of a member under the plan, or None."""
     request = view.requests.get(member.name)
     if request is None or request.plan != plan.name or request.incarnation != member.incarnation:
         return None
@@ -66,10 +66,10 @@
 
 
 def blocking_members(plan: Plan, view: FleetView, next_in_order: Sequence[Member]) -> list[str]:
-    """Return the members that are next and request nothing, where that keeps others from being next.
+    """Return the next members without a request, if they keep other ready members from their turn.
 
-    Members that live and never request a ticket (they cannot write their version file, or run a version that
-    knows no such plan) would hold up their plan for good once they are as many as the budgets let out.
+    Members that are alive but never request a ticket (they cannot write their version file, or run a version
+    without support for such a plan) would block their plan permanently once they fill its budgets.
     """
     ready = (
         name
@@ -82,7 +82,7 @@
 
 
 def without(names: Iterable[str], *excluded: str) -> tuple[str, ...]:
-    """Return the names in their order, but for the excluded ones."""
+    """Return the names without the excluded ones, in the same order."""
     return tuple(name for name in names if name not in excluded)
 
 
@@ -92,5 +92,5 @@
     if plan.stage is not PlanStage.RUNNING or plan.nodes:
         return []
     if plan.retiring_site and plan.step <= EVACUATION_STEPS:
-        return []  # members of a site that retires go once its volumes have all moved
+        return []  # members of a retiring site are released once all its volumes have moved
     return plan.remaining
--- a/sabledyke/rollout/section.py
+++ b/sabledyke/rollout/section.py
@@ -1,6 +1,6 @@
-"""The operator's section ``[rollout]``, which says who this member is and how long things may take.
+"""The operator's section ``[rollout]``: site and version of this member, intervals and timeouts.
 
-Files that hold a plan are read in ``plan_file``.
+Plan files are read in ``plan_file``.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Section:
-    """What ``[rollout]`` says.
+    """Settings of ``[rollout]``.
 
     Attributes:
-        site: The site that this member is at.
-        version: The version that it runs.
-        version_file: The file that says which version to start next, for whoever starts this member.
-        poll_interval_ms: Between polls of the log while a plan is under way.
-        heartbeat_interval_ms: Between heartbeats.
-        request_validity_ms: How long after its request a ticket may be used.
-        timeouts: How long a coordinator waits.
+        site: Site of this member.
+        version: Version that this member runs.
+        version_file: File that names the version to start next, for the supervisor of this member.
+        poll_interval_ms: Interval between polls of the log while a plan is in progress.
+        heartbeat_interval_ms: Interval between heartbeats.
+        request_validity_ms: Time after its request within which a ticket may be used.
+        timeouts: Timeouts of the coordinator.
     """
 
     site: str = ""
@@ -48,7 +48,7 @@
 
 
 class RolloutTable(Table, frozen=True, kw_only=True):
-    """The section's keys, as they stand in the file."""
+    """Keys of the section in the operator's file."""
 
     site: str = ""
     version: str = ""
@@ -67,13 +67,13 @@
 
 
 def check_names(**values: str) -> None:
-    """Check values that must be names.
+    """Check that values are valid names.
 
     Args:
         values: The values by their keys.
 
     Raises:
-        ValueError: One of them is not; the message names its key.
+        ValueError: A value is not a valid name; the message names its key.
     """
     for key, value in values.items():
         if not name_like(value):
@@ -81,10 +81,10 @@
 
 
 def read(data: dict[str, Any]) -> Section | None:
-    """Return the section, None where there is none.
+    """Return the section, or None if the file has none.
 
     Raises:
-        OperatorError: It is not as it must be.
+        OperatorError: The section is invalid.
     """
     if not data:
         return None
--- a/sabledyke/rollout/state_changes.py
+++ b/sabledyke/rollout/state_changes.py
@@ -1,4 +1,4 @@
-"""A change of the fleet's topic that was decided on, and what it rests on."""
+"""A change of the fleet's topic, with the conditions under which it may be written."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True, frozen=True)
 class StateChange:
-    """Records to write and keys to delete in one append, which is rejected where its conditions do not hold.
+    """Records to write and keys to delete in one append, which is rejected if a condition does not hold.
 
     Attributes:
-        description: What is done, for the log and the command line.
+        description: One line on the change, for the log and the command line.
         records: Records to write.
         deleted_keys: Keys to delete.
-        expected_end: The next offset of the topic, where the move needs that nothing was written since.
-        expected_offsets: Keys and the offsets that they must still stand at, 0 for a key that holds nothing.
+        expected_end: Next offset that the topic must still have; None if other writes may come first.
+        expected_offsets: Keys with the offset that each must still have, 0 for a key without a record.
     """
 
     description: str
--- a/sabledyke/rollout/timeouts.py
+++ b/sabledyke/rollout/timeouts.py
@@ -1,4 +1,4 @@
-"""How long the coordinator waits for members and storage nodes."""
+"""Timeouts of the coordinator for members and storage nodes."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
     """Milliseconds on the coordinator's clock.
 
     Attributes:
-        heartbeat_timeout_ms: A member without a heartbeat for so long counts as out.
-        return_timeout_ms: Who went out must be ready again by then, or its plan halts.
-        canary_soak_ms: How long a canary is observed before others follow.
-        warm_up_ms: How long a node counts as out after it is listed again.
+        heartbeat_timeout_ms: Time without a heartbeat after which a member counts as out of service.
+        return_timeout_ms: Time for a released member or drained node to return, after which its plan halts.
+        canary_soak_ms: Time for which a canary is observed before others follow.
+        warm_up_ms: Time for which a node still counts as out of service after it is listed again.
     """
 
     heartbeat_timeout_ms: float = 5000.0
--- a/sabledyke/testbed/drain_model/member_transitions.py
+++ b/sabledyke/testbed/drain_model/member_transitions.py
@@ -44,7 +44,7 @@
     name = f"n{index}"
     known = view.members[name]
     if known.state is MemberState.READY:
-        silent = replace(known, state=MemberState.SILENT)
+        silent = replace(known, state=MemberState.UNRESPONSIVE)
         yield Transition(f"{name} is noticed to be silent", with_append(state, (silent,)))
     reborn = Instance(state.instances[index].incarnation + 1, serves=False)
     started = with_instance(state, index, reborn)
@@ -65,7 +65,7 @@
         if is_idle and known.incarnation == instance.incarnation:
             yield Transition(f"{name} leaves", with_append(died, (replace(known, state=MemberState.OUT),)))
     if state.budget.missed_heartbeats and known.state is MemberState.READY:
-        silent = replace(known, state=MemberState.SILENT)
+        silent = replace(known, state=MemberState.UNRESPONSIVE)
         yield Transition(f"{name} is not heard", with_append(spend(state, "missed_heartbeats"), (silent,)))
 
 
--- a/sabledyke/testbed/drain_model/transitions.py
+++ b/sabledyke/testbed/drain_model/transitions.py
@@ -73,7 +73,7 @@
 
 def _with_silent_as_out(view: FleetView) -> FleetView:
     members = {
-        name: replace(member, state=MemberState.OUT) if member.state is MemberState.SILENT else member
+        name: replace(member, state=MemberState.OUT) if member.state is MemberState.UNRESPONSIVE else member
         for name, member in view.members.items()
     }
     return replace(view, members=members)
--- a/sabledyke/testbed/ticket_model/member_transitions.py
+++ b/sabledyke/testbed/ticket_model/member_transitions.py
@@ -52,7 +52,7 @@
     yield Transition(f"{name} is back", with_append(with_instance(state, index, reborn), (ready,)))
     known = view.members[name]
     if known.state is MemberState.READY and known.incarnation == instance.incarnation:
-        silent = replace(known, state=MemberState.SILENT)
+        silent = replace(known, state=MemberState.UNRESPONSIVE)
         yield Transition(f"{name} is noticed to be out", with_append(state, (silent,)))
 
 
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -178,7 +178,7 @@
             _not_forwarded,
         )
     await part.member.send_heartbeat()
-    await part.board.backend.close()
+    await part.compacted_log.backend.close()
 
 
 async def sharer_writes(path: str, volume: int) -> None:
--- a/tests/rollout/member_scenarios.py
+++ b/tests/rollout/member_scenarios.py
@@ -1,4 +1,4 @@
-"""Members that die or switch their settings."""
+"""Scenarios of members that crash or switch their settings."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def member_never_returns(fleet: Fleet) -> None:
-    """A member that never comes back holds its plan up until an operator says that it will not."""
+    """A member that never returns blocks its plan until an operator forgets it."""
     await fleet.add_plan(plan_for_all("p", 3, target="2", previous="1"))
     await fleet.wait_until(lambda view: view.plans["p"].released)
     coordinator = await fleet.coordinator()
@@ -22,9 +22,9 @@
     last = f"n{number}"
     fleet.supervisor.suspended.add(number)
     await fleet.inject(FleetFault.KILL, number)
-    with pytest.raises(PlanError, match="only who is out"):
+    with pytest.raises(PlanError, match="only a member that is out of service"):
         await fleet.forget_member("n0")
-    await fleet.wait_until(lambda view: view.members[last].state is MemberState.SILENT)
+    await fleet.wait_until(lambda view: view.members[last].state is MemberState.UNRESPONSIVE)
     assert (await fleet.read_view()).plans["p"].stage is not PlanStage.DONE
     await fleet.forget_member(last)
     if (await fleet.read_view()).plans["p"].stage is PlanStage.HALTED:
@@ -35,7 +35,7 @@
 
 
 async def coordinator_killed_midway(fleet: Fleet) -> None:
-    """The coordinator is killed while another member is out; the transcript names them by their roles."""
+    """The coordinator is killed while another member is out; the transcript names members by their roles."""
     number = await fleet.coordinator()
     first_number, then_number = (i for i in range(3) if i != number)
     coordinator, first, then = f"n{number}", f"n{first_number}", f"n{then_number}"
@@ -55,7 +55,7 @@
 
 
 async def switch_settings(fleet: Fleet) -> None:
-    """New settings in service: one member cannot read its own, all go back; once mended, all take them on."""
+    """A switch of settings halts at a member with an invalid file, and succeeds once the file is corrected."""
     files = [instance.folder / "config.json" for instance in fleet.cluster.instances]
     old = read_all(files)
     new = [text.replace(b'"sockets":128', b'"sockets":160') for text in old]
--- a/tests/rollout/node_scenarios.py
+++ b/tests/rollout/node_scenarios.py
@@ -1,4 +1,4 @@
-"""Storage nodes and sites that go out under a fleet of processes that serves clients."""
+"""Scenarios of drained storage nodes and retiring sites, in a fleet of processes that serves clients."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 def assert_nothing_was_lost(fleet: Fleet) -> None:
-    """Every request had its one end, none was cut off, and no key ran twice but as the protocol allows it.
+    """Check that requests have one outcome, none was cut off, and keys ran twice only as the protocol allows.
 
-    On a busy machine a few may find a listener that closes, or no member in time; none may get half an answer
-    or a wrong one.
+    On a busy machine a few requests may meet a closing listener, or reach no member in time; none may get a
+    partial or wrong answer.
     """
     outcomes = fleet.metrics.outcomes
     lost = (
@@ -46,7 +46,7 @@
 
 
 async def wait_for_placements(fleet: Fleet) -> None:
-    """Wait until clients have used enough volumes."""
+    """Wait until enough volumes are placed."""
     await fleet.wait_until(lambda _: len(fleet.placements()) >= MIN_PLACED_VOLUMES)
 
 
@@ -57,7 +57,7 @@
 
 
 async def retire_site(fleet: Fleet) -> None:
-    """A site hands its clients over and goes for good; its volumes move once each."""
+    """A site retires; its volumes move once each, and its members and nodes are removed."""
     await wait_for_placements(fleet)
     nodes = ("box0", "box5")
     await fleet.add_plan(Plan("p", ("n0", "n2"), retiring_site="s0", nodes_removed_next=nodes))
@@ -72,7 +72,7 @@
         "n3": READY,
     }
     assert not disruption_budget.members_out(view)
-    placements = (await fleet.read_placements_anew()).values()  # clients may be behind on a busy machine
+    placements = (await fleet.read_placements_anew()).values()  # clients may lag behind on a busy machine
     assert {placement.site for placement in placements} == {"s1"}
     assert all(placement.move_count == (placement.origin_site == "s0") for placement in placements)
     assert_nothing_was_lost(fleet)
@@ -81,7 +81,7 @@
 
 
 async def retirement_rolled_back(fleet: Fleet) -> None:
-    """An operator takes a retirement back in the middle: volumes are placed as before, no member went out."""
+    """An operator rolls back a retirement: volumes return to their sites, and no member leaves."""
     await wait_for_placements(fleet)
     await fleet.add_plan(Plan("p", ("n0", "n2"), retiring_site="s0"))
     await fleet.wait_until(lambda view: view.plans["p"].step >= 2)
@@ -97,7 +97,7 @@
 
 
 async def drain_nodes(fleet: Fleet, *faults: ReleaseFault) -> None:
-    """Nodes are taken away one after the other of a shard, as long as all members agree."""
+    """Nodes are replaced, one of a shard at a time, once all members have acknowledged the drain."""
     names = ("box0", "box1", "box4", "box5")
     await fleet.add_plan(Plan("p", (), max_out=2, nodes=names))
     await fleet.wait_until(lambda view: len(view.plans["p"].released) >= 1)
@@ -112,7 +112,7 @@
 
 
 async def drain_with_partitioned_member(fleet: Fleet) -> None:
-    """A member that cannot read of a drain still sends there: the node is not taken away before it can."""
+    """A node is not removed while a partitioned member, which cannot read of the drain, still sends to it."""
     number = (await fleet.coordinator() + 1) % fleet.settings.size
     member = f"n{number}"
 
@@ -122,7 +122,7 @@
         return node_drain.unacknowledged_by(view, view.drains["box0"]) == [member]
 
     fleet.storage.proxies[number].partition()
-    await fleet.wait_until(lambda view: view.members[member].state is MemberState.SILENT)
+    await fleet.wait_until(lambda view: view.members[member].state is MemberState.UNRESPONSIVE)
     await fleet.add_plan(Plan("p", (), nodes=("box0",)))
     await fleet.wait_until(only_it_has_not_acknowledged)
     request_count = fleet.nodes.request_count
--- a/tests/rollout/release_scenarios.py
+++ b/tests/rollout/release_scenarios.py
@@ -1,4 +1,4 @@
-"""Releases of a fleet of processes, with faults between them."""
+"""Scenarios of releases of a fleet of processes, with and without faults."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class ReleaseFault:
-    """What happens in a release, whether to the coordinator (else to another member), and for how long."""
+    """A fault during a release, on the coordinator or on another member, with its duration."""
 
     kind: FleetFault
     on_coordinator: bool = True
@@ -31,7 +31,7 @@
 
 
 async def inject_all(fleet: Fleet, faults: tuple[ReleaseFault, ...], coordinator: int, other: int) -> None:
-    """Inject all faults at once, and wait until they are over."""
+    """Inject all faults at once, and wait until they have ended."""
     await asyncio.gather(
         *(
             fleet.inject(fault.kind, coordinator if fault.on_coordinator else other, fault.duration_s)
@@ -41,7 +41,7 @@
 
 
 async def release_everybody(fleet: Fleet, name: str = "p", **fields: Any) -> FleetView:
-    """Release everybody, and wait for it."""
+    """Release all members, and wait until the plan is done."""
     await fleet.add_plan(plan_for_all(name, fleet.settings.size, **fields))
     return await fleet.wait_until(lambda view: view.plans[name].stage is PlanStage.DONE)
 
@@ -53,9 +53,9 @@
 
 
 async def release_under_faults(fleet: Fleet, *faults: ReleaseFault, max_out: int) -> None:
-    """Release everybody with faults that come once the second ticket is granted.
+    """Release all members, with faults that begin once the second ticket is granted.
 
-    Faults that are not on the coordinator hit the last of the other members.
+    Faults that are not on the coordinator affect the last of the other members.
     """
     size = fleet.settings.size
     await fleet.add_plan(plan_for_all("p", size, target="2", previous="1"))
@@ -64,7 +64,9 @@
     last = size - 1 - (coordinator == size - 1)
     await inject_all(fleet, faults, coordinator, last)
     view = await fleet.wait_until(lambda view: view.plans["p"].stage is not PlanStage.RUNNING)
-    while view.plans["p"].stage is PlanStage.HALTED:  # by itself, while too many are out
+    while (
+        view.plans["p"].stage is PlanStage.HALTED
+    ):  # the plan halts by itself while too many members are out
         reason = view.plans["p"].reason
         assert "unplanned" in reason or "not back" in reason
         await resume_when_all_are_back(fleet, "p")
@@ -76,7 +78,7 @@
 
 
 async def restart_everybody(fleet: Fleet) -> None:
-    """A release without a new version starts each member again, one after the other."""
+    """A plan without a new version restarts all members, one after the other."""
     view = await release_everybody(fleet)
     assert view.plans["p"].released == ("n0", "n1", "n2")
     assert not view.tickets
@@ -85,7 +87,7 @@
 
 
 async def roll_back_canary(fleet: Fleet) -> None:
-    """An operator halts after the canary and rolls back, each command twice: it changes something once."""
+    """An operator halts after the canary and rolls back; each command is sent twice and takes effect once."""
     await fleet.add_plan(plan_for_all("p", 3, target="2", previous="1", canary=True))
     view = await fleet.wait_until(lambda view: view.plans["p"].released)
     assert [member.version for _, member in sorted(view.members.items())] == ["2", "1", "1"]
@@ -103,7 +105,7 @@
 
 
 async def starter_keeps_old_version(fleet: Fleet) -> None:
-    """The supervisor starts the old version again: the first member shows it, and no other is released."""
+    """The supervisor starts the old version again: the plan halts at the first member."""
     fleet.supervisor.ignores_versions = True
     await fleet.add_plan(plan_for_all("p", 3, target="2", previous="1"))
     view = await fleet.wait_until(lambda view: view.plans["p"].stage is PlanStage.HALTED)
@@ -113,7 +115,7 @@
 
 
 async def killed_while_log_stalls(fleet: Fleet) -> None:
-    """Members that die while the log stalls wait for it, and come back at their first start."""
+    """Members that are killed while the log stalls wait for it, and return at their first restart."""
     incarnations = {name: member.incarnation for name, member in (await fleet.read_view()).members.items()}
     logs = [fleet.cluster.instances[number].folder / "log.2" for number in (1, 2)]
     async with fleet.storage.stalled(), asyncio.timeout(LOG_WAIT_S):
@@ -128,7 +130,7 @@
 
 
 async def members_without_request(fleet: Fleet) -> None:
-    """Members that cannot say which version to start hold nobody up, and follow once that is mended."""
+    """Members that cannot write their version file delay no others, and follow once they can write it."""
     blocked = [fleet.cluster.instances[number].folder / "wants.working" for number in (0, 1)]
     for path in blocked:
         path.mkdir()
@@ -145,7 +147,7 @@
 
 
 async def answer_of_used_ticket_lost(fleet: Fleet) -> None:
-    """A member writes that it goes out, and gets no answer to it for longer than it retries."""
+    """A member writes the use of its ticket, and gets no answer for longer than it retries."""
     member = fleet.settings.size - 1
     was_written = asyncio.Event()
 
@@ -175,7 +177,7 @@
 
 
 async def two_plans_at_once(fleet: Fleet) -> None:
-    """Two plans at once keep to one budget."""
+    """Two concurrent plans stay within one budget."""
     for name, members in (("p", ("n0", "n1")), ("q", ("n2", "n3"))):
         await fleet.add_plan(Plan(name, members))
     await fleet.wait_until(lambda view: all(plan.stage is PlanStage.DONE for plan in view.plans.values()))
@@ -183,7 +185,7 @@
 
 
 async def all_killed_midway(fleet: Fleet) -> None:
-    """All of them are killed in the middle, and come back."""
+    """All members are killed during a release, and the release completes after their return."""
     await fleet.add_plan(plan_for_all("p", 4))
     await fleet.wait_until(lambda view: view.plans["p"].released)
     await asyncio.gather(*(fleet.inject(FleetFault.KILL, number) for number in range(4)))
--- a/tests/rollout/support.py
+++ b/tests/rollout/support.py
@@ -1,4 +1,4 @@
-"""Fleets, plans and drains that tests of releases decide by."""
+"""Fleets and decisions for tests of releases."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 TIMEOUTS = Timeouts(heartbeat_timeout_ms=100, return_timeout_ms=1000, canary_soak_ms=50)
 
 
-def fleet(*states: MemberState, sites: int = 1, **of: Any) -> FleetView:
-    """Members n0, n1, ... in these states, a plan for all of them, and requests of those that are ready.
+def fleet(*states: MemberState, sites: int = 1, **fields: Any) -> FleetView:
+    """Return members n0, n1, ... in these states, a plan for all of them, and requests of the ready ones.
 
     Args:
-        states: The members' states.
-        sites: The number of sites, over which the members are spread.
-        of: Fields of the plan.
+        states: States of the members.
+        sites: Number of sites over which the members are spread.
+        fields: Fields of the plan.
     """
-    seen = FleetView(100, epoch=Epoch("c", 1, 1))
+    view = FleetView(100, epoch=Epoch("c", 1, 1))
     for i, state in enumerate(states):
-        seen.members[f"n{i}"] = Member(f"n{i}", 1, "1", f"s{i % sites}", state, i + 2)
-    names = tuple(seen.members)
-    seen.plans["p"] = replace(Plan("p", names, offset=50), **of)
+        view.members[f"n{i}"] = Member(f"n{i}", 1, "1", f"s{i % sites}", state, i + 2)
+    names = tuple(view.members)
+    view.plans["p"] = replace(Plan("p", names, offset=50), **fields)
     for i, name in enumerate(names):
         if states[i] is MemberState.READY:
-            seen.requests[name] = TicketRequest(name, "p", 1, 1, 60 + i)
-    return seen
+            view.requests[name] = TicketRequest(name, "p", 1, 1, 60 + i)
+    return view
 
 
 def decide(
-    seen: FleetView, now: float = 0.0, watch: ChangeTracker | None = None, **of: Any
+    view: FleetView, now_ms: float = 0.0, tracker: ChangeTracker | None = None, **fields: Any
 ) -> state_changes.StateChange | None:
-    return planner.decide(seen, "c", 1, now, watch or ChangeTracker(), TIMEOUTS, **of)
+    return planner.decide(view, "c", 1, now_ms, tracker or ChangeTracker(), TIMEOUTS, **fields)
 
 
 READY = MemberState.READY
--- a/tests/rollout/test_experiments.py
+++ b/tests/rollout/test_experiments.py
@@ -1,4 +1,4 @@
-"""Files of experiments, and what judges their runs."""
+"""Experiment files, and the checks on their runs."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     assert get_args(get_type_hints(row)["what"]) == tuple(kinds)
 
 
-def test_members_that_do_not_answer_at_the_same_time_are_counted() -> None:
+def test_members_out_of_service_at_the_same_time_are_counted() -> None:
     members = [
         Availability([(1, 2), (5, 6)]),
         Availability([(2.5, 5.5)]),
@@ -69,14 +69,14 @@
     assert max_out_at_once(members, 10) == 2
 
 
-def test_an_overload_of_a_node_in_slow_start_is_found() -> None:
+def test_an_overload_of_a_node_in_slow_start_is_detected() -> None:
     requests = SLOW_START_MIN_REQUESTS + 10
 
     async def max_load() -> float:
         nodes = StorageNodes(2, warm_up_s=60.0)
         nodes.open()
         await nodes.replace(3, 0.0)
-        for number in [2] * 99 + [3] * requests:  # a warm node bears more
+        for number in [2] * 99 + [3] * requests:  # a warm node has more capacity
             nodes.slow_start.on_request(number, time.monotonic())
         await nodes.close()
         return nodes.slow_start.max_load
--- a/tests/rollout/test_fleet_log.py
+++ b/tests/rollout/test_fleet_log.py
@@ -18,22 +18,24 @@
 from tests.compacted_log.support import BACKENDS, FaultyBackend, Setup, run_on
 
 MAX_KEYS = 100
-OTHERS_TURN_S = 0.2  # in which a task that need not wait for another one has come to its end, or to its hold
+OTHERS_TURN_S = (
+    0.2  # time in which a task that waits for no other one ends, or reaches the point where it is held
+)
 
 
 @dataclass
 class HeldBackend(FaultyBackend):
-    """A backend that holds tasks up after they have read a page, before the head that they read next.
+    """A backend that holds tasks between reading a page and reading the head that follows.
 
     Attributes:
-        releases: By the name of a task that is held up, what it waits for.
+        releases: Events that held tasks wait for, by task name.
     """
 
     releases: dict[str, asyncio.Event] = field(default_factory=dict)
     _with_page: set[str] = field(default_factory=set)
 
     def start(self, name: str, read: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a read that is held up until its event is set."""
+        """Start a read that is held until its event is set."""
         self.releases[name] = asyncio.Event()
         return asyncio.get_running_loop().create_task(read, name=name)
 
@@ -61,7 +63,7 @@
 
 @pytest.mark.parametrize("backend_name", BACKENDS)
 def test_tasks_that_read_at_once_miss_nothing(backend_name: str) -> None:
-    """Guards against a member that never reads that it was found silent, and so stays out for good."""
+    """Guards against a member that misses its own change to unresponsive, and stays out permanently."""
 
     async def scenario(setup: Setup) -> None:
         backend = HeldBackend(setup.backend.inner)
@@ -72,7 +74,7 @@
         await write(writer, "n1", MemberState.READY)
         slow = backend.start("slow", fleet_log.read())
         await asyncio.sleep(OTHERS_TURN_S)
-        await write(writer, "n1", MemberState.SILENT)
+        await write(writer, "n1", MemberState.UNRESPONSIVE)
         fast = asyncio.create_task(fleet_log.read())
         await asyncio.sleep(OTHERS_TURN_S)
         await write(writer, "n2", MemberState.READY)
@@ -83,6 +85,6 @@
         backend.releases["last"].set()
         await asyncio.gather(fast, last)
         members = (await fleet_log.read()).members
-        assert [members[name].state for name in ("n1", "n2")] == [MemberState.SILENT, MemberState.READY]
+        assert [members[name].state for name in ("n1", "n2")] == [MemberState.UNRESPONSIVE, MemberState.READY]
 
     run_on(backend_name, scenario)
--- a/tests/rollout/test_node_drain.py
+++ b/tests/rollout/test_node_drain.py
@@ -1,4 +1,4 @@
-"""Drains of storage nodes: decisions, and every order of events."""
+"""Drains of storage nodes: decisions, and a model check over every order of events."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def drains(*phases: tuple[str, DrainPhase], acknowledged_by: tuple[str, ...] = (), **of: Any) -> FleetView:
-    """Two members, a plan to drain all listed nodes but one, and drains under it."""
+    """Return two members, a plan to drain all listed nodes but one, and drains under this plan."""
     seen = fleet(READY, READY, members=(), nodes=("b0", "b2", "b4", "b1", "b3"), **of)
     for i, (name, phase) in enumerate(phases):
         seen.drains[name] = Drain(name, "p", 1, 0.0, 80 + i, phase, 90 + i)
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "changed", "said"),
+    ("seen", "changed", "expected"),
     [
         (drains(), {}, "b0 is to be drained"),
         (drains(max_out=0), {}, ""),
@@ -54,68 +54,72 @@
         ),  # b2 and b4 are in its zone, b1 in its shard
         (drains(("b0", LEAVING_PHASE), max_out=6, max_out_fraction=0.2), {}, ""),
         (drains(max_out=1), {"b5": {"ready": False}}, ""),  # one is out unplanned
-        (drains(max_out=1), {"b5": {"ready": False}, "b3": {"ready": False}}, "2 boxes are out unplanned"),
+        (
+            drains(max_out=1),
+            {"b5": {"ready": False}, "b3": {"ready": False}},
+            "2 storage nodes are out unplanned",
+        ),
         (
             drains(max_out=2),
             {"b0": {"ready": False}},
             "b2 is to be drained",
-        ),  # who is out keeps nobody waiting
+        ),  # a node that is out does not delay the others
         (drains(("b0", LEAVING_PHASE), acknowledged_by=("n0",)), {}, ""),
         (drains(("b0", LEAVING_PHASE), acknowledged_by=("n0", "n1")), {}, "b0 is drained"),
-        (drains(("b0", LEAVING_PHASE), stage=PlanStage.HALTED), {}, "b0 is not drained any more"),
-        (drains(("b0", DRAINED_PHASE), stage=PlanStage.HALTED), {}, ""),  # it may be away
-        (drains(("b0", DRAINED_PHASE), stage=PlanStage.ROLLING_BACK), {}, "b0 is not drained any more"),
+        (drains(("b0", LEAVING_PHASE), stage=PlanStage.HALTED), {}, "b0 is no longer drained"),
+        (drains(("b0", DRAINED_PHASE), stage=PlanStage.HALTED), {}, ""),  # the node may have been removed
+        (drains(("b0", DRAINED_PHASE), stage=PlanStage.ROLLING_BACK), {}, "b0 is no longer drained"),
         (drains(("b0", DRAINED_PHASE)), {"b0": {"ready": False}}, ""),
         (drains(("b0", DRAINED_PHASE)), {"b0": {"started": 7.0}}, "b0 is listed as a later start"),
         (drains(("b0", DRAINED_PHASE)), {"b0": None}, ""),
-        (drains(("b0", DRAINED_PHASE), removes_nodes=True), {"b0": None}, "b0 is gone"),
-        (drains(removes_nodes=True), {"b0": None}, "b0 is gone"),
+        (drains(("b0", DRAINED_PHASE), removes_nodes=True), {"b0": None}, "b0 is removed"),
+        (drains(removes_nodes=True), {"b0": None}, "b0 is removed"),
         (drains(released=("b0",), canary=True), {}, ""),
     ],
 )
-def test_a_node_goes_out_inside_its_budgets_and_only_when_nobody_sends_to_it(
-    seen: FleetView, changed: dict[str, dict[str, Any] | None], said: str
+def test_a_node_is_drained_within_the_budgets_and_only_once_no_member_sends_to_it(
+    seen: FleetView, changed: dict[str, dict[str, Any] | None], expected: str
 ) -> None:
     nodes = {
         n: replace(b, **(changed.get(n) or {})) for n, b in NODES.items() if changed.get(n, {}) is not None
     }
     change = node_drain.decide(seen, 1, 0.0, ChangeTracker(), TIMEOUTS, nodes)
-    if not said:
+    if not expected:
         assert change is None
         return
     assert change is not None
-    assert said in change.description
+    assert expected in change.description
     assert change.expected_end == 100
 
 
 @pytest.mark.parametrize(
-    ("seen", "nodes", "why"),
+    ("seen", "nodes", "reason"),
     [
-        (drains(), {"b1": NODES["b1"]}, "no box b0 is listed"),
+        (drains(), {"b1": NODES["b1"]}, "no storage node b0 is listed"),
         (drains(), {"b0": NODE}, "b0 alone holds shard 0"),
         (drains(("b0", LEAVING_PHASE), acknowledged_by=("n1",)), NODES, "n0 may send to it"),
-        (drains(("b0", DRAINED_PHASE)), NODES, "not back in its time"),
+        (drains(("b0", DRAINED_PHASE)), NODES, "b0 is not back in time"),
     ],
 )
-def test_a_drain_that_does_not_go_on_halts_its_plan(
-    seen: FleetView, nodes: dict[str, ListedNode], why: str
+def test_a_drain_without_progress_halts_its_plan(
+    seen: FleetView, nodes: dict[str, ListedNode], reason: str
 ) -> None:
-    watch = ChangeTracker()
+    tracker = ChangeTracker()
     for now in (0.0, 1001.0):
-        assert node_drain.decide(seen, 1, now, watch, TIMEOUTS, nodes) is None or now
-        watch.observe(now, change_tracker.tracked_values(seen, {}))
-    change = node_drain.decide(seen, 1, 1001.0, watch, TIMEOUTS, nodes)
+        assert node_drain.decide(seen, 1, now, tracker, TIMEOUTS, nodes) is None or now
+        tracker.observe(now, change_tracker.tracked_values(seen, {}))
+    change = node_drain.decide(seen, 1, 1001.0, tracker, TIMEOUTS, nodes)
     assert change is not None
-    assert why in change.description
+    assert reason in change.description
     assert "halts" in change.description
 
 
-def test_a_member_says_that_it_is_clear_after_its_grace_and_once_nothing_is_out() -> None:
+def test_a_member_acknowledges_a_drain_after_its_grace_period_once_nothing_is_in_flight() -> None:
     seen = drains(("b0", LEAVING_PHASE), ("b2", DRAINED_PHASE))
-    closing = node_drain.DrainAcknowledger("n0", 1, 50.0)
+    acknowledger = node_drain.DrainAcknowledger("n0", 1, 50.0)
     acknowledged = []
     for now, busy in ((0.0, ""), (40.0, ""), (50.0, "b0"), (60.0, "b0"), (70.0, "")):
-        change = closing.step(seen, now, busy.__eq__)
+        change = acknowledger.step(seen, now, busy.__eq__)
         for record in change.records if change else ():
             assert isinstance(record, DrainAcknowledgement)
             seen.acknowledgements["n0"] = record
@@ -123,10 +127,10 @@
     assert acknowledged == [(50.0, (81,)), (70.0, (80, 81))]
     assert node_drain.unacknowledged_by(seen, seen.drains["b0"]) == ["n1"]
     seen.drains.clear()
-    change = closing.step(seen, 80.0, lambda _: False)
+    change = acknowledger.step(seen, 80.0, lambda _: False)
     assert change is not None
     assert change.records == (DrainAcknowledgement("n0", 1),)
-    assert not closing.closed_since_ms
+    assert not acknowledger.closed_since_ms
 
 
 @pytest.mark.parametrize(
@@ -156,7 +160,7 @@
         ("waits_for_in_flight", 1, 1, FaultBudget()),
     ],
 )
-def test_without_a_safeguard_a_drained_node_is_sent_to(
+def test_without_a_safeguard_the_model_finds_a_request_to_a_drained_node(
     safeguard: str, member_count: int, drained_count: int, budget: FaultBudget
 ) -> None:
     safeguards = Safeguards(**{safeguard: False})
--- a/tests/rollout/test_operator_commands.py
+++ b/tests/rollout/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""What ``sabledyke fleet`` prints, approved as a whole."""
+"""The output of ``sabledyke fleet``, compared with an approved snapshot."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 }
 
 
-WORDS = (
+COMMANDS = (
     ("status",),
     ("halt", "good"),
     ("resume", "good"),
@@ -58,31 +58,31 @@
 def test_what_operators_are_told_is_as_approved(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], snapshot: SnapshotAssertion
 ) -> None:
-    """Plans that cannot be, and words on those that can, on the command line."""
-    where = tmp_path / "operator.toml"
-    where.write_text(f'[board]\npath = "{tmp_path}/board.sqlite3"\n')
+    """Runs ``plan`` with invalid and valid plan files, then the other commands on the valid plans."""
+    operator_file = tmp_path / "operator.toml"
+    operator_file.write_text(f'[board]\npath = "{tmp_path}/board.sqlite3"\n')
 
     async def prepare() -> None:
         board = CompactedLog(SqliteBackend(f"{tmp_path}/board.sqlite3"))
         await board.backend.open()
-        pen = await board.claim_writer(FLEET_TOPIC, "w")
-        seen = fleet(READY, READY, MemberState.SILENT, sites=1)
+        writer = await board.claim_writer(FLEET_TOPIC, "w")
+        view = fleet(READY, READY, MemberState.UNRESPONSIVE, sites=1)
         drain = Drain("b9", "gone", 1, 0.0, 3)
         await append_change(
-            pen, state_changes.StateChange("", (Epoch("n0.a", 1), *seen.members.values(), drain))
+            writer, state_changes.StateChange("", (Epoch("n0.a", 1), *view.members.values(), drain))
         )
         await board.backend.close()
 
     asyncio.run(prepare())
     printed = list[str]()
-    for words in [("plan", f"{tmp_path}/{name}.toml") for name in PLANS] + list(WORDS):
-        if words[0] == "plan":
-            name = Path(words[1]).stem
-            Path(words[1]).write_text(f'name = "{name}"\n{PLANS[name]}\n')
-        status = command(["fleet", *words, "--operator", str(where)])
+    for arguments in [("plan", f"{tmp_path}/{name}.toml") for name in PLANS] + list(COMMANDS):
+        if arguments[0] == "plan":
+            name = Path(arguments[1]).stem
+            Path(arguments[1]).write_text(f'name = "{name}"\n{PLANS[name]}\n')
+        status = command(["fleet", *arguments, "--operator", str(operator_file)])
         out, err = capsys.readouterr()
         printed += [
-            f"$ fleet {' '.join(words)}",
+            f"$ fleet {' '.join(arguments)}",
             *(out + err).splitlines(),
             *([f"status {status}"] if status else []),
         ]
--- a/tests/rollout/test_participant.py
+++ b/tests/rollout/test_participant.py
@@ -1,4 +1,4 @@
-"""One member's side of a ticket."""
+"""Decisions of one member on its tickets."""
 
 from __future__ import annotations
 
@@ -17,38 +17,38 @@
 from tests.rollout.support import READY, decide, fleet
 
 
-def test_time_is_counted_from_before_the_ask_and_only_stands_still_on_one_clock() -> None:
-    seen, participant = fleet(READY, READY), Participant("n0", 1, request_validity_ms=100)
-    asks = participant.step(seen, 0.0)
-    assert asks is not None
-    assert isinstance(asks.records[0], TicketRequest)
-    for now, token, number, goes in (
+def test_ticket_age_counts_from_before_the_request_and_each_process_uses_its_own_clock() -> None:
+    view, participant = fleet(READY, READY), Participant("n0", 1, request_validity_ms=100)
+    request = participant.step(view, 0.0)
+    assert request is not None
+    assert isinstance(request.records[0], TicketRequest)
+    for now, token, number, is_used in (
         (99, 1, 1, True),
         (101, 1, 1, False),
         (9, 0, 1, False),
         (9, 1, 0, False),
     ):
-        mine = replace(participant)
-        seen.tickets["n0"] = Ticket("n0", "p", 1, number, token, offset=70)
-        change = mine.step(seen, now)
+        attempt = replace(participant)
+        view.tickets["n0"] = Ticket("n0", "p", 1, number, token, offset=70)
+        change = attempt.step(view, now)
         assert change is not None, (now, token, number)
-        assert (change.description == GOES_OUT) is goes, (now, token, number)
+        assert (change.description == GOES_OUT) is is_used, (now, token, number)
         assert ("ticket/n0", 70) in change.expected_offsets
         assert (
-            goes or change.deleted_keys == ("ticket/n0",) and mine.last_request is None
-        )  # given back, and asked for anew
-    watch = ChangeTracker()
+            is_used or change.deleted_keys == ("ticket/n0",) and attempt.last_request is None
+        )  # returned unused, and requested again
+    tracker = ChangeTracker()
     for now in (0, 50, 101):
-        watch.observe(now, {"beat/n1": 7, "beat/n0": now})
-    assert decide(seen, 101, watch) is not None
-    assert watch.unchanged_ms(101, "beat/n1") == 101
-    silent = decide(replace(seen, tickets={}), 101, watch)
-    assert silent is not None
-    assert silent.records == (replace(seen.members["n1"], state=MemberState.SILENT),)
+        tracker.observe(now, {"beat/n1": 7, "beat/n0": now})
+    assert decide(view, 101, tracker) is not None
+    assert tracker.unchanged_ms(101, "beat/n1") == 101
+    marked = decide(replace(view, tickets={}), 101, tracker)
+    assert marked is not None
+    assert marked.records == (replace(view.members["n1"], state=MemberState.UNRESPONSIVE),)
 
 
 @pytest.mark.parametrize(
-    ("incarnation", "of", "again"),
+    ("incarnation", "of", "leaves_again"),
     [
         (2, {}, True),
         (1, {}, False),
@@ -57,9 +57,9 @@
         (2, {"target": ""}, False),
     ],
 )
-def test_who_died_before_its_starter_was_told_the_version_goes_once_more(
-    incarnation: int, of: dict[str, Any], *, again: bool
+def test_a_member_that_crashed_before_it_wrote_its_version_file_leaves_again(
+    incarnation: int, of: dict[str, Any], *, leaves_again: bool
 ) -> None:
-    seen = fleet(READY, READY)
-    seen.tickets["n0"] = replace(Ticket("n0", "p", 1, 1, 1, "2", used=True, offset=70), **of)
-    assert (Participant("n0", incarnation).unfinished(seen, "1") is not None) is again
+    view = fleet(READY, READY)
+    view.tickets["n0"] = replace(Ticket("n0", "p", 1, 1, 1, "2", used=True, offset=70), **of)
+    assert (Participant("n0", incarnation).unfinished(view, "1") is not None) is leaves_again
--- a/tests/rollout/test_planner.py
+++ b/tests/rollout/test_planner.py
@@ -21,10 +21,10 @@
     [
         ((READY, READY, READY), {}, "n0"),
         ((READY, READY, READY), {"max_out": 0}, ""),
-        ((READY, LEAVING, READY), {}, ""),  # one is out, planned or not
+        ((READY, LEAVING, READY), {}, ""),  # n1 is out, planned or not
         ((READY, OUT, READY), {}, ""),
         ((READY, WARMING, READY), {"max_out": 2}, "n0"),
-        ((OUT, READY, READY), {"max_out": 2}, "n1"),  # who is out already keeps nobody waiting
+        ((OUT, READY, READY), {"max_out": 2}, "n1"),  # a member that is out does not delay the others
         (
             (READY, READY, READY),
             {"max_out": 3, "max_out_fraction": 0.3},
@@ -52,7 +52,7 @@
         ),
     ],
 )
-def test_a_ticket_is_granted_inside_all_budgets_and_in_order(
+def test_a_ticket_is_granted_within_all_budgets_and_in_order(
     states: tuple[MemberState, ...], options: dict[str, Any], granted: str
 ) -> None:
     state_change = decide(fleet(*states, **options))
@@ -65,7 +65,7 @@
     )  # written only if nothing was written since
 
 
-def test_a_member_is_waited_for_in_its_turn_but_not_for_ever() -> None:
+def test_a_member_without_a_request_delays_others_only_until_a_timeout() -> None:
     view = fleet(READY, READY)
     tracker = ChangeTracker()
     del view.requests["n0"]
@@ -78,7 +78,7 @@
 
 
 class LargeFleet:
-    """A fleet of ready members under one plan, whose moves are counted and written at once."""
+    """A fleet of ready members under one plan, whose changes are counted and written at once."""
 
     def __init__(self, size: int, max_out: int) -> None:
         self.view = fleet(*[READY] * size, sites=5, max_out=max_out, max_out_per_site=1)
@@ -96,7 +96,7 @@
         return self.view.plans["p"]
 
     def release(self, silent_count: int) -> None:
-        """Run the plan to its end; the first members request nothing while others can go out."""
+        """Run the plan to its end; the first members send no request while others can be released."""
         for step in range(2 * self._size):
             remaining = self._size - len(self.plan.released)
             self._step_members(step, silent_count if remaining > silent_count else 0)
@@ -118,7 +118,7 @@
             self._write(replace(self.view.members[name], incarnation=2))
 
     def _step_coordinator(self, step: int) -> None:
-        """Have the coordinator decide until there is nothing to do."""
+        """Write the coordinator's changes until there is none left to decide."""
         heartbeats = dict.fromkeys(self.participants, step)
         while True:
             self._tracker.observe(step * 1000.0, change_tracker.tracked_values(self.view, heartbeats))
@@ -126,7 +126,7 @@
             if state_change is None:
                 return
             assert len(disruption_budget.members_out(self.view)) <= self._max_out
-            self.deferral_count += "no ask in its turn" in state_change.description
+            self.deferral_count += "no request in time" in state_change.description
             self._write(*state_change.records, deleted_keys=state_change.deleted_keys)
 
     def _write(self, *records: Record, deleted_keys: tuple[str, ...] = ()) -> None:
@@ -139,10 +139,10 @@
 
 
 @pytest.mark.parametrize("silent_count", [0, 30])
-def test_a_fleet_of_hundreds_says_little_more_than_what_moves_it(silent_count: int) -> None:
-    """Only whose turn is near requests: in a fleet in which all did, nobody was granted anything.
+def test_a_large_fleet_writes_few_requests_beyond_one_for_each_member(silent_count: int) -> None:
+    """Guards against requests of all members at once, whose conflicts prevented every grant.
 
-    Who lives and never requests keeps nobody from going out, and goes once it requests.
+    Members that are alive but send no request do not delay others, and are released once they send one.
     """
     size = 200
     large_fleet = LargeFleet(size, max_out=4)
@@ -154,12 +154,12 @@
     assert large_fleet.deferral_count < 10
 
 
-def test_budgets_of_two_plans_hold_together() -> None:
+def test_budgets_of_two_plans_apply_together() -> None:
     view = fleet(READY, READY, READY, READY, max_out=3)
     view.plans["p"] = replace(view.plans["p"], members=("n0", "n1"))
     view.plans["q"] = Plan("q", ("n2", "n3"), max_out=1, offset=51)
     view.tickets["n2"] = Ticket("n2", "q", 1, 1, 1, offset=70)
-    assert decide(view) is None  # the stricter one's is spent
+    assert decide(view) is None  # the stricter budget is used up
     with pytest.raises(PlanError, match="in plan p"):
         plan_changes.validate(Plan("r", ("n0",)), view)
 
@@ -167,9 +167,9 @@
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
-        ({"tickets": {"n0": Ticket("n0", "p", 1, 1, 1, used=True, offset=70)}}, "not back in its time"),
+        ({"tickets": {"n0": Ticket("n0", "p", 1, 1, 1, used=True, offset=70)}}, "n0 is not back in time"),
         ({"bad": ["p"]}, "fail more than the others"),
-        ({"states": (READY, OUT, OUT)}, "2 are out unplanned"),
+        ({"states": (READY, OUT, OUT)}, "2 members are out unplanned"),
     ],
 )
 def test_a_plan_halts_by_itself(change: dict[str, Any], reason: str) -> None:
@@ -188,10 +188,10 @@
     assert state_change.records[0].stage is PlanStage.HALTED
 
 
-def test_who_comes_back_as_another_version_halts_the_plan_and_frees_its_ticket() -> None:
+def test_a_member_that_returns_with_another_version_halts_the_plan_and_ends_its_ticket() -> None:
     view = fleet(READY, READY, target="2", previous="1")
     view.tickets["n0"] = Ticket("n0", "p", 1, 1, 1, "2", used=True, offset=70)
-    assert decide(view) is None  # the same incarnation: it has not gone yet, or is on its way
+    assert decide(view) is None  # the same incarnation has not left yet, or is leaving
     view.members["n0"] = replace(view.members["n0"], incarnation=2)
     state_change = decide(view)
     assert state_change is not None
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -1,4 +1,4 @@
-"""A fleet of processes keeps to its budgets, whatever breaks, and its exchange is as approved."""
+"""A fleet of processes stays within its budgets under faults, and its records match approved transcripts."""
 
 from __future__ import annotations
 
@@ -52,8 +52,8 @@
 BACKENDS = ("table", "etcd")
 MAX_PROCESSES = 5
 TIMEOUT_S = 400
-LOGGED_LINES = 60  # of each process, where a run fails
-DISCOVERY_KIND = '"kind":"discovery"'  # most fleets have none, and each process says so every two seconds
+LOGGED_LINES = 60  # lines shown of each process after a failed run
+DISCOVERY_KIND = '"kind":"discovery"'  # logged every two seconds by each process of a fleet without discovery
 
 KILL_COORDINATOR = ReleaseFault(FleetFault.KILL)
 KILL_OTHER = ReleaseFault(FleetFault.KILL, on_coordinator=False)
@@ -64,7 +64,7 @@
 PARTITION_ANSWERS = ReleaseFault(FleetFault.PARTITION_ANSWERS, duration_s=3.0)
 
 FOUR = FleetSettings(4)
-PATIENT = FleetSettings(  # nobody is given up on a busy machine
+PATIENT = FleetSettings(  # no timeout expires on a busy machine
     min_lag_messages=1000,
     lease_ttl_ms=5000,
     heartbeat_timeout_ms=20_000,
@@ -86,12 +86,12 @@
 
 
 def under(*faults: ReleaseFault, max_out: int) -> Scenario:
-    """A release under these faults."""
+    """Return the scenario of a release under these faults."""
     return lambda fleet: release_under_faults(fleet, *faults, max_out=max_out)
 
 
 def drained_under(*faults: ReleaseFault) -> Scenario:
-    """Drained nodes under these faults."""
+    """Return the scenario of a drain of nodes under these faults."""
     return lambda fleet: drain_nodes(fleet, *faults)
 
 
@@ -135,6 +135,7 @@
     for name in SCENARIOS
     if "part" not in name or backend == "etcd"
 ]
+# Scenarios whose records on the log are the same in every run.
 WITH_APPROVED_EXCHANGE = (
     "plain",
     "back",
@@ -143,11 +144,11 @@
     "settings",
     "retires",
     "unheard_part",
-)  # whose whole exchange is the same in every run
+)
 
 
 def run_in_process(run: Run, folder: str) -> tuple[str, str]:
-    """Run one of them, and return its transcript, and what went wrong."""
+    """Run one scenario, and return its transcript, and its error with the logs of all members or ""."""
     backend, name, seed = run
     settings, scenario = SCENARIOS[name]
     exchange = ""
@@ -171,7 +172,7 @@
 
 
 def member_logs(folder: Path) -> str:
-    """The last lines of every process of a fleet, so that a failure seen once can be traced."""
+    """Return the last log lines of every process of a fleet, to trace a failure that does not recur."""
     tails = []
     for path in sorted(folder.glob("n*/log.*")):
         lines = [line for line in path.read_text(errors="replace").splitlines() if DISCOVERY_KIND not in line]
@@ -182,14 +183,14 @@
 
 @pytest.fixture(scope="module")
 def runs(request: pytest.FixtureRequest, tmp_path_factory: pytest.TempPathFactory) -> Iterator[Runs]:
-    """Begin all runs that the selected tests need, some at a time, as most of it is waiting."""
+    """Start all runs that the selected tests need, several in parallel, as runs mostly wait."""
     needed = _needed_runs(selected_parameters(request))
     with ProcessPoolExecutor(MAX_PROCESSES, initializer=end_with_parent, initargs=(os.getpid(),)) as pool:
         yield {run: pool.submit(run_in_process, run, str(tmp_path_factory.mktemp("fleet"))) for run in needed}
 
 
 def _needed_runs(selected: Iterable[Mapping[str, object]]) -> list[Run]:
-    """Return the runs that these tests look at: those of a name, or one on one backend."""
+    """Return the runs that the selected tests use: all runs of a scenario, or the one on a backend."""
     names: set[str] = set()
     needed: set[Run] = set()
     for params in selected:
@@ -208,7 +209,7 @@
 
 @pytest.mark.parametrize("name", WITH_APPROVED_EXCHANGE)
 def test_the_whole_exchange_is_as_it_was_approved(runs: Runs, name: str, snapshot: SnapshotAssertion) -> None:
-    """Approved on purpose: read the difference, then pytest --snapshot-update."""
+    """To approve a deliberate change, review the difference, then run pytest --snapshot-update."""
     exchanges = {runs[run].result()[0] for run in ALL_RUNS if run[1] == name}
     assert len(exchanges) == 1, exchanges
     assert exchanges.pop() == snapshot
--- a/tests/rollout/test_record_codec.py
+++ b/tests/rollout/test_record_codec.py
@@ -1,4 +1,4 @@
-"""Records as they are stored."""
+"""Encoding and decoding of stored records."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 def test_records_are_read_as_they_were_written() -> None:
-    seen = fleet(
+    view = fleet(
         READY, OUT, max_out=2, max_out_per_site=1, max_out_fraction=0.5, released=("n1",), canary=True
     )
-    seen.tickets["n0"] = Ticket("n0", "p", 3, 4, 5, "2", used=True, offset=71)
-    records: list[Record] = [*seen.members.values(), *seen.plans.values(), *seen.requests.values()]
-    seen.drains["b"], seen.acknowledgements["n0"] = (
+    view.tickets["n0"] = Ticket("n0", "p", 3, 4, 5, "2", used=True, offset=71)
+    records: list[Record] = [*view.members.values(), *view.plans.values(), *view.requests.values()]
+    view.drains["b"], view.acknowledgements["n0"] = (
         Drain("b", "p", 3, 7.5, 60, DRAINED_PHASE, 72),
         DrainAcknowledgement("n0", 3, (60, 4), 73),
     )
     records += [
-        *seen.tickets.values(),
-        *seen.drains.values(),
-        *seen.acknowledgements.values(),
+        *view.tickets.values(),
+        *view.drains.values(),
+        *view.acknowledgements.values(),
         Epoch("c", 1, 1),
     ]
     state = {key_of(r): Message(r.offset, key_of(r), encode(r), "w", 1, 1) for r in records}
-    state["later/x"] = Message(99, "later/x", b"{}", "w", 1, 1)  # what a newer version adds
-    assert view_of(state, 100) == seen
+    state["later/x"] = Message(99, "later/x", b"{}", "w", 1, 1)  # a key of a newer version
+    assert view_of(state, 100) == view
     assert decode(Message(1, "member/n0", None, "w", 1, 1)) is None
-    assert all(seen.offset_of(key_of(r)) == r.offset for r in records)
+    assert all(view.offset_of(key_of(r)) == r.offset for r in records)
--- a/tests/rollout/test_stored_names.py
+++ b/tests/rollout/test_stored_names.py
@@ -1,4 +1,4 @@
-"""Stored names of records: every field has one, and it is found back under it."""
+"""Stored names of records: every field has a unique one."""
 
 from __future__ import annotations
 
--- a/tests/rollout/test_ticket_model.py
+++ b/tests/rollout/test_ticket_model.py
@@ -1,4 +1,4 @@
-"""Every order of events between coordinators and members, explored."""
+"""Model check of tickets over every order of events between coordinators and members."""
 
 from __future__ import annotations
 
@@ -17,9 +17,7 @@
         (3, 1, FaultBudget(turn_timeouts=1)),
     ],
 )
-def test_no_order_of_events_lets_more_out_than_the_budget(
-    member_count: int, max_out: int, budget: FaultBudget
-) -> None:
+def test_no_order_of_events_exceeds_the_budget(member_count: int, max_out: int, budget: FaultBudget) -> None:
     result = checker.check(member_count, max_out, budget)
     assert not result.violation, [step.action for step in result.trace]
     assert result.is_complete
@@ -37,7 +35,7 @@
         ),
     ],
 )
-def test_without_a_safeguard_the_model_finds_the_way_to_a_violation(
+def test_without_a_safeguard_the_model_finds_a_violation(
     safeguards: Safeguards, budget: FaultBudget, violation: str
 ) -> None:
     result = checker.check(2, 1, budget, safeguards)
--- a/tests/rollout/test_traffic_checks.py
+++ b/tests/rollout/test_traffic_checks.py
@@ -1,4 +1,4 @@
-"""What the testbed checks of the writes that reach storage nodes."""
+"""Checks of the testbed on repeated writes that reach storage nodes."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 @pytest.mark.parametrize(
     ("request_id", "shard", "after_s", "violations", "sent_again"),
     [
-        ("c-1-0", 1, IN_WINDOW_S, 0, []),  # its scheduler sent it again, as the protocol allows
+        ("c-1-0", 1, IN_WINDOW_S, 0, []),  # a retry by the scheduler, which the protocol allows
         ("c-1-1", 1, IN_WINDOW_S, 0, ["key"]),
         ("c-1-0", 2, IN_WINDOW_S, 1, []),
         ("c-1-0", 1, 3 * IN_WINDOW_S, 1, []),
     ],
 )
-def test_repeats_of_a_key_are_told_apart(
+def test_repeats_of_a_key_are_classified(
     request_id: str, shard: int, after_s: float, violations: int, sent_again: list[str]
 ) -> None:
     check = DeduplicationCheck()
@@ -37,7 +37,7 @@
 
 
 class FakeConnection:
-    """A connection as a node sees it."""
+    """A connection with a state that the test sets."""
 
     def __init__(self) -> None:
         self.state = ConnectionState.OPEN
@@ -54,10 +54,10 @@
         (True, ConnectionState.OPEN, False),
     ],
 )
-def test_a_repeat_is_in_order_once_the_attempt_before_was_given_up(
+def test_a_repeat_is_allowed_once_the_previous_attempt_was_cancelled(
     *, is_answered: bool, state: ConnectionState, is_allowed: bool
 ) -> None:
-    """Guards against a second attempt beside one that runs, or after one whose answer was read."""
+    """Guards against a second attempt while the first still runs, or after its answer was read."""
     check = RepeatCheck(lambda connection: connection.state)
     first, second = FakeConnection(), FakeConnection()
     check.on_arrival(REQUEST, first, 100.0).is_answered = is_answered
@@ -66,7 +66,7 @@
     assert (len(check.allowed), len(check.untimely)) == ((1, 0) if is_allowed else (0, 1))
 
 
-def test_an_answer_was_read_where_its_connection_is_used_again_and_reset_later() -> None:
+def test_an_answer_counts_as_read_if_its_connection_is_reused_before_a_reset() -> None:
     check = RepeatCheck(lambda connection: connection.state)
     connection = FakeConnection()
     check.on_arrival(REQUEST, connection, 100.0).is_answered = True
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("has_unread", [False, True])
-def test_a_node_tells_a_connection_that_was_closed_over_unread_bytes(*, has_unread: bool) -> None:
+def test_a_connection_closed_by_its_peer_over_unread_bytes_counts_as_reset(*, has_unread: bool) -> None:
     async def run() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             peer = socket.create_connection(listener.getsockname())
--- a/tests/rollout/topic_scenarios.py
+++ b/tests/rollout/topic_scenarios.py
@@ -1,4 +1,4 @@
-"""A topic of an operator's own, which the fleet only compacts."""
+"""Scenario of a topic of an operator, which the fleet only compacts."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 ARTICLES = 30
 REMOVED_FRACTION = 0.2
 SUBSCRIBERS = 8
-AWAY_S = 5.0  # of every second subscriber
-MAX_RETAINED = 120  # 30 articles, the newest 20 messages, and as much again that is superseded
+AWAY_S = 5.0  # pause of every second subscriber
+MAX_RETAINED = 120  # 30 articles, the newest 20 messages, and as many superseded messages
 TIMEOUT_S = 120
 View = dict[str, bytes | None]
 
 
 class PriceTopic:
-    """One writer, subscribers that join late or are away for a while, and what they should see."""
+    """One writer, subscribers that join late or pause for a while, and the state that all should reach."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.expected: dict[str, bytes] = {}
@@ -43,7 +43,7 @@
         while published < MESSAGES:
             key = f"article-{self._random.randrange(ARTICLES)}"
             value = None if self._random.random() < REMOVED_FRACTION else b"%d" % published
-            with contextlib.suppress(CompactedLogError):  # the log stalls: the same number again
+            with contextlib.suppress(CompactedLogError):  # the log stalls: the same number is sent again
                 await writer.append([Draft(key, value)])
                 published += 1
                 self.expected.pop(key, None)
@@ -68,7 +68,7 @@
             await asyncio.sleep(0.7)
 
     async def _subscribe(self, away_s: float) -> None:
-        """Keep a view up to date; after the first changes, be away for a while."""
+        """Keep a view up to date; after the first changes, pause for a while."""
         view: View = {}
         self.views.append(view)
         backend = self._fleet.storage.create_backend()
@@ -102,7 +102,7 @@
 
 
 async def topic_of_an_operator(fleet: Fleet) -> None:
-    """Who joins late or was long away sees what holds, whoever compacts the topic."""
+    """Subscribers that join late or pause see the current state, whichever member compacts the topic."""
     topic = PriceTopic(fleet)
     topic.start_subscribers()
     publishing = asyncio.create_task(topic.publish())
