--- a/sabledyke/rollout/extension.py
+++ b/sabledyke/rollout/extension.py
@@ -161,7 +161,7 @@
 
     def _on_view(self, view: FleetView) -> None:
         """Close drained nodes, before any decision is made from the view."""
-        self._nodes.close(closed_nodes(view))
+        self._nodes.set_closed_nodes(closed_nodes(view))
 
 
 def set_up(host: ServerContext, operator: OperatorConfig) -> Extension | None:
--- a/sabledyke/rollout/node_list.py
+++ b/sabledyke/rollout/node_list.py
@@ -22,7 +22,7 @@
         self._entries: dict[NodeId, NodeEntry] = {}
         self._closed: frozenset[str] = frozenset()
 
-    def close(self, names: frozenset[str]) -> None:
+    def set_closed_nodes(self, names: frozenset[str]) -> None:
         """Send these nodes no new requests; all other nodes are used as discovery lists them."""
         changed = names ^ self._closed
         self._closed = names
--- a/sabledyke/rollout/participant.py
+++ b/sabledyke/rollout/participant.py
@@ -105,9 +105,7 @@
 
     def _use_or_return(self, ticket: Ticket, view: FleetView, now_ms: float) -> StateChange | None:
         if ticket.used:
-            return (
-                None  # used by this incarnation, which leaves, or by an earlier one: the coordinator ends it
-            )
+            return None  # this incarnation leaves by it, or the coordinator ends that of an earlier one
         key = key_of(ticket)
         try:
             self._check_usable(ticket, view, now_ms)
--- a/tests/rollout/member_scenarios.py
+++ b/tests/rollout/member_scenarios.py
@@ -55,7 +55,7 @@
 
 
 async def switch_settings(fleet: Fleet) -> None:
-    """A switch of settings halts at a member with an invalid file, and succeeds once the file is corrected."""
+    """A switch of settings halts at a member with an invalid file, and succeeds once that is corrected."""
     files = [instance.folder / "config.json" for instance in fleet.cluster.instances]
     old = read_all(files)
     new = [text.replace(b'"sockets":128', b'"sockets":160') for text in old]
--- a/tests/rollout/node_scenarios.py
+++ b/tests/rollout/node_scenarios.py
@@ -12,7 +12,7 @@
 from sabledyke.rollout.records import MemberState, Plan, PlanStage
 from sabledyke.testbed.fleet import Fleet
 from sabledyke.testbed.workload import RequestOutcome
-from tests.rollout.release_scenarios import ReleaseFault, inject_all, release_everybody
+from tests.rollout.release_scenarios import ReleaseFault, inject_all, release_all_members
 from tests.rollout.support import READY, RETIRED
 
 MIN_PLACED_VOLUMES = 20
@@ -52,7 +52,7 @@
 
 async def release_under_load(fleet: Fleet) -> None:
     """A release loses no request of the clients."""
-    await release_everybody(fleet)
+    await release_all_members(fleet)
     assert_nothing_was_lost(fleet)
 
 
--- a/tests/rollout/release_scenarios.py
+++ b/tests/rollout/release_scenarios.py
@@ -40,7 +40,7 @@
     )
 
 
-async def release_everybody(fleet: Fleet, name: str = "p", **fields: Any) -> FleetView:
+async def release_all_members(fleet: Fleet, name: str = "p", **fields: Any) -> FleetView:
     """Release all members, and wait until the plan is done."""
     await fleet.add_plan(plan_for_all(name, fleet.settings.size, **fields))
     return await fleet.wait_until(lambda view: view.plans[name].stage is PlanStage.DONE)
@@ -79,7 +79,7 @@
 
 async def restart_everybody(fleet: Fleet) -> None:
     """A plan without a new version restarts all members, one after the other."""
-    view = await release_everybody(fleet)
+    view = await release_all_members(fleet)
     assert view.plans["p"].released == ("n0", "n1", "n2")
     assert not view.tickets
     assert [instance.starts for instance in fleet.cluster.instances] == [2, 2, 2]
--- a/tests/rollout/test_fleet_log.py
+++ b/tests/rollout/test_fleet_log.py
@@ -18,9 +18,7 @@
 from tests.compacted_log.support import BACKENDS, FaultyBackend, Setup, run_on
 
 MAX_KEYS = 100
-OTHERS_TURN_S = (
-    0.2  # time in which a task that waits for no other one ends, or reaches the point where it is held
-)
+OTHERS_TURN_S = 0.2  # time for a task that does not wait for another one to end, or to be held
 
 
 @dataclass
--- a/tests/rollout/test_planner.py
+++ b/tests/rollout/test_planner.py
@@ -60,9 +60,8 @@
         [record for record in state_change.records if isinstance(record, Ticket)] if state_change else []
     )
     assert [ticket.name for ticket in tickets] == ([granted] if granted else [])
-    assert (
-        state_change is None or state_change.expected_end == 100
-    )  # written only if nothing was written since
+    # The change is written only if nothing was written since the view.
+    assert state_change is None or state_change.expected_end == 100
 
 
 def test_a_member_without_a_request_delays_others_only_until_a_timeout() -> None:
