--- a/sabledyke/rollout/coordinator_driver.py
+++ b/sabledyke/rollout/coordinator_driver.py
@@ -1,4 +1,4 @@
-"""Drives the coordinator while this process holds its lease: writes planners' moves, and cleans topics."""
+"""Drives the coordinator while this process holds the lease: writes its changes, and compacts topics."""
 
 from __future__ import annotations
 
@@ -16,23 +16,26 @@
 from sabledyke.rollout import node_drain, planner
 from sabledyke.rollout.canary_analysis import Baseline, failing_plans
 from sabledyke.rollout.change_tracker import ChangeTracker, tracked_values
-from sabledyke.rollout.commands import append_move
+from sabledyke.rollout.commands import append_change
 from sabledyke.rollout.fleet_log import FleetLog
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.heartbeats import decode_heartbeats
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.node_list import NodeList
 from sabledyke.rollout.records import FLEET_TOPIC, HEARTBEATS_TOPIC
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.rollout.timeouts import Timeouts
 
 COORDINATOR = "coordinator"
-"""Name of the writer."""
+"""Writer name of coordinators on the log."""
 
 
 class CoordinatorDriver:
-    """What this process does as the coordinator; it decides nothing.
+    """Runs the coordinator in this process; ``planner`` and ``node_drain`` decide.
 
-    What was observed is begun anew with each token, as it was observed under another lease.
+    Each new token resets all observations, as they were made under another lease.
+
+    Attributes:
+        timeouts: Timeouts of the coordinator.
     """
 
     def __init__(
@@ -50,15 +53,15 @@
         """Create a driver that holds no lease yet.
 
         Args:
-            context: The server around it.
+            context: The server that this driver runs in.
             name: Name of this coordinator, different in each incarnation.
             compacted_log: The log.
             log_section: The operator's section of the log.
             fleet_log: The fleet's topic as this process reads it.
             lease: The coordinator's lease.
-            nodes: Storage nodes as discovery has them.
-            sites: Drives evacuations; None where the operator names no sites.
-            heartbeat_interval_ms: Between heartbeats of a member.
+            nodes: Storage nodes as listed by discovery.
+            sites: Driver of evacuations; None if the operator names no sites.
+            heartbeat_interval_ms: Interval between heartbeats of a member.
         """
         self.timeouts = Timeouts()
         self._context = context
@@ -78,10 +81,10 @@
         self._registers_read_at_ms = -inf
 
     async def step(self) -> None:
-        """Write moves until none is left to decide.
+        """Write changes until there is none left to decide.
 
         Raises:
-            Lost: The lease is another's.
+            LeaseLostError: This process does not hold the lease.
         """
         if self._context.is_shutting_down():
             return
@@ -90,8 +93,8 @@
         for _ in range(self._fleet_log.record_count + 1):
             view = await self._fleet_log.read()
             now_ms = boottime_ms()
-            move = self._decide(view, now_ms)
-            if move is None and self._sites is not None:
+            change = self._decide(view, now_ms)
+            if change is None and self._sites is not None:
                 self._lease.current_token()
                 done = await self._sites.step(
                     view, self._token, self._registers, now_ms, self._tracker, self.timeouts
@@ -99,16 +102,16 @@
                 if isinstance(done, PlacementBatch):
                     log.emit("fleet", done.description, token=self._token)
                     continue
-                move = done
-            if move is None:
+                change = done
+            if change is None:
                 return
-            await self._write(writer, move)
+            await self._write(writer, change)
 
-    async def clean_topics(self) -> None:
+    async def compact_topics(self) -> None:
         """Compact the topics that the coordinator is responsible for.
 
         Raises:
-            Lost: The lease is another's.
+            LeaseLostError: This process does not hold the lease.
         """
         for topic in (FLEET_TOPIC, PLACEMENTS_TOPIC, *self._log_section.topics):
             await self._compacted_log.compact(
@@ -128,25 +131,25 @@
             self._registers = await registers.read_values(self._compacted_log.backend, HEARTBEATS_TOPIC)
             self._registers_read_at_ms = boottime_ms()
 
-    def _decide(self, view: FleetView, now_ms: float) -> Move | None:
+    def _decide(self, view: FleetView, now_ms: float) -> StateChange | None:
         heartbeats = decode_heartbeats(self._registers)
         values = {name: heartbeat.values for name, heartbeat in heartbeats.items()}
         self._tracker.observe(now_ms, tracked_values(view, values))
         counts = {name: heartbeat.count for name, heartbeat in heartbeats.items()}
         failing = failing_plans(view.active, self._baseline.since_first_seen(counts))
-        move = planner.decide(view, self._name, self._token, now_ms, self._tracker, self.timeouts, failing)
-        if move is not None:
-            return move
+        change = planner.decide(view, self._name, self._token, now_ms, self._tracker, self.timeouts, failing)
+        if change is not None:
+            return change
         if not view.drains and not any(plan.nodes for plan in view.active):
             return None
         nodes = self._nodes.by_name()
         return node_drain.decide(view, self._token, now_ms, self._tracker, self.timeouts, nodes)
 
-    async def _write(self, writer: LogWriter, move: Move) -> None:
-        """Write a move; after a conflict the next one is decided at once, as a fleet is never still."""
+    async def _write(self, writer: LogWriter, change: StateChange) -> None:
+        """Write a change; after a conflict the next one is decided at once, as members write all the time."""
         self._lease.current_token()
         try:
-            await append_move(writer, move)
+            await append_change(writer, change)
         except WriteConflictError:
             return
-        log.emit_change("fleet", "move", move.description, token=self._token)
+        log.emit_change("fleet", "move", change.description, token=self._token)
--- a/sabledyke/rollout/node_drain.py
+++ b/sabledyke/rollout/node_drain.py
@@ -1,12 +1,12 @@
-"""Drains of storage nodes by plans: which node may go out next, when it is drained, when it is back. Pure.
+"""Drains of storage nodes by plans: which node is drained next, and when it is drained or back. Pure.
 
-The coordinator decides by the view of the log, its own list of nodes as discovery has it, its token and the
-time on its clock. A node is drained only when every member that may live has acknowledged, after it read the
-drain, that it has nothing in flight there; one that is silent may live. A timer alone never frees a node: it
-is out until it is listed as a later start and warm, or is removed for good.
+The coordinator decides from the view of the log, its own endpoint list, its token and the time on its clock.
+A node is drained only when every member that may be alive has read the drain and acknowledged that it has
+nothing in flight there; an unresponsive member may be alive. A timer alone never ends a drain: the node is
+out of service until it is listed as a later start and warm, or is removed permanently.
 
-Members write that they live before they read the log for the first time, and read it before they accept a
-client: a drain that they do not find there was begun after that, and waits for them.
+A member writes its record before it reads the log for the first time, and reads the log before it accepts a
+client. A drain that it does not find there begins later, and therefore waits for this member.
 """
 
 from __future__ import annotations
@@ -18,7 +18,6 @@
 from sabledyke.rollout.change_tracker import ChangeTracker
 from sabledyke.rollout.disruption_budget import max_nodes_out
 from sabledyke.rollout.fleet_view import FleetView
-from sabledyke.rollout.moves import Move
 from sabledyke.rollout.record_codec import key_of
 from sabledyke.rollout.records import (
     Drain,
@@ -30,23 +29,24 @@
     Plan,
     PlanStage,
 )
+from sabledyke.rollout.state_changes import StateChange
 from sabledyke.rollout.timeouts import Timeouts
 
 Nodes = Mapping[str, ListedNode]
 CLOSED_PHASES = (DrainPhase.LEAVING, DrainPhase.DRAINED)
 """Phases in which a node is sent no new requests."""
 ABSENT_STATES = (MemberState.OUT, MemberState.RETIRED)
-"""States that a member writes itself when it has nothing in flight anywhere."""
+"""States that a member itself writes once it has nothing in flight at any node."""
 MAX_NAMED_IN_REASON = 3
 
 
 def closed_nodes(view: FleetView) -> frozenset[str]:
-    """Return the nodes that members send no new requests."""
+    """Return the names of the nodes that get no new requests."""
     return frozenset(drain.name for drain in view.drains.values() if drain.phase in CLOSED_PHASES)
 
 
 def unacknowledged_by(view: FleetView, drain: Drain) -> list[str]:
-    """Return the members that have not acknowledged that they have nothing in flight at this node."""
+    """Return the members that have not acknowledged that they have nothing in flight at the drain's node."""
     return sorted(
         member.name
         for member in view.members.values()
@@ -55,12 +55,12 @@
 
 
 def nodes_out(view: FleetView, nodes: Nodes) -> set[str]:
-    """Return the nodes that are out, or may be taken away at any moment."""
+    """Return the nodes that are out of service, or may be removed at any moment."""
     return {node.name for node in nodes.values() if not node.ready} | set(view.drains)
 
 
 def has_capacity(view: FleetView, node: ListedNode, nodes: Nodes) -> bool:
-    """Return whether the budgets of all active plans of nodes let this one go out as well."""
+    """Return whether the budgets of all active plans of nodes allow this node out of service as well."""
     out = nodes_out(view, nodes) | {node.name}
     if len(out) > _max_out(view, nodes, out):
         return False
@@ -80,34 +80,34 @@
 
 def decide(
     view: FleetView, token: int, now_ms: float, tracker: ChangeTracker, timeouts: Timeouts, nodes: Nodes
-) -> Move | None:
-    """Return the coordinator's next move for storage nodes, None where there is none.
+) -> StateChange | None:
+    """Return the coordinator's next change for storage nodes, or None.
 
     Args:
         view: All records as of the end of the log.
         token: Fencing token of the coordinator's lease.
-        now_ms: Time on its own clock.
-        tracker: For how long things have stood still on that clock.
-        timeouts: How long it waits for what.
-        nodes: The nodes as its own list has them.
+        now_ms: Time on the coordinator's clock.
+        tracker: Time for which each value has been unchanged on that clock.
+        timeouts: Timeouts of the coordinator.
+        nodes: Nodes in the coordinator's endpoint list.
     """
-    move = _DrainPlanner(view, token, now_ms, tracker, timeouts, nodes).next_move()
-    return replace(move, expected_end=view.next_offset) if move is not None else None
+    change = _DrainPlanner(view, token, now_ms, tracker, timeouts, nodes).next_change()
+    return replace(change, expected_end=view.next_offset) if change is not None else None
 
 
 @dataclass(slots=True)
 class DrainAcknowledger:
-    """One member's side: acknowledges drains of nodes at which it has nothing in flight.
+    """Acknowledges, for one member, drains of nodes at which it has nothing in flight.
 
-    A drain may be acknowledged ``grace_ms`` after this member stopped sending new requests. Within the grace
-    it may still send what no other node can serve.
+    A drain may be acknowledged ``grace_ms`` after this member stopped sending new requests. During the grace
+    period it may still send requests that no other node can serve.
 
     Attributes:
         name: The member's name.
-        incarnation: Its incarnation.
-        grace_ms: Time after which a closed node counts as closed.
-        closed_since_ms: When this member closed each node, by the offset at which its drain began; entries
-            end with their drains.
+        incarnation: The member's incarnation.
+        grace_ms: Grace period after this member has closed a node.
+        closed_since_ms: Time at which this member closed each node, by the offset at which its drain began;
+            entries are removed with their drains.
     """
 
     name: str
@@ -115,13 +115,13 @@
     grace_ms: float
     closed_since_ms: dict[int, float] = field(default_factory=dict)
 
-    def step(self, view: FleetView, now_ms: float, busy: Callable[[str], bool]) -> Move | None:
-        """Return the acknowledgement of the drains that hold, None where the log has it already.
+    def step(self, view: FleetView, now_ms: float, busy: Callable[[str], bool]) -> StateChange | None:
+        """Return the acknowledgement of all current drains that allow one, or None if the log has it already.
 
         Args:
             view: The fleet's records.
             now_ms: Time on this member's clock.
-            busy: Returns whether this member has something in flight at a node.
+            busy: Returns whether this member has a request in flight at a node.
         """
         closed = [drain for _, drain in sorted(view.drains.items()) if drain.phase in CLOSED_PHASES]
         self.closed_since_ms = {
@@ -133,14 +133,14 @@
             return None
         names = ", ".join(drain.name for drain in done) or "no box"
         acknowledgement = DrainAcknowledgement(self.name, self.incarnation, offsets)
-        return Move(f"{self.name} has nothing out at {names}", (acknowledgement,))
+        return StateChange(f"{self.name} has nothing out at {names}", (acknowledgement,))
 
     def _grace_is_over(self, drain: Drain, now_ms: float) -> bool:
         closed_ms = now_ms - self.closed_since_ms[drain.begun_offset]
-        return closed_ms > 0 and closed_ms >= self.grace_ms  # never at the step that closed the node
+        return closed_ms > 0 and closed_ms >= self.grace_ms  # not at the step that closed the node
 
     def _acknowledged(self, view: FleetView) -> tuple[int, ...] | None:
-        """Return what the log has of this incarnation; None where it has another one's."""
+        """Return the drains acknowledged on the log; None if another incarnation has written there."""
         known = view.acknowledgements.get(self.name)
         if known is None:
             return ()
@@ -149,7 +149,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _DrainPlanner:
-    """One decision: the view, the list of nodes and the clock that it is made by."""
+    """Makes one decision from the view, the list of nodes and the clock."""
 
     view: FleetView
     token: int
@@ -158,39 +158,41 @@
     timeouts: Timeouts
     nodes: Nodes
 
-    def next_move(self) -> Move | None:
+    def next_change(self) -> StateChange | None:
         for drain in self.view.drains.values():
             plan = self.view.plans.get(drain.plan)
-            move = _withdrawn(drain, plan) or self._advanced(drain, plan)
-            if move is not None:
-                return move
+            change = _withdrawn(drain, plan) or self._advanced(drain, plan)
+            if change is not None:
+                return change
         for plan in self.view.active:
             if not plan.nodes or plan.stage is not PlanStage.RUNNING:
                 continue
-            move = self._halt(plan) or self._begin_drain(plan)
-            if move is not None:
-                return move
+            change = self._halt(plan) or self._begin_drain(plan)
+            if change is not None:
+                return change
         return None
 
     def _unchanged_ms(self, name: str) -> float:
         return self.tracker.unchanged_ms(self.now_ms, name)
 
-    def _advanced(self, drain: Drain, plan: Plan | None) -> Move | None:
-        """Return the move by which a drain enters its next phase, or ends."""
+    def _advanced(self, drain: Drain, plan: Plan | None) -> StateChange | None:
+        """Return the change by which a drain enters its next phase, or ends."""
         if drain.phase is DrainPhase.LEAVING:
             if unacknowledged_by(self.view, drain):
                 return None
-            return Move(f"{drain.name} is drained", (replace(drain, phase=DrainPhase.DRAINED),))
+            return StateChange(f"{drain.name} is drained", (replace(drain, phase=DrainPhase.DRAINED),))
         node = self.nodes.get(drain.name)
         if plan is not None and (self._is_removed(plan, node) or self._is_warm(drain)):
             released = replace(plan, released=(*plan.released, drain.name))
-            what = "is gone" if node is None else "is warm again"
-            return Move(f"{drain.name} {what}", (released,), (key_of(drain),))
+            what = "is removed" if node is None else "is warm again"
+            return StateChange(f"{drain.name} {what}", (released,), (key_of(drain),))
         if drain.phase is not DrainPhase.DRAINED or node is None or not node.ready:
             return None
         if node.started == drain.node_started:
             return None
-        return Move(f"{drain.name} is listed as a later start", (replace(drain, phase=DrainPhase.WARMING),))
+        return StateChange(
+            f"{drain.name} is listed as a later start", (replace(drain, phase=DrainPhase.WARMING),)
+        )
 
     def _is_removed(self, plan: Plan, node: ListedNode | None) -> bool:
         return plan.removes_nodes and node is None and bool(self.nodes)
@@ -200,16 +202,18 @@
             return False
         return self._unchanged_ms(f"warm/{drain.name}") >= self.timeouts.warm_up_ms
 
-    def _halt(self, plan: Plan) -> Move | None:
+    def _halt(self, plan: Plan) -> StateChange | None:
         reason = self._too_many_unplanned(plan) or self._drain_too_slow(plan) or self._first_node_unfit(plan)
         if not reason:
             return None
         halted = replace(plan, stage=PlanStage.HALTED, reason=reason)
-        return Move(f"plan {plan.name} halts: {reason}", (halted,))
+        return StateChange(f"plan {plan.name} halts: {reason}", (halted,))
 
     def _too_many_unplanned(self, plan: Plan) -> str:
         unplanned = nodes_out(self.view, self.nodes) - set(self.view.drains)
-        return f"{len(unplanned)} boxes are out unplanned" if len(unplanned) > plan.max_out > 0 else ""
+        return (
+            f"{len(unplanned)} storage nodes are out unplanned" if len(unplanned) > plan.max_out > 0 else ""
+        )
 
     def _drain_too_slow(self, plan: Plan) -> str:
         for drain in self.view.drains.values():
@@ -218,13 +222,13 @@
             if self._unchanged_ms(key_of(drain)) <= self.timeouts.return_timeout_ms:
                 continue
             if drain.phase is not DrainPhase.LEAVING:
-                return f"{drain.name} is not back in its time: it is {drain.phase.value}"
+                return f"{drain.name} is not back in time: it is {drain.phase.value}"
             members = ", ".join(unacknowledged_by(self.view, drain)[:MAX_NAMED_IN_REASON])
             return f"{drain.name} is not drained in time: {members} may send to it"
         return ""
 
     def _first_node_unfit(self, plan: Plan) -> str:
-        """Return why the node that is first cannot go out, where no drain of the plan is under way."""
+        """Return why the plan's next node cannot be drained, "" if it can or a drain is in progress."""
         if not self.nodes or not plan.remaining or self._drains_of(plan):
             return ""
         if self._unchanged_ms(f"released/{plan.name}") <= self.timeouts.heartbeat_timeout_ms:
@@ -232,12 +236,12 @@
         name = plan.remaining[0]
         node = self.nodes.get(name)
         if node is None:
-            return "" if plan.removes_nodes else f"no box {name} is listed"
+            return "" if plan.removes_nodes else f"no storage node {name} is listed"
         if node.ready and is_last_of_shard(self.view, node, self.nodes):
             return f"{name} alone holds shard {node.shard}"
         return ""
 
-    def _begin_drain(self, plan: Plan) -> Move | None:
+    def _begin_drain(self, plan: Plan) -> StateChange | None:
         soaked_ms = self._unchanged_ms(f"released/{plan.name}")
         if plan.canary and len(plan.released) == 1 and soaked_ms < self.timeouts.canary_soak_ms:
             return None
@@ -249,13 +253,13 @@
                 continue
             node = self.nodes.get(name)
             if node is None and self._is_removed(plan, node):
-                return Move(f"{name} is gone", (replace(plan, released=(*plan.released, name)),))
-            # Nodes are looked at one by one only where the budget lets any of them out.
+                return StateChange(f"{name} is removed", (replace(plan, released=(*plan.released, name)),))
+            # Single nodes are examined only if the budget allows another node out of service.
             if node is None or is_budget_spent or not self._may_go_out(node):
-                continue  # who is out keeps nobody waiting
+                continue  # a node that is out of service does not delay the others
             drain = Drain(name, plan.name, self.token, node.started, self.view.next_offset)
             description = f"{name} is to be drained, {self._drains_of(plan) + 1} under way"
-            return Move(description, (drain,))
+            return StateChange(description, (drain,))
         return None
 
     def _may_go_out(self, node: ListedNode) -> bool:
@@ -267,13 +271,13 @@
         return sum(drain.plan == plan.name for drain in self.view.drains.values())
 
 
-def _withdrawn(drain: Drain, plan: Plan | None) -> Move | None:
-    """Return the move that withdraws a drain: on the way back, or by a halt before the node was drained."""
+def _withdrawn(drain: Drain, plan: Plan | None) -> StateChange | None:
+    """Return the change that withdraws a drain on a rollback, or on a halt before the node is drained."""
     is_back = plan is None or plan.stage in (PlanStage.ROLLING_BACK, PlanStage.ROLLED_BACK)
     is_halted = plan is not None and plan.stage is PlanStage.HALTED and drain.phase is DrainPhase.LEAVING
     if not is_back and not is_halted:
         return None
-    return Move(f"{drain.name} is not drained any more", deleted_keys=(key_of(drain),))
+    return StateChange(f"{drain.name} is no longer drained", deleted_keys=(key_of(drain),))
 
 
 def _has_acknowledged(view: FleetView, member: Member, drain: Drain) -> bool:
@@ -284,6 +288,6 @@
 
 
 def _max_out(view: FleetView, nodes: Nodes, out: set[str]) -> float:
-    """Return how many nodes may be out, by the smallest budget of all active plans of nodes."""
+    """Return how many nodes may be out of service, by the smallest budget of all active plans of nodes."""
     node_count = len({*nodes, *out})
     return min((max_nodes_out(plan, node_count) for plan in view.active if plan.nodes), default=inf)
