--- a/benchmarks/compacted_log.py
+++ b/benchmarks/compacted_log.py
@@ -15,8 +15,8 @@
 from sabledyke.compacted_log.compaction import CompactionPolicy
 from sabledyke.compacted_log.reader import LogReader
 from sabledyke.compacted_log.records import (
-    Draft,
     Message,
+    NewMessage,
     encode_fields,
     encode_message,
     head_key,
@@ -164,7 +164,7 @@
 
 async def append(writer: LogWriter, number: int) -> None:
     """Append one message."""
-    await writer.append([Draft(f"k{number}", VALUE)])
+    await writer.append([NewMessage(f"k{number}", VALUE)])
 
 
 async def time_s(call: Awaitable[object]) -> float:
--- a/sabledyke/compacted_log/append.py
+++ b/sabledyke/compacted_log/append.py
@@ -15,9 +15,9 @@
     MAX_KEY_BYTES,
     MAX_VALUE_BYTES,
     Cell,
-    Draft,
     KeyPosition,
     Message,
+    NewMessage,
     TopicHead,
     WriterIdentity,
     WriterState,
@@ -45,7 +45,7 @@
         topic: The topic that it is for.
         writer: Who writes.
         sequence: Its number within the writer's incarnation; a retry has the same.
-        drafts: The messages.
+        new_messages: The messages.
         expected_offsets: By key, the offsets of further messages that it depends on.
         expected_end: The topic's next offset, where the writer's decision depends on all messages up to it.
     """
@@ -53,14 +53,14 @@
     topic: str
     writer: WriterIdentity
     sequence: int
-    drafts: Sequence[Draft]
+    new_messages: Sequence[NewMessage]
     expected_offsets: Mapping[str, int]
     expected_end: int | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class Commit:
-    """One step of the backend, and the offsets that it gives to the drafts."""
+    """One step of the backend, and the offsets that it gives to the new messages."""
 
     offsets: tuple[int, ...]
     checks: dict[str, int] = field(default_factory=dict)
@@ -68,20 +68,20 @@
     drops: tuple[str, ...] = ()
 
 
-def validate_drafts(drafts: Sequence[Draft]) -> None:
-    """Check the number and the sizes of drafts, before anything is read.
+def validate_new_messages(new_messages: Sequence[NewMessage]) -> None:
+    """Check the number and the sizes of new messages, before anything is read.
 
     Raises:
         LogFullError: There are too many of them, or one is too large.
     """
-    if not 0 < len(drafts) <= MAX_APPEND_MESSAGES:
-        raise LogFullError(f"an append has from 1 to {MAX_APPEND_MESSAGES} messages, not {len(drafts)}")
-    if len({draft.key for draft in drafts}) < len(drafts):
+    if not 0 < len(new_messages) <= MAX_APPEND_MESSAGES:
+        raise LogFullError(f"an append has from 1 to {MAX_APPEND_MESSAGES} messages, not {len(new_messages)}")
+    if len({new_message.key for new_message in new_messages}) < len(new_messages):
         raise LogFullError("an append names a key twice")
-    for draft in drafts:
-        if not draft.key or len(draft.key.encode()) > MAX_KEY_BYTES:
-            raise LogFullError(f"a key has from 1 to {MAX_KEY_BYTES} bytes: {draft.key[:40]!r}")
-        validate_value(draft.key, draft.value)
+    for new_message in new_messages:
+        if not new_message.key or len(new_message.key.encode()) > MAX_KEY_BYTES:
+            raise LogFullError(f"a key has from 1 to {MAX_KEY_BYTES} bytes: {new_message.key[:40]!r}")
+        validate_value(new_message.key, new_message.value)
 
 
 def validate_value(key: str, value: bytes | None) -> None:
@@ -96,7 +96,9 @@
 
 def cells_to_read(request: AppendRequest) -> list[str]:
     """Return the keys of the cells that ``plan_append`` decides by."""
-    keys = dict.fromkeys([*(draft.key for draft in request.drafts), *request.expected_offsets])
+    keys = dict.fromkeys(
+        [*(new_message.key for new_message in request.new_messages), *request.expected_offsets]
+    )
     return [
         head_key(request.topic),
         writer_key(request.topic, request.writer.name),
@@ -185,9 +187,9 @@
 def _check_offsets(request: AppendRequest, cells: Mapping[str, Cell]) -> dict[str, int]:
     """Check the offsets that are expected; returns the versions of the cells that they stand in."""
     expected = dict(request.expected_offsets)
-    for draft in request.drafts:
-        if draft.expected_offset is not None:
-            expected[draft.key] = draft.expected_offset
+    for new_message in request.new_messages:
+        if new_message.expected_offset is not None:
+            expected[new_message.key] = new_message.expected_offset
     checks: dict[str, int] = {}
     for key, expected_offset in expected.items():
         cell_key = position_key(request.topic, key)
@@ -205,20 +207,20 @@
     topic = request.topic
     puts: dict[str, bytes] = {}
     offsets: list[int] = []
-    for draft in request.drafts:
+    for new_message in request.new_messages:
         message = Message(
             head.next_offset,
-            draft.key,
-            draft.value,
+            new_message.key,
+            new_message.value,
             request.writer.name,
             request.writer.incarnation,
             request.sequence,
         )
-        position = KeyPosition(message.offset, message.size_bytes, draft.value is None)
+        position = KeyPosition(message.offset, message.size_bytes, new_message.value is None)
         puts[message_key(topic, message.offset)] = encode_message(message)
-        puts[position_key(topic, draft.key)] = encode_position(position)
+        puts[position_key(topic, new_message.key)] = encode_position(position)
         offsets.append(message.offset)
-        superseded = decode_position(cells.get(position_key(topic, draft.key)))
+        superseded = decode_position(cells.get(position_key(topic, new_message.key)))
         head = _head_after(head, position, superseded)
     puts[head_key(topic)] = encode_head(head)
     return tuple(offsets), puts
--- a/sabledyke/compacted_log/client.py
+++ b/sabledyke/compacted_log/client.py
@@ -20,8 +20,8 @@
 from sabledyke.compacted_log.records import (
     PAGE_MESSAGES,
     Backend,
-    Draft,
     Message,
+    NewMessage,
     TopicHead,
     WriterIdentity,
     writer_key,
@@ -76,7 +76,7 @@
 
         Raises: see ``LogWriter.append``.
         """
-        append.validate_drafts(request.drafts)
+        append.validate_new_messages(request.new_messages)
         last_error: CompactedLogError | None = None
         for delay_s in self._retry_delays_s():
             try:
@@ -177,12 +177,15 @@
         self._unconfirmed: object = None  # the last append, where it is not known whether it was written
 
     async def append(
-        self, drafts: Sequence[Draft], expects: Mapping[str, int] | None = None, end: int | None = None
+        self,
+        new_messages: Sequence[NewMessage],
+        expects: Mapping[str, int] | None = None,
+        end: int | None = None,
     ) -> tuple[int, ...]:
         """Append messages.
 
         Args:
-            drafts: The messages.
+            new_messages: The messages.
             expects: By key, the offsets of further messages that the append depends on.
             end: The topic's next offset, where the append depends on all messages up to it.
 
@@ -197,12 +200,12 @@
             written once.
         """
         async with self._lock:
-            content = (tuple(drafts), expects, end)
+            content = (tuple(new_messages), expects, end)
             if content != self._unconfirmed:
                 self._sequence += 1
             self._unconfirmed = content
             request = AppendRequest(
-                self.topic, self.identity, self._sequence, drafts, dict(expects or {}), end
+                self.topic, self.identity, self._sequence, new_messages, dict(expects or {}), end
             )
             try:
                 offsets = await self._log.append(request)
--- a/sabledyke/compacted_log/records.py
+++ b/sabledyke/compacted_log/records.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Draft:
+class NewMessage:
     """A message to be appended.
 
     Attributes:
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -9,7 +9,7 @@
 
 from sabledyke.compacted_log.client import CompactedLog
 from sabledyke.compacted_log.reader import LogReader
-from sabledyke.compacted_log.records import Draft
+from sabledyke.compacted_log.records import NewMessage
 from sabledyke.placement import evacuation
 from sabledyke.placement.evacuation import PLACEMENTS_TOPIC, PlacementBatch
 from sabledyke.placement.volume_placement import SiteMap, VolumePlacement
@@ -108,8 +108,10 @@
         return None
 
     async def _write(self, batch: PlacementBatch) -> None:
-        drafts = [Draft(placement.volume, evacuation.encode(placement)) for placement in batch.placements]
-        await self._writer.append(drafts, end=self._reader.position)
+        new_messages = [
+            NewMessage(placement.volume, evacuation.encode(placement)) for placement in batch.placements
+        ]
+        await self._writer.append(new_messages, end=self._reader.position)
 
     def _survivors_well(self, plan: Plan, view: FleetView, registers: Mapping[str, bytes]) -> bool:
         """Return whether members of other sites reject and fail no more, since the last step, than before."""
--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -9,7 +9,7 @@
 
 from sabledyke.compacted_log.client import CompactedLog, LogWriter
 from sabledyke.compacted_log.reader import LogReader
-from sabledyke.compacted_log.records import Draft
+from sabledyke.compacted_log.records import NewMessage
 from sabledyke.errors import CompactedLogError, WriteConflictError
 from sabledyke.rollout.fleet_view import FleetView, view_of
 from sabledyke.rollout.moves import Move
@@ -27,9 +27,9 @@
         Conflict: What the move rests on no longer stands.
         StaleWriterError: Another writer holds a later token.
     """
-    drafts = [Draft(key_of(record), encode(record)) for record in move.records]
-    drafts += [Draft(key, None) for key in move.deleted_keys]
-    await writer.append(drafts, dict(move.expected_offsets), move.expected_end)
+    new_messages = [NewMessage(key_of(record), encode(record)) for record in move.records]
+    new_messages += [NewMessage(key, None) for key in move.deleted_keys]
+    await writer.append(new_messages, dict(move.expected_offsets), move.expected_end)
 
 
 async def read_view(compacted_log: CompactedLog, reader: LogReader) -> FleetView:
--- a/tests/compacted_log/test_append.py
+++ b/tests/compacted_log/test_append.py
@@ -11,19 +11,19 @@
     MAX_APPEND_MESSAGES,
     MAX_KEY_BYTES,
     MAX_VALUE_BYTES,
-    Draft,
+    NewMessage,
     message_key,
 )
 from sabledyke.errors import LogFullError, StaleWriterError, WriteConflictError
 from tests.compacted_log.support import BACKENDS, Setup, run_on
 
-INVALID_APPENDS: tuple[list[Draft], ...] = (
+INVALID_APPENDS: tuple[list[NewMessage], ...] = (
     [],
-    [Draft("", b"")],
-    [Draft("k" * (MAX_KEY_BYTES + 1), b"")],
-    [Draft("k", b"x" * (MAX_VALUE_BYTES + 1))],
-    [Draft("k", b""), Draft("k", b"")],
-    [Draft(str(n), b"") for n in range(MAX_APPEND_MESSAGES + 1)],
+    [NewMessage("", b"")],
+    [NewMessage("k" * (MAX_KEY_BYTES + 1), b"")],
+    [NewMessage("k", b"x" * (MAX_VALUE_BYTES + 1))],
+    [NewMessage("k", b""), NewMessage("k", b"")],
+    [NewMessage(str(n), b"") for n in range(MAX_APPEND_MESSAGES + 1)],
 )
 
 
@@ -34,14 +34,14 @@
         writer = await log.claim_writer("t", "w")
         last_offset = await _check_conditions(writer)
         setup.backend.lost_answers = 2  # written, without an answer, requested again: written once
-        (offset,) = await writer.append([Draft("k", b"3")])
+        (offset,) = await writer.append([NewMessage("k", b"3")])
         assert offset == last_offset + 1
         assert [message.value for message in await log.read_page("t", offset)] == [b"3"]
         later = await log.claim_writer("t", "w")
         for stale in (writer, LogWriter(log, "t", writer.identity)):
             with pytest.raises(StaleWriterError):
-                await stale.append([Draft("k", b"4")])
-        await later.append([Draft("k", b"5")])
+                await stale.append([NewMessage("k", b"4")])
+        await later.append([NewMessage("k", b"5")])
         await _check_given_incarnations(log)
         for invalid in INVALID_APPENDS:
             with pytest.raises(LogFullError):
@@ -51,24 +51,24 @@
 
 
 async def _check_conditions(writer: LogWriter) -> int:
-    (first,) = await writer.append([Draft("k", b"1", 0)])
+    (first,) = await writer.append([NewMessage("k", b"1", 0)])
     with pytest.raises(WriteConflictError):
-        await writer.append([Draft("k", b"2", 0)])
+        await writer.append([NewMessage("k", b"2", 0)])
     with pytest.raises(WriteConflictError):  # it depends on another key, which has moved
-        await writer.append([Draft("l", b"2")], {"k": first + 7})
-    (second,) = await writer.append([Draft("k", b"2", first)], {"k": first}, first + 1)
+        await writer.append([NewMessage("l", b"2")], {"k": first + 7})
+    (second,) = await writer.append([NewMessage("k", b"2", first)], {"k": first}, first + 1)
     with pytest.raises(WriteConflictError):  # something was written since it was read
-        await writer.append([Draft("k", b"3")], end=second)
+        await writer.append([NewMessage("k", b"3")], end=second)
     return second
 
 
 async def _check_given_incarnations(log: CompactedLog) -> None:
     older, newer, same_as_newer = (log.writer("t", "c", incarnation) for incarnation in (7, 9, 9))
-    await older.append([Draft("x", b"")])
-    await newer.append([Draft("x", b"")])
+    await older.append([NewMessage("x", b"")])
+    await newer.append([NewMessage("x", b"")])
     for stale in (older, same_as_newer):  # an older token, and the same one in another's hands
         with pytest.raises(StaleWriterError):
-            await stale.append([Draft("x", b"")])
+            await stale.append([NewMessage("x", b"")])
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
@@ -77,7 +77,7 @@
         writers = [await setup.log.claim_writer("t", f"w{i}") for i in range(6)]
 
         async def write(writer: LogWriter, i: int) -> list[int]:
-            return [(await writer.append([Draft(f"{i}", b"%d" % n)]))[0] for n in range(10)]
+            return [(await writer.append([NewMessage(f"{i}", b"%d" % n)]))[0] for n in range(10)]
 
         given = await asyncio.gather(*(write(writer, i) for i, writer in enumerate(writers)))
         assert sorted(offset for offsets in given for offset in offsets) == list(range(1, 61))
--- a/tests/compacted_log/test_compaction.py
+++ b/tests/compacted_log/test_compaction.py
@@ -14,7 +14,7 @@
     LogReader,
     ReaderRestarted,
 )
-from sabledyke.compacted_log.records import Draft
+from sabledyke.compacted_log.records import NewMessage
 from sabledyke.errors import LogFullError, StaleWriterError
 from tests.compacted_log.support import BACKENDS, POLICY, Setup, run_on
 
@@ -30,13 +30,13 @@
     async def scenario(setup: Setup) -> None:
         writer = await setup.log.claim_writer("t", "w")
         for n in range(30):
-            await writer.append([Draft("k", b"%d" % n)])
+            await writer.append([NewMessage("k", b"%d" % n)])
         await setup.compact(5)
         offsets = [message.offset for message in await setup.log.read_page("t", 1)]
         assert offsets[-lag:] == list(range(31 - lag, 31))
         assert len(offsets) <= lag + 1
         for n in range(30):
-            await writer.append([Draft("k", b"%d" % n)])
+            await writer.append([NewMessage("k", b"%d" % n)])
         with pytest.raises(StaleWriterError):
             await setup.compact(4)
         assert (await setup.log.read_page("t", 1))[-1].offset == 60
@@ -54,11 +54,11 @@
     async def scenario(setup: Setup) -> None:
         writer = await setup.log.claim_writer("t", "w")
         reader = LogReader()
-        await writer.append([Draft(key, b"1") for key in "abc"])
+        await writer.append([NewMessage(key, b"1") for key in "abc"])
         await setup.log.catch_up("t", reader)
-        await writer.append([Draft("b", None)])
+        await writer.append([NewMessage("b", None)])
         for n in range(20):
-            await writer.append([Draft("z", b"%d" % n)])
+            await writer.append([NewMessage("z", b"%d" % n)])
             setup.now_ms += 20
             await setup.compact(policy=policy)
         events = await setup.log.catch_up("t", reader)
@@ -91,7 +91,7 @@
         async def write(*prices: str) -> None:
             for price in prices:
                 key, _, value = price.partition("=")
-                await writer.append([Draft(key, value.encode() or None)])
+                await writer.append([NewMessage(key, value.encode() or None)])
 
         async def read(who: str, reader: LogReader) -> None:
             events = await setup.log.catch_up("t", reader, 3)
--- a/tests/compacted_log/test_random_operations.py
+++ b/tests/compacted_log/test_random_operations.py
@@ -9,7 +9,7 @@
 from sabledyke.compacted_log import client
 from sabledyke.compacted_log.client import LogWriter
 from sabledyke.compacted_log.reader import KeyRemoved, KeyUpdated, LogReader
-from sabledyke.compacted_log.records import Draft
+from sabledyke.compacted_log.records import NewMessage
 from sabledyke.errors import CompactedLogError
 from tests.compacted_log.support import BACKENDS, POLICY, ProcessDeathError, Setup, run_on
 
@@ -49,25 +49,26 @@
         self.last_offsets = {key: at for key, at in self.last_offsets.items() if key in self.model}
 
     async def _append(self, step: int, *, tombstones: bool) -> None:
-        drafts = [
-            self._draft(key, step, tombstone=tombstones) for key in self.random.sample(KEYS, self._up_to(3))
+        new_messages = [
+            self._make_message(key, step, tombstone=tombstones)
+            for key in self.random.sample(KEYS, self._up_to(3))
         ]
         self.setup.backend.lost_answers = int(self.random.random() < 0.2)
         try:
-            offsets = await self.writer.append(drafts)
+            offsets = await self.writer.append(new_messages)
         except CompactedLogError:
             assert not client.RETRY_TIMEOUT_S
-            offsets = await self.writer.append(drafts)
-        for draft, offset in zip(drafts, offsets, strict=True):
-            self.last_offsets[draft.key] = offset
-            self.model.pop(draft.key, None)
-            if draft.value is not None:
-                self.model[draft.key] = draft.value
+            offsets = await self.writer.append(new_messages)
+        for new_message, offset in zip(new_messages, offsets, strict=True):
+            self.last_offsets[new_message.key] = offset
+            self.model.pop(new_message.key, None)
+            if new_message.value is not None:
+                self.model[new_message.key] = new_message.value
         self.offsets += offsets
 
-    def _draft(self, key: str, step: int, *, tombstone: bool) -> Draft:
+    def _make_message(self, key: str, step: int, *, tombstone: bool) -> NewMessage:
         value = None if tombstone else b"%d" % step + b"x" * self.random.randint(0, 9)
-        return Draft(key, value, self.last_offsets.get(key) if self.random.random() < 0.3 else None)
+        return NewMessage(key, value, self.last_offsets.get(key) if self.random.random() < 0.3 else None)
 
     def _up_to(self, limit: int) -> int:
         return self.random.randint(1, limit)
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -14,7 +14,7 @@
 from sabledyke.compacted_log.compaction import CompactionPolicy
 from sabledyke.compacted_log.etcd_backend import EtcdBackend
 from sabledyke.compacted_log.reader import LogReader
-from sabledyke.compacted_log.records import Backend, Draft, Message, WriterIdentity
+from sabledyke.compacted_log.records import Backend, Message, NewMessage, WriterIdentity
 from sabledyke.compacted_log.sqlite_backend import SqliteBackend
 from sabledyke.core import ClientRequest
 from sabledyke.lease import section as lease_section
@@ -77,14 +77,14 @@
 
 
 async def append_messages(
-    shelf: Backend, topic: str, writer: tuple[str, int, str], *drafts: tuple[str, bytes | None]
+    shelf: Backend, topic: str, writer: tuple[str, int, str], *new_messages: tuple[str, bytes | None]
 ) -> Any:
     """Append to a topic by a new connection of this writer: its name, its life, and what tells it apart."""
     key = board_terms.writer_key(topic, writer[0])
     before = board_terms.decode_writer_state((await shelf.get([key])).get(key))
     sequence = before.sequence if before is not None and before.incarnation == writer[1] else 0
     pen = LogWriter(CompactedLog(shelf), topic, WriterIdentity(*writer), sequence)
-    return await pen.append([Draft(key, value) for key, value in drafts])
+    return await pen.append([NewMessage(key, value) for key, value in new_messages])
 
 
 async def claim(shelf: Backend, topic: str, name: str, nonce: str) -> tuple[str, int, str]:
--- a/tests/rollout/topic_scenarios.py
+++ b/tests/rollout/topic_scenarios.py
@@ -8,7 +8,7 @@
 
 from sabledyke.compacted_log.client import CompactedLog
 from sabledyke.compacted_log.reader import KeyRemoved, KeyUpdated, LogReader
-from sabledyke.compacted_log.records import Draft
+from sabledyke.compacted_log.records import NewMessage
 from sabledyke.compacted_log.subscription import subscribe_to_topic
 from sabledyke.errors import CompactedLogError
 from sabledyke.rollout import disruption_budget
@@ -44,7 +44,7 @@
             key = f"article-{self._random.randrange(ARTICLES)}"
             value = None if self._random.random() < REMOVED_FRACTION else b"%d" % published
             with contextlib.suppress(CompactedLogError):  # the log stalls: the same number again
-                await writer.append([Draft(key, value)])
+                await writer.append([NewMessage(key, value)])
                 published += 1
                 self.expected.pop(key, None)
                 if value is not None:
