--- a/sabledyke/compacted_log/__init__.py
+++ b/sabledyke/compacted_log/__init__.py
@@ -1,6 +1,7 @@
-"""The compacted log: it retains the latest message of each key, and is shared by the processes of a fleet.
+"""A compacted log that the processes of a fleet share; it retains the latest message of each key.
 
-Of what processes share, only leases are below it: it knows topics, keys, offsets and writers, never plans or
-volumes. ``append``, ``compaction`` and ``reader`` decide and are pure; ``client`` and ``registers`` carry out
-what they decide on a ``records.Backend``.
+Of the other state that processes share, the package depends only on leases. It handles topics, keys, offsets
+and writers, and is independent of plans and volumes. ``append``, ``compaction`` and ``reader`` make the
+decisions and perform no I/O; ``client``, ``compactor`` and ``registers`` execute them on a
+``records.Backend``.
 """
--- a/sabledyke/compacted_log/client.py
+++ b/sabledyke/compacted_log/client.py
@@ -1,7 +1,7 @@
-"""Drives a compacted log: reads the cells that ``append`` and ``reader`` decide by, and commits.
+"""Client of the compacted log: reads the cells that ``append`` and ``reader`` require, and commits.
 
-It decides only when to retry: a commit that conflicted with another one is decided anew from what stands
-there then, after a backoff with jitter, until ``RETRY_TIMEOUT_S`` are over.
+The client itself decides only when to retry. After a conflict with another commit, it waits for a backoff
+with jitter, reads the cells again and plans a new commit from them, for up to ``RETRY_TIMEOUT_S``.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
     """A compacted log on a backend.
 
     Attributes:
-        backend: What it is stored in.
+        backend: The storage of the log.
     """
 
     def __init__(self, backend: Backend, seed: int = 0) -> None:
-        """Make a log on this backend; ``seed`` is for the jitter of retries."""
+        """Make a log on this backend; ``seed`` seeds the jitter of retries."""
         self.backend = backend
         self._random = Random(seed)
 
@@ -51,7 +51,7 @@
         """Begin the next incarnation of a writer.
 
         Raises:
-            CompactedLogError: It did not succeed in time.
+            CompactedLogError: The claim did not succeed within ``RETRY_TIMEOUT_S``.
         """
         nonce = _make_nonce()
         key = writer_key(topic, name)
@@ -65,16 +65,18 @@
             except CompactedLogError as error:
                 last_error = error
             await asyncio.sleep(delay_s)
-        raise last_error or CompactedLogError(f"{topic}: no life for {name} within {RETRY_TIMEOUT_S:.0f} s")
+        raise last_error or CompactedLogError(
+            f"{topic}: no incarnation claimed for {name} within {RETRY_TIMEOUT_S:.0f} s"
+        )
 
     def writer(self, topic: str, name: str, incarnation: int) -> LogWriter:
-        """Return a writer whose incarnation is given, as a lease's token is."""
+        """Return a writer with a given incarnation, such as a lease's token."""
         return LogWriter(self, topic, WriterIdentity(name, incarnation, _make_nonce()))
 
     async def append(self, request: AppendRequest) -> tuple[int, ...]:
-        """Append messages; one whose answer was lost is retried with the same sequence, and written once.
+        """Append messages; a retry after a lost answer has the same sequence number, and is written once.
 
-        Raises: see ``LogWriter.append``.
+        Raises the same errors as ``LogWriter.append``.
         """
         append.validate_new_messages(request.new_messages)
         last_error: CompactedLogError | None = None
@@ -89,10 +91,12 @@
                 last_error = error
             else:
                 if request.expected_end is not None:
-                    continue  # somebody wrote: the next attempt finds that, and the caller decides anew
+                    continue  # no delay: if the end has moved, the next attempt raises the conflict
             await asyncio.sleep(delay_s)
         timeout = f"{RETRY_TIMEOUT_S:.0f} s"
-        raise last_error or CompactedLogError(f"{request.topic}: others wrote all the time for {timeout}")
+        raise last_error or CompactedLogError(
+            f"{request.topic}: every commit conflicted with another one for {timeout}"
+        )
 
     async def head(self, topic: str) -> TopicHead:
         """Return the topic's head."""
@@ -101,14 +105,14 @@
     async def read_page(
         self, topic: str, first_offset: int, max_messages: int = PAGE_MESSAGES
     ) -> list[Message]:
-        """Return messages from this offset on, in order."""
+        """Return at most ``max_messages`` messages from this offset on, in order of offsets."""
         return await read_messages(self.backend, topic, first_offset, max_messages)
 
     async def poll(self, topic: str, reader: LogReader, max_messages: int = PAGE_MESSAGES) -> list[LogEvent]:
         """Read the reader's next page, and apply it.
 
         Returns:
-            What has changed.
+            The events of the page.
 
         Raises:
             CompactedLogError: The backend did not answer.
@@ -116,7 +120,7 @@
         """
         if not reader.started:
             reader.start(await self.head(topic))
-        elif reader.caught_up:  # the head alone tells that nothing is new, as in most polls
+        elif reader.caught_up:  # most polls find nothing new, and read only the head
             head = await self.head(topic)
             if head.next_offset == reader.position:
                 return reader.apply_page([], head, full=False)
@@ -127,7 +131,7 @@
     async def catch_up(
         self, topic: str, reader: LogReader, max_messages: int = PAGE_MESSAGES
     ) -> list[LogEvent]:
-        """Poll until the reader has caught up; ``max_messages`` is for one page. Raises as ``poll`` does."""
+        """Poll pages of ``max_messages`` until the reader has caught up; raises the errors of ``poll``."""
         events: list[LogEvent] = []
         while True:
             events += await self.poll(topic, reader, max_messages)
@@ -137,7 +141,7 @@
     async def compact(
         self, topic: str, policy: CompactionPolicy, token: Callable[[], int], clock_ms: Callable[[], float]
     ) -> int:
-        """Compact a topic as far as it is worth it now; see ``Compactor``."""
+        """Compact a topic if it is due, and return the size in bytes of the messages read for it."""
         return await Compactor(self.backend, topic, policy, token, clock_ms, self._random).run()
 
     async def _decide_append(self, request: AppendRequest) -> Commit:
@@ -145,11 +149,11 @@
         return append.plan_append(request, cells)
 
     async def _commit(self, commit: Commit) -> bool:
-        """Commit, unless it was written before."""
+        """Execute a commit; one without puts was written before."""
         return not commit.puts or await self.backend.commit(commit.checks, commit.puts)
 
     def _retry_delays_s(self) -> Iterator[float]:
-        """Yield a delay for each attempt until ``RETRY_TIMEOUT_S`` are over; the calls count as well."""
+        """Yield a delay for each attempt, until the attempts and delays have taken ``RETRY_TIMEOUT_S``."""
         deadline_s = time.monotonic() + RETRY_TIMEOUT_S
         delay_s = FIRST_RETRY_DELAY_S
         while True:
@@ -160,57 +164,63 @@
 
 
 class LogWriter:
-    """One incarnation of a writer on one topic: it numbers its appends, so that a retry is written once.
+    """One incarnation of a writer on one topic; numbers its appends, so that a retry is written once.
 
     Attributes:
-        topic: The topic.
+        topic: The topic to append to.
         identity: The writer's incarnation.
     """
 
     def __init__(self, log: CompactedLog, topic: str, identity: WriterIdentity, sequence: int = 0) -> None:
-        """Make a writer whose last append had this sequence number."""
+        """Make a writer whose last append had the sequence number ``sequence``."""
         self.topic = topic
         self.identity = identity
         self._log = log
         self._sequence = sequence
         self._lock = asyncio.Lock()
-        self._unconfirmed: object = None  # the last append, where it is not known whether it was written
+        self._unconfirmed: object = None  # content of the last append while its outcome is unknown
 
     async def append(
         self,
         new_messages: Sequence[NewMessage],
-        expects: Mapping[str, int] | None = None,
-        end: int | None = None,
+        expected_offsets: Mapping[str, int] | None = None,
+        expected_end: int | None = None,
     ) -> tuple[int, ...]:
         """Append messages.
 
         Args:
-            new_messages: The messages.
-            expects: By key, the offsets of further messages that the append depends on.
-            end: The topic's next offset, where the append depends on all messages up to it.
+            new_messages: The messages to append.
+            expected_offsets: Expected offsets, by key, of further messages that the append depends on.
+            expected_end: The expected next offset of the topic, if the append depends on all messages
+                before it.
 
         Returns:
             The offsets of the messages.
 
         Raises:
-            LogFullError: There are too many messages, or one is too large.
+            LogFullError: The messages are invalid: their number, a key or a size.
             StaleWriterError: A later incarnation has written.
-            Conflict: A key, or the end of the topic, has moved.
-            CompactedLogError: The append may have been written; the same one again, before any other, is
-            written once.
+            WriteConflictError: A key, or the end of the topic, is not at the expected offset.
+            CompactedLogError: The outcome is unknown; if the next append has the same arguments, it counts as
+                a retry, and the messages are written once.
         """
         async with self._lock:
-            content = (tuple(new_messages), expects, end)
+            content = (tuple(new_messages), expected_offsets, expected_end)
             if content != self._unconfirmed:
                 self._sequence += 1
             self._unconfirmed = content
             request = AppendRequest(
-                self.topic, self.identity, self._sequence, new_messages, dict(expects or {}), end
+                self.topic,
+                self.identity,
+                self._sequence,
+                new_messages,
+                dict(expected_offsets or {}),
+                expected_end,
             )
             try:
                 offsets = await self._log.append(request)
             except (WriteConflictError, StaleWriterError):
-                self._unconfirmed = None  # it was certainly not written
+                self._unconfirmed = None  # the append was not written
                 raise
             self._unconfirmed = None
             return offsets
--- a/sabledyke/compacted_log/compaction.py
+++ b/sabledyke/compacted_log/compaction.py
@@ -1,13 +1,14 @@
-"""Decides what may be compacted away from a topic, a page at a time. Pure: cells, a page and the time in.
+"""Plans the compaction of a topic, one page of messages at a time, without I/O.
 
-A message is superseded when its key's position is a later one. The newest ``min_lag_messages`` are never
-touched. A pass goes once, in order, through what is below its limit; where it ends, it leaves a mark with the
-time. A tombstone may be removed once a mark above it is ``tombstone_retention_ms`` old on the compactor's
-clock: by then the pass that left the mark has removed all that it supersedes, so that no key comes back. The
-time of a mark that another compactor left begins anew, as no two clocks are compared. Every step checks the
-progress cell, in which the compactor's token stands: one that was paused past its lease changes nothing.
+A message is superseded when its key's position has a later offset. The newest ``min_lag_messages`` messages
+are never removed. A pass reads all messages below its limit once, in order, and records a mark with the time
+when it ends. A tombstone may be removed once a mark at or above its offset is ``tombstone_retention_ms`` old
+on the compactor's clock: the pass of that mark has removed all messages that the tombstone supersedes, so
+that the key does not reappear. When another compactor continues, the ages of the existing marks restart at 0,
+because clocks of different processes are not compared. Every commit checks the progress cell, which holds the
+compactor's token, so that a compactor that was paused beyond its lease changes nothing.
 
-Memory: one page and the positions of its keys, however many keys there are.
+Memory use is one page and the positions of its keys, regardless of the number of keys.
 """
 
 from __future__ import annotations
@@ -37,19 +38,19 @@
 )
 from sabledyke.errors import StaleWriterError
 
-MAX_MARKS = 16  # beyond that, the two oldest are joined
-PAGE_MESSAGES = (MAX_COMMIT_OPERATIONS - 4) // 2  # each may take two drops
+MAX_MARKS = 16  # the two oldest marks are merged above this number
+PAGE_MESSAGES = (MAX_COMMIT_OPERATIONS - 4) // 2  # each message may need two deletes
 
 
 @dataclass(slots=True, frozen=True)
 class CompactionPolicy:
-    """When and how a topic is compacted.
+    """Settings of the compaction of a topic.
 
     Attributes:
-        min_lag_messages: So many of the newest messages are never touched.
-        tombstone_retention_ms: How long tombstones are retained at least.
-        min_dirty_ratio: A pass begins when this fraction of the topic's size is superseded.
-        max_bytes_per_s: At most so much is read in a second.
+        min_lag_messages: The number of newest messages that are never removed.
+        tombstone_retention_ms: The minimum time for which tombstones are retained.
+        min_dirty_ratio: The superseded fraction of the topic's size at which a pass begins.
+        max_bytes_per_s: The maximum read rate.
     """
 
     min_lag_messages: int = 1000
@@ -60,12 +61,12 @@
 
 @dataclass(slots=True, frozen=True)
 class PassMark:
-    """A pass that ended.
+    """Mark of a completed pass.
 
     Attributes:
-        up_to_offset: The last offset that it covered.
-        since_ms: When it ended, by the clock of the compactor with that token.
-        token: That compactor's token.
+        up_to_offset: The last offset that the pass covered.
+        since_ms: The time from which the mark's age counts, on the clock of the compactor with this token.
+        token: The token of that compactor.
     """
 
     up_to_offset: int
@@ -75,13 +76,13 @@
 
 @dataclass(slots=True, frozen=True)
 class CompactionProgress:
-    """What is stored of the compaction of a topic.
+    """Stored progress of the compaction of a topic.
 
     Attributes:
         token: The token of the compactor that wrote it.
-        position: The offset that the pass goes on at.
-        limit_offset: The offset that the pass ends before; 0 between passes.
-        marks: The passes that ended.
+        position: The next offset of the current pass.
+        limit_offset: The offset that the current pass ends before; 0 between passes.
+        marks: The marks of completed passes, in order.
     """
 
     token: int = 0
@@ -92,13 +93,13 @@
 
 @dataclass(slots=True, frozen=True)
 class PassPage:
-    """A page of a pass.
+    """One page of messages of a pass.
 
     Attributes:
-        progress: The pass under way.
-        progress_cell: The cell that its progress was read from.
-        messages: Messages from the pass's position on.
-        ends_pass: Whether nothing follows them below the pass's limit.
+        progress: The progress of the pass before this page.
+        progress_cell: The cell that the progress was read from; None if it did not exist.
+        messages: The messages from the pass's position on.
+        ends_pass: True if no message follows the page below the pass's limit.
     """
 
     progress: CompactionProgress
@@ -108,25 +109,25 @@
 
     @property
     def size_bytes(self) -> int:
-        """The size of its messages."""
+        """Total size of the messages in bytes."""
         return sum(message.size_bytes for message in self.messages)
 
 
 class Removal(Enum):
-    """Why a message is removed."""
+    """The reason for the removal of a message."""
 
     SUPERSEDED = auto()
     TOMBSTONE = auto()
 
 
 def encode_progress(progress: CompactionProgress) -> bytes:
-    """Encode the progress."""
+    """Encode the progress of a compaction."""
     marks = [(mark.up_to_offset, mark.since_ms, mark.token) for mark in progress.marks]
     return encode_fields(progress.token, progress.position, progress.limit_offset, marks)
 
 
 def decode_progress(cell: Cell | None) -> CompactionProgress:
-    """Decode the progress; the initial one where the topic was never compacted."""
+    """Decode the progress of a compaction; the initial progress if the topic was never compacted."""
     if cell is None:
         return CompactionProgress()
     token, position, limit_offset, marks = orjson.loads(cell.data)
@@ -134,13 +135,15 @@
 
 
 def continue_under_token(progress: CompactionProgress, token: int, now_ms: float) -> CompactionProgress:
-    """Return the same progress under this compactor's token.
+    """Return the progress under this compactor's token; marks of other compactors restart at ``now_ms``.
 
     Raises:
-        StaleWriterError: A compactor with a later token has been at work.
+        StaleWriterError: A compactor with a later token has written the progress.
     """
     if progress.token > token:
-        raise StaleWriterError(f"cleaning under token {token}, after {progress.token}")
+        raise StaleWriterError(
+            f"compaction under token {token} rejected: token {progress.token} has written the progress"
+        )
     marks = tuple(
         mark if mark.token == token else PassMark(mark.up_to_offset, now_ms, token) for mark in progress.marks
     )
@@ -148,7 +151,7 @@
 
 
 def removable_tombstones_up_to(progress: CompactionProgress, policy: CompactionPolicy, now_ms: float) -> int:
-    """Return the offset up to which tombstones may be removed; 0 for none."""
+    """Return the last offset up to which tombstones may be removed; 0 for none."""
     old_marks = (
         mark.up_to_offset
         for mark in progress.marks
@@ -160,13 +163,13 @@
 def start_pass(
     progress: CompactionProgress, head: TopicHead, policy: CompactionPolicy, now_ms: float
 ) -> CompactionProgress | None:
-    """Return the pass under way, or a new one where it is worth it; None where there is nothing to do."""
+    """Return the current pass, or a new one if it is worthwhile; None if there is nothing to do."""
     if progress.limit_offset:
         return progress
     limit_offset = head.next_offset - policy.min_lag_messages
     if limit_offset <= 1:
         return None
-    removes_superseded = _has_superseded(progress, head, policy, limit_offset)
+    removes_superseded = _is_dirty_enough(progress, head, policy, limit_offset)
     removes_tombstones = head.tombstones > 0 and (
         not progress.marks or removable_tombstones_up_to(progress, policy, now_ms) > 0
     )
@@ -178,41 +181,41 @@
 def compact_page(
     topic: str, cells: Mapping[str, Cell], page: PassPage, policy: CompactionPolicy, now_ms: float
 ) -> Commit:
-    """Compact one page.
+    """Plan the compaction of one page.
 
     Args:
         topic: The topic.
-        cells: Its head, its progress, and the positions of the page's keys, as they are now.
-        page: The page of the pass under way.
+        cells: The current cells of the topic's head, its progress and the positions of the page's keys.
+        page: A page of the current pass.
         policy: The operator's settings.
         now_ms: The time on the compactor's clock.
 
     Returns:
-        The commit.
+        The commit that removes messages of the page and writes the new progress.
     """
     head = decode_head(cells.get(head_key(topic)))
     removable_up_to = removable_tombstones_up_to(page.progress, policy, now_ms)
     checks = {key: cell_version(cells, key) for key in (head_key(topic), compaction_key(topic))}
-    drops: list[str] = []
+    deletes: list[str] = []
     for message, removal in _removals(topic, cells, page, removable_up_to):
-        drops.append(message_key(topic, message.offset))
+        deletes.append(message_key(topic, message.offset))
         if removal is Removal.TOMBSTONE:
             position = position_key(topic, message.key)
-            drops.append(position)
+            deletes.append(position)
             checks[position] = cell_version(cells, position)
         head = _head_without(head, message, removal)
     puts = {compaction_key(topic): encode_progress(_progress_after(page, removable_up_to, now_ms))}
-    if drops:
+    if deletes:
         puts[head_key(topic)] = encode_head(head)
     else:
         del checks[head_key(topic)]
-    return Commit((), checks, puts, tuple(drops))
+    return Commit((), checks, puts, tuple(deletes))
 
 
-def _has_superseded(
+def _is_dirty_enough(
     progress: CompactionProgress, head: TopicHead, policy: CompactionPolicy, limit_offset: int
 ) -> bool:
-    """Return whether enough is superseded, below what is too new to be touched."""
+    """Return whether enough is superseded for a pass, and there are messages that no pass has covered."""
     if progress.marks and progress.marks[-1].up_to_offset >= limit_offset - 1:
         return False
     return head.dirty_bytes > 0 and head.dirty_bytes >= policy.min_dirty_ratio * head.size_bytes
@@ -221,7 +224,7 @@
 def _removals(
     topic: str, cells: Mapping[str, Cell], page: PassPage, removable_up_to: int
 ) -> Iterator[tuple[Message, Removal]]:
-    """Yield the messages to remove."""
+    """Yield the messages to remove, with the reasons."""
     for message in page.messages:
         if message.offset >= page.progress.limit_offset:
             return
@@ -255,10 +258,10 @@
 
 
 def _end_pass(progress: CompactionProgress, removable_up_to: int, now_ms: float) -> CompactionProgress:
-    """Leave a mark at the end of the pass; marks whose tombstones are removed are no longer needed."""
+    """Add a mark for the completed pass, and discard marks below which tombstones were removable."""
     mark = PassMark(progress.limit_offset - 1, now_ms, progress.token)
     marks = (*(old for old in progress.marks if old.up_to_offset > removable_up_to), mark)
-    if len(marks) > MAX_MARKS:  # the later of two times counts for both
+    if len(marks) > MAX_MARKS:  # the merged mark has the later time, so that none counts as older
         joined = PassMark(marks[0].up_to_offset, marks[1].since_ms, progress.token)
         marks = (joined, *marks[2:])
     return replace(progress, position=1, limit_offset=0, marks=marks)
--- a/sabledyke/compacted_log/compactor.py
+++ b/sabledyke/compacted_log/compactor.py
@@ -1,4 +1,4 @@
-"""Drives the compaction of one topic: reads what ``compaction`` decides by, and commits."""
+"""Executes the compaction of one topic: reads the cells that ``compaction`` requires, and commits."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
         """Make a compactor.
 
         Args:
-            backend: What the log is stored in.
+            backend: The storage of the log.
             topic: The topic.
             policy: The operator's settings.
-            token: Returns the lease's token, or raises where it is not held; called before every step.
-            clock_ms: Returns the time of this process.
-            random: The source of jitter.
+            token: Returns the lease's token, or raises if the lease is not held; called before every commit.
+            clock_ms: Returns the time on this process's clock.
+            random: The source of the jitter of retries.
         """
         self._backend = backend
         self._topic = topic
@@ -51,19 +51,19 @@
         self._random = random
 
     async def run(self) -> int:
-        """Compact as far as it is worth it now.
+        """Run the current pass to its end, or a new pass if it is worthwhile.
 
         Returns:
-            The size of what was read, in bytes.
+            The size of the messages read, in bytes.
 
         Raises:
-            StaleWriterError: A compactor with a later token is at work.
+            StaleWriterError: A compactor with a later token has written the progress.
             CompactedLogError: The backend did not answer.
         """
         read_bytes = 0
         while (page := await self._next_page()) is not None:
             commit = await self._plan(page)
-            if commit is None or not await self._backend.commit(commit.checks, commit.puts, commit.drops):
+            if commit is None or not await self._backend.commit(commit.checks, commit.puts, commit.deletes):
                 await asyncio.sleep(RETRY_DELAY_S * (0.5 + self._random.random()))
                 continue
             read_bytes += page.size_bytes
@@ -73,7 +73,7 @@
         return read_bytes
 
     async def _next_page(self) -> PassPage | None:
-        """Read the next page of the pass under way, or of a new one; None where there is nothing to do."""
+        """Read the next page of the current pass, or of a new one; None if there is nothing to do."""
         cells = await self._backend.get([head_key(self._topic), compaction_key(self._topic)])
         progress_cell = cells.get(compaction_key(self._topic))
         progress = compaction.decode_progress(progress_cell)
@@ -88,7 +88,7 @@
         return PassPage(started, progress_cell, messages, ends_pass)
 
     async def _plan(self, page: PassPage) -> Commit | None:
-        """Decide what to remove of a page; None where another compactor was at work meanwhile."""
+        """Plan the removals of a page; None if the progress has changed since the page was read."""
         positions = dict.fromkeys(position_key(self._topic, message.key) for message in page.messages)
         cells = await self._backend.get([head_key(self._topic), compaction_key(self._topic), *positions])
         if cells.get(compaction_key(self._topic)) != page.progress_cell:
--- a/sabledyke/compacted_log/etcd_backend.py
+++ b/sabledyke/compacted_log/etcd_backend.py
@@ -1,6 +1,6 @@
-"""The backend in etcd version 3, for fleets on several machines.
+"""Stores the compacted log in etcd version 3, for fleets on several machines.
 
-Each cell is a key, whose ``mod_revision`` is its version, and each commit a transaction.
+Each cell is a key, with its ``mod_revision`` as the version, and each commit a transaction.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 
 
 class EtcdBackend:
-    """A backend in etcd; see ``records.Backend``."""
+    """Implements ``records.Backend`` on etcd."""
 
     def __init__(self, endpoints: Sequence[str], prefix: str, timeout_ms: float = DEFAULT_TIMEOUT_MS) -> None:
         """Make a backend.
 
         Args:
             endpoints: Addresses (host:port) of the etcd servers.
-            prefix: What all keys begin with.
-            timeout_ms: The limit for one call.
+            prefix: The prefix of all keys.
+            timeout_ms: The time limit for one call.
         """
         self._gateway = EtcdGateway(endpoints, timeout_ms)
         self._prefix = f"{prefix}board/"
 
     async def open(self) -> None:
-        """Do nothing: an etcd that is down is called again."""
+        """Do nothing: an etcd that is unavailable now is no error, because later calls try it again."""
 
     async def get(self, keys: Sequence[str]) -> dict[str, Cell]:
-        """See ``records.Backend``: one transaction without a condition reads all as of one revision."""
+        """Read the cells in one transaction without conditions, and so as of one revision."""
         reads = [{"request_range": {"key": self._encode_key(key)}} for key in keys]
         result = await self._call("kv/txn", {"compare": [], "success": reads, "failure": []})
         found = [response["response_range"].get("kvs", ()) for response in result["responses"]]
         return {key: _decode_cell(entries[0]) for key, entries in zip(keys, found, strict=True) if entries}
 
     async def scan(self, first: str, end: str, limit: int) -> list[tuple[str, Cell]]:
-        """See ``records.Backend``."""
+        """Read a range of cells in one request."""
         body = {
             "key": self._encode_key(first),
             "range_end": self._encode_key(end),
@@ -50,9 +50,9 @@
         return [(self._decode_key(entry["key"]), _decode_cell(entry)) for entry in found.get("kvs", ())]
 
     async def commit(
-        self, checks: Mapping[str, int], puts: Mapping[str, bytes], drops: Collection[str] = ()
+        self, checks: Mapping[str, int], puts: Mapping[str, bytes], deletes: Collection[str] = ()
     ) -> bool:
-        """See ``records.Backend``."""
+        """Compare versions and write cells in one transaction."""
         compare = [
             {
                 "key": self._encode_key(key),
@@ -62,7 +62,9 @@
             }
             for key, version in checks.items()
         ]
-        writes: list[JsonObject] = [{"request_delete_range": {"key": self._encode_key(key)}} for key in drops]
+        writes: list[JsonObject] = [
+            {"request_delete_range": {"key": self._encode_key(key)}} for key in deletes
+        ]
         writes += [
             {"request_put": {"key": self._encode_key(key), "value": encode_base64(data)}}
             for key, data in puts.items()
@@ -71,7 +73,7 @@
         return bool(result.get("succeeded"))
 
     async def close(self) -> None:
-        """See ``records.Backend``."""
+        """Close the connections to etcd."""
         await self._gateway.close()
 
     def _encode_key(self, key: str) -> str:
--- a/sabledyke/compacted_log/reader.py
+++ b/sabledyke/compacted_log/reader.py
@@ -1,12 +1,13 @@
-"""One reader's side of a topic: from nothing, or from where it was, to the latest messages, and on. Pure.
+"""Applies the messages of a topic to the state of one reader, without I/O.
 
-It is given pages of messages from ``position`` on, each with the topic's head as read after it, and returns
-events in order: keys that were updated, keys that were removed, and when the reader has caught up.
+A reader is given pages of messages from ``position`` on, each with the topic's head as read after the page.
+It returns events in order: updated keys, removed keys, and the points at which it has caught up.
 
-A tombstone that was compacted away before this reader came to it would leave a removed key in ``latest``. The
-head's tombstone floor tells: one that rose since the last page, to this reader's position or beyond, may have
-been missed. The reader then restarts, and at the end of that removes what it no longer finds. What was
-compacted away before it started does not matter: all that it superseded had been removed before.
+If a tombstone is compacted away before a reader gets to it, the removed key stays in the reader's ``latest``.
+The reader detects this by the head's tombstone floor: if the floor has risen since the last page, to the
+reader's position or beyond, a tombstone may have been missed. The reader then restarts at the first offset,
+and once it has caught up, it removes the keys that it has not found again. A tombstone that was compacted
+away before the reader started does not matter, because all messages that it superseded were removed earlier.
 """
 
 from __future__ import annotations
@@ -22,29 +23,29 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyUpdated:
-    """A key's latest message."""
+    """A key has a new latest message."""
 
     message: Message
 
 
 @dataclass(slots=True, frozen=True)
 class KeyRemoved:
-    """A key has no value any more."""
+    """A key no longer has a value."""
 
     key: str
 
 
 @dataclass(slots=True, frozen=True)
 class ReaderRestarted:
-    """The reader was away for longer than tombstones are retained.
+    """The reader lagged for longer than tombstones are retained, and restarts at the first offset.
 
-    It starts again, and what it has may be out of date until it has caught up.
+    Its state may be out of date until it has caught up.
     """
 
 
 @dataclass(slots=True, frozen=True)
 class CaughtUp:
-    """All messages up to this offset were processed."""
+    """All messages up to this offset have been processed."""
 
     up_to_offset: int
 
@@ -53,32 +54,34 @@
 
 
 class LogReader:
-    """What one reader knows of a topic; tasks that share one take turns, from a page's read to its end.
+    """The state of one reader of a topic.
+
+    Tasks that share a reader must not interleave: a page is applied before another one is read.
 
     Attributes:
         position: The next offset to read.
         latest: The latest message of each key that has a value.
-        caught_up: Whether it has caught up since it last started.
-        may_have_more: Whether more messages may follow the page that was read last.
+        caught_up: True if the reader has caught up since its last start or restart.
+        may_have_more: True if more messages may follow the last page.
     """
 
     def __init__(self, max_keys: int = MAX_KEYS) -> None:
-        """Make a reader that starts from nothing, and retains at most ``max_keys`` keys."""
+        """Make a reader that starts at the first offset and retains at most ``max_keys`` keys."""
         self.position = 1
         self.latest: dict[str, Message] = {}
         self.caught_up = False
         self.may_have_more = True
         self._max_keys = max_keys
         self._before_restart: dict[str, Message] = {}
-        self._tombstone_floor: int | None = None  # as of before the next page; None before the first
+        self._tombstone_floor: int | None = None  # floor before the next page; None before the first page
 
     @property
     def started(self) -> bool:
-        """Whether a head was read since it last started, so that pages may be applied."""
+        """True if a head was read since the last start or restart, so that pages may be applied."""
         return self._tombstone_floor is not None
 
     def start(self, head: TopicHead) -> None:
-        """Start with the topic's head as it was read before the first page."""
+        """Start with the topic's head as read before the first page."""
         self._tombstone_floor = head.tombstone_floor
 
     def apply_page(self, page: Sequence[Message], head: TopicHead, *, full: bool) -> list[LogEvent]:
@@ -86,11 +89,11 @@
 
         Args:
             page: Messages from ``position`` on.
-            head: The topic's head as it was read after the page.
-            full: Whether more may follow the page.
+            head: The topic's head as read after the page.
+            full: True if more messages may follow the page.
 
         Returns:
-            What has changed.
+            The events of the page.
 
         Raises:
             LogFullError: There are more keys than the reader may retain.
@@ -119,10 +122,10 @@
         self.position = message.offset + 1
         key = message.key
         if message.value is None:
-            known = self.latest.pop(key, None) or self._before_restart.pop(key, None)
-            return [KeyRemoved(key)] if known is not None else []
+            previous = self.latest.pop(key, None) or self._before_restart.pop(key, None)
+            return [KeyRemoved(key)] if previous is not None else []
         if key not in self.latest and len(self.latest) >= self._max_keys:
-            raise LogFullError(f"a reader keeps {self._max_keys} keys at most")
+            raise LogFullError(f"a reader may retain at most {self._max_keys} keys")
         self.latest[key] = message
         self._before_restart.pop(key, None)
         return [KeyUpdated(message)]
--- a/sabledyke/compacted_log/records.py
+++ b/sabledyke/compacted_log/records.py
@@ -1,8 +1,8 @@
-"""The records of the compacted log, the cells that they are stored in, and the backend that stores these.
+"""Data model of the compacted log: its records, their encoding as cells, and the backend that stores cells.
 
-Offsets count from 1 and only rise; 0 stands for a key that was never written. The models are Kafka's log
-compaction (minimum lag, delete retention) and etcd's revisions (compare before a write). Cells are stored as
-JSON arrays, in the order that the functions below give; names of fields are not stored.
+Offsets start at 1 and only increase; offset 0 stands for a key that was never written. The design follows
+Kafka's log compaction (minimum lag, delete retention) and etcd's revisions (compare before write). Records
+are encoded as JSON arrays without field names, in the order that the functions below give.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 MAX_KEY_BYTES = 200
 MAX_VALUE_BYTES = 16 * 1024
-MAX_COMMIT_OPERATIONS = 100  # puts, drops or checks of one commit: etcd's default limit is 128
-MAX_APPEND_MESSAGES = 20  # of one append: each writes two cells, the message and its key's position
+MAX_COMMIT_OPERATIONS = 100  # puts, deletes or checks in one commit; etcd's default limit is 128
+MAX_APPEND_MESSAGES = 20  # limit of an append; each writes two cells, the message and its key's position
 PAGE_MESSAGES = 256
 
 
@@ -25,12 +25,12 @@
     """One message of a topic.
 
     Attributes:
-        offset: Its place in the topic.
-        key: What it is about.
-        value: What it says; None for a tombstone.
-        writer: The name of who wrote it.
+        offset: The position of the message in the topic.
+        key: The key; compaction retains the latest message of each key.
+        value: The value; None for a tombstone.
+        writer: The writer's name.
         incarnation: The writer's incarnation.
-        sequence: The number of the append within that.
+        sequence: The number of the append within the incarnation.
     """
 
     offset: int
@@ -42,7 +42,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """The size that it is counted with, its key and value."""
+        """Size of the key and value in bytes, as counted in ``TopicHead``."""
         return len(self.key) + len(self.value or b"")
 
 
@@ -51,8 +51,8 @@
     """A message to be appended.
 
     Attributes:
-        key: What it is about.
-        value: What it says; None for a tombstone.
+        key: The key.
+        value: The value; None for a tombstone.
         expected_offset: The offset that the key's latest message must have; None for any.
     """
 
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WriterIdentity:
-    """One incarnation of a writer; ``nonce`` separates two processes that claimed the same one at once."""
+    """One incarnation of a writer; ``nonce`` distinguishes processes that claim the same one concurrently."""
 
     name: str
     incarnation: int
@@ -72,14 +72,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TopicHead:
-    """The state of a topic.
+    """Metadata of a topic, in a cell that every append checks and updates.
 
     Attributes:
         next_offset: The offset of the next message.
-        tombstone_floor: The highest offset from which a tombstone was removed.
-        size_bytes: The size of all its messages.
-        dirty_bytes: How much of that is superseded.
-        tombstones: How many keys have a tombstone as their latest message.
+        tombstone_floor: The highest offset of a tombstone that compaction has removed.
+        size_bytes: The total size of all stored messages.
+        dirty_bytes: The size of the superseded messages among them.
+        tombstones: The number of keys whose latest message is a tombstone.
     """
 
     next_offset: int = 1
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyPosition:
-    """Where a key's latest message is."""
+    """The offset, size and kind of a key's latest message."""
 
     offset: int
     size_bytes: int
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WriterState:
-    """What is stored of a writer: its incarnation, and the offsets of its last append, to detect a retry."""
+    """Stored state of a writer: its incarnation, and its last append, by which a retry is detected."""
 
     incarnation: int
     nonce: str
@@ -110,55 +110,55 @@
 
 @dataclass(slots=True, frozen=True)
 class Cell:
-    """One entry of the backend; ``version`` changes with every write to it, and is 0 where there is none."""
+    """One entry of the backend; every write changes its ``version``, and version 0 stands for no entry."""
 
     version: int
     data: bytes
 
 
 class Backend(Protocol):
-    """What a log is stored in: ordered keys, and commits that are executed as one step or not at all."""
+    """Storage of a log: an ordered key-value store with atomic conditional commits."""
 
     async def open(self) -> None:
-        """Prepare for use.
+        """Prepare the backend for use.
 
         Raises:
-            ConfigError: It cannot be used as it is configured.
+            ConfigError: The backend cannot be used as it is configured.
         """
 
     async def get(self, keys: Sequence[str]) -> dict[str, Cell]:
-        """Return those of the cells that exist, as of one moment.
+        """Return those of the cells that exist, as one consistent snapshot.
 
         Raises:
-            CompactedLogError: It did not answer.
+            CompactedLogError: The backend did not answer.
         """
 
     async def scan(self, first: str, end: str, limit: int) -> list[tuple[str, Cell]]:
-        """Return at most ``limit`` cells from ``first`` up to before ``end``, in order of their keys.
+        """Return at most ``limit`` cells from ``first`` up to before ``end``, in key order.
 
         Raises:
-            CompactedLogError: It did not answer.
+            CompactedLogError: The backend did not answer.
         """
 
     async def commit(
-        self, checks: Mapping[str, int], puts: Mapping[str, bytes], drops: Collection[str] = ()
+        self, checks: Mapping[str, int], puts: Mapping[str, bytes], deletes: Collection[str] = ()
     ) -> bool:
-        """Write and remove cells, if every checked cell has the version given.
+        """Write and delete cells atomically, if every checked cell has the expected version.
 
         Args:
-            checks: Versions by key; 0 for a cell that must not exist.
-            puts: Data by key.
-            drops: Keys of the cells to remove.
+            checks: Expected versions by key; 0 for a cell that must not exist.
+            puts: New data by key.
+            deletes: Keys of the cells to delete.
 
         Returns:
-            False where a check failed, so that nothing was written.
+            False if a check failed and nothing was written.
 
         Raises:
-            CompactedLogError: It is not known whether the commit was executed.
+            CompactedLogError: The outcome of the commit is unknown.
         """
 
     async def close(self) -> None:
-        """Close what is open."""
+        """Close all open connections."""
 
 
 def head_key(topic: str) -> str:
@@ -167,7 +167,7 @@
 
 
 def message_key(topic: str, offset: int) -> str:
-    """Return the key of the cell of a message; keys sort as the offsets do."""
+    """Return the key of the cell of a message; the keys sort in the order of offsets."""
     return f"{topic}/m/{offset:016x}"
 
 
@@ -182,7 +182,7 @@
 
 
 def register_key(topic: str, name: str) -> str:
-    """Return the key of the cell of a register (see ``registers``)."""
+    """Return the key of the cell of a register."""
     return f"{topic}/r/{name}"
 
 
@@ -192,12 +192,12 @@
 
 
 def cell_version(cells: Mapping[str, Cell], key: str) -> int:
-    """Return a cell's version among those that were read; 0 where there is none."""
+    """Return the version of a cell that was read; 0 if it does not exist."""
     return cells[key].version if key in cells else 0
 
 
 def encode_fields(*fields: object) -> bytes:
-    """Encode the fields of one cell."""
+    """Encode the fields of one cell as a JSON array."""
     return orjson.dumps(fields)
 
 
@@ -209,7 +209,7 @@
 
 
 def decode_head(cell: Cell | None) -> TopicHead:
-    """Decode a topic's head; the initial one where nobody has written to the topic."""
+    """Decode a topic's head; the initial head if the topic was never written to."""
     return TopicHead() if cell is None else TopicHead(*orjson.loads(cell.data))
 
 
@@ -219,7 +219,7 @@
 
 
 def decode_position(cell: Cell | None) -> KeyPosition:
-    """Decode a key's position; at offset 0 where it was never written."""
+    """Decode a key's position; offset 0 if the key was never written."""
     if cell is None:
         return KeyPosition(offset=0, size_bytes=0, is_tombstone=False)
     return KeyPosition(*orjson.loads(cell.data))
@@ -231,7 +231,7 @@
 
 
 def decode_writer_state(cell: Cell | None) -> WriterState | None:
-    """Decode a writer's state; None where it has never written."""
+    """Decode a writer's state; None if the writer does not exist."""
     if cell is None:
         return None
     incarnation, nonce, sequence, offsets = orjson.loads(cell.data)
@@ -239,7 +239,7 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Encode a message: a line of JSON about it, then its value."""
+    """Encode a message: a header line in JSON, then the raw value."""
     header = encode_fields(
         message.key, message.writer, message.incarnation, message.sequence, message.value is None
     )
@@ -247,7 +247,7 @@
 
 
 def decode_message(cell_key: str, cell: Cell) -> Message:
-    """Decode a message from its cell, whose key has its offset."""
+    """Decode a message from its cell; the cell's key ends with the offset."""
     header, _, value = cell.data.partition(b"\n")
     key, writer, incarnation, sequence, is_tombstone = orjson.loads(header)
     return Message(
--- a/sabledyke/compacted_log/section.py
+++ b/sabledyke/compacted_log/section.py
@@ -1,6 +1,6 @@
-"""The operator's section ``[board]``: where the compacted log is stored, and how it is compacted.
+"""Reads the operator's section ``[board]``: the storage and the compaction of the compacted log.
 
-It is checked as a whole; every error is one plain line.
+The section is validated as a whole, and each error is reported as one line.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 
 DEFAULT_POLICY = CompactionPolicy()
 DEFAULT_COMPACTION_INTERVAL_S = 5.0
-RESERVED_TOPICS = ("fleet", "beats", "homes", "shares")  # the fleet's own
+RESERVED_TOPICS = ("fleet", "beats", "homes", "shares")  # topics that the fleet itself writes
 MAX_TOPICS = 16
 MAX_TOPIC_CHARS = 64
 
 
 @dataclass(slots=True, frozen=True)
 class LogSection:
-    """The settings of ``[board]``.
+    """The validated settings of ``[board]``.
 
     Attributes:
         path: The log's SQLite file, or "".
         etcd_endpoints: Addresses of the etcd servers, or none.
-        prefix: What all keys in etcd begin with.
-        compaction: When and how topics are compacted.
-        max_keys: How many keys a reader may retain.
-        compaction_interval_s: The time between two checks whether a topic is worth compacting.
-        topics: The operator's own topics, which the fleet compacts.
+        prefix: The prefix of all keys in etcd.
+        compaction: The compaction policy for all topics.
+        max_keys: The maximum number of keys that a reader may retain.
+        compaction_interval_s: The time between two checks of whether a topic is worth compacting.
+        topics: Topics of the operator's own programs; the fleet compacts them too.
     """
 
     path: str = ""
@@ -47,11 +47,11 @@
     topics: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        """Return where the log is stored."""
+        """Return the log's file or the addresses of its etcd servers."""
         return self.path or f"etcd at {', '.join(self.etcd_endpoints)}"
 
     def create_backend(self) -> Backend:
-        """Create the backend; the driver for etcd is loaded only where it is named."""
+        """Create the backend; the etcd driver is imported only if the section names etcd."""
         if self.path:
             from sabledyke.compacted_log.sqlite_backend import SqliteBackend
 
@@ -62,7 +62,7 @@
 
 
 class LogTable(Table, frozen=True, kw_only=True):
-    """The section as the file has it."""
+    """The keys of ``[board]`` in the operator's file, with their limits and defaults."""
 
     path: str = ""
     etcd: tuple[str, ...] = ()
@@ -77,14 +77,14 @@
 
 
 def read(data: dict[str, Any]) -> LogSection | None:
-    """Read and check the section.
+    """Read and validate the section.
 
     Returns:
-        The settings; None where there is no such section.
+        The settings; None if the section is missing or empty.
 
     Raises:
-        OperatorError: The section cannot be used.
-        ListError: An address in it cannot be read.
+        OperatorError: The section is invalid.
+        ListError: An etcd address in the section is invalid.
     """
     if not data:
         return None
@@ -117,7 +117,7 @@
         if topic in RESERVED_TOPICS or not _is_topic_name(topic):
             raise OperatorError(f"board.topics: {topic!r} is the fleet's, or not of letters, digits, - and _")
     if len(set(topics)) < len(topics) or len(topics) > MAX_TOPICS:
-        raise OperatorError(f"board.topics names one twice, or more than {MAX_TOPICS}")
+        raise OperatorError(f"board.topics lists a topic twice, or more than {MAX_TOPICS} topics")
 
 
 def _is_topic_name(topic: str) -> bool:
--- a/sabledyke/compacted_log/sqlite_backend.py
+++ b/sabledyke/compacted_log/sqlite_backend.py
@@ -1,7 +1,8 @@
-"""The backend in SQLite, for processes on one machine or volume: one row a cell, each commit one transaction.
+"""Stores the compacted log in SQLite, for processes that share a machine or a mounted volume.
 
-Versions come from one counter that only rises, so that a cell that was removed and written again never has a
-former version. The file is in WAL mode and synced at every commit (``store.session``).
+Each cell is a row, and each commit a transaction. Versions come from one counter that only increases, so that
+a cell that is deleted and written again never gets an earlier version. The file is in WAL mode and synced at
+every commit (``store.session``).
 """
 
 from __future__ import annotations
@@ -39,21 +40,22 @@
 
 
 class SqliteBackend:
-    """A backend in SQLite; see ``records.Backend``."""
+    """Implements ``records.Backend`` on a SQLite file."""
 
     def __init__(self, path: str, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
-        """Make a backend in this file; ``timeout_s`` limits one call, waits for others' locks included."""
+        """Make a backend on this file; ``timeout_s`` limits each call, including its waits for locks."""
         self.path = path
         self._timeout_s = timeout_s
         self._session: SqliteSession | None = None
-        self._connecting = asyncio.Lock()  # guards against two calls that each open a connection
+        self._connecting = asyncio.Lock()  # prevents concurrent calls from opening two connections
 
     async def open(self) -> None:
-        """Make the tables where they are missing.
+        """Create the tables if they are missing.
 
         Raises:
-            LogSchemaError: The file is no database, or a newer version wrote it.
-            CompactedLogError: It does not answer now, as it is locked, or others make it at this moment.
+            LogSchemaError: The file is not a database, or a newer version wrote it.
+            CompactedLogError: The file is locked, or another process is creating the tables; a later call
+                may succeed.
         """
         try:
             session = await self._connected_session()
@@ -66,15 +68,15 @@
             raise LogSchemaError(f"board {self.path}: {error}") from error
         if schema_version > SCHEMA_VERSION:
             raise LogSchemaError(
-                f"board {self.path} has schema {schema_version}, and this version knows {SCHEMA_VERSION}"
+                f"board {self.path} has schema {schema_version}; this version supports up to {SCHEMA_VERSION}"
             )
 
     async def get(self, keys: Sequence[str]) -> dict[str, Cell]:
-        """See ``records.Backend``."""
+        """Read the cells in one transaction."""
         return await self._run(lambda database: _select(database, keys))
 
     async def scan(self, first: str, end: str, limit: int) -> list[tuple[str, Cell]]:
-        """See ``records.Backend``."""
+        """Read a range of cells in one statement."""
 
         def select(database: sqlite3.Connection) -> list[tuple[str, Cell]]:
             rows = database.execute(SCAN_SQL, (first, end, limit)).fetchall()
@@ -83,19 +85,19 @@
         return await self._run(select)
 
     async def commit(
-        self, checks: Mapping[str, int], puts: Mapping[str, bytes], drops: Collection[str] = ()
+        self, checks: Mapping[str, int], puts: Mapping[str, bytes], deletes: Collection[str] = ()
     ) -> bool:
-        """See ``records.Backend``."""
-        return await self._run(lambda database: _commit(database, checks, puts, drops))
+        """Check versions and write cells in one transaction."""
+        return await self._run(lambda database: _commit(database, checks, puts, deletes))
 
     async def close(self) -> None:
-        """See ``records.Backend``."""
+        """Close the connection, if one is open."""
         if self._session is not None:
             await self._session.close()
             self._session = None
 
     async def _run(self, operation: Callable[[sqlite3.Connection], ResultT]) -> ResultT:
-        """Run in the connection's thread; a connection that does not answer in time is not used again."""
+        """Run an operation in the connection's thread; a connection that times out is not used again."""
         session: SqliteSession | None = None
         try:
             async with asyncio.timeout(self._timeout_s):
@@ -124,16 +126,16 @@
 
 
 def _select(database: sqlite3.Connection, keys: Sequence[str]) -> dict[str, Cell]:
-    if len(keys) <= MAX_KEYS_PER_SELECT:  # one statement sees one moment by itself
-        return _select_some(database, keys)
+    if len(keys) <= MAX_KEYS_PER_SELECT:  # a single statement reads a consistent snapshot
+        return _select_batch(database, keys)
     cells: dict[str, Cell] = {}
     with _transaction(database, "BEGIN"):
         for start in range(0, len(keys), MAX_KEYS_PER_SELECT):
-            cells |= _select_some(database, keys[start : start + MAX_KEYS_PER_SELECT])
+            cells |= _select_batch(database, keys[start : start + MAX_KEYS_PER_SELECT])
     return cells
 
 
-def _select_some(database: sqlite3.Connection, keys: Sequence[str]) -> dict[str, Cell]:
+def _select_batch(database: sqlite3.Connection, keys: Sequence[str]) -> dict[str, Cell]:
     if not keys:
         return {}
     parameters = ", ".join("?" * len(keys))
@@ -145,7 +147,7 @@
     database: sqlite3.Connection,
     checks: Mapping[str, int],
     puts: Mapping[str, bytes],
-    drops: Collection[str],
+    deletes: Collection[str],
 ) -> bool:
     with _transaction(database, "BEGIN IMMEDIATE"):
         for key, expected_version in checks.items():
@@ -153,7 +155,7 @@
             if (row[0] if row else 0) != expected_version:
                 return False
         (new_version,) = database.execute(NEXT_VERSION_SQL).fetchone()
-        database.executemany(DELETE_SQL, [(key,) for key in drops])
+        database.executemany(DELETE_SQL, [(key,) for key in deletes])
         database.executemany(PUT_SQL, [(key, new_version, data) for key, data in puts.items()])
         database.execute("COMMIT")
         return True
@@ -161,7 +163,7 @@
 
 @contextmanager
 def _transaction(database: sqlite3.Connection, begin_sql: str) -> Iterator[None]:
-    """Begin a transaction, and roll it back unless it was committed inside."""
+    """Begin a transaction, and roll it back unless the body of the ``with`` statement commits it."""
     database.execute(begin_sql)
     try:
         yield
--- a/sabledyke/compacted_log/subscription.py
+++ b/sabledyke/compacted_log/subscription.py
@@ -1,9 +1,9 @@
-"""For an operator's own programs: the state of a topic as events, also while the log does not answer.
+"""Subscriptions to topics for an operator's own programs; they continue after failures of the log.
 
-A program that joins late gets what there is, and then what follows. One that was away for longer than
-tombstones are retained is notified of that (``ReaderRestarted``), and then of each key that was removed
-meanwhile. A subscriber stores nothing on the log, so that a slow one, or one that dies, costs the others
-nothing.
+A late subscriber first gets the latest message of each key, and then the changes that follow. A subscriber
+that lagged for longer than tombstones are retained is notified of that (``ReaderRestarted``), and then of
+each key that was removed in the meantime. Subscribers store nothing in the log, so that one that is slow or
+crashes does not affect the others.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from sabledyke.compacted_log.records import PAGE_MESSAGES
 from sabledyke.errors import CompactedLogError, LogFullError
 
-FIRST_BACKOFF_INTERVALS = 1 / 16  # doubled at each failure, up to one interval
-MAX_COUNTED_FAILURES = 16
+FIRST_BACKOFF_FRACTION = 1 / 16  # fraction of the poll interval; doubled at each failure, up to one interval
+MAX_COUNTED_FAILURES = 16  # limit of the exponent of the backoff
 
 
 async def subscribe_to_topic(
@@ -29,16 +29,16 @@
     page_messages: int = PAGE_MESSAGES,
     seed: int = 0,
 ) -> AsyncIterator[list[LogEvent]]:
-    """Yield events as they come, a page at a time, without end.
+    """Yield the events of each page, indefinitely.
 
-    A log that does not answer is polled again, with backoff and jitter.
+    A poll that fails is repeated, with backoff and jitter.
 
     Args:
         log: The log.
         topic: The topic.
-        reader: Has the latest message of each key, after each page.
-        interval_s: The time between two polls of a topic that is idle.
-        page_messages: The limit for one page.
+        reader: The reader that holds the state of the topic; updated before the events of a page are yielded.
+        interval_s: The time between two polls of an idle topic.
+        page_messages: The maximum number of messages of a page.
         seed: The seed of the jitter.
 
     Raises:
@@ -52,7 +52,7 @@
         except LogFullError:
             raise
         except CompactedLogError:
-            wait_s = min(interval_s, interval_s * FIRST_BACKOFF_INTERVALS * 2**failures)
+            wait_s = min(interval_s, interval_s * FIRST_BACKOFF_FRACTION * 2**failures)
             failures = min(failures + 1, MAX_COUNTED_FAILURES)
         else:
             failures = 0
--- a/sabledyke/compacted_log/topic_reads.py
+++ b/sabledyke/compacted_log/topic_reads.py
@@ -12,7 +12,7 @@
     message_key,
 )
 
-_AFTER_ALL_OFFSETS = "~"
+_AFTER_ALL_OFFSETS = "~"  # sorts after every hexadecimal digit
 
 
 async def read_head(backend: Backend, topic: str) -> TopicHead:
@@ -26,7 +26,7 @@
 
 
 async def read_messages(backend: Backend, topic: str, first_offset: int, limit: int) -> list[Message]:
-    """Return at most ``limit`` messages from this offset on, in order.
+    """Return at most ``limit`` messages from this offset on, in order of offsets.
 
     Raises:
         CompactedLogError: The backend did not answer.
--- a/sabledyke/placement/evacuation_driver.py
+++ b/sabledyke/placement/evacuation_driver.py
@@ -111,7 +111,7 @@
         new_messages = [
             NewMessage(placement.volume, evacuation.encode(placement)) for placement in batch.placements
         ]
-        await self._writer.append(new_messages, end=self._reader.position)
+        await self._writer.append(new_messages, expected_end=self._reader.position)
 
     def _survivors_well(self, plan: Plan, view: FleetView, registers: Mapping[str, bytes]) -> bool:
         """Return whether members of other sites reject and fail no more, since the last step, than before."""
--- a/tests/compacted_log/support.py
+++ b/tests/compacted_log/support.py
@@ -1,4 +1,4 @@
-"""A compacted log on either backend, whose commits can fail, and a clock that the test moves."""
+"""A compacted log on either backend, with injected failures of commits and a clock that the test advances."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 TIMEOUT_S = 60
 
 
-class ProcessDeathError(BaseException):
-    """The process dies at this call."""
+class ProcessCrashError(BaseException):
+    """The process crashes at this call."""
 
 
 @dataclass
 class FaultyBackend:
-    """A backend whose commits can be the process's last, or lose their answers.
+    """A backend that can crash the process at a commit, or lose the answers of commits.
 
     Attributes:
         inner: The real backend.
-        commits_to_death: How many further commits succeed before the one that the process dies at; never
-            for -1.
-        last_commit_written: Whether that one is written.
-        lost_answers: The answers of so many commits get lost on the way, though they are written.
+        commits_before_crash: The number of commits that succeed before the one that crashes the process; -1
+            for no crash.
+        crash_commit_is_written: True if the commit that crashes the process is written.
+        answers_to_lose: The number of commits that are written, but whose answers are lost.
     """
 
     inner: Backend
-    commits_to_death: int = -1
-    last_commit_written: bool = True
-    lost_answers: int = 0
+    commits_before_crash: int = -1
+    crash_commit_is_written: bool = True
+    answers_to_lose: int = 0
 
     async def open(self) -> None:
         await self.inner.open()
@@ -55,18 +55,18 @@
         return await self.inner.scan(first, end, limit)
 
     async def commit(
-        self, checks: Mapping[str, int], puts: Mapping[str, bytes], drops: Collection[str] = ()
+        self, checks: Mapping[str, int], puts: Mapping[str, bytes], deletes: Collection[str] = ()
     ) -> bool:
-        self.commits_to_death -= 1
-        dies = self.commits_to_death == -1
-        if dies and not self.last_commit_written:
-            raise ProcessDeathError
-        written = await self.inner.commit(checks, puts, drops)
-        if dies:
-            raise ProcessDeathError
-        if self.lost_answers:
-            self.lost_answers -= 1
-            raise CompactedLogError("the answer got lost")
+        self.commits_before_crash -= 1
+        crashes = self.commits_before_crash == -1
+        if crashes and not self.crash_commit_is_written:
+            raise ProcessCrashError
+        written = await self.inner.commit(checks, puts, deletes)
+        if crashes:
+            raise ProcessCrashError
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
+            raise CompactedLogError("the answer was lost")
         return written
 
     async def close(self) -> None:
@@ -75,14 +75,14 @@
 
 @dataclass
 class Setup:
-    """A log on one of the backends.
+    """A log on one of the backends, and the state of its compactors.
 
     Attributes:
-        backend: The backend.
+        backend: The backend, with injected failures.
         log: The log on it.
-        path: The file of the SQLite backend.
-        now_ms: The time of the compactor.
-        tokens: The tokens of the compactors so far.
+        path: The path of the SQLite backend's file.
+        now_ms: The time on the compactor's clock.
+        tokens: The tokens of all compactors so far, the latest one last.
     """
 
     backend: FaultyBackend
@@ -92,19 +92,19 @@
     tokens: list[int] = field(default_factory=lambda: [1])
 
     async def compact(self, token: int | None = None, policy: CompactionPolicy = POLICY) -> int:
-        """Compact the topic ``t`` under this token, or the latest one."""
-        given = self.tokens[-1] if token is None else token
-        return await self.log.compact("t", policy, lambda: given, lambda: self.now_ms)
+        """Compact the topic ``t`` under this token, or under the latest one."""
+        used_token = self.tokens[-1] if token is None else token
+        return await self.log.compact("t", policy, lambda: used_token, lambda: self.now_ms)
 
-    async def read_as_new(self) -> dict[str, bytes | None]:
-        """The values of the topic ``t`` as a reader that joins now has them."""
+    async def read_with_new_reader(self) -> dict[str, bytes | None]:
+        """Read the values of the topic ``t`` with a new reader, and return them by key."""
         reader = LogReader()
         await self.log.catch_up("t", reader, 3)
         return {key: message.value for key, message in reader.latest.items()}
 
 
 def run_on(backend: str, scenario: Callable[[Setup], Awaitable[None]]) -> None:
-    """Run a scenario on a log of its own, on this backend."""
+    """Run a scenario on a new log on this backend."""
 
     async def run() -> None:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/compacted_log/test_append.py
+++ b/tests/compacted_log/test_append.py
@@ -1,4 +1,4 @@
-"""Conditions of appends, incarnations of writers, retries and limits."""
+"""Tests of the conditions of appends, incarnations of writers, retries and limits."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-def test_conditions_incarnations_and_retries(backend: str) -> None:
+def test_appends_check_offsets_and_incarnations_and_retries_are_written_once(backend: str) -> None:
     async def scenario(setup: Setup) -> None:
         log = setup.log
         writer = await log.claim_writer("t", "w")
         last_offset = await _check_conditions(writer)
-        setup.backend.lost_answers = 2  # written, without an answer, requested again: written once
+        setup.backend.answers_to_lose = 2  # the append is written unanswered; its retries do not write again
         (offset,) = await writer.append([NewMessage("k", b"3")])
         assert offset == last_offset + 1
         assert [message.value for message in await log.read_page("t", offset)] == [b"3"]
@@ -54,11 +54,11 @@
     (first,) = await writer.append([NewMessage("k", b"1", 0)])
     with pytest.raises(WriteConflictError):
         await writer.append([NewMessage("k", b"2", 0)])
-    with pytest.raises(WriteConflictError):  # it depends on another key, which has moved
+    with pytest.raises(WriteConflictError):  # the offset expected of another key is wrong
         await writer.append([NewMessage("l", b"2")], {"k": first + 7})
     (second,) = await writer.append([NewMessage("k", b"2", first)], {"k": first}, first + 1)
-    with pytest.raises(WriteConflictError):  # something was written since it was read
-        await writer.append([NewMessage("k", b"3")], end=second)
+    with pytest.raises(WriteConflictError):  # the topic has advanced beyond the expected end
+        await writer.append([NewMessage("k", b"3")], expected_end=second)
     return second
 
 
@@ -66,13 +66,13 @@
     older, newer, same_as_newer = (log.writer("t", "c", incarnation) for incarnation in (7, 9, 9))
     await older.append([NewMessage("x", b"")])
     await newer.append([NewMessage("x", b"")])
-    for stale in (older, same_as_newer):  # an older token, and the same one in another's hands
+    for stale in (older, same_as_newer):  # an older token, and the same token used by another process
         with pytest.raises(StaleWriterError):
             await stale.append([NewMessage("x", b"")])
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-def test_many_writers_at_once_each_get_their_own_offsets(backend: str) -> None:
+def test_concurrent_writers_get_distinct_offsets(backend: str) -> None:
     async def scenario(setup: Setup) -> None:
         writers = [await setup.log.claim_writer("t", f"w{i}") for i in range(6)]
 
@@ -81,12 +81,12 @@
 
         given = await asyncio.gather(*(write(writer, i) for i, writer in enumerate(writers)))
         assert sorted(offset for offsets in given for offset in offsets) == list(range(1, 61))
-        assert await setup.read_as_new() == {f"{i}": b"9" for i in range(6)}
+        assert await setup.read_with_new_reader() == {f"{i}": b"9" for i in range(6)}
 
     run_on(backend, scenario)
 
 
-def test_offsets_sort_as_their_cells_do() -> None:
+def test_message_keys_sort_in_the_order_of_offsets() -> None:
     offsets = (1, 15, 16, 255, 4096)
     keys = [message_key("t", offset) for offset in offsets]
     assert sorted(keys) == keys
--- a/tests/compacted_log/test_compaction.py
+++ b/tests/compacted_log/test_compaction.py
@@ -1,4 +1,4 @@
-"""Compaction, and readers that were away meanwhile."""
+"""Tests of compaction, and of readers that lag behind it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-def test_an_older_compactor_changes_nothing_and_the_newest_messages_stay(backend: str) -> None:
+def test_a_compactor_with_an_older_token_changes_nothing_and_the_newest_messages_stay(backend: str) -> None:
     lag = POLICY.min_lag_messages
 
     async def scenario(setup: Setup) -> None:
@@ -40,13 +40,13 @@
         with pytest.raises(StaleWriterError):
             await setup.compact(4)
         assert (await setup.log.read_page("t", 1))[-1].offset == 60
-        assert await setup.read_as_new() == {"k": b"29"}
+        assert await setup.read_with_new_reader() == {"k": b"29"}
 
     run_on(backend, scenario)
 
 
 @pytest.mark.parametrize(("retention_ms", "restarts"), [(50.0, True), (1e9, False)])
-def test_a_reader_that_was_away_for_longer_than_tombstones_are_retained_restarts(
+def test_a_reader_restarts_only_if_it_lagged_for_longer_than_tombstones_are_retained(
     retention_ms: float, *, restarts: bool
 ) -> None:
     policy = CompactionPolicy(3, retention_ms, 0.1, 1e12)
@@ -74,8 +74,11 @@
     run_on("table", scenario)
 
 
-def test_events_of_a_late_joiner_and_of_one_long_away_are_as_approved(snapshot: SnapshotAssertion) -> None:
-    """Price lists by article, compacted on the way; read the difference, then pytest --snapshot-update."""
+def test_events_of_a_late_reader_and_of_a_lagging_reader_are_as_approved(snapshot: SnapshotAssertion) -> None:
+    """Two readers follow prices by article while the topic is compacted.
+
+    After an intended change, review the difference and run pytest --snapshot-update.
+    """
     texts = {backend: "\n".join(_price_events(backend)) for backend in BACKENDS}
     assert texts["etcd"] == texts["table"] == snapshot
 
@@ -93,14 +96,14 @@
                 key, _, value = price.partition("=")
                 await writer.append([NewMessage(key, value.encode() or None)])
 
-        async def read(who: str, reader: LogReader) -> None:
+        async def read(reader_name: str, reader: LogReader) -> None:
             events = await setup.log.catch_up("t", reader, 3)
-            lines.extend(f"{who}: {_described(event)}" for event in events)
+            lines.extend(f"{reader_name}: {_describe(event)}" for event in events)
 
         await write(*FIRST_PRICES)
         await read("early", early)
         await write(*NEXT_PRICES)
-        for _ in range(3):  # a pass leaves its mark, and a later one removes tombstones below it
+        for _ in range(3):  # a pass records its mark, and a later pass removes the tombstones below it
             await setup.compact()
             setup.now_ms += 60
         await read("late", late)
@@ -108,19 +111,19 @@
         await read("late", late)
         await read("early", early)
         values = {key: message.value for key, message in early.latest.items()}
-        assert values == await setup.read_as_new()
+        assert values == await setup.read_with_new_reader()
 
     run_on(backend, scenario)
     return lines
 
 
-def _described(event: LogEvent) -> str:
+def _describe(event: LogEvent) -> str:
     match event:
         case KeyUpdated(message):
             return f"{message.key} is {(message.value or b'').decode()}"
         case KeyRemoved(key):
-            return f"{key} is gone"
+            return f"{key} is removed"
         case ReaderRestarted():
-            return "starts again"
+            return "reader restarts"
         case CaughtUp(up_to_offset):
-            return f"knows all up to {up_to_offset}"
+            return f"caught up to offset {up_to_offset}"
--- a/tests/compacted_log/test_random_operations.py
+++ b/tests/compacted_log/test_random_operations.py
@@ -1,4 +1,4 @@
-"""The log against a plain dict, under random operations and faults."""
+"""Compares the log with a plain dict under random operations and faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from sabledyke.compacted_log.reader import KeyRemoved, KeyUpdated, LogReader
 from sabledyke.compacted_log.records import NewMessage
 from sabledyke.errors import CompactedLogError
-from tests.compacted_log.support import BACKENDS, POLICY, ProcessDeathError, Setup, run_on
+from tests.compacted_log.support import BACKENDS, POLICY, ProcessCrashError, Setup, run_on
 
 KEYS = "abcdefghij"
 READERS = 3
@@ -19,9 +19,9 @@
 
 
 class RandomOperations:
-    """Appends, tombstones, passes killed at a random commit, and readers that come late or were long away.
+    """Random appends, tombstones, compactions that crash at a random commit, and reads by readers that lag.
 
-    Answers get lost, and are requested again by the log, or by the writer.
+    Answers of appends get lost, and are retried by the log or by the writer.
     """
 
     def __init__(self, setup: Setup, random: Random, writer: LogWriter) -> None:
@@ -42,10 +42,10 @@
             case "d":
                 await self._append(step, tombstones=True)
             case "c":
-                await self._compact_and_die()
+                await self._compact_and_crash()
             case "r":
                 await self._read(step)
-        # What was removed and the key's position go together: an expected offset is still checked.
+        # Compaction may delete the position of a removed key; its last offset is then no longer expected.
         self.last_offsets = {key: at for key, at in self.last_offsets.items() if key in self.model}
 
     async def _append(self, step: int, *, tombstones: bool) -> None:
@@ -53,7 +53,7 @@
             self._make_message(key, step, tombstone=tombstones)
             for key in self.random.sample(KEYS, self._up_to(3))
         ]
-        self.setup.backend.lost_answers = int(self.random.random() < 0.2)
+        self.setup.backend.answers_to_lose = int(self.random.random() < 0.2)
         try:
             offsets = await self.writer.append(new_messages)
         except CompactedLogError:
@@ -73,14 +73,14 @@
     def _up_to(self, limit: int) -> int:
         return self.random.randint(1, limit)
 
-    async def _compact_and_die(self) -> None:
-        self.setup.backend.commits_to_death = self.random.randint(0, 6)
-        self.setup.backend.last_commit_written = self.random.random() < 0.5
+    async def _compact_and_crash(self) -> None:
+        self.setup.backend.commits_before_crash = self.random.randint(0, 6)
+        self.setup.backend.crash_commit_is_written = self.random.random() < 0.5
         try:
             await self.setup.compact()
-        except ProcessDeathError:
-            self.setup.tokens.append(self.setup.tokens[-1] + 1)  # another compactor takes over
-        self.setup.backend.commits_to_death = -1
+        except ProcessCrashError:
+            self.setup.tokens.append(self.setup.tokens[-1] + 1)  # the next compaction has a later token
+        self.setup.backend.commits_before_crash = -1
 
     async def _read(self, step: int) -> None:
         index = self.random.randrange(READERS)
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("backend", BACKENDS)
 @pytest.mark.parametrize("seed", range(6))
-def test_it_is_as_a_dict_also_when_compactors_and_writers_die_at_any_step(
+def test_the_log_matches_a_dict_when_compactors_crash_and_answers_are_lost(
     backend: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client, "RETRY_TIMEOUT_S", 5.0 * (seed % 2))
@@ -106,13 +106,13 @@
             await operations.run_step(step)
         model = operations.model
         offsets = operations.offsets
-        assert offsets == sorted(set(offsets))  # they only rise, and none is given twice
+        assert offsets == sorted(set(offsets))  # offsets only increase, and none is assigned twice
         for _ in range(3):
-            assert await setup.read_as_new() == model
+            assert await setup.read_with_new_reader() == model
             setup.now_ms += 100
             await setup.compact()
         messages = await setup.log.read_page("t", 1)
-        # The latest message of each key, and the newest ones.
+        # The topic retains the latest message of each key, the newest messages and few others.
         assert len(messages) <= len(model) + POLICY.min_lag_messages + 10
         head = await setup.log.head("t")
         assert head.size_bytes == sum(message.size_bytes for message in messages)
--- a/tests/compacted_log/test_registers.py
+++ b/tests/compacted_log/test_registers.py
@@ -1,4 +1,4 @@
-"""Registers."""
+"""Tests of registers."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
         for _ in range(2):  # the older incarnation is rejected, whether or not the later one has written
             with pytest.raises(StaleWriterError):
                 await writers[0].put({"w0": b"old"})
-            with pytest.raises(StaleWriterError):  # also one that had not read its cell yet
+            with pytest.raises(StaleWriterError):  # also a writer that has not read its cell before
                 await registers.RegisterWriter(setup.backend, "t", identities[0]).put({"w0": b"old"})
             await later.put({"w0": b"new"})
-        with pytest.raises(LogFullError, match="a value has at most"):
+        with pytest.raises(LogFullError, match="a value must have at most"):
             await later.put({"w0": b"x" * (MAX_VALUE_BYTES + 1)})
         await registers.delete(setup.backend, "t", ["w1", "load/w0"])
         values = await registers.read_values(setup.backend, "t")
         assert values.keys() == set(names) - {"w1"}
         assert values["w0"] == b"new"
-        assert not await setup.read_as_new()
+        assert not await setup.read_with_new_reader()
 
     run_on(backend, scenario)
