--- a/sabledyke/rollout/commands.py
+++ b/sabledyke/rollout/commands.py
@@ -9,7 +9,7 @@
 
 from sabledyke.compacted_log.client import CompactedLog, LogWriter
 from sabledyke.compacted_log.reader import LogReader
-from sabledyke.compacted_log.records import Draft
+from sabledyke.compacted_log.records import NewMessage
 from sabledyke.errors import CompactedLogError, WriteConflictError
 from sabledyke.rollout.fleet_view import FleetView, view_of
 from sabledyke.rollout.record_codec import encode, key_of
@@ -27,9 +27,9 @@
         WriteConflictError: A condition of the change no longer holds.
         StaleWriterError: Another writer holds a later token.
     """
-    drafts = [Draft(key_of(record), encode(record)) for record in change.records]
-    drafts += [Draft(key, None) for key in change.deleted_keys]
-    await writer.append(drafts, dict(change.expected_offsets), change.expected_end)
+    new_messages = [NewMessage(key_of(record), encode(record)) for record in change.records]
+    new_messages += [NewMessage(key, None) for key in change.deleted_keys]
+    await writer.append(new_messages, dict(change.expected_offsets), change.expected_end)
 
 
 async def read_view(compacted_log: CompactedLog, reader: LogReader) -> FleetView:
--- a/tests/compacted_log/test_compaction.py
+++ b/tests/compacted_log/test_compaction.py
@@ -1,4 +1,4 @@
-"""Compaction, and readers that were away meanwhile."""
+"""Tests of compaction, and of readers that lag behind it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     LogReader,
     ReaderRestarted,
 )
-from sabledyke.compacted_log.records import Draft
+from sabledyke.compacted_log.records import NewMessage
 from sabledyke.errors import LogFullError, StaleWriterError
 from tests.compacted_log.support import BACKENDS, POLICY, Setup, run_on
 
@@ -24,29 +24,29 @@
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-def test_an_older_compactor_changes_nothing_and_the_newest_messages_stay(backend: str) -> None:
+def test_a_compactor_with_an_older_token_changes_nothing_and_the_newest_messages_stay(backend: str) -> None:
     lag = POLICY.min_lag_messages
 
     async def scenario(setup: Setup) -> None:
         writer = await setup.log.claim_writer("t", "w")
         for n in range(30):
-            await writer.append([Draft("k", b"%d" % n)])
+            await writer.append([NewMessage("k", b"%d" % n)])
         await setup.compact(5)
         offsets = [message.offset for message in await setup.log.read_page("t", 1)]
         assert offsets[-lag:] == list(range(31 - lag, 31))
         assert len(offsets) <= lag + 1
         for n in range(30):
-            await writer.append([Draft("k", b"%d" % n)])
+            await writer.append([NewMessage("k", b"%d" % n)])
         with pytest.raises(StaleWriterError):
             await setup.compact(4)
         assert (await setup.log.read_page("t", 1))[-1].offset == 60
-        assert await setup.read_as_new() == {"k": b"29"}
+        assert await setup.read_with_new_reader() == {"k": b"29"}
 
     run_on(backend, scenario)
 
 
 @pytest.mark.parametrize(("retention_ms", "restarts"), [(50.0, True), (1e9, False)])
-def test_a_reader_that_was_away_for_longer_than_tombstones_are_retained_restarts(
+def test_a_reader_restarts_only_if_it_lagged_for_longer_than_tombstones_are_retained(
     retention_ms: float, *, restarts: bool
 ) -> None:
     policy = CompactionPolicy(3, retention_ms, 0.1, 1e12)
@@ -54,11 +54,11 @@
     async def scenario(setup: Setup) -> None:
         writer = await setup.log.claim_writer("t", "w")
         reader = LogReader()
-        await writer.append([Draft(key, b"1") for key in "abc"])
+        await writer.append([NewMessage(key, b"1") for key in "abc"])
         await setup.log.catch_up("t", reader)
-        await writer.append([Draft("b", None)])
+        await writer.append([NewMessage("b", None)])
         for n in range(20):
-            await writer.append([Draft("z", b"%d" % n)])
+            await writer.append([NewMessage("z", b"%d" % n)])
             setup.now_ms += 20
             await setup.compact(policy=policy)
         events = await setup.log.catch_up("t", reader)
@@ -74,8 +74,11 @@
     run_on("table", scenario)
 
 
-def test_events_of_a_late_joiner_and_of_one_long_away_are_as_approved(snapshot: SnapshotAssertion) -> None:
-    """Price lists by article, compacted on the way; read the difference, then pytest --snapshot-update."""
+def test_events_of_a_late_reader_and_of_a_lagging_reader_are_as_approved(snapshot: SnapshotAssertion) -> None:
+    """Two readers follow prices by article while the topic is compacted.
+
+    After an intended change, review the difference and run pytest --snapshot-update.
+    """
     texts = {backend: "\n".join(_price_events(backend)) for backend in BACKENDS}
     assert texts["etcd"] == texts["table"] == snapshot
 
@@ -91,16 +94,16 @@
         async def write(*prices: str) -> None:
             for price in prices:
                 key, _, value = price.partition("=")
-                await writer.append([Draft(key, value.encode() or None)])
+                await writer.append([NewMessage(key, value.encode() or None)])
 
-        async def read(who: str, reader: LogReader) -> None:
+        async def read(reader_name: str, reader: LogReader) -> None:
             events = await setup.log.catch_up("t", reader, 3)
-            lines.extend(f"{who}: {_described(event)}" for event in events)
+            lines.extend(f"{reader_name}: {_describe(event)}" for event in events)
 
         await write(*FIRST_PRICES)
         await read("early", early)
         await write(*NEXT_PRICES)
-        for _ in range(3):  # a pass leaves its mark, and a later one removes tombstones below it
+        for _ in range(3):  # a pass records its mark, and a later pass removes the tombstones below it
             await setup.compact()
             setup.now_ms += 60
         await read("late", late)
@@ -108,19 +111,19 @@
         await read("late", late)
         await read("early", early)
         values = {key: message.value for key, message in early.latest.items()}
-        assert values == await setup.read_as_new()
+        assert values == await setup.read_with_new_reader()
 
     run_on(backend, scenario)
     return lines
 
 
-def _described(event: LogEvent) -> str:
+def _describe(event: LogEvent) -> str:
     match event:
         case KeyUpdated(message):
             return f"{message.key} is {(message.value or b'').decode()}"
         case KeyRemoved(key):
-            return f"{key} is gone"
+            return f"{key} is removed"
         case ReaderRestarted():
-            return "starts again"
+            return "reader restarts"
         case CaughtUp(up_to_offset):
-            return f"knows all up to {up_to_offset}"
+            return f"caught up to offset {up_to_offset}"
