--- a/sabledyke/errors.py
+++ b/sabledyke/errors.py
@@ -95,7 +95,7 @@
     remedy = "nothing: another does it, or it is taken up again"
 
 
-class ActUnresolvedError(SabledykeError):
+class OperationUnresolvedError(SabledykeError):
     """It is not known whether an act under a lease has ended: it counts as running until the lease's end."""
 
     code = "act-unresolved"
--- a/sabledyke/lease/holder.py
+++ b/sabledyke/lease/holder.py
@@ -5,7 +5,7 @@
 number for its jitter. They use no socket, database or clock, so that the model checker of the testbed
 explores this very code.
 
-Safety: ``may_act`` is true for at most ``LeaseTimes.acting_window_ms`` from before a grant or a renewal was
+Safety: ``may_operate`` is true for at most ``LeaseTimes.acting_window_ms`` from before a grant or a renewal was
 requested. A lease is released only while no act is out under it; otherwise the holder begins no other act and
 waits for the end of this one, and where that stays unknown it leaves the lease to expire. Liveness: backoff
 and checks come at least every ``LeaseTimes.renew_interval_ms``.
@@ -16,12 +16,12 @@
 from dataclasses import replace
 from math import inf
 
-from sabledyke.lease.holder_release import abandon, give_up, is_act_out, release, send, stand_back
+from sabledyke.lease.holder_release import abandon, give_up, is_operation_in_flight, release, send, stand_back
 from sabledyke.lease.holder_state import (
     HOLDING_PHASES,
-    ActStatus,
     HolderEvent,
     HolderState,
+    OperationStatus,
     Phase,
     Transition,
 )
@@ -42,7 +42,7 @@
 MAX_COUNTED_FAILURES = 16
 
 
-def may_act(state: HolderState, now_ms: float) -> bool:
+def may_operate(state: HolderState, now_ms: float) -> bool:
     """Return whether the holder may act now. To be called before every step, and never remembered.
 
     While it gives up its lease, this holds for the steps of the act that is out.
@@ -50,9 +50,13 @@
     return state.phase in HOLDING_PHASES and now_ms < state.acts_until_ms
 
 
-def may_begin_act(state: HolderState, now_ms: float) -> bool:
+def may_begin_operation(state: HolderState, now_ms: float) -> bool:
     """Return whether an act may begin now: none is out, and the lease is not being given up."""
-    return state.phase is Phase.HOLDING and may_act(state, now_ms) and not is_act_out(state, now_ms)
+    return (
+        state.phase is Phase.HOLDING
+        and may_operate(state, now_ms)
+        and not is_operation_in_flight(state, now_ms)
+    )
 
 
 def next_tick_at_ms(state: HolderState, times: LeaseTimes) -> float:
@@ -63,7 +67,7 @@
         next_action_at_ms = state.requested_at_ms + times.renew_interval_ms
     else:
         next_action_at_ms = state.next_request_at_ms
-    if state.act_status is ActStatus.UNRESOLVED:
+    if state.act_status is OperationStatus.UNRESOLVED:
         next_action_at_ms = min(next_action_at_ms, state.act_covered_until_ms)
     return min(next_action_at_ms, state.acts_until_ms) if state.acting else next_action_at_ms
 
@@ -124,14 +128,14 @@
     return Transition(_record_failure(state, times, now_ms, jitter), [], [])
 
 
-def on_act_begun(state: HolderState, times: LeaseTimes) -> Transition:
-    """Process that an act begins, where ``may_begin_act`` is true."""
+def on_operation_begun(state: HolderState, times: LeaseTimes) -> Transition:
+    """Process that an act begins, where ``may_begin_operation`` is true."""
     covered_until_ms = state.acts_until_ms + times.safety_margin_ms
-    begun = replace(state, act_status=ActStatus.RUNNING, act_covered_until_ms=covered_until_ms)
+    begun = replace(state, act_status=OperationStatus.RUNNING, act_covered_until_ms=covered_until_ms)
     return Transition(begun, [], [])
 
 
-def on_act_completed(
+def on_operation_completed(
     state: HolderState, times: LeaseTimes, now_ms: float, token: int, *, is_completed: bool
 ) -> Transition:
     """Process that nobody waits for the act under this token any more.
@@ -145,12 +149,12 @@
             counts as running until the end of its lease.
     """
     if state.phase not in HOLDING_PHASES or state.token != token:
-        return Transition(replace(state, act_status=ActStatus.COMPLETED), [], [])
-    act_status = ActStatus.COMPLETED if is_completed else ActStatus.UNRESOLVED
+        return Transition(replace(state, act_status=OperationStatus.COMPLETED), [], [])
+    act_status = OperationStatus.COMPLETED if is_completed else OperationStatus.UNRESOLVED
     state = replace(state, act_status=act_status)
     if state.phase is Phase.HOLDING:
         return Transition(state, [], [])
-    if is_act_out(state, now_ms):
+    if is_operation_in_flight(state, now_ms):
         return Transition(abandon(state, times, now_ms), [], [HolderEvent.ABANDONED])
     return release(state, times, now_ms, HolderEvent.RELEASED)
 
@@ -176,9 +180,9 @@
 def _expire(state: HolderState, times: LeaseTimes, now_ms: float) -> tuple[HolderState, list[HolderEvent]]:
     """Stop acting at the end of the lease, and counting an act whose answer never came."""
     events: list[HolderEvent] = []
-    if not is_act_out(state, now_ms):
-        state = replace(state, act_status=ActStatus.COMPLETED)
-    if may_act(state, now_ms):
+    if not is_operation_in_flight(state, now_ms):
+        state = replace(state, act_status=OperationStatus.COMPLETED)
+    if may_operate(state, now_ms):
         return state, events
     if state.acting:
         state = replace(state, acting=False)
@@ -223,7 +227,7 @@
     event = HolderEvent.RENEWED if state.acting else HolderEvent.GRANTED
     acts_until_ms = state.requested_at_ms + times.acting_window_ms
     acting = now_ms < acts_until_ms
-    if state.act_status is ActStatus.RUNNING:
+    if state.act_status is OperationStatus.RUNNING:
         state = replace(state, act_covered_until_ms=acts_until_ms + times.safety_margin_ms)
     state = replace(
         state,
--- a/sabledyke/lease/holder_release.py
+++ b/sabledyke/lease/holder_release.py
@@ -8,22 +8,29 @@
 from dataclasses import replace
 from math import inf
 
-from sabledyke.lease.holder_state import ActStatus, HolderEvent, HolderState, Phase, SendRequest, Transition
+from sabledyke.lease.holder_state import (
+    HolderEvent,
+    HolderState,
+    OperationStatus,
+    Phase,
+    SendRequest,
+    Transition,
+)
 from sabledyke.lease.types import LeaseRequest, LeaseTimes, Release
 
 
-def is_act_out(state: HolderState, now_ms: float) -> bool:
+def is_operation_in_flight(state: HolderState, now_ms: float) -> bool:
     """Return whether an act counts as running now."""
-    if state.act_status is ActStatus.UNRESOLVED:
+    if state.act_status is OperationStatus.UNRESOLVED:
         return now_ms < state.act_covered_until_ms
-    return state.act_status is ActStatus.RUNNING
+    return state.act_status is OperationStatus.RUNNING
 
 
 def give_up(state: HolderState, times: LeaseTimes, now_ms: float, reason: HolderEvent) -> Transition:
     """Release the lease, or begin no act any more and wait for the end of the one that is out."""
-    if not is_act_out(state, now_ms):
+    if not is_operation_in_flight(state, now_ms):
         return release(state, times, now_ms, reason)
-    if state.act_status is ActStatus.UNRESOLVED:
+    if state.act_status is OperationStatus.UNRESOLVED:
         return Transition(abandon(state, times, now_ms), [], [HolderEvent.ABANDONED])
     if state.phase is Phase.HOLDING:
         state = replace(state, phase=Phase.GIVING_UP)
--- a/sabledyke/lease/holder_state.py
+++ b/sabledyke/lease/holder_state.py
@@ -23,7 +23,7 @@
 HOLDING_PHASES = frozenset({Phase.HOLDING, Phase.GIVING_UP, Phase.STOPPING})
 
 
-class ActStatus(Enum):
+class OperationStatus(Enum):
     """What is known of the holder's last act."""
 
     COMPLETED = "completed"  # its answer came, or it was never sent; also before the first act
@@ -84,7 +84,7 @@
     token: int = 0
     acts_until_ms: float = -inf
     acting: bool = False
-    act_status: ActStatus = ActStatus.COMPLETED
+    act_status: OperationStatus = OperationStatus.COMPLETED
     act_covered_until_ms: float = -inf
     abandoned_token: int = 0
     seen_version: LeaseVersion | None = None
--- a/sabledyke/lease/leader_tasks.py
+++ b/sabledyke/lease/leader_tasks.py
@@ -1,6 +1,6 @@
 """What the holder of a lease does: work on the record, or a call to a service that does the work.
 
-Each run is one act (``LeaseManager.act``): the lease is not released before it has ended. Each step requests
+Each run is one act (``LeaseManager.operation``): the lease is not released before it has ended. Each step requests
 the token from the lease manager just before it acts, and its effect is fenced: the record's database rejects
 a step under an older token than one it has seen (``fencing``), and a called service answers 409.
 """
@@ -17,7 +17,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPError
 
 from sabledyke import log
-from sabledyke.errors import ActUnresolvedError, AuthorityError, FencedError, LeaseLostError
+from sabledyke.errors import AuthorityError, FencedError, LeaseLostError, OperationUnresolvedError
 from sabledyke.lease import fencing
 from sabledyke.lease.http_calls import post
 from sabledyke.lease.manager import ANSWER_GRACE_S, HeldLease, LeaseManager
@@ -67,7 +67,7 @@
             if wait_ms > 0:
                 await asyncio.sleep(min(wait_ms, task.interval_ms) / 1000)
                 continue
-            async with manager.act() as lease:
+            async with manager.operation() as lease:
                 token = lease.token
                 await action(manager)
                 await authority.record_completion(task.name, token, int(time.time() * 1000))
@@ -76,7 +76,14 @@
         except FencedError as error:
             log.emit("duty", str(error))
             manager.on_fenced(token)
-        except (ActUnresolvedError, AuthorityError, DatabaseError, StoreError, HTTPError, OSError) as error:
+        except (
+            OperationUnresolvedError,
+            AuthorityError,
+            DatabaseError,
+            StoreError,
+            HTTPError,
+            OSError,
+        ) as error:
             log.emit("duty", f"{task.name}: not done, it is tried again: {error}", duty=task.name)
             await asyncio.sleep(RETRY_DELAY_S)
 
@@ -172,7 +179,7 @@
 
     Raises:
         FencedError: The service has seen a later token.
-        ActUnresolvedError: No response came, so that the service may still work on it.
+        OperationUnresolvedError: No response came, so that the service may still work on it.
         HTTPError: The service answered with another status; Tornado's own type.
         OSError: The service cannot be reached.
     """
@@ -191,7 +198,7 @@
         await _post_within(url, headers, lease.remaining_ms / 1000)
     except HTTPError as error:
         if error.code == NO_RESPONSE:
-            raise ActUnresolvedError(
+            raise OperationUnresolvedError(
                 f"{task.name}: no response in the {lease.remaining_ms:.0f} ms that were left: {error}"
             ) from error
         if error.code != HTTP_CONFLICT:
--- a/sabledyke/lease/manager.py
+++ b/sabledyke/lease/manager.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from sabledyke import log
-from sabledyke.errors import ActUnresolvedError, AuthorityError, LeaseLostError
+from sabledyke.errors import AuthorityError, LeaseLostError, OperationUnresolvedError
 from sabledyke.lease import holder
 from sabledyke.lease.holder_state import (
     HolderEvent,
@@ -95,20 +95,20 @@
         self._act_timeout: asyncio.Timeout | None = None
 
     @contextlib.asynccontextmanager
-    async def act(self) -> AsyncIterator[HeldLease]:
+    async def operation(self) -> AsyncIterator[HeldLease]:
         """Run the body as one act under the lease, which is not released before the act has ended.
 
-        The body is cancelled when the lease ends. It raises ``ActUnresolvedError`` where it cannot tell
+        The body is cancelled when the lease ends. It raises ``OperationUnresolvedError`` where it cannot tell
         whether the act has ended; the act then counts as running until the end of the lease, as it does where
         the body is cancelled.
 
         Raises:
             LeaseLostError: No act may begin now, or the lease has ended under this one.
         """
-        if not holder.may_begin_act(self.state, self._clock()):
+        if not holder.may_begin_operation(self.state, self._clock()):
             raise LeaseLostError(f"the lease {self.task_name} is not held for another act")
         lease = self.current_lease()
-        self._apply(holder.on_act_begun(self.state, self.times))
+        self._apply(holder.on_operation_begun(self.state, self.times))
         self.idle.clear()
         self._act_timeout = timeout = asyncio.timeout(None)
         is_completed = False
@@ -119,7 +119,7 @@
         except Exception as error:
             if timeout.expired():
                 raise LeaseLostError(f"the lease {self.task_name} ended before its act") from error
-            is_completed = not isinstance(error, ActUnresolvedError)
+            is_completed = not isinstance(error, OperationUnresolvedError)
             raise
         finally:
             self._complete_act(lease.token, is_completed=is_completed)
@@ -128,7 +128,9 @@
         self._act_timeout = None
         self.idle.set()
         now_ms = self._clock()
-        self._apply(holder.on_act_completed(self.state, self.times, now_ms, token, is_completed=is_completed))
+        self._apply(
+            holder.on_operation_completed(self.state, self.times, now_ms, token, is_completed=is_completed)
+        )
         self._changed.set()
 
     def current_token(self) -> int:
@@ -146,7 +148,7 @@
             LeaseLostError: This instance may not act now.
         """
         now_ms = self._clock()
-        if not holder.may_act(self.state, now_ms):
+        if not holder.may_operate(self.state, now_ms):
             raise LeaseLostError(f"the lease {self.task_name} is not held")
         remaining_ms = self.state.acts_until_ms - now_ms
         return HeldLease(self.state.token, self.times.acting_window_ms - remaining_ms, remaining_ms)
@@ -223,12 +225,12 @@
     def _update_flags(self) -> None:
         """Tell the leader task whether an act may begin, and end the one whose lease has ended."""
         now_ms = self._clock()
-        if holder.may_begin_act(self.state, now_ms):
+        if holder.may_begin_operation(self.state, now_ms):
             self.leading.set()
         else:
             self.leading.clear()
         timeout = self._act_timeout
-        if timeout is not None and timeout.when() is None and not holder.may_act(self.state, now_ms):
+        if timeout is not None and timeout.when() is None and not holder.may_operate(self.state, now_ms):
             timeout.reschedule(asyncio.get_running_loop().time() + ANSWER_GRACE_S)
 
     def _publish(self, event: HolderEvent) -> None:
--- a/sabledyke/testbed/lease_model/acts.py
+++ b/sabledyke/testbed/lease_model/acts.py
@@ -32,14 +32,14 @@
     state = instance.holder
     act = instance.act
     if act is None:
-        if budget.acts and holder.may_begin_act(state, 0.0):
+        if budget.acts and holder.may_begin_operation(state, 0.0):
             begun = ModelAct(state.token, state.acts_until_ms)
-            yield ActStep("begins an act", begun, holder.on_act_begun(state, config.times), "acts")
+            yield ActStep("begins an act", begun, holder.on_operation_begun(state, config.times), "acts")
         return
     if act.is_running:
         stopped = act._replace(is_running=False)
         if act.is_awaited:
-            decided = holder.on_act_completed(state, config.times, 0.0, act.token, is_completed=True)
+            decided = holder.on_operation_completed(state, config.times, 0.0, act.token, is_completed=True)
             yield ActStep("hears that its act has ended", None, decided)
         else:
             yield ActStep("has its act end unheard", None)
@@ -66,7 +66,7 @@
     act = instance.act
     if act is None or not act.is_awaited:
         return None
-    if act.remaining > 0 and holder.may_act(instance.holder, 0.0):
+    if act.remaining > 0 and holder.may_operate(instance.holder, 0.0):
         return None
     return ActStep("gives up its call", *_unawaited(config, instance, act))
 
@@ -79,7 +79,7 @@
             continue
         for other_number, other in enumerate(instances):
             is_same_lease = other_number == number and other.holder.token == act.token
-            if not is_same_lease and not other.is_paused and holder.may_begin_act(other.holder, 0.0):
+            if not is_same_lease and not other.is_paused and holder.may_begin_operation(other.holder, 0.0):
                 return f"{other.holder.holder_id} may act while {number}'s act is out"
     return ""
 
@@ -87,5 +87,5 @@
 def _unawaited(
     config: ModelConfig, instance: Instance, act: ModelAct
 ) -> tuple[ModelAct | None, HolderTransition]:
-    decided = holder.on_act_completed(instance.holder, config.times, 0.0, act.token, is_completed=False)
+    decided = holder.on_operation_completed(instance.holder, config.times, 0.0, act.token, is_completed=False)
     return act._replace(is_awaited=False) if act.is_running else None, decided
--- a/sabledyke/testbed/lease_model/canonical.py
+++ b/sabledyke/testbed/lease_model/canonical.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from math import ceil
 
-from sabledyke.lease.holder_state import HOLDING_PHASES, ActStatus, HolderState
+from sabledyke.lease.holder_state import HOLDING_PHASES, HolderState, OperationStatus
 from sabledyke.lease.types import (
     UNACQUIRED,
     Acquire,
@@ -130,7 +130,7 @@
     request = holder.pending_request
     is_waiting = request is not None
     is_holding = holder.phase in HOLDING_PHASES
-    is_act_out = holder.act_status is not ActStatus.COMPLETED
+    is_operation_in_flight = holder.act_status is not OperationStatus.COMPLETED
     act = instance.act
     if act is not None:
         act = act._replace(
@@ -145,7 +145,9 @@
         acts_until_ms=_at_tick(holder.acts_until_ms, rate) if acts else min(holder.acts_until_ms, -FAR_MS),
         acting=acts,
         act_status=holder.act_status,
-        act_covered_until_ms=_at_tick(max(holder.act_covered_until_ms, 0.0), rate) if is_act_out else 0.0,
+        act_covered_until_ms=_at_tick(max(holder.act_covered_until_ms, 0.0), rate)
+        if is_operation_in_flight
+        else 0.0,
         abandoned_token=version_ranks.tokens[holder.abandoned_token] if holder.abandoned_token else 0,
         seen_version=version_ranks.version(holder.seen_version) if holder.seen_version else None,
         seen_free=holder.seen_free,
--- a/sabledyke/testbed/lease_model/checker.py
+++ b/sabledyke/testbed/lease_model/checker.py
@@ -39,7 +39,7 @@
     acting = [
         instance.holder
         for instance in state.instances
-        if not instance.is_paused and holder.may_act(instance.holder, 0.0)
+        if not instance.is_paused and holder.may_operate(instance.holder, 0.0)
     ]
     if not acting:
         return ""
@@ -71,5 +71,5 @@
 def _described_instance(instance: Instance) -> str:
     state = instance.holder
     paused = " paused" if instance.is_paused else ""
-    until = f" until {state.acts_until_ms:.0f}" if holder.may_act(state, 0.0) else ""
+    until = f" until {state.acts_until_ms:.0f}" if holder.may_operate(state, 0.0) else ""
     return f"{state.holder_id}{paused} {state.phase.value}{until}"
--- a/tests/lease/test_holder_acts.py
+++ b/tests/lease/test_holder_acts.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sabledyke.errors import ActUnresolvedError, LeaseLostError
+from sabledyke.errors import LeaseLostError, OperationUnresolvedError
 from sabledyke.lease import holder, leader_tasks
 from sabledyke.lease.holder_state import HolderEvent, HolderState, Phase, Transition
 from sabledyke.lease.manager import HeldLease, LeaseManager
@@ -38,8 +38,8 @@
     state = holder.on_tick(state, TIMES, now_ms, 0.0).state
     assert isinstance(state.pending_request, Acquire)
     state = holder.on_reply(state, TIMES, now_ms, state.request_number, Granted(TOKEN), 0.0).state
-    assert holder.may_begin_act(state, now_ms)
-    return holder.on_act_begun(state, TIMES).state
+    assert holder.may_begin_operation(state, now_ms)
+    return holder.on_operation_begun(state, TIMES).state
 
 
 def recall(state: HolderState, now_ms: float = 200.0) -> Transition:
@@ -55,7 +55,7 @@
 
 def complete(state: HolderState, now_ms: float, *, is_completed: bool) -> Transition:
     """Return what follows from the end of the act, or of the wait for it."""
-    return holder.on_act_completed(state, TIMES, now_ms, TOKEN, is_completed=is_completed)
+    return holder.on_operation_completed(state, TIMES, now_ms, TOKEN, is_completed=is_completed)
 
 
 @pytest.mark.parametrize("reason", ["stop", "recall"])
@@ -66,8 +66,8 @@
     given_up = holder.on_stop(acting(), TIMES, 200.0) if reason == "stop" else recall(acting())
     assert given_up.events == [HolderEvent.WAITING_FOR_ACT]
     assert not released(given_up)
-    assert not holder.may_begin_act(given_up.state, 200.0)
-    assert holder.may_act(given_up.state, 200.0)  # for the steps of the act that is out
+    assert not holder.may_begin_operation(given_up.state, 200.0)
+    assert holder.may_operate(given_up.state, 200.0)  # for the steps of the act that is out
     after = complete(given_up.state, 300.0, is_completed=is_completed)
     assert released(after) is is_completed
     assert after.events == [HolderEvent.RELEASED if is_completed else HolderEvent.ABANDONED]
@@ -78,13 +78,13 @@
     state = complete(acting(), 100.0, is_completed=False).state
     ends_ms = TIMES.acting_window_ms + TIMES.safety_margin_ms
     assert state.phase is Phase.HOLDING
-    assert not holder.may_begin_act(state, 100.0)
+    assert not holder.may_begin_operation(state, 100.0)
     assert not released(holder.on_stop(state, TIMES, ends_ms - 1))
     assert released(holder.on_stop(state, TIMES, ends_ms))
     state = holder.on_tick(state, TIMES, 200.0, 0.0).state
     state = holder.on_reply(state, TIMES, 200.0, state.request_number, Renewed(), 0.0).state
-    assert not holder.may_begin_act(state, ends_ms - 1)
-    assert holder.may_begin_act(state, ends_ms)
+    assert not holder.may_begin_operation(state, ends_ms - 1)
+    assert holder.may_begin_operation(state, ends_ms)
 
 
 def test_a_lease_that_was_left_to_expire_is_not_taken_up_again() -> None:
@@ -106,7 +106,7 @@
         requests += [type(send.request) for send in sent]
     assert requests[0] is Renew
     assert set(requests[1:]) == {Inspect}
-    assert not holder.may_act(state, 5000.0)
+    assert not holder.may_operate(state, 5000.0)
 
 
 def test_a_call_takes_no_longer_than_its_lease_and_then_counts_as_out(tmp_path: Path) -> None:
@@ -125,8 +125,8 @@
         )
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        with pytest.raises((ActUnresolvedError, LeaseLostError)):
-            async with manager.act():
+        with pytest.raises((OperationUnresolvedError, LeaseLostError)):
+            async with manager.operation():
                 await call(manager)
         assert loop.time() - began_s <= TIMES.ttl_ms / 1000
         await manager.stop()
@@ -145,11 +145,11 @@
         manager = LeaseManager("sweep", "me", authority, TIMES, 1)
         task = asyncio.create_task(manager.run())
         await manager.leading.wait()
-        async with manager.act() as lease:
+        async with manager.operation() as lease:
             assert isinstance(lease, HeldLease)
             assert not manager.leading.is_set()
             with pytest.raises(LeaseLostError):
-                async with manager.act():
+                async with manager.operation():
                     pass
         assert manager.leading.is_set()
         await manager.stop()
--- a/tests/lease/test_model.py
+++ b/tests/lease/test_model.py
@@ -37,7 +37,7 @@
 ) -> None:
     """Guards against a model that does not see the fault that it is there for."""
     for module in (holder, holder_release):
-        monkeypatch.setattr(module, "is_act_out", lambda *_: False)
+        monkeypatch.setattr(module, "is_operation_in_flight", lambda *_: False)
     result = checker.check(config)
     next_holder = 1 if config.budget.stops else 0  # a recalled holder may be the first to acquire it again
     assert result.violation == f"{next_holder} may act while 0's act is out"
--- a/tests/lease/test_operations.py
+++ b/tests/lease/test_operations.py
@@ -72,7 +72,7 @@
         file.write_text(f'[lease]\npath = "{tmp_path / "l"}"\n{times}\n')
         command = ["lease", "release", "sweep", "--operator", str(file)]
         async with _held_lease(file) as (manager, _):
-            async with manager.act():
+            async with manager.operation():
                 assert await asyncio.to_thread(main, command) == 0
                 assert "n0.life waits for the end of the act that is out" in capsys.readouterr().out
                 assert manager.current_token() == 1  # for the steps of this act
