--- a/sabledyke/lease/extension.py
+++ b/sabledyke/lease/extension.py
@@ -23,7 +23,7 @@
     from sabledyke.operator_config import OperatorConfig
 
 INCARNATION_ID_DIGITS = 12
-STOP_POLL_S = 0.02  # between checks whether a shutdown leaves time to wait for an act
+SHUTDOWN_POLL_INTERVAL_S = 0.02  # between checks whether a shutdown leaves time to wait for an act
 
 
 def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
@@ -88,7 +88,7 @@
     def check_operator_config(self, operator: OperatorConfig) -> None:
         """See ``Extension``."""
         new = operator.lease
-        if new is None or not new.uses_authority_of(self._section):
+        if new is None or not new.has_same_authority(self._section):
             raise ConfigError("the lease authority differs, which takes a restart")
 
     def apply_operator_config(self, operator: OperatorConfig) -> None:
@@ -104,7 +104,7 @@
 
     async def close(self) -> None:
         """See ``Extension``: waits for acts that are out as long as the shutdown or their leases allow."""
-        self._stops_by_s = asyncio.get_running_loop().time() + self._section.times.acting_window_ms / 1000
+        self._stops_by_s = asyncio.get_running_loop().time() + self._section.times.operating_window_ms / 1000
         await self._stop()
         await asyncio.gather(*self._changes, return_exceptions=True)
         await self._authority.close()
@@ -144,7 +144,7 @@
     async def _stop(self) -> None:
         async with self._changing:
             for manager in self.managers:  # all at once: none begins an act while another's is waited for
-                manager.give_up()
+                manager.begin_release()
             runs = zip(self.managers, self._leader_task_runs, strict=True)
             await asyncio.gather(*(self._stop_one(manager, run) for manager, run in runs))
             await asyncio.gather(*self._manager_runs, return_exceptions=True)
@@ -156,7 +156,7 @@
         """Wait for the act that is out while there is time, and end the leader task and its lease."""
         while not manager.idle.is_set() and not self._is_time_over():
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(STOP_POLL_S):
+                async with asyncio.timeout(SHUTDOWN_POLL_INTERVAL_S):
                     await manager.idle.wait()
         run.cancel()
         await asyncio.gather(run, return_exceptions=True)
--- a/sabledyke/lease/holder.py
+++ b/sabledyke/lease/holder.py
@@ -16,7 +16,14 @@
 from dataclasses import replace
 from math import inf
 
-from sabledyke.lease.holder_release import abandon, give_up, is_operation_in_flight, release, send, stand_back
+from sabledyke.lease.holder_release import (
+    is_operation_in_flight,
+    leave_to_expire,
+    release_after_operation,
+    release_now,
+    send,
+    stop_holding,
+)
 from sabledyke.lease.holder_state import (
     HOLDING_PHASES,
     HolderEvent,
@@ -47,7 +54,7 @@
 
     While it gives up its lease, this holds for the steps of the act that is out.
     """
-    return state.phase in HOLDING_PHASES and now_ms < state.acts_until_ms
+    return state.phase in HOLDING_PHASES and now_ms < state.may_operate_until_ms
 
 
 def may_begin_operation(state: HolderState, now_ms: float) -> bool:
@@ -67,9 +74,9 @@
         next_action_at_ms = state.requested_at_ms + times.renew_interval_ms
     else:
         next_action_at_ms = state.next_request_at_ms
-    if state.act_status is OperationStatus.UNRESOLVED:
-        next_action_at_ms = min(next_action_at_ms, state.act_covered_until_ms)
-    return min(next_action_at_ms, state.acts_until_ms) if state.acting else next_action_at_ms
+    if state.operation_status is OperationStatus.UNRESOLVED:
+        next_action_at_ms = min(next_action_at_ms, state.operation_covered_until_ms)
+    return min(next_action_at_ms, state.may_operate_until_ms) if state.operating else next_action_at_ms
 
 
 def on_tick(state: HolderState, times: LeaseTimes, now_ms: float, jitter: float) -> Transition:
@@ -112,7 +119,7 @@
             extended = _extend(state, times, now_ms)
             if not recalled or state.phase is not Phase.HOLDING:
                 return extended
-            return give_up(extended.state, times, now_ms, HolderEvent.RECALLED)
+            return release_after_operation(extended.state, times, now_ms, HolderEvent.RECALLED)
         case _, LeaseStatus():
             return _on_status(state, times, now_ms, reply, jitter)
         case _:  # a reply to another kind of request is as good as none
@@ -130,8 +137,10 @@
 
 def on_operation_begun(state: HolderState, times: LeaseTimes) -> Transition:
     """Process that an act begins, where ``may_begin_operation`` is true."""
-    covered_until_ms = state.acts_until_ms + times.safety_margin_ms
-    begun = replace(state, act_status=OperationStatus.RUNNING, act_covered_until_ms=covered_until_ms)
+    covered_until_ms = state.may_operate_until_ms + times.safety_margin_ms
+    begun = replace(
+        state, operation_status=OperationStatus.RUNNING, operation_covered_until_ms=covered_until_ms
+    )
     return Transition(begun, [], [])
 
 
@@ -149,22 +158,24 @@
             counts as running until the end of its lease.
     """
     if state.phase not in HOLDING_PHASES or state.token != token:
-        return Transition(replace(state, act_status=OperationStatus.COMPLETED), [], [])
-    act_status = OperationStatus.COMPLETED if is_completed else OperationStatus.UNRESOLVED
-    state = replace(state, act_status=act_status)
+        return Transition(replace(state, operation_status=OperationStatus.COMPLETED), [], [])
+    operation_status = OperationStatus.COMPLETED if is_completed else OperationStatus.UNRESOLVED
+    state = replace(state, operation_status=operation_status)
     if state.phase is Phase.HOLDING:
         return Transition(state, [], [])
     if is_operation_in_flight(state, now_ms):
-        return Transition(abandon(state, times, now_ms), [], [HolderEvent.ABANDONED])
-    return release(state, times, now_ms, HolderEvent.RELEASED)
+        return Transition(leave_to_expire(state, times, now_ms), [], [HolderEvent.ABANDONED])
+    return release_now(state, times, now_ms, HolderEvent.RELEASED)
 
 
 def on_stop(state: HolderState, times: LeaseTimes, now_ms: float) -> Transition:
     """Begin no act any more, for good, and release what is held once no act is out."""
     if state.phase not in HOLDING_PHASES:
-        stopped = replace(state, phase=Phase.STOPPED, acts_until_ms=-inf, acting=False, pending_request=None)
+        stopped = replace(
+            state, phase=Phase.STOPPED, may_operate_until_ms=-inf, operating=False, pending_request=None
+        )
         return Transition(stopped, [], [])
-    return give_up(replace(state, phase=Phase.STOPPING), times, now_ms, HolderEvent.RELEASED)
+    return release_after_operation(replace(state, phase=Phase.STOPPING), times, now_ms, HolderEvent.RELEASED)
 
 
 def on_fenced(state: HolderState, times: LeaseTimes, now_ms: float, token: int) -> Transition:
@@ -174,28 +185,28 @@
     """
     if state.phase is not Phase.HOLDING or state.token != token:
         return Transition(state, [], [])
-    return give_up(state, times, now_ms, HolderEvent.FENCED)
+    return release_after_operation(state, times, now_ms, HolderEvent.FENCED)
 
 
 def _expire(state: HolderState, times: LeaseTimes, now_ms: float) -> tuple[HolderState, list[HolderEvent]]:
     """Stop acting at the end of the lease, and counting an act whose answer never came."""
     events: list[HolderEvent] = []
     if not is_operation_in_flight(state, now_ms):
-        state = replace(state, act_status=OperationStatus.COMPLETED)
+        state = replace(state, operation_status=OperationStatus.COMPLETED)
     if may_operate(state, now_ms):
         return state, events
-    if state.acting:
-        state = replace(state, acting=False)
+    if state.operating:
+        state = replace(state, operating=False)
         events.append(HolderEvent.EXPIRED)
-    if state.gives_up:
-        state = abandon(state, times, now_ms)
+    if state.is_releasing:
+        state = leave_to_expire(state, times, now_ms)
         events.append(HolderEvent.ABANDONED)
     return state, events
 
 
 def _next_request(state: HolderState, times: LeaseTimes, now_ms: float) -> LeaseRequest:
     if state.phase in HOLDING_PHASES:
-        if -inf < state.acts_until_ms <= now_ms:
+        if -inf < state.may_operate_until_ms <= now_ms:
             # Guards against a holder whose requests arrive and whose replies do not: if it renewed, the lease
             # would be nobody's to use.
             return Inspect()
@@ -208,13 +219,13 @@
 def _record_failure(state: HolderState, times: LeaseTimes, now_ms: float, jitter: float) -> HolderState:
     first_wait_ms = times.renew_interval_ms * FIRST_BACKOFF_RENEW_INTERVALS
     wait_ms = min(times.renew_interval_ms, first_wait_ms * 2**state.consecutive_failures)
-    acts_until_ms = state.acts_until_ms
-    if state.phase in HOLDING_PHASES and acts_until_ms == -inf:
+    may_operate_until_ms = state.may_operate_until_ms
+    if state.phase in HOLDING_PHASES and may_operate_until_ms == -inf:
         # The renewal of a lease that was found to be its own got no reply: it is inspected again first.
-        acts_until_ms = state.requested_at_ms
+        may_operate_until_ms = state.requested_at_ms
     return replace(
         state,
-        acts_until_ms=acts_until_ms,
+        may_operate_until_ms=may_operate_until_ms,
         pending_request=None,
         consecutive_failures=min(state.consecutive_failures + 1, MAX_COUNTED_FAILURES),
         next_request_at_ms=now_ms + wait_ms * (0.5 + jitter / 2),
@@ -224,20 +235,22 @@
 def _extend(state: HolderState, times: LeaseTimes, now_ms: float) -> Transition:
     """Hold the lease from before it was requested, as the reply may have taken long."""
     # It is a grant also where the lease had expired, and nobody acquired it.
-    event = HolderEvent.RENEWED if state.acting else HolderEvent.GRANTED
-    acts_until_ms = state.requested_at_ms + times.acting_window_ms
-    acting = now_ms < acts_until_ms
-    if state.act_status is OperationStatus.RUNNING:
-        state = replace(state, act_covered_until_ms=acts_until_ms + times.safety_margin_ms)
+    event = HolderEvent.RENEWED if state.operating else HolderEvent.GRANTED
+    may_operate_until_ms = state.requested_at_ms + times.operating_window_ms
+    operating = now_ms < may_operate_until_ms
+    if state.operation_status is OperationStatus.RUNNING:
+        state = replace(state, operation_covered_until_ms=may_operate_until_ms + times.safety_margin_ms)
     state = replace(
         state,
         phase=state.phase if state.phase in HOLDING_PHASES else Phase.HOLDING,
-        acts_until_ms=acts_until_ms,
-        acting=acting,
-        next_request_at_ms=max(now_ms, min(state.requested_at_ms + times.renew_interval_ms, acts_until_ms)),
+        may_operate_until_ms=may_operate_until_ms,
+        operating=operating,
+        next_request_at_ms=max(
+            now_ms, min(state.requested_at_ms + times.renew_interval_ms, may_operate_until_ms)
+        ),
         seen_version=None,
     )
-    return Transition(state, [], [event] if acting else [])
+    return Transition(state, [], [event] if operating else [])
 
 
 def _on_status(
@@ -248,13 +261,13 @@
         return Transition(_resume_holding(state, now_ms, status), [], [])
     events = [HolderEvent.LOST] if state.phase in HOLDING_PHASES else []
     if state.phase is Phase.STOPPING:
-        return Transition(stand_back(state, times, now_ms), [], events)
+        return Transition(stop_holding(state, times, now_ms), [], events)
     since_ms = state.unchanged_since_ms if status.version == state.seen_version else now_ms
     state = replace(
         state,
         phase=Phase.WATCHING,
-        acts_until_ms=-inf,
-        acting=False,
+        may_operate_until_ms=-inf,
+        operating=False,
         seen_version=status.version,
         seen_free=status.is_free,
         unchanged_since_ms=since_ms,
@@ -273,8 +286,8 @@
         state,
         phase=state.phase if state.phase in HOLDING_PHASES else Phase.HOLDING,
         token=status.version.token,
-        acts_until_ms=-inf,
-        acting=False,
+        may_operate_until_ms=-inf,
+        operating=False,
         next_request_at_ms=now_ms,
         seen_version=None,
     )
--- a/sabledyke/lease/holder_release.py
+++ b/sabledyke/lease/holder_release.py
@@ -21,41 +21,43 @@
 
 def is_operation_in_flight(state: HolderState, now_ms: float) -> bool:
     """Return whether an act counts as running now."""
-    if state.act_status is OperationStatus.UNRESOLVED:
-        return now_ms < state.act_covered_until_ms
-    return state.act_status is OperationStatus.RUNNING
+    if state.operation_status is OperationStatus.UNRESOLVED:
+        return now_ms < state.operation_covered_until_ms
+    return state.operation_status is OperationStatus.RUNNING
 
 
-def give_up(state: HolderState, times: LeaseTimes, now_ms: float, reason: HolderEvent) -> Transition:
+def release_after_operation(
+    state: HolderState, times: LeaseTimes, now_ms: float, reason: HolderEvent
+) -> Transition:
     """Release the lease, or begin no act any more and wait for the end of the one that is out."""
     if not is_operation_in_flight(state, now_ms):
-        return release(state, times, now_ms, reason)
-    if state.act_status is OperationStatus.UNRESOLVED:
-        return Transition(abandon(state, times, now_ms), [], [HolderEvent.ABANDONED])
+        return release_now(state, times, now_ms, reason)
+    if state.operation_status is OperationStatus.UNRESOLVED:
+        return Transition(leave_to_expire(state, times, now_ms), [], [HolderEvent.ABANDONED])
     if state.phase is Phase.HOLDING:
-        state = replace(state, phase=Phase.GIVING_UP)
-    return Transition(state, [], [HolderEvent.WAITING_FOR_ACT])
+        state = replace(state, phase=Phase.RELEASING)
+    return Transition(state, [], [HolderEvent.WAITING_FOR_OPERATION])
 
 
-def release(state: HolderState, times: LeaseTimes, now_ms: float, reason: HolderEvent) -> Transition:
+def release_now(state: HolderState, times: LeaseTimes, now_ms: float, reason: HolderEvent) -> Transition:
     """Stop acting and release the lease."""
-    state, requests = send(stand_back(state, times, now_ms), Release(state.token), now_ms)
+    state, requests = send(stop_holding(state, times, now_ms), Release(state.token), now_ms)
     return Transition(state, requests, [reason])
 
 
-def abandon(state: HolderState, times: LeaseTimes, now_ms: float) -> HolderState:
+def leave_to_expire(state: HolderState, times: LeaseTimes, now_ms: float) -> HolderState:
     """Stop acting and leave the lease to expire, as an act may still run under it."""
-    return replace(stand_back(state, times, now_ms), pending_request=None, abandoned_token=state.token)
+    return replace(stop_holding(state, times, now_ms), pending_request=None, abandoned_token=state.token)
 
 
-def stand_back(state: HolderState, times: LeaseTimes, now_ms: float) -> HolderState:
+def stop_holding(state: HolderState, times: LeaseTimes, now_ms: float) -> HolderState:
     """Stop acting, and leave the others one lease's time to acquire it."""
     is_stopping = state.phase is Phase.STOPPING
     return replace(
         state,
         phase=Phase.STOPPED if is_stopping else Phase.WATCHING,
-        acts_until_ms=-inf,
-        acting=False,
+        may_operate_until_ms=-inf,
+        operating=False,
         seen_version=None,
         seen_free=False,
         next_request_at_ms=now_ms,
--- a/sabledyke/lease/holder_state.py
+++ b/sabledyke/lease/holder_state.py
@@ -15,12 +15,12 @@
 
     WATCHING = "watching"
     HOLDING = "holding"
-    GIVING_UP = "giving up"  # an act is out: no other begins, and the lease is released once it has ended
+    RELEASING = "giving up"  # an act is out: no other begins, and the lease is released once it has ended
     STOPPING = "stopping"  # the same, and then it stops for good
     STOPPED = "ended"
 
 
-HOLDING_PHASES = frozenset({Phase.HOLDING, Phase.GIVING_UP, Phase.STOPPING})
+HOLDING_PHASES = frozenset({Phase.HOLDING, Phase.RELEASING, Phase.STOPPING})
 
 
 class OperationStatus(Enum):
@@ -40,7 +40,7 @@
     LOST = "lost"  # another holds it, or nobody
     RECALLED = "recalled"  # an operator wanted it released
     RELEASED = "released"
-    WAITING_FOR_ACT = "waits for an act"  # to end, before the lease is released
+    WAITING_FOR_OPERATION = "waits for an act"  # to end, before the lease is released
     ABANDONED = "left to expire"  # with an act out, so that it is not released
     FENCED = "fenced"  # a resource knows a later token
 
@@ -82,10 +82,10 @@
     holder_id: str
     phase: Phase = Phase.WATCHING
     token: int = 0
-    acts_until_ms: float = -inf
-    acting: bool = False
-    act_status: OperationStatus = OperationStatus.COMPLETED
-    act_covered_until_ms: float = -inf
+    may_operate_until_ms: float = -inf
+    operating: bool = False
+    operation_status: OperationStatus = OperationStatus.COMPLETED
+    operation_covered_until_ms: float = -inf
     abandoned_token: int = 0
     seen_version: LeaseVersion | None = None
     seen_free: bool = False
@@ -99,7 +99,7 @@
     consecutive_failures: int = 0
 
     @property
-    def gives_up(self) -> bool:
+    def is_releasing(self) -> bool:
         """Whether it holds the lease for the act that is out alone, and begins no other."""
         return self.phase in HOLDING_PHASES and self.phase is not Phase.HOLDING
 
--- a/sabledyke/lease/leader_tasks.py
+++ b/sabledyke/lease/leader_tasks.py
@@ -28,7 +28,7 @@
 from sabledyke.store.database_errors import DatabaseError, DatabaseErrorKind, StoreError
 from sabledyke.store.section import Target
 
-LINGER_S = 10.0  # after which the connection of a call that nobody waits for is closed
+CONNECTION_LINGER_S = 10.0  # after which the connection of a call that nobody waits for is closed
 RETRY_DELAY_S = 0.5
 MAX_LOGGED_FINDINGS = 4
 HTTP_CONFLICT = 409
@@ -215,7 +215,7 @@
     """
     # A client of its own: a call that waited for those of other tasks would be sent under an older lease.
     client = AsyncHTTPClient(force_instance=True)
-    call = asyncio.ensure_future(post(client, url, b"", time_left_s + LINGER_S, headers))
+    call = asyncio.ensure_future(post(client, url, b"", time_left_s + CONNECTION_LINGER_S, headers))
     try:
         await asyncio.wait({call}, timeout=time_left_s)
         await asyncio.wait({call}, timeout=ANSWER_GRACE_S)
--- a/sabledyke/lease/manager.py
+++ b/sabledyke/lease/manager.py
@@ -92,7 +92,7 @@
         self._random = Random(seed)
         self._changed = asyncio.Event()
         self._requests: set[asyncio.Task[None]] = set()
-        self._act_timeout: asyncio.Timeout | None = None
+        self._operation_timeout: asyncio.Timeout | None = None
 
     @contextlib.asynccontextmanager
     async def operation(self) -> AsyncIterator[HeldLease]:
@@ -110,7 +110,7 @@
         lease = self.current_lease()
         self._apply(holder.on_operation_begun(self.state, self.times))
         self.idle.clear()
-        self._act_timeout = timeout = asyncio.timeout(None)
+        self._operation_timeout = timeout = asyncio.timeout(None)
         is_completed = False
         try:
             async with timeout:
@@ -122,10 +122,10 @@
             is_completed = not isinstance(error, OperationUnresolvedError)
             raise
         finally:
-            self._complete_act(lease.token, is_completed=is_completed)
+            self._complete_operation(lease.token, is_completed=is_completed)
 
-    def _complete_act(self, token: int, *, is_completed: bool) -> None:
-        self._act_timeout = None
+    def _complete_operation(self, token: int, *, is_completed: bool) -> None:
+        self._operation_timeout = None
         self.idle.set()
         now_ms = self._clock()
         self._apply(
@@ -150,8 +150,8 @@
         now_ms = self._clock()
         if not holder.may_operate(self.state, now_ms):
             raise LeaseLostError(f"the lease {self.task_name} is not held")
-        remaining_ms = self.state.acts_until_ms - now_ms
-        return HeldLease(self.state.token, self.times.acting_window_ms - remaining_ms, remaining_ms)
+        remaining_ms = self.state.may_operate_until_ms - now_ms
+        return HeldLease(self.state.token, self.times.operating_window_ms - remaining_ms, remaining_ms)
 
     def recheck(self) -> None:
         """Have the clock checked now, and ``leading`` updated: a step found that it may not act."""
@@ -174,14 +174,14 @@
                 async with asyncio.timeout(min(MAX_CLOCK_CHECK_INTERVAL_S, wait_s)):
                     await self._changed.wait()
 
-    def give_up(self) -> None:
+    def begin_release(self) -> None:
         """Begin no act any more, for good, and release what is held once no act is out."""
         self._apply(holder.on_stop(self.state, self.times, self._clock()))
         self._changed.set()
 
     async def stop(self) -> None:
         """Give up, once no act runs in this process, and wait as long as one request may take."""
-        self.give_up()
+        self.begin_release()
         if self._requests:
             await asyncio.wait(self._requests)
 
@@ -229,7 +229,7 @@
             self.leading.set()
         else:
             self.leading.clear()
-        timeout = self._act_timeout
+        timeout = self._operation_timeout
         if timeout is not None and timeout.when() is None and not holder.may_operate(self.state, now_ms):
             timeout.reschedule(asyncio.get_running_loop().time() + ANSWER_GRACE_S)
 
--- a/sabledyke/lease/section.py
+++ b/sabledyke/lease/section.py
@@ -21,7 +21,7 @@
 DEFAULT_TIMES = LeaseTimes()
 MAX_LEADER_TASKS = 32
 MIN_RENEW_INTERVAL_MS = 10
-MIN_RENEWALS_PER_ACTING_WINDOW = 2
+MIN_RENEWALS_PER_OPERATING_WINDOW = 2
 URL_SCHEME = "http://"
 
 
@@ -84,7 +84,7 @@
         authority = self.path or f"etcd at {', '.join(self.etcd_endpoints)}"
         return f"{authority}, {len(self.leader_tasks)} duties"
 
-    def uses_authority_of(self, other: LeaseSection) -> bool:
+    def has_same_authority(self, other: LeaseSection) -> bool:
         """Return whether both name the same authority."""
         return (self.path, self.etcd_endpoints, self.prefix) == (
             other.path,
@@ -205,9 +205,9 @@
 
 def _check_times(section: LeaseSection) -> None:
     times = section.times
-    max_renew_interval_ms = times.acting_window_ms / MIN_RENEWALS_PER_ACTING_WINDOW
+    max_renew_interval_ms = times.operating_window_ms / MIN_RENEWALS_PER_OPERATING_WINDOW
     if not MIN_RENEW_INTERVAL_MS <= times.renew_interval_ms <= max_renew_interval_ms:
-        window = f"ttl_ms leaves {times.acting_window_ms:.0f} ms to act in after drift and margin_ms"
+        window = f"ttl_ms leaves {times.operating_window_ms:.0f} ms to act in after drift and margin_ms"
         raise OperatorError(f"lease: {window}, and renew_ms must be from 10 to half of that")
     if section.etcd_endpoints and times.ttl_ms % 1000:
         raise OperatorError("lease.ttl_ms must be whole seconds with etcd, which counts them so")
--- a/sabledyke/lease/types.py
+++ b/sabledyke/lease/types.py
@@ -43,7 +43,7 @@
     authority_tracks_expiry: bool = False
 
     @property
-    def acting_window_ms(self) -> float:
+    def operating_window_ms(self) -> float:
         """For how long after its request a holder may act.
 
         The holder's clock may be slow, and the one that expires its lease fast. While ``ttl_ms`` pass there,
--- a/sabledyke/testbed/lease_model/acts.py
+++ b/sabledyke/testbed/lease_model/acts.py
@@ -33,7 +33,7 @@
     act = instance.act
     if act is None:
         if budget.acts and holder.may_begin_operation(state, 0.0):
-            begun = ModelAct(state.token, state.acts_until_ms)
+            begun = ModelAct(state.token, state.may_operate_until_ms)
             yield ActStep("begins an act", begun, holder.on_operation_begun(state, config.times), "acts")
         return
     if act.is_running:
--- a/sabledyke/testbed/lease_model/canonical.py
+++ b/sabledyke/testbed/lease_model/canonical.py
@@ -130,22 +130,24 @@
     request = holder.pending_request
     is_waiting = request is not None
     is_holding = holder.phase in HOLDING_PHASES
-    is_operation_in_flight = holder.act_status is not OperationStatus.COMPLETED
+    is_operation_in_flight = holder.operation_status is not OperationStatus.COMPLETED
     act = instance.act
     if act is not None:
         act = act._replace(
             token=version_ranks.tokens[act.token], remaining=_at_tick(max(act.remaining, 0.0), rate)
         )
-    acts = is_holding and holder.acts_until_ms > 0
+    acts = is_holding and holder.may_operate_until_ms > 0
     has_seen = holder.seen_version is not None
     canonical_holder = HolderState(
         holder_id=holder.holder_id,
         phase=holder.phase,
         token=version_ranks.tokens[holder.token] if is_holding else 0,
-        acts_until_ms=_at_tick(holder.acts_until_ms, rate) if acts else min(holder.acts_until_ms, -FAR_MS),
-        acting=acts,
-        act_status=holder.act_status,
-        act_covered_until_ms=_at_tick(max(holder.act_covered_until_ms, 0.0), rate)
+        may_operate_until_ms=_at_tick(holder.may_operate_until_ms, rate)
+        if acts
+        else min(holder.may_operate_until_ms, -FAR_MS),
+        operating=acts,
+        operation_status=holder.operation_status,
+        operation_covered_until_ms=_at_tick(max(holder.operation_covered_until_ms, 0.0), rate)
         if is_operation_in_flight
         else 0.0,
         abandoned_token=version_ranks.tokens[holder.abandoned_token] if holder.abandoned_token else 0,
--- a/sabledyke/testbed/lease_model/checker.py
+++ b/sabledyke/testbed/lease_model/checker.py
@@ -71,5 +71,5 @@
 def _described_instance(instance: Instance) -> str:
     state = instance.holder
     paused = " paused" if instance.is_paused else ""
-    until = f" until {state.acts_until_ms:.0f}" if holder.may_operate(state, 0.0) else ""
+    until = f" until {state.may_operate_until_ms:.0f}" if holder.may_operate(state, 0.0) else ""
     return f"{state.holder_id}{paused} {state.phase.value}{until}"
--- a/sabledyke/testbed/lease_model/transitions.py
+++ b/sabledyke/testbed/lease_model/transitions.py
@@ -230,10 +230,12 @@
         holder_id=state.holder_id,
         phase=state.phase,
         token=state.token,
-        acts_until_ms=shifted(state.acts_until_ms) if state.acts_until_ms > -inf else -inf,
-        acting=state.acting,
-        act_status=state.act_status,
-        act_covered_until_ms=shifted(state.act_covered_until_ms),
+        may_operate_until_ms=shifted(state.may_operate_until_ms)
+        if state.may_operate_until_ms > -inf
+        else -inf,
+        operating=state.operating,
+        operation_status=state.operation_status,
+        operation_covered_until_ms=shifted(state.operation_covered_until_ms),
         abandoned_token=state.abandoned_token,
         seen_version=state.seen_version,
         seen_free=state.seen_free,
--- a/tests/lease/test_holder_acts.py
+++ b/tests/lease/test_holder_acts.py
@@ -64,7 +64,7 @@
     reason: str, *, is_completed: bool
 ) -> None:
     given_up = holder.on_stop(acting(), TIMES, 200.0) if reason == "stop" else recall(acting())
-    assert given_up.events == [HolderEvent.WAITING_FOR_ACT]
+    assert given_up.events == [HolderEvent.WAITING_FOR_OPERATION]
     assert not released(given_up)
     assert not holder.may_begin_operation(given_up.state, 200.0)
     assert holder.may_operate(given_up.state, 200.0)  # for the steps of the act that is out
@@ -76,7 +76,7 @@
 
 def test_an_act_without_an_answer_counts_until_the_end_of_its_lease() -> None:
     state = complete(acting(), 100.0, is_completed=False).state
-    ends_ms = TIMES.acting_window_ms + TIMES.safety_margin_ms
+    ends_ms = TIMES.operating_window_ms + TIMES.safety_margin_ms
     assert state.phase is Phase.HOLDING
     assert not holder.may_begin_operation(state, 100.0)
     assert not released(holder.on_stop(state, TIMES, ends_ms - 1))
--- a/tests/lease/test_manager.py
+++ b/tests/lease/test_manager.py
@@ -76,8 +76,8 @@
             await asyncio.sleep(0)
         await manager.leading.wait()
         assert manager.current_token() == 7
-        assert manager.state.acts_until_ms <= now_ms[0] + TIMES.acting_window_ms
-        now_ms[0] += TIMES.acting_window_ms
+        assert manager.state.may_operate_until_ms <= now_ms[0] + TIMES.operating_window_ms
+        now_ms[0] += TIMES.operating_window_ms
         with pytest.raises(LeaseLostError):
             manager.current_token()
         await manager.stop()
--- a/tests/lease/test_slow_authority.py
+++ b/tests/lease/test_slow_authority.py
@@ -64,8 +64,8 @@
         with grant_timeout():
             async with asyncio.timeout(GRANT_TIMEOUT_S):
                 await manager.leading.wait()
-                granted_until_ms = manager.state.acts_until_ms
-                while manager.state.acts_until_ms <= granted_until_ms:
+                granted_until_ms = manager.state.may_operate_until_ms
+                while manager.state.may_operate_until_ms <= granted_until_ms:
                     await asyncio.sleep(0.01)
         assert manager.current_token() == manager.state.token
     finally:
