--- a/sabledyke/lease/etcd_authority.py
+++ b/sabledyke/lease/etcd_authority.py
@@ -1,8 +1,9 @@
-"""An etcd version 3 as the authority.
+"""Authority in etcd version 3.
 
-A leader task is a key that its holder creates in a transaction on its create revision, bound to an etcd
-lease; when that expires, etcd deletes the key. The token is the key's create revision, which only rises. Etcd
-expires leases by its own clock, and gives them their whole time again when it restarts or its leader changes.
+The lease of a leader task is a key that its holder creates in a transaction, if it does not exist yet. The
+key is bound to an etcd lease, and etcd deletes it when that lease expires. The token is the key's create
+revision, which only rises. Etcd expires leases by its own clock, and restarts their whole duration when it
+restarts or its leader changes.
 """
 
 from __future__ import annotations
@@ -30,29 +31,29 @@
 
 
 class EtcdAuthority:
-    """An authority in etcd; see ``types.Authority``."""
+    """Authority in etcd."""
 
     tracks_expiry = True
 
     def __init__(self, endpoints: Sequence[str], prefix: str, ttl_ms: float, timeout_ms: float) -> None:
-        """Make an authority.
+        """Create an authority; connections are opened by the first request.
 
         Args:
             endpoints: Addresses (host:port) of the etcd servers.
-            prefix: What all keys begin with.
-            ttl_ms: How long leases last; rounded up to whole seconds, as etcd counts them.
-            timeout_ms: The limit for one call to etcd; a request makes up to three.
+            prefix: Prefix of all keys.
+            ttl_ms: Duration of leases; rounded up to whole seconds, the unit of etcd.
+            timeout_ms: Time limit for one call to etcd; a request makes up to three calls.
         """
         self._prefix = prefix
         self._ttl_s = ceil(ttl_ms / 1000)
         self._gateway = EtcdGateway(endpoints, timeout_ms)
-        self._etcd_leases: dict[str, str] = {}  # by task name, the etcd lease that this instance holds it by
+        self._etcd_leases: dict[str, str] = {}  # etcd lease of each held lease, by task name
 
     async def open(self) -> None:
-        """Do nothing: an etcd that is down is called again."""
+        """Do nothing: the first request connects, and requests are retried while etcd is unavailable."""
 
     async def request(self, task_name: str, holder_id: str, request: LeaseRequest) -> LeaseReply:
-        """See ``types.Authority``."""
+        """Execute a request by up to three calls to etcd."""
         match request:
             case Inspect():
                 return await self._inspect(task_name, holder_id)
@@ -65,18 +66,18 @@
                 return await self._inspect(task_name, holder_id)
 
     async def record_completion(self, task_name: str, token: int, at_unix_ms: int) -> bool:
-        """See ``types.Authority``."""
+        """Store the completion time under a key of its own if the token is the latest one."""
         put = _put(self._completion_key(task_name), str(at_unix_ms))
         result = await self._transact([_created_at(self._lease_key(task_name), token)], [put], [])
         return bool(result.get("succeeded"))
 
     async def last_completed_unix_ms(self, task_name: str) -> int:
-        """See ``types.Authority``."""
+        """Return the stored completion time; 0 for never."""
         found = _key_values(await self._range(self._completion_key(task_name)))
         return int(_decode_text(found[0]["value"])) if found else 0
 
     async def list_leases(self) -> list[LeaseSummary]:
-        """See ``types.Authority``."""
+        """Return all held leases, with the remaining time by etcd's clock."""
         first = f"{self._prefix}lease/"
         after_last = f"{self._prefix}lease{chr(ord('/') + 1)}"
         found = await self._range(_encode_text(first), _encode_text(after_last))
@@ -86,7 +87,7 @@
         ]
 
     async def recall(self, task_name: str, *, at_once: bool) -> bool:
-        """See ``types.Authority``."""
+        """Create the recall key, or revoke the etcd lease immediately."""
         key = self._lease_key(task_name)
         found = _key_values(await self._range(key))
         if not found:
@@ -101,7 +102,7 @@
         return bool(result.get("succeeded"))
 
     async def close(self) -> None:
-        """See ``types.Authority``."""
+        """Close the connections to etcd."""
         await self._gateway.close()
 
     async def _inspect(self, task_name: str, holder_id: str) -> LeaseStatus:
@@ -120,7 +121,7 @@
         return self._status(task_name, holder_id, result["responses"][0]["response_range"])
 
     async def _renew(self, task_name: str, holder_id: str, token: int) -> LeaseReply:
-        """Extend its time, then check that it is still held: an operator may have freed it meanwhile."""
+        """Extend the etcd lease, then check that the key is still held: an operator may have freed it."""
         etcd_lease = self._etcd_leases.get(task_name, NO_ETCD_LEASE)
         response = await self._gateway.call("lease/keepalive", {"ID": etcd_lease})
         if int(response.get("result", {}).get("TTL", 0)) <= 0:
@@ -152,7 +153,7 @@
         if not entries:
             return UNACQUIRED_STATUS
         holder = _decode_text(entries[0].get("value", ""))
-        if holder == holder_id:  # a grant whose reply was lost: this is the etcd lease to renew it by
+        if holder == holder_id:  # after a grant whose reply was lost, this etcd lease is the one to renew
             self._etcd_leases[task_name] = str(entries[0].get("lease", NO_ETCD_LEASE))
         version = LeaseVersion(int(entries[0]["create_revision"]), 0)
         return LeaseStatus(version, holder, is_free=False)
@@ -181,18 +182,18 @@
 
 
 def _key_values(found: JsonObject) -> Sequence[JsonObject]:
-    """Return the entries of a range; the field is left out where there are none."""
+    """Return the entries of a range; the field is missing if there are none."""
     entries: Sequence[JsonObject] = found.get("kvs", ())
     return entries
 
 
 def _names_token(recall: JsonObject, token: int) -> bool:
-    """Return whether a recall was found, and is for this token."""
+    """Return whether the response to a read of the recall key contains this token."""
     return any(_decode_text(entry.get("value", "")) == str(token) for entry in _key_values(recall))
 
 
 def _created_at(key: str, revision: int) -> JsonObject:
-    """Compare a key's create revision; 0 for a key that does not exist."""
+    """Return a condition on a key's create revision, which is 0 for a key that does not exist."""
     return {"key": key, "target": "CREATE", "result": "EQUAL", "create_revision": str(revision)}
 
 
--- a/sabledyke/lease/etcd_gateway.py
+++ b/sabledyke/lease/etcd_gateway.py
@@ -1,6 +1,6 @@
-"""Calls to etcd version 3 over its published JSON gateway, in plain HTTP.
+"""Client of etcd version 3 over its JSON gateway, in plain HTTP.
 
-The JSON form has 64-bit numbers as strings and bytes in base64, and leaves out what is 0, false or empty.
+The JSON form has 64-bit numbers as strings and bytes in base64, and omits fields that are 0, false or empty.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 
 
 class EtcdGateway:
-    """Calls one of the endpoints; after one that failed or was cancelled, the next goes to the next endpoint.
+    """Calls one endpoint at a time, and switches to the next after a call that failed or was cancelled.
 
-    Connections are kept open between calls: a new one for each costs three to four times the CPU, on both
-    sides.
+    Connections are kept open between calls: a new connection for each call costs three to four times the CPU
+    on both sides.
     """
 
     def __init__(self, endpoints: Sequence[str], timeout_ms: float) -> None:
-        """Make a gateway.
+        """Create a gateway; connections are opened by the first call.
 
         Args:
             endpoints: Addresses (host:port) of the etcd servers.
-            timeout_ms: The limit for one call.
+            timeout_ms: Time limit for one call.
         """
         self._endpoints = list(endpoints)
         self._timeout = aiohttp.ClientTimeout(total=timeout_ms / 1000)
-        self._client: aiohttp.ClientSession | None = None  # made in the event loop that it is used in
+        self._client: aiohttp.ClientSession | None = None  # created in the event loop that it is used in
 
     async def call(self, path: str, body: JsonObject) -> JsonObject:
         """Call a method of etcd.
 
         Returns:
-            The object of the response; {} where what was named is not found.
+            The object of the response; {} if the named object does not exist.
 
         Raises:
-            AuthorityError: There was no usable response.
+            AuthorityError: No usable response arrived.
         """
         try:
             return await self._post(path, body)
@@ -58,7 +58,7 @@
             self._use_next_endpoint()
             raise AuthorityError(f"etcd: {path}: no answer in time") from error
         except asyncio.CancelledError:
-            # The time of the request that this call is part of is over: its endpoint may hang.
+            # The lease request that this call belongs to has timed out: the endpoint may be unresponsive.
             self._use_next_endpoint()
             raise
         except (aiohttp.ClientError, OSError, orjson.JSONDecodeError) as error:
@@ -69,7 +69,7 @@
             raise
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to etcd."""
         if self._client is not None:
             await self._client.close()
 
@@ -81,9 +81,9 @@
             text = await _read_bounded(response)
         result = orjson.loads(text) if response.status != HTTP_NOT_FOUND else {}
         if not isinstance(result, dict):
-            raise AuthorityError(f"etcd: {path}: status {response.status}, and no object")
+            raise AuthorityError(f"etcd: {path}: status {response.status}, body is not a JSON object")
         if response.status == HTTP_NOT_FOUND or result.get("code") == GRPC_NOT_FOUND:
-            return {}  # the normal response about a lease that has expired
+            return {}  # the usual response for a lease that has expired
         if response.status != HTTP_OK:
             message = str(result.get("message"))[:MAX_LOGGED_MESSAGE_CHARS]
             raise AuthorityError(f"etcd: {path}: status {response.status}, {message}")
@@ -108,5 +108,5 @@
     async for chunk in response.content.iter_any():
         data += chunk
         if len(data) > MAX_RESPONSE_BYTES:
-            raise AuthorityError(f"etcd: an answer over {MAX_RESPONSE_BYTES} bytes")
+            raise AuthorityError(f"etcd: response is longer than {MAX_RESPONSE_BYTES} bytes")
     return bytes(data)
--- a/sabledyke/lease/extension.py
+++ b/sabledyke/lease/extension.py
@@ -1,4 +1,4 @@
-"""Sets up the leases: the authority, a lease manager for each leader task, and the tasks themselves."""
+"""Extension that runs leader tasks: the authority, and a lease manager and a runner for each task."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     from sabledyke.operator_config import OperatorConfig
 
 INCARNATION_ID_DIGITS = 12
-SHUTDOWN_POLL_INTERVAL_S = 0.02  # between checks whether a shutdown leaves time to wait for an act
+SHUTDOWN_POLL_INTERVAL_S = 0.02  # between checks whether a shutdown leaves time to wait for an operation
 
 
 def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
-    """Return the extension, where the operator's file has a section ``[lease]``."""
+    """Return the extension; None if the operator's file has no section ``[lease]``."""
     if section.lease is None:
         return None
     record = section.store.record if section.store is not None else None
@@ -35,7 +35,7 @@
 
 
 def create_authority(section: LeaseSection) -> Authority:
-    """Create the authority that a section names; its library is loaded only where it is named."""
+    """Create the authority that a section names; its library is imported only if it is used."""
     if section.path:
         from sabledyke.lease.sql_authority import SqlAuthority
 
@@ -47,25 +47,25 @@
 
 
 def _majority(endpoints: Sequence[str]) -> int:
-    """Return the size of a majority; one of any so many servers answers while etcd has a quorum."""
+    """Return the size of a majority; one of that many servers answers while etcd has a quorum."""
     return len(endpoints) // 2 + 1
 
 
 class LeaseExtension(Extension):
-    """The leader tasks that this instance is a candidate for.
+    """Runs the leader tasks that this instance is a candidate for.
 
     Attributes:
-        managers: The lease managers, in the order of the section's leader tasks.
+        managers: Lease managers, in the order of the section's leader tasks.
     """
 
     def __init__(self, name: str, seed: int, section: LeaseSection, record: Target | None) -> None:
-        """Make an extension that does nothing before ``open``.
+        """Create an extension that is inactive before ``open``.
 
         Args:
-            name: The name of this instance.
-            seed: The seed of all jitter.
-            section: The operator's settings.
-            record: The record that some leader tasks work on.
+            name: Name of this instance.
+            seed: Seed of all jitter.
+            section: Settings of the operator's file.
+            record: Record that some leader tasks work on.
         """
         self.managers: list[LeaseManager] = []
         self._name = name
@@ -75,35 +75,35 @@
         self._authority = create_authority(section)
         self._manager_runs: list[asyncio.Task[None]] = []
         self._leader_task_runs: list[asyncio.Task[None]] = []
-        self._changing = asyncio.Lock()  # guards against two changes of what runs at once
-        self._changes: set[asyncio.Task[None]] = set()  # references, so that they are not collected
+        self._changing = asyncio.Lock()  # serializes starts and stops of the leader tasks
+        self._changes: set[asyncio.Task[None]] = set()  # references that prevent garbage collection
         self._shutdown: GracefulShutdown | None = None
         self._stops_by_s = inf  # on the event loop's clock
 
     async def open(self) -> None:
-        """See ``Extension``."""
+        """Open the authority and start the leader tasks."""
         await self._authority.open()
         self._start()
 
     def check_operator_config(self, operator: OperatorConfig) -> None:
-        """See ``Extension``."""
+        """Reject settings with another authority."""
         new = operator.lease
         if new is None or not new.has_same_authority(self._section):
-            raise ConfigError("the lease authority differs, which takes a restart")
+            raise ConfigError("the lease authority differs; a change requires a restart")
 
     def apply_operator_config(self, operator: OperatorConfig) -> None:
-        """See ``Extension``: what is held is released, and acquired again under the new times."""
+        """Release held leases, and start again with the new leader tasks and times."""
         if operator.lease is not None and operator.lease != self._section:
             self._section = operator.lease
             self._change(self._run_new_section())
 
     def on_shutdown(self, plan: GracefulShutdown) -> None:
-        """See ``Extension``: no act begins any more, and leases go to others once no act is out."""
+        """Begin no further operation, and release each lease as soon as no operation is in flight."""
         self._shutdown = plan
         self._change(self._stop())
 
     async def close(self) -> None:
-        """See ``Extension``: waits for acts that are out as long as the shutdown or their leases allow."""
+        """Wait for operations in flight as long as the shutdown or their leases allow, then close."""
         self._stops_by_s = asyncio.get_running_loop().time() + self._section.times.operating_window_ms / 1000
         await self._stop()
         await asyncio.gather(*self._changes, return_exceptions=True)
@@ -114,7 +114,7 @@
         return self._shutdown is not None or self._stops_by_s < inf
 
     def _is_time_over(self) -> bool:
-        """Return whether acts that are out are waited for no longer."""
+        """Return whether the time to wait for operations in flight is over."""
         now_s = asyncio.get_running_loop().time()
         if self._shutdown is not None:
             return now_s >= self._shutdown.completed_at
@@ -129,7 +129,7 @@
         section = self._section
         loop = asyncio.get_running_loop()
         clock = skewed_clock(section.clock_offset_ms, section.clock_rate)
-        # An incarnation of its own: what a former one held, and may have left to expire, is not this one's.
+        # A new identifier for each start: a lease that an earlier one left to expire is not resumed.
         holder_id = f"{self._name}.{uuid4().hex[:INCARNATION_ID_DIGITS]}"
         for index, task in enumerate(section.leader_tasks):
             manager = LeaseManager(
@@ -143,7 +143,7 @@
 
     async def _stop(self) -> None:
         async with self._changing:
-            for manager in self.managers:  # all at once: none begins an act while another's is waited for
+            for manager in self.managers:  # all first: none begins an operation during the waits below
                 manager.begin_release()
             runs = zip(self.managers, self._leader_task_runs, strict=True)
             await asyncio.gather(*(self._stop_one(manager, run) for manager, run in runs))
@@ -153,7 +153,7 @@
             self._leader_task_runs.clear()
 
     async def _stop_one(self, manager: LeaseManager, run: asyncio.Task[None]) -> None:
-        """Wait for the act that is out while there is time, and end the leader task and its lease."""
+        """Wait for the operation in flight while time remains, then end the leader task and its lease."""
         while not manager.idle.is_set() and not self._is_time_over():
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(SHUTDOWN_POLL_INTERVAL_S):
@@ -166,7 +166,7 @@
         await self._stop()
         async with self._changing:
             if self._is_stopping or self.managers:
-                return  # it ends, or a later change has started them already
+                return  # the extension stops, or a later change has already started the leader tasks
             await self._authority.close()
             self._authority = create_authority(self._section)
             await self._authority.open()
--- a/sabledyke/lease/fencing.py
+++ b/sabledyke/lease/fencing.py
@@ -1,8 +1,8 @@
-"""Fencing: rejects what a leader task writes once a later holder has written. Pure, but for the SQL steps.
+"""Fencing: rejects writes of a leader task after a later holder has written. Performs no I/O.
 
-A lease alone cannot stop a holder that pauses between its last look at the clock and the effect of its write.
-Only the resource that is written to can, by the token that comes with the write. ``Fence`` is for a resource
-in memory; ``token_check_steps`` begin a database transaction, which aborts where the token is older than one
+A lease alone cannot stop a holder that is paused between its last check of the clock and the effect of its
+write. Only the written resource can, by the token that accompanies the write. ``Fence`` protects a resource
+in memory; ``token_check_steps`` begin a database transaction, which aborts if the token is older than one
 that the database has seen.
 """
 
@@ -16,7 +16,7 @@
     "CREATE TABLE IF NOT EXISTS fences (duty TEXT PRIMARY KEY, token BIGINT NOT NULL,"
     " fence BIGINT NOT NULL CHECK (fence = 0))"
 )
-# As with the incarnations of the record: a row that violates its CHECK aborts the whole transaction.
+# A row that violates its CHECK aborts the whole transaction, like the check on the record's incarnations.
 CHECK_TOKEN_SQL = (
     "INSERT INTO fences (duty, token, fence) VALUES ($1::text, $2::bigint, 0) ON CONFLICT (duty) DO UPDATE"
     " SET fence = CASE WHEN fences.token <= excluded.token THEN 0 ELSE 1 END, token = excluded.token"
@@ -24,14 +24,14 @@
 
 
 class Fence:
-    """The highest token seen for each leader task.
+    """Check of tokens against the highest one seen for each leader task.
 
     Attributes:
-        rejected: How many tokens were rejected.
+        rejected: Number of rejected tokens.
     """
 
     def __init__(self, max_tasks: int = MAX_TASKS) -> None:
-        """Remember at most ``max_tasks`` tasks; the least recently used one is evicted."""
+        """Create a fence for at most ``max_tasks`` tasks; the least recently used one is evicted."""
         self._max_tasks = max_tasks
         self._highest_tokens: dict[str, int] = {}
         self.rejected = 0
@@ -41,7 +41,7 @@
         return len(self._highest_tokens)
 
     def accepts(self, task_name: str, token: int) -> bool:
-        """Return whether a write with this token may take effect, and remember the token."""
+        """Return whether a write with this token may take effect, and record the token."""
         highest = self._highest_tokens.pop(task_name, 0)
         self._highest_tokens[task_name] = max(highest, token)
         if len(self._highest_tokens) > self._max_tasks:
@@ -56,6 +56,6 @@
 def token_check_steps(task_name: str, token: int) -> list[Step]:
     """Return the steps that begin a transaction on behalf of a leader task.
 
-    The transaction fails with a StoreFault of kind FENCED where a later holder wrote.
+    The transaction fails with a DatabaseError of kind FENCED if a later holder has written.
     """
     return [Step(CHECK_TOKEN_SQL, [(task_name, token)])]
--- a/sabledyke/lease/holder.py
+++ b/sabledyke/lease/holder.py
@@ -1,14 +1,15 @@
-"""One instance's side of one lease: when to check, acquire, renew and release it, and until when it may act.
-
-The functions here map a state and an input (a timer tick, a reply, an act) to a new state and the actions
-to carry out. Each input comes with the time on this instance's clock and, where a wait follows, a random
-number for its jitter. They use no socket, database or clock, so that the model checker of the testbed
-explores this very code.
-
-Safety: ``may_operate`` is true for at most ``LeaseTimes.acting_window_ms`` from before a grant or a renewal was
-requested. A lease is released only while no act is out under it; otherwise the holder begins no other act and
-waits for the end of this one, and where that stays unknown it leaves the lease to expire. Liveness: backoff
-and checks come at least every ``LeaseTimes.renew_interval_ms``.
+"""State machine of one instance as holder of, or candidate for, one lease.
+
+The functions here map a state and an input (a timer tick, a reply, an operation) to a new state and the
+actions to carry out. Each input carries the time on this instance's clock and, where a wait follows, a random
+number for its jitter. The functions use no socket, database or clock, so that the testbed's model checker
+explores the same code that runs in production.
+
+Safety: ``may_operate`` is true for at most ``LeaseTimes.operating_window_ms``, counted from before the
+request for a grant or a renewal. A lease is released only while no operation is in flight under it. Otherwise
+the holder begins no other operation and waits for the end of the current one; if its outcome remains unknown,
+the lease is left to expire. Liveness: after a failure or a check, the next request is sent within
+``LeaseTimes.renew_interval_ms``.
 """
 
 from __future__ import annotations
@@ -50,15 +51,16 @@
 
 
 def may_operate(state: HolderState, now_ms: float) -> bool:
-    """Return whether the holder may act now. To be called before every step, and never remembered.
+    """Return whether the holder may operate now.
 
-    While it gives up its lease, this holds for the steps of the act that is out.
+    Callers check this before every step and never cache the result. While the holder waits to release its
+    lease, it remains true for the steps of the operation in flight.
     """
     return state.phase in HOLDING_PHASES and now_ms < state.may_operate_until_ms
 
 
 def may_begin_operation(state: HolderState, now_ms: float) -> bool:
-    """Return whether an act may begin now: none is out, and the lease is not being given up."""
+    """Return whether an operation may begin: none is in flight, and the lease is not being released."""
     return (
         state.phase is Phase.HOLDING
         and may_operate(state, now_ms)
@@ -67,7 +69,7 @@
 
 
 def next_tick_at_ms(state: HolderState, times: LeaseTimes) -> float:
-    """Return when ``on_tick`` must be called if nothing else comes before; inf for never."""
+    """Return the time of the next call of ``on_tick`` if no other input arrives before; inf for never."""
     if state.phase is Phase.STOPPED:
         return inf
     if state.pending_request is not None:
@@ -80,13 +82,13 @@
 
 
 def on_tick(state: HolderState, times: LeaseTimes, now_ms: float, jitter: float) -> Transition:
-    """Stop acting at the end of the lease, time out a pending request, and send the next one when due.
+    """Stop operating at the end of the lease, time out a pending request, and send the next one when due.
 
     Args:
-        state: The state before.
-        times: The times of the lease.
-        now_ms: The time on this instance's clock.
-        jitter: A random number in [0, 1), which spreads the requests of all instances.
+        state: State before the tick.
+        times: Times of the lease.
+        now_ms: Time on this instance's clock.
+        jitter: Random number in [0, 1), which spreads the requests of all instances.
     """
     state, events = _expire(state, times, now_ms)
     if state.phase is Phase.STOPPED:
@@ -106,7 +108,7 @@
 ) -> Transition:
     """Process the authority's reply to the request of this number.
 
-    A late reply to a request that was given up is ignored.
+    A late reply to a request that has timed out is ignored.
     """
     request = state.pending_request
     if request is None or number != state.request_number or state.phase is Phase.STOPPED:
@@ -122,21 +124,21 @@
             return release_after_operation(extended.state, times, now_ms, HolderEvent.RECALLED)
         case _, LeaseStatus():
             return _on_status(state, times, now_ms, reply, jitter)
-        case _:  # a reply to another kind of request is as good as none
+        case _:  # a reply that does not fit the request counts as a failure
             return Transition(_record_failure(state, times, now_ms, jitter), [], [])
 
 
 def on_failure(
     state: HolderState, times: LeaseTimes, now_ms: float, number: int, jitter: float
 ) -> Transition:
-    """Process that the request of this number got no reply: it may have been executed all the same."""
+    """Process the failure of the request of this number, which may have been executed nevertheless."""
     if state.pending_request is None or number != state.request_number:
         return Transition(state, [], [])
     return Transition(_record_failure(state, times, now_ms, jitter), [], [])
 
 
 def on_operation_begun(state: HolderState, times: LeaseTimes) -> Transition:
-    """Process that an act begins, where ``may_begin_operation`` is true."""
+    """Process the start of an operation; ``may_begin_operation`` must be true."""
     covered_until_ms = state.may_operate_until_ms + times.safety_margin_ms
     begun = replace(
         state, operation_status=OperationStatus.RUNNING, operation_covered_until_ms=covered_until_ms
@@ -147,15 +149,15 @@
 def on_operation_completed(
     state: HolderState, times: LeaseTimes, now_ms: float, token: int, *, is_completed: bool
 ) -> Transition:
-    """Process that nobody waits for the act under this token any more.
+    """Process the end of an operation, or of the wait for its answer.
 
     Args:
-        state: The state before.
-        times: The times of the lease.
-        now_ms: The time on this instance's clock.
-        token: The token that the act was begun under.
-        is_completed: Whether the act has certainly ended. Where its answer was lost or not waited for, it
-            counts as running until the end of its lease.
+        state: State before the end of the operation.
+        times: Times of the lease.
+        now_ms: Time on this instance's clock.
+        token: Token under which the operation began.
+        is_completed: True if the operation has certainly ended. If its answer was lost or not awaited, the
+            operation counts as running until the end of its lease.
     """
     if state.phase not in HOLDING_PHASES or state.token != token:
         return Transition(replace(state, operation_status=OperationStatus.COMPLETED), [], [])
@@ -169,7 +171,7 @@
 
 
 def on_stop(state: HolderState, times: LeaseTimes, now_ms: float) -> Transition:
-    """Begin no act any more, for good, and release what is held once no act is out."""
+    """Begin no further operation, and release a held lease as soon as no operation is in flight."""
     if state.phase not in HOLDING_PHASES:
         stopped = replace(
             state, phase=Phase.STOPPED, may_operate_until_ms=-inf, operating=False, pending_request=None
@@ -179,9 +181,10 @@
 
 
 def on_fenced(state: HolderState, times: LeaseTimes, now_ms: float, token: int) -> Transition:
-    """Process that a resource rejected this token, as it has seen a later one.
+    """Process the rejection of this token by a resource that has seen a later one.
 
-    The lease is given up, so that the next token is higher, also where the authority went back in time.
+    The lease is released so that the next token is higher, also if the authority was restored to an earlier
+    state.
     """
     if state.phase is not Phase.HOLDING or state.token != token:
         return Transition(state, [], [])
@@ -189,7 +192,7 @@
 
 
 def _expire(state: HolderState, times: LeaseTimes, now_ms: float) -> tuple[HolderState, list[HolderEvent]]:
-    """Stop acting at the end of the lease, and counting an act whose answer never came."""
+    """Stop operating when the lease expires, and drop an unresolved operation at the end of its lease."""
     events: list[HolderEvent] = []
     if not is_operation_in_flight(state, now_ms):
         state = replace(state, operation_status=OperationStatus.COMPLETED)
@@ -207,8 +210,8 @@
 def _next_request(state: HolderState, times: LeaseTimes, now_ms: float) -> LeaseRequest:
     if state.phase in HOLDING_PHASES:
         if -inf < state.may_operate_until_ms <= now_ms:
-            # Guards against a holder whose requests arrive and whose replies do not: if it renewed, the lease
-            # would be nobody's to use.
+            # Requests may arrive while their replies are lost. Renewals would then keep a lease alive that
+            # no instance can use.
             return Inspect()
         return Renew(state.token)
     if state.seen_version is not None and may_acquire(state, times, now_ms):
@@ -221,7 +224,7 @@
     wait_ms = min(times.renew_interval_ms, first_wait_ms * 2**state.consecutive_failures)
     may_operate_until_ms = state.may_operate_until_ms
     if state.phase in HOLDING_PHASES and may_operate_until_ms == -inf:
-        # The renewal of a lease that was found to be its own got no reply: it is inspected again first.
+        # The first renewal after ``_resume_holding`` got no reply: the next request is an inspection.
         may_operate_until_ms = state.requested_at_ms
     return replace(
         state,
@@ -233,8 +236,8 @@
 
 
 def _extend(state: HolderState, times: LeaseTimes, now_ms: float) -> Transition:
-    """Hold the lease from before it was requested, as the reply may have taken long."""
-    # It is a grant also where the lease had expired, and nobody acquired it.
+    """Extend the lease, counted from the time of its request, as the reply may be delayed."""
+    # A renewal after the lease had expired here is reported as a grant.
     event = HolderEvent.RENEWED if state.operating else HolderEvent.GRANTED
     may_operate_until_ms = state.requested_at_ms + times.operating_window_ms
     operating = now_ms < may_operate_until_ms
@@ -278,9 +281,9 @@
 
 
 def _resume_holding(state: HolderState, now_ms: float, status: LeaseStatus) -> HolderState:
-    """Hold a lease whose grant got lost on its way; nobody else could acquire it for its whole time.
+    """Hold a lease whose grant reply was lost; otherwise it would stay unused for its whole duration.
 
-    It is not acted on before a renewal, as it is not known when it was granted.
+    No operation begins before a renewal, as the time of the grant is unknown.
     """
     return replace(
         state,
--- a/sabledyke/lease/holder_release.py
+++ b/sabledyke/lease/holder_release.py
@@ -1,6 +1,6 @@
-"""How a holder gives its lease up: released where no act is out, else kept for the act or left to expire.
+"""Release of a lease: immediate if no operation is in flight, else after its end or by expiry.
 
-Pure functions of the holder's state; ``holder`` decides when.
+Pure functions of the holder's state; ``holder`` decides when to call them.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def is_operation_in_flight(state: HolderState, now_ms: float) -> bool:
-    """Return whether an act counts as running now."""
+    """Return whether an operation counts as running now."""
     if state.operation_status is OperationStatus.UNRESOLVED:
         return now_ms < state.operation_covered_until_ms
     return state.operation_status is OperationStatus.RUNNING
@@ -29,7 +29,10 @@
 def release_after_operation(
     state: HolderState, times: LeaseTimes, now_ms: float, reason: HolderEvent
 ) -> Transition:
-    """Release the lease, or begin no act any more and wait for the end of the one that is out."""
+    """Release the lease now, or allow no further operation and wait for the one in flight.
+
+    An operation with an unknown outcome has no end to wait for: its lease is left to expire.
+    """
     if not is_operation_in_flight(state, now_ms):
         return release_now(state, times, now_ms, reason)
     if state.operation_status is OperationStatus.UNRESOLVED:
@@ -40,18 +43,18 @@
 
 
 def release_now(state: HolderState, times: LeaseTimes, now_ms: float, reason: HolderEvent) -> Transition:
-    """Stop acting and release the lease."""
+    """Stop operating and release the lease."""
     state, requests = send(stop_holding(state, times, now_ms), Release(state.token), now_ms)
     return Transition(state, requests, [reason])
 
 
 def leave_to_expire(state: HolderState, times: LeaseTimes, now_ms: float) -> HolderState:
-    """Stop acting and leave the lease to expire, as an act may still run under it."""
+    """Stop operating and leave the lease to expire, as an operation may still run under it."""
     return replace(stop_holding(state, times, now_ms), pending_request=None, abandoned_token=state.token)
 
 
 def stop_holding(state: HolderState, times: LeaseTimes, now_ms: float) -> HolderState:
-    """Stop acting, and leave the others one lease's time to acquire it."""
+    """Stop operating, and give the other instances one lease duration to acquire the lease."""
     is_stopping = state.phase is Phase.STOPPING
     return replace(
         state,
@@ -66,7 +69,7 @@
 
 
 def send(state: HolderState, request: LeaseRequest, now_ms: float) -> tuple[HolderState, list[SendRequest]]:
-    """Send a request under the next number, in place of one that waits for its reply."""
+    """Send a request under the next number; it replaces a pending one."""
     state = replace(
         state, pending_request=request, request_number=state.request_number + 1, requested_at_ms=now_ms
     )
--- a/sabledyke/lease/holder_state.py
+++ b/sabledyke/lease/holder_state.py
@@ -1,4 +1,4 @@
-"""The state of one instance's side of one lease, and what its transitions consist of."""
+"""State of one instance as holder of, or candidate for, one lease, and the results of its transitions."""
 
 from __future__ import annotations
 
@@ -11,12 +11,20 @@
 
 
 class Phase(Enum):
-    """What the holder is doing."""
+    """Phase of a holder.
+
+    Attributes:
+        WATCHING: It checks the lease and acquires it when it may.
+        HOLDING: It holds the lease and may begin operations.
+        RELEASING: An operation is in flight; no other begins, and its end is followed by the release.
+        STOPPING: As in ``RELEASING``, but the holder stops permanently after the release.
+        STOPPED: It no longer sends requests.
+    """
 
     WATCHING = "watching"
     HOLDING = "holding"
-    RELEASING = "giving up"  # an act is out: no other begins, and the lease is released once it has ended
-    STOPPING = "stopping"  # the same, and then it stops for good
+    RELEASING = "giving up"
+    STOPPING = "stopping"
     STOPPED = "ended"
 
 
@@ -24,30 +32,48 @@
 
 
 class OperationStatus(Enum):
-    """What is known of the holder's last act."""
+    """Status of the holder's last operation.
 
-    COMPLETED = "completed"  # its answer came, or it was never sent; also before the first act
+    Attributes:
+        COMPLETED: It was answered, or never sent; also the status before the first operation.
+        RUNNING: It runs, or its answer is awaited.
+        UNRESOLVED: No answer arrived; it counts as running until the end of its lease.
+    """
+
+    COMPLETED = "completed"
     RUNNING = "running"
-    UNRESOLVED = "unresolved"  # no answer came: it counts as running until the end of its lease
+    UNRESOLVED = "unresolved"
 
 
 class HolderEvent(Enum):
-    """What is logged, and what the leader task is notified of."""
+    """Event in the life of a lease that is written to the log.
+
+    Attributes:
+        GRANTED: The lease was acquired, or is available again after it had expired.
+        RENEWED: The lease was renewed.
+        EXPIRED: It was not renewed in time; the holder stops operating and keeps sending requests.
+        LOST: Another process holds the lease, or none does.
+        RECALLED: The holder releases the lease on an operator's request.
+        RELEASED: The holder releases the lease as it stops, or after a wait for an operation.
+        WAITING_FOR_OPERATION: The holder waits for the end of an operation before it releases the lease.
+        ABANDONED: The lease is left to expire instead of released, as an operation may be in flight.
+        FENCED: The holder releases the lease, as a resource has seen a later token.
+    """
 
     GRANTED = "granted"
     RENEWED = "renewed"
-    EXPIRED = "lapsed"  # not renewed in time: it stops acting, and keeps requesting
-    LOST = "lost"  # another holds it, or nobody
-    RECALLED = "recalled"  # an operator wanted it released
+    EXPIRED = "lapsed"
+    LOST = "lost"
+    RECALLED = "recalled"
     RELEASED = "released"
-    WAITING_FOR_OPERATION = "waits for an act"  # to end, before the lease is released
-    ABANDONED = "left to expire"  # with an act out, so that it is not released
-    FENCED = "fenced"  # a resource knows a later token
+    WAITING_FOR_OPERATION = "waits for an act"
+    ABANDONED = "left to expire"
+    FENCED = "fenced"
 
 
 @dataclass(slots=True, frozen=True)
 class SendRequest:
-    """An action: send this request to the authority, and pass on its reply under this number."""
+    """Action to send a request to the authority; its reply is passed to the holder under this number."""
 
     number: int
     request: LeaseRequest
@@ -55,28 +81,29 @@
 
 @dataclass(slots=True, frozen=True)
 class HolderState:
-    """All that a holder knows; times are on its own clock, in ms.
+    """Complete state of a holder; times are in ms on its own clock.
 
     Attributes:
-        holder_id: The identifier that this instance holds the lease under.
-        phase: What it is doing.
-        token: The token of the lease that it holds.
-        acts_until_ms: It may act before this time.
-        acting: Whether the leader task was last notified that it may act.
-        act_status: What is known of the last act.
-        act_covered_until_ms: The end of the lease that the last act runs under, as far as was known while it
-            ran.
-        abandoned_token: The token of a lease that was left to expire; 0 for none.
-        seen_version: The version of the lease when it was last seen.
-        seen_free: Whether it was free then.
-        unchanged_since_ms: Since when it has been seen at that version.
-        seen_ttl_ms: How long its holder may rely on it, as far as is known.
-        pending_request: The request that waits for a reply.
-        request_number: The number of the latest request.
-        requested_at_ms: When that was sent.
-        next_request_at_ms: When to send the next one.
-        acquire_not_before_ms: It was recalled, and acquires nothing before this time.
-        consecutive_failures: How many requests in a row have failed.
+        holder_id: Identifier that this instance holds the lease under.
+        phase: Current phase.
+        token: Token of the lease that it holds.
+        may_operate_until_ms: Time before which it may operate.
+        operating: True if the last event reported that the holder may operate.
+        operation_status: Status of the last operation.
+        operation_covered_until_ms: End of the lease that covers the last operation; each renewal while the
+            operation runs extends it.
+        abandoned_token: Token of a lease that was left to expire; 0 for none.
+        seen_version: Version of the lease at the last inspection.
+        seen_free: True if the lease was free at the last inspection.
+        unchanged_since_ms: Time since which the lease has been seen at ``seen_version``.
+        seen_ttl_ms: Duration of the current holder's lease; 0 if unknown.
+        pending_request: Request that waits for a reply.
+        request_number: Number of the latest request.
+        requested_at_ms: Time at which the latest request was sent.
+        next_request_at_ms: Time at which the next request is due.
+        acquire_not_before_ms: Time before which this instance does not acquire the lease again, so that
+            another instance can.
+        consecutive_failures: Number of consecutive failed requests.
     """
 
     holder_id: str
@@ -100,12 +127,12 @@
 
     @property
     def is_releasing(self) -> bool:
-        """Whether it holds the lease for the act that is out alone, and begins no other."""
+        """True if the lease is held only until the operation in flight ends, and no other begins."""
         return self.phase in HOLDING_PHASES and self.phase is not Phase.HOLDING
 
 
 class Transition(NamedTuple):
-    """The result of an input: the new state, and what is to be carried out in this order."""
+    """Result of an input: the new state, and the requests and events that follow, each in order."""
 
     state: HolderState
     requests: list[SendRequest]
--- a/sabledyke/lease/holder_watch.py
+++ b/sabledyke/lease/holder_watch.py
@@ -1,6 +1,6 @@
-"""When a holder that watches a lease looks at it again, and when it may acquire it.
+"""Timing of the checks of an instance that watches a lease, and the condition to acquire it.
 
-Pure functions of the holder's state; ``holder`` sends what follows.
+Pure functions of the holder's state; ``holder`` sends the requests.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 def may_acquire(state: HolderState, times: LeaseTimes, now_ms: float) -> bool:
     """Return whether a watcher may acquire the lease.
 
-    It was free, or was seen unchanged for a whole lease (where the authority does not expire it).
+    The lease must be free. If the authority does not track its expiry, it may also have been seen unchanged
+    for its whole duration.
     """
     if now_ms < state.acquire_not_before_ms:
         return False
@@ -25,7 +26,7 @@
 
 
 def next_check_at_ms(state: HolderState, times: LeaseTimes, now_ms: float, jitter: float) -> float:
-    """When a watcher sends its next request, after it has seen the lease at ``now_ms``."""
+    """Return the time of a watcher's next request, after it has seen the lease at ``now_ms``."""
     if state.seen_free and now_ms >= state.acquire_not_before_ms:
         return now_ms + jitter * times.renew_interval_ms * ACQUIRE_JITTER_RENEW_INTERVALS
     next_at_ms = now_ms + times.renew_interval_ms * (0.5 + jitter / 2)
@@ -36,5 +37,8 @@
 
 
 def _expiry_wait_ms(state: HolderState, times: LeaseTimes) -> float:
-    """The holder's own time where that is longer, as new settings reach the instances one by one."""
+    """Return the time after which an unchanged lease counts as expired.
+
+    The holder's own TTL applies where it is longer: new settings reach the instances one by one.
+    """
     return max(times.ttl_ms, state.seen_ttl_ms)
--- a/sabledyke/lease/http_calls.py
+++ b/sabledyke/lease/http_calls.py
@@ -1,4 +1,4 @@
-"""One HTTP POST over Tornado's client, which the caller may cancel at any time."""
+"""HTTP POST requests over Tornado's client that the caller may cancel at any time."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     """Send a POST request.
 
     Args:
-        client: The client to send it with.
-        url: Where it is sent.
-        body: The body of the request.
-        timeout_s: The limit for connecting, and for the whole call.
-        headers: Further headers of the request.
+        client: Client that sends the request.
+        url: URL of the request.
+        body: Body of the request.
+        timeout_s: Limit in seconds for connecting, and for the whole call.
+        headers: Additional headers of the request.
 
     Returns:
-        The response, of status 200.
+        The response; its status is 200.
 
     Raises:
-        HTTPError: Any other status, or no response; Tornado's own type.
+        HTTPError: The status is not 200, or no response arrived; Tornado's own type.
     """
     future = client.fetch(
         url,
@@ -36,11 +36,11 @@
         request_timeout=timeout_s,
     )
     future.add_done_callback(_retrieve_exception)
-    # When the caller is cancelled, the call ends by its own timeout, and nobody waits for it.
+    # If the caller is cancelled, the call continues in the background until it ends or times out.
     return await asyncio.shield(future)
 
 
 def _retrieve_exception(future: asyncio.Future[Any]) -> None:
-    """Mark the exception as retrieved, as asyncio logs those that nobody has looked at."""
+    """Mark the exception as retrieved; asyncio logs exceptions that are never retrieved."""
     if not future.cancelled():
         future.exception()
--- a/sabledyke/lease/leader_tasks.py
+++ b/sabledyke/lease/leader_tasks.py
@@ -1,8 +1,9 @@
-"""What the holder of a lease does: work on the record, or a call to a service that does the work.
+"""Leader tasks: maintenance of the record, or a call to a service that does the work.
 
-Each run is one act (``LeaseManager.operation``): the lease is not released before it has ended. Each step requests
-the token from the lease manager just before it acts, and its effect is fenced: the record's database rejects
-a step under an older token than one it has seen (``fencing``), and a called service answers 409.
+Each run is one operation (``LeaseManager.operation``), and the lease is not released before it has ended.
+Each step gets the token from the lease manager immediately before it takes effect. Effects are fenced: the
+record's database rejects a step whose token is older than one it has seen (``fencing``), and a called service
+answers 409.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 from sabledyke.store.database_errors import DatabaseError, DatabaseErrorKind, StoreError
 from sabledyke.store.section import Target
 
-CONNECTION_LINGER_S = 10.0  # after which the connection of a call that nobody waits for is closed
+CONNECTION_LINGER_S = 10.0  # time limit for a call whose response is no longer awaited
 RETRY_DELAY_S = 0.5
 MAX_LOGGED_FINDINGS = 4
 HTTP_CONFLICT = 409
@@ -36,17 +37,17 @@
 
 
 class TokenSource(Protocol):
-    """What an action needs of a lease manager."""
+    """Interface of a lease manager that actions use."""
 
     @property
     def holder_id(self) -> str:
-        """The identifier that the lease is held under."""
+        """Identifier that the lease is held under."""
 
     def current_token(self) -> int:
-        """See ``LeaseManager.current_token``."""
+        """Return the token of the held lease, or raise LeaseLostError."""
 
     def current_lease(self) -> HeldLease:
-        """See ``LeaseManager.current_lease``."""
+        """Return the token and the times of the held lease, or raise LeaseLostError."""
 
 
 Action = Callable[[TokenSource], Awaitable[None]]
@@ -58,7 +59,7 @@
 ) -> None:
     """Run a leader task whenever it is due and the lease is held, until cancelled.
 
-    The authority stores when it was last completed, so that a new holder goes on where the last one was.
+    The authority stores the time of the last completion, so that a new holder continues the schedule.
     """
     while True:
         await manager.leading.wait()
@@ -89,7 +90,7 @@
 
 
 def action_of(task: LeaderTask, record: Target | None) -> Action:
-    """Return what one run of this task does, under its lease."""
+    """Return the action of one run of this task; it is called under the task's lease."""
     if task.kind == "call":
         return lambda manager: _call_service(task, manager)
     assert record is not None
@@ -103,8 +104,8 @@
     """Present the token to the record's database.
 
     Raises:
-        Refused: The database has seen a later token.
-        StoreFault: It did not answer.
+        FencedError: The database has seen a later token.
+        DatabaseError: The database did not answer, or failed in another way.
     """
     session = await connect(target, create=False)
     try:
@@ -114,7 +115,7 @@
             raise FencedError(f"{task_name}: the record has seen a token after {token}") from error
         if error.kind is not DatabaseErrorKind.SCHEMA:
             raise
-        await session.script([fencing.CREATE_TABLE_SQL])  # the first leader task on this record
+        await session.script([fencing.CREATE_TABLE_SQL])  # before the first leader task on this record
         await session.transact(fencing.token_check_steps(task_name, token))
     finally:
         await session.close()
@@ -126,7 +127,7 @@
 
 
 async def _check_record(task: LeaderTask, record: Target, manager: TokenSource, check: RecordCheck) -> None:
-    """Audit or reconcile: its findings count only if nobody else has begun meanwhile."""
+    """Audit or reconcile the record; its findings are valid only if no later holder has begun meanwhile."""
     findings: list[str] = []
     await check_fence(record, task.name, manager.current_token())
     passed = await check(record, findings.append)
@@ -137,9 +138,9 @@
 
 
 async def _back_up(task: LeaderTask, record: Target, manager: TokenSource) -> None:
-    """Copy the record under a name of its own.
+    """Copy the record to a new file.
 
-    The copy appears, and older ones are removed, only once the fence has accepted the token.
+    The copy gets its final name, and older copies are removed, only after the fence has accepted the token.
     """
     folder = Path(task.folder)
     token = manager.current_token()
@@ -155,7 +156,7 @@
     finally:
         unfinished.unlink(missing_ok=True)
     _remove_old_backups(task, folder, manager)
-    result = backup.name if passed else f"{backup.name}, whose record does not pass its audit"
+    result = backup.name if passed else f"{backup.name}, but the record did not pass its audit"
     _log_result(task, token, result, passed=passed)
 
 
@@ -171,15 +172,15 @@
 
 
 async def _call_service(task: LeaderTask, manager: TokenSource) -> None:
-    """Send one POST request, whose headers name the task, the holder and the token.
+    """Send one POST request with headers for the task, the holder and the token.
 
-    They also say when the request was sent, by the machine's monotonic clock, how long ago the lease was
-    confirmed and for how long its holder may still act, all in milliseconds: the call takes no longer. The
-    service answers 409 where it has seen a later token.
+    Further headers carry, in milliseconds, the time of sending by the machine's monotonic clock, the time
+    since the lease was confirmed, and the time in which the holder may still operate, which also limits the
+    call. The service answers 409 if it has seen a later token.
 
     Raises:
         FencedError: The service has seen a later token.
-        OperationUnresolvedError: No response came, so that the service may still work on it.
+        OperationUnresolvedError: No response arrived; the service may still be working on the request.
         HTTPError: The service answered with another status; Tornado's own type.
         OSError: The service cannot be reached.
     """
@@ -199,7 +200,7 @@
     except HTTPError as error:
         if error.code == NO_RESPONSE:
             raise OperationUnresolvedError(
-                f"{task.name}: no response in the {lease.remaining_ms:.0f} ms that were left: {error}"
+                f"{task.name}: no response within the remaining {lease.remaining_ms:.0f} ms: {error}"
             ) from error
         if error.code != HTTP_CONFLICT:
             raise
@@ -207,20 +208,20 @@
 
 
 async def _post_within(url: str, headers: Mapping[str, str], time_left_s: float) -> None:
-    """Send a POST request, and wait for its response as long as there is time.
+    """Send a POST request, and wait for its response at most ``time_left_s``.
 
     Raises:
-        HTTPError: Another status than 200, or no response; Tornado's own type.
+        HTTPError: The status is not 200, or no response arrived in time; Tornado's own type.
         OSError: The service cannot be reached.
     """
-    # A client of its own: a call that waited for those of other tasks would be sent under an older lease.
+    # A shared client would queue this call behind those of other tasks and send it with outdated lease times.
     client = AsyncHTTPClient(force_instance=True)
     call = asyncio.ensure_future(post(client, url, b"", time_left_s + CONNECTION_LINGER_S, headers))
     try:
         await asyncio.wait({call}, timeout=time_left_s)
         await asyncio.wait({call}, timeout=ANSWER_GRACE_S)
         if not call.done():
-            raise HTTPError(NO_RESPONSE, "it took too long")
+            raise HTTPError(NO_RESPONSE, "timed out")
         call.result()
     finally:
         call.cancel()
--- a/sabledyke/lease/manager.py
+++ b/sabledyke/lease/manager.py
@@ -1,7 +1,7 @@
-"""Drives one lease: carries out what ``holder`` decides, and lends it to the leader task for an act.
+"""Lease manager: executes the transitions of ``holder``, and runs the operations of the leader task.
 
-The default clock goes on while the machine sleeps (``CLOCK_BOOTTIME``) and while the process is paused;
-instances of the testbed may be given one that is off, and runs fast or slow.
+The default clock (``CLOCK_BOOTTIME``) advances while the machine is suspended and while the process is
+paused. Instances of the testbed may use a clock with an offset and a rate that differs from true time.
 """
 
 from __future__ import annotations
@@ -27,30 +27,30 @@
 
 Clock = Callable[[], float]
 
-# Between two looks at the clock: its rate may differ from that of the event loop's clock.
+# The clock is checked at least this often, as its rate may differ from that of the event loop's clock.
 MAX_CLOCK_CHECK_INTERVAL_S = 0.25
-# For an answer that came while this process was paused to be read, before its act is given up.
+# After a pause of the process, an answer that has already arrived is read before its operation is cancelled.
 ANSWER_GRACE_S = 0.05
 
 
 def boottime_ms() -> float:
-    """Return the milliseconds since the machine started, including those it was asleep for."""
+    """Return the milliseconds since the machine started, including time in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
 def skewed_clock(offset_ms: float, rate: float) -> Clock:
-    """Return a clock that is off by ``offset_ms``, and runs at ``rate`` times the true rate."""
+    """Return a clock with an offset of ``offset_ms`` that runs at ``rate`` times the true rate."""
     return lambda: boottime_ms() * rate + offset_ms
 
 
 @dataclass(frozen=True, slots=True)
 class HeldLease:
-    """A lease that is held.
+    """Data of a held lease at one moment.
 
     Attributes:
-        token: Its fencing token.
-        confirmed_for_ms: How long ago its latest confirmation by the authority was requested.
-        remaining_ms: For how long its holder may still act.
+        token: Fencing token of the lease.
+        confirmed_for_ms: Time since the request that the authority last confirmed the lease by.
+        remaining_ms: Time in which the holder may still operate.
     """
 
     token: int
@@ -59,15 +59,15 @@
 
 
 class LeaseManager:
-    """One instance's hold on one lease.
+    """Acquires and renews one lease for this instance.
 
     Attributes:
-        task_name: The leader task that the lease is for.
-        holder_id: The identifier that this instance holds the lease under.
-        times: The times of the lease.
-        state: The state of the holder.
-        leading: Set while an act may begin, as far as was noticed.
-        idle: Set while no act runs in this process.
+        task_name: Name of the leader task that the lease is for.
+        holder_id: Identifier that this instance holds the lease under.
+        times: Times of the lease.
+        state: State of the holder.
+        leading: Set while an operation may begin, as of the last update.
+        idle: Set while no operation runs in this process.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         seed: int,
         clock: Clock = boottime_ms,
     ) -> None:
-        """Make a manager that holds nothing yet; ``run`` begins to acquire the lease."""
+        """Create a manager without a lease; ``run`` begins to acquire it."""
         self.task_name = task_name
         self.holder_id = holder_id
         self.times = replace(times, authority_tracks_expiry=authority.tracks_expiry)
@@ -96,17 +96,16 @@
 
     @contextlib.asynccontextmanager
     async def operation(self) -> AsyncIterator[HeldLease]:
-        """Run the body as one act under the lease, which is not released before the act has ended.
+        """Run the body as one operation under the lease, which is not released before the operation ends.
 
-        The body is cancelled when the lease ends. It raises ``OperationUnresolvedError`` where it cannot tell
-        whether the act has ended; the act then counts as running until the end of the lease, as it does where
-        the body is cancelled.
+        The body is cancelled when the lease ends. It raises ``OperationUnresolvedError`` if the outcome of
+        the operation is unknown. In both cases the operation counts as running until the end of the lease.
 
         Raises:
-            LeaseLostError: No act may begin now, or the lease has ended under this one.
+            LeaseLostError: No operation may begin now, or the lease has ended during this one.
         """
         if not holder.may_begin_operation(self.state, self._clock()):
-            raise LeaseLostError(f"the lease {self.task_name} is not held for another act")
+            raise LeaseLostError(f"the lease {self.task_name} allows no further operation now")
         lease = self.current_lease()
         self._apply(holder.on_operation_begun(self.state, self.times))
         self.idle.clear()
@@ -118,7 +117,7 @@
             is_completed = True
         except Exception as error:
             if timeout.expired():
-                raise LeaseLostError(f"the lease {self.task_name} ended before its act") from error
+                raise LeaseLostError(f"the lease {self.task_name} ended before its operation") from error
             is_completed = not isinstance(error, OperationUnresolvedError)
             raise
         finally:
@@ -134,18 +133,18 @@
         self._changed.set()
 
     def current_token(self) -> int:
-        """Return the token to act under. To be called before every step.
+        """Return the token of the held lease; call this before every step.
 
         Raises:
-            LeaseLostError: This instance may not act now.
+            LeaseLostError: This instance may not operate now.
         """
         return self.current_lease().token
 
     def current_lease(self) -> HeldLease:
-        """Return what is known of the lease, to act under it now. To be called before every step.
+        """Return the token and the times of the held lease; call this before every step.
 
         Raises:
-            LeaseLostError: This instance may not act now.
+            LeaseLostError: This instance may not operate now.
         """
         now_ms = self._clock()
         if not holder.may_operate(self.state, now_ms):
@@ -154,7 +153,7 @@
         return HeldLease(self.state.token, self.times.operating_window_ms - remaining_ms, remaining_ms)
 
     def recheck(self) -> None:
-        """Have the clock checked now, and ``leading`` updated: a step found that it may not act."""
+        """Check the clock and update ``leading`` now, after a step was not allowed to operate."""
         self.leading.clear()
         self._changed.set()
 
@@ -164,7 +163,7 @@
         self._changed.set()
 
     async def run(self) -> None:
-        """Acquire the lease and keep it, until ``stop``."""
+        """Acquire and renew the lease until ``stop`` is called and the lease is released."""
         while self.state.phase is not Phase.STOPPED:
             self._changed.clear()
             now_ms = self._clock()
@@ -175,12 +174,12 @@
                     await self._changed.wait()
 
     def begin_release(self) -> None:
-        """Begin no act any more, for good, and release what is held once no act is out."""
+        """Begin no further operation, and release a held lease as soon as no operation is in flight."""
         self._apply(holder.on_stop(self.state, self.times, self._clock()))
         self._changed.set()
 
     async def stop(self) -> None:
-        """Give up, once no act runs in this process, and wait as long as one request may take."""
+        """Release the lease when no operation runs in this process, and wait for pending requests to end."""
         self.begin_release()
         if self._requests:
             await asyncio.wait(self._requests)
@@ -211,7 +210,7 @@
         self._changed.set()
 
     def _log_failure(self, action: SendRequest, error: Exception, duration_ms: float) -> None:
-        """Log what was requested and how long it took: a slow authority, or one that is not reached?"""
+        """Log the kind and duration of a failed request; a long duration indicates a slow authority."""
         request = type(action.request).__name__.lower()
         log.emit(
             "lease",
@@ -223,7 +222,7 @@
         )
 
     def _update_flags(self) -> None:
-        """Tell the leader task whether an act may begin, and end the one whose lease has ended."""
+        """Update ``leading``, and schedule the cancellation of an operation whose lease has ended."""
         now_ms = self._clock()
         if holder.may_begin_operation(self.state, now_ms):
             self.leading.set()
@@ -234,7 +233,9 @@
             timeout.reschedule(asyncio.get_running_loop().time() + ANSWER_GRACE_S)
 
     def _publish(self, event: HolderEvent) -> None:
-        if event is HolderEvent.RENEWED:  # too frequent for the log; ``lease status`` shows it
+        if (
+            event is HolderEvent.RENEWED
+        ):  # too frequent for the log; ``lease status`` shows the remaining time
             return
         log.emit_change(
             "lease",
--- a/sabledyke/lease/section.py
+++ b/sabledyke/lease/section.py
@@ -1,6 +1,6 @@
 """The operator's section ``[lease]``: the authority, the times, and the leader tasks.
 
-It is checked as a whole, at the start and on SIGHUP; every error is one plain line.
+The whole section is checked at startup and on SIGHUP; every error message is a single line.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Endpoint(NamedTuple):
-    """What a leader task of kind ``call`` sends its request to."""
+    """Address and path of the service that a leader task of kind ``call`` sends its request to."""
 
     host: str = ""
     port: int = 0
@@ -38,15 +38,15 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaderTask:
-    """A periodic task that one process of the fleet does at a time.
+    """Periodic task that only one process of the fleet runs at a time.
 
     Attributes:
-        name: The name of the task, and of its lease.
+        name: Name of the task, and of its lease.
         kind: ``audit``, ``reconcile``, ``backup`` or ``call``.
-        interval_ms: The time between two runs, counted for the whole fleet.
-        folder: Where a backup is written.
-        keep: How many backups are retained there.
-        endpoint: What is called.
+        interval_ms: Time between two runs, counted for the whole fleet.
+        folder: Directory that backups are written to.
+        keep: Number of backups retained there.
+        endpoint: Called service.
     """
 
     name: str
@@ -59,16 +59,16 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseSection:
-    """The settings of ``[lease]``.
+    """Settings of the section ``[lease]``.
 
     Attributes:
-        path: The authority's SQLite file, or "".
-        etcd_endpoints: Addresses of the authority's etcd servers, or none.
-        prefix: What all keys in etcd begin with.
-        times: The times of all leases.
-        leader_tasks: The tasks that this instance is a candidate for.
-        clock_offset_ms: By how much this instance's clock is off, for experiments.
-        clock_rate: At how many times the true rate it runs, for experiments.
+        path: SQLite file of the authority, or "".
+        etcd_endpoints: Addresses of the authority's etcd servers; empty for none.
+        prefix: Prefix of all keys in etcd.
+        times: Times of all leases.
+        leader_tasks: Tasks that this instance is a candidate for.
+        clock_offset_ms: Offset of this instance's clock in ms, for experiments.
+        clock_rate: Rate of this instance's clock as a multiple of the true rate, for experiments.
     """
 
     path: str = ""
@@ -80,12 +80,12 @@
     clock_rate: float = 1.0
 
     def __str__(self) -> str:
-        """Return the authority and the number of leader tasks, for the log."""
+        """Return the authority and the number of leader tasks for log messages."""
         authority = self.path or f"etcd at {', '.join(self.etcd_endpoints)}"
         return f"{authority}, {len(self.leader_tasks)} duties"
 
     def has_same_authority(self, other: LeaseSection) -> bool:
-        """Return whether both name the same authority."""
+        """Return whether both sections use the same authority."""
         return (self.path, self.etcd_endpoints, self.prefix) == (
             other.path,
             other.etcd_endpoints,
@@ -94,7 +94,7 @@
 
 
 class LeaderTaskTable(Table, frozen=True, kw_only=True):
-    """A leader task as the file has it."""
+    """Leader task in the form of the operator's file."""
 
     name: str
     kind: Literal["audit", "reconcile", "backup", "call"]
@@ -104,10 +104,10 @@
     keep: Annotated[int, Meta(ge=1, le=1000)] = 7
 
     def __post_init__(self) -> None:
-        """Check the keys against each other.
+        """Check that the keys are consistent.
 
         Raises:
-            ValueError: They do not fit; ``convert`` makes it an OperatorError.
+            ValueError: The keys contradict each other; ``convert`` turns this into an OperatorError.
         """
         if not self.name or not name_like(self.name):
             raise ValueError(f"name {NAME_RULE}")
@@ -116,18 +116,18 @@
         has_wrong_folder = bool(self.folder) != (self.kind == "backup")
         has_wrong_url = bool(self.url) and self.kind != "call"
         if has_wrong_folder or has_wrong_url:
-            raise ValueError("a backup names its folder, a call its url, and no other duty one of them")
+            raise ValueError("folder must be set for a backup and no other kind, url for no kind but call")
 
 
 class ClockTable(Table, frozen=True, kw_only=True):
-    """The clock of an experiment, as the file has it."""
+    """Clock settings of an experiment in the form of the operator's file."""
 
     offset_ms: float = 0.0
     rate: Annotated[float, Meta(ge=0.5, le=2)] = 1.0
 
 
 class LeaseTable(Table, frozen=True, kw_only=True):
-    """The section as the file has it."""
+    """Section ``[lease]`` in the form of the operator's file."""
 
     path: str = ""
     etcd: tuple[str, ...] = ()
@@ -144,15 +144,15 @@
     """Read and check the section.
 
     Args:
-        data: The section's table.
-        record: The record of ``[store]``, which some leader tasks work on.
+        data: Parsed table of the section.
+        record: Record of ``[store]``, which some leader tasks work on.
 
     Returns:
-        The settings; None where there is no such section.
+        The settings; None if there is no such section.
 
     Raises:
-        OperatorError: The section cannot be used.
-        ListError: An address in it cannot be read.
+        OperatorError: The section is invalid.
+        ListError: An address in the section is invalid.
     """
     if not data:
         return None
@@ -181,14 +181,14 @@
 
 
 def load(path: str) -> LeaseSection:
-    """Read the section alone from an operator's file, as the lease commands do.
+    """Read only this section from an operator's file, for the lease commands.
 
     Raises:
-        OperatorError: The file or the section cannot be used.
+        OperatorError: The file or the section is invalid.
     """
 
     def lease_of(data: dict[str, Any]) -> LeaseSection | None:
-        record = Target(path="any") if "store" in data else None  # what leader tasks work on is not opened
+        record = Target(path="any") if "store" in data else None  # a placeholder; the record is not opened
         return read(data.get("lease", {}), record)
 
     return section_from(path, "lease", lease_of)
@@ -207,15 +207,15 @@
     times = section.times
     max_renew_interval_ms = times.operating_window_ms / MIN_RENEWALS_PER_OPERATING_WINDOW
     if not MIN_RENEW_INTERVAL_MS <= times.renew_interval_ms <= max_renew_interval_ms:
-        window = f"ttl_ms leaves {times.operating_window_ms:.0f} ms to act in after drift and margin_ms"
+        window = f"ttl_ms leaves {times.operating_window_ms:.0f} ms to operate in after drift and margin_ms"
         raise OperatorError(f"lease: {window}, and renew_ms must be from 10 to half of that")
     if section.etcd_endpoints and times.ttl_ms % 1000:
-        raise OperatorError("lease.ttl_ms must be whole seconds with etcd, which counts them so")
+        raise OperatorError("lease.ttl_ms must be whole seconds with etcd, whose leases last whole seconds")
 
 
 def _leader_task(row: LeaderTaskTable, where: str, record: Target | None) -> LeaderTask:
     if row.kind != "call" and record is None:
-        raise OperatorError(f"{where}: {row.kind} works on a record, and [store] names none")
+        raise OperatorError(f"{where}: {row.kind} requires a record, but [store] is missing")
     return LeaderTask(
         name=row.name,
         kind=row.kind,
--- a/sabledyke/lease/sql_authority.py
+++ b/sabledyke/lease/sql_authority.py
@@ -1,9 +1,10 @@
-"""The embedded authority: one row for each lease, in SQLite (or PostgreSQL), each request one transaction.
+"""Authority in SQLite or PostgreSQL: one row for each lease, and one transaction for each request.
 
-The row holds no time that a decision depends on: a process that wants a lease must see its row unchanged for
-a whole lease on a clock of its own. So clocks may differ as they like, and a restart of the database changes
-nothing. Tokens only rise, as a row is never deleted. The file is in WAL mode, and each transaction a ``BEGIN
-IMMEDIATE``; an inspection needs none, so that watchers neither wait for a lock nor hold one.
+The row holds no time that a decision depends on: a process acquires a held lease only after it has seen the
+row unchanged for the lease's duration on its own clock. Clocks may therefore have any offset, and a restart
+of the database has no effect. Tokens only rise, as a row is never deleted. The file is in WAL mode, and each
+transaction begins with ``BEGIN IMMEDIATE``; an inspection needs no transaction, so that watchers neither wait
+for a lock nor hold one.
 """
 
 from __future__ import annotations
@@ -67,25 +68,25 @@
 
 
 class SqlAuthority:
-    """An authority in a database; see ``types.Authority``."""
+    """Authority in a database."""
 
     tracks_expiry = False
 
     def __init__(self, target: Target, ttl_ms: float) -> None:
-        """Make an authority in this database; ``open`` connects to it."""
+        """Create an authority in this database; ``open`` connects to it."""
         self.target = target
         self._ttl_ms = int(ttl_ms)
         self._session: Session | None = None
-        self._connecting = asyncio.Lock()  # guards against two requests that each open a connection
+        self._connecting = asyncio.Lock()  # prevents concurrent requests from opening two connections
 
     async def open(self) -> None:
-        """Make the table where it is missing.
+        """Create the table if it is missing.
 
-        Guards against a start that fails because another process is paused inside its transaction: a table
-        that does not answer now is requested again, and made when the database first answers.
+        A transient failure is ignored, for example a lock held by a process that is paused inside its
+        transaction: the start goes on, and the table is created when the database first answers.
 
         Raises:
-            StoreError: The table cannot be made.
+            StoreError: The table cannot be created.
         """
         try:
             session = await self._connected_session()
@@ -96,7 +97,7 @@
                 raise StoreError(f"lease {self.target}: {error}") from error
 
     async def request(self, task_name: str, holder_id: str, request: LeaseRequest) -> LeaseReply:
-        """See ``types.Authority``."""
+        """Execute a request as one statement or one transaction."""
         match request:
             case Inspect():
                 return _decode_status(await self._query(STATUS_SQL, task_name))
@@ -121,16 +122,16 @@
                 return status
 
     async def record_completion(self, task_name: str, token: int, at_unix_ms: int) -> bool:
-        """See ``types.Authority``."""
+        """Store the completion time in the lease's row if the token is the latest one."""
         return bool(await self._change(RECORD_COMPLETION_SQL, task_name, token, at_unix_ms))
 
     async def last_completed_unix_ms(self, task_name: str) -> int:
-        """See ``types.Authority``."""
+        """Return the completion time of the lease's row; 0 for never."""
         rows = await self._query(LAST_COMPLETED_SQL, task_name)
         return int(rows[0][0]) if rows else 0
 
     async def list_leases(self) -> list[LeaseSummary]:
-        """See ``types.Authority``."""
+        """Return all leases, with the remaining time by the wall clock."""
         now_ms = time.time() * 1000
         return [
             LeaseSummary(
@@ -147,17 +148,20 @@
         ]
 
     async def recall(self, task_name: str, *, at_once: bool) -> bool:
-        """See ``types.Authority``."""
+        """Mark the lease's row as recalled, or free it immediately."""
         return bool(await self._change(FREE_SQL if at_once else RECALL_SQL, task_name))
 
     async def close(self) -> None:
-        """See ``types.Authority``."""
+        """Close the database session."""
         if self._session is not None:
             await self._session.close()
             self._session = None
 
     async def _change_and_read(self, sql: str, *values: Value) -> tuple[list[Row], LeaseStatus]:
-        """Change a lease, and read its status in the same transaction; ``values`` begin with its name."""
+        """Change a lease, and read its status in the same transaction.
+
+        The first of ``values`` must be the name of the leader task.
+        """
         steps = [Step(sql, [values]), Step(STATUS_SQL, [values[:1]])]
         changed, found = await self._run(lambda session: session.transact(steps))
         return changed, _decode_status(found)
@@ -183,7 +187,7 @@
         except DatabaseError as error:
             if error.kind is not DatabaseErrorKind.SCHEMA:
                 raise
-        await session.script([CREATE_TABLE_SQL])  # it could not be made at the start
+        await session.script([CREATE_TABLE_SQL])  # the table could not be created at the start
         return await operation(session)
 
     async def _connected_session(self) -> Session:
@@ -193,14 +197,14 @@
             return self._session
 
     def _discard_session(self) -> None:
-        """Guards against a late answer to one request being taken for that of the next."""
+        """Abort the session, so that a late answer to one request is not taken for that of the next."""
         if self._session is not None:
             self._session.abort()
             self._session = None
 
 
 def _decode_status(rows: list[Row]) -> LeaseStatus:
-    """Decode the rows of ``STATUS_SQL``; there is none for a lease that nobody ever held."""
+    """Decode the rows of ``STATUS_SQL``; a lease that was never held has none."""
     if not rows:
         return UNACQUIRED_STATUS
     token, renewals, holder, ttl_ms = rows[0]
--- a/sabledyke/lease/types.py
+++ b/sabledyke/lease/types.py
@@ -1,4 +1,4 @@
-"""Lease times, the requests a holder sends to the authority, and the replies. Plain data.
+"""Lease times, the requests that a holder sends to the authority, and the replies, as plain data.
 
 All times are milliseconds on the clock of the process that measures them; clocks of different processes are
 never compared. Sources: Gray and Cheriton, 'Leases' (SOSP 1989), for the bound on clock rates; Burrows, 'The
@@ -13,7 +13,7 @@
 
 
 class LeaseVersion(NamedTuple):
-    """Identifies one state of a lease: every acquisition and every renewal changes it."""
+    """Version of a lease; every acquisition and every renewal changes it."""
 
     token: int
     renewals: int
@@ -24,16 +24,17 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseTimes:
-    """How long a lease lasts, and how far clocks are trusted.
+    """Durations of a lease, and the bound on clock drift that they rely on.
 
     Attributes:
-        ttl_ms: A lease that is not renewed for this long may be acquired by another process.
-        renew_interval_ms: How often a holder renews, and the others check, approximately.
-        safety_margin_ms: How long before the end of its lease a holder stops acting, which leaves time for a
-            step that it has begun.
-        max_clock_drift: The rate of any clock differs from true time by at most this fraction.
-        authority_tracks_expiry: Whether the authority expires leases by its own clock. Otherwise a process
-            that wants a lease waits until it has seen it unchanged for the whole time.
+        ttl_ms: Time after its last renewal from which another process may acquire the lease.
+        renew_interval_ms: Approximate time between two renewals by the holder, and between two checks by the
+            other instances.
+        safety_margin_ms: Time before the end of its lease at which a holder stops operating, so that a step
+            already in progress can finish.
+        max_clock_drift: Largest fraction by which the rate of any clock differs from true time.
+        authority_tracks_expiry: True if the authority expires leases by its own clock. Otherwise a process
+            acquires a held lease only after it has seen it unchanged for the whole ``ttl_ms``.
     """
 
     ttl_ms: float = 3000.0
@@ -44,10 +45,10 @@
 
     @property
     def operating_window_ms(self) -> float:
-        """For how long after its request a holder may act.
+        """Time in ms, counted from the request for a grant or renewal, in which the holder may operate.
 
-        The holder's clock may be slow, and the one that expires its lease fast. While ``ttl_ms`` pass there,
-        at least (1 - drift) / (1 + drift) of it pass here.
+        The holder's clock may be slow, and the clock that expires its lease may be fast. While ``ttl_ms``
+        pass on the fast one, at least (1 - drift) / (1 + drift) of that time pass on the slow one.
         """
         slowest_rate = (1 - self.max_clock_drift) / (1 + self.max_clock_drift)
         return self.ttl_ms * slowest_rate - self.safety_margin_ms
@@ -60,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Acquire:
-    """Acquire the lease, if it is still at the version that was seen."""
+    """Acquire the lease, if its version is still the one that was seen."""
 
     version: LeaseVersion
 
@@ -84,13 +85,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseStatus:
-    """The status of a lease: the reply to ``Inspect``, and to any other request that was not granted.
+    """Status of a lease: the reply to ``Inspect``, and to any other request that was not granted.
 
     Attributes:
-        version: The version of the lease.
-        holder: The holder's identifier, "" for none.
-        is_free: Whether it may be acquired at once.
-        ttl_ms: How long its holder may rely on it, where that is known.
+        version: Version of the lease.
+        holder: Identifier of the holder, "" for none.
+        is_free: True if the lease may be acquired immediately.
+        ttl_ms: Duration of the holder's lease in ms; 0 if unknown.
     """
 
     version: LeaseVersion
@@ -104,14 +105,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Granted:
-    """The reply to ``Acquire``: the lease is held, under a token higher than any before."""
+    """Reply to ``Acquire``: the lease is held, under a token higher than any earlier one."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Renewed:
-    """The reply to ``Renew``; ``recalled`` where an operator wants the lease released."""
+    """Reply to ``Renew``; ``recalled`` is true if an operator has requested the lease's release."""
 
     recalled: bool = False
 
@@ -121,15 +122,15 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseSummary:
-    """A lease as operators see it.
+    """Lease as shown to operators.
 
     Attributes:
-        task_name: The leader task that the lease is for.
-        holder: The holder's identifier, "" for none.
-        token: The highest token that was granted.
+        task_name: Name of the leader task that the lease is for.
+        holder: Identifier of the holder, "" for none.
+        token: Highest token that was granted.
         remaining_ms: Time left by the authority's clock or the wall clock; no decision depends on it.
-        recalled: Whether an operator wants it released.
-        last_completed_unix_ms: When the task was last completed; 0 for never.
+        recalled: True if an operator has requested its release.
+        last_completed_unix_ms: Time of the task's last completion; 0 for never.
     """
 
     task_name: str
@@ -141,49 +142,53 @@
 
 
 class Authority(Protocol):
-    """The service that stores leases. It executes each request as one atomic step, or not at all."""
+    """Service that stores leases and executes each request atomically.
 
-    tracks_expiry: bool  # see ``LeaseTimes.authority_tracks_expiry``
+    Attributes:
+        tracks_expiry: Value for ``LeaseTimes.authority_tracks_expiry``.
+    """
+
+    tracks_expiry: bool
 
     async def open(self) -> None:
-        """Prepare for use.
+        """Prepare the authority for requests.
 
         Raises:
-            ConfigError: It cannot be used as it is configured.
+            ConfigError: The authority cannot be used as configured.
         """
 
     async def request(self, task_name: str, holder_id: str, request: LeaseRequest) -> LeaseReply:
         """Execute a request on the lease of a leader task.
 
         Raises:
-            AuthorityError: It is not known whether the request was executed.
+            AuthorityError: No usable reply arrived; the request may have been executed.
         """
 
     async def record_completion(self, task_name: str, token: int, at_unix_ms: int) -> bool:
-        """Record when the task was completed.
+        """Record the time at which the task was completed.
 
         Returns:
-            False where the token is not the latest one, so that nothing was recorded.
+            False if the token is not the latest one; nothing is recorded then.
         """
 
     async def last_completed_unix_ms(self, task_name: str) -> int:
-        """Return when the task was last completed; 0 for never.
+        """Return the time of the task's last completion; 0 for never.
 
-        It only schedules the next run; safety does not depend on it.
+        The value only schedules the next run; safety does not depend on it.
         """
 
     async def list_leases(self) -> list[LeaseSummary]:
-        """Return every lease, for operators."""
+        """Return all leases, for display to operators."""
 
     async def recall(self, task_name: str, *, at_once: bool) -> bool:
-        """Have its holder release a lease at its next renewal, or free it at once.
+        """Request the release of a lease at its holder's next renewal, or free it immediately.
 
-        After it was freed at once, the former holder may act until its next renewal; only fencing separates
-        the two.
+        After an immediate release the former holder may operate until its next renewal, possibly at the same
+        time as a new holder; only fencing then rejects its writes.
 
         Returns:
-            False where nobody holds it.
+            False if no process holds the lease.
         """
 
     async def close(self) -> None:
-        """Close what is open."""
+        """Close the connections to the authority."""
--- a/tests/lease/test_operations.py
+++ b/tests/lease/test_operations.py
@@ -116,7 +116,7 @@
         await extension.open()
         await extension.managers[0].leading.wait()
         token_before = extension.managers[0].current_token()
-        with pytest.raises(ConfigError, match="takes a restart"):
+        with pytest.raises(ConfigError, match="the lease authority differs; a change requires a restart"):
             extension.check_operator_config(operator("other"))
         extension.check_operator_config(second)
         extension.apply_operator_config(second)
--- a/tests/lease/test_section.py
+++ b/tests/lease/test_section.py
@@ -1,4 +1,4 @@
-"""The operator's section ``[lease]``."""
+"""Tests of the operator's section ``[lease]``."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
         ({"margin_ms": 2500}, "renew_ms must be from 10 to half"),
         ({"drift": 0.5}, "lease.drift must be a number <= 0.2, not 0.5"),
         ({"duty": [CALL, CALL]}, "same name"),
-        ({"duty": [{"name": "d", "kind": "audit", "every_s": 1}]}, "works on a record"),
+        ({"duty": [{"name": "d", "kind": "audit", "every_s": 1}]}, "audit requires a record"),
         ({"duty": [CALL | {"name": "a/b"}]}, "name must be"),
         ({"duty": [CALL | {"url": "ftp://h:1/"}]}, "must begin with http"),
         ({"clock": {"rate": 9}}, "lease.clock.rate"),
         ({"more": 1}, "lease.more is not known"),
     ],
 )
-def test_a_section_that_cannot_be_used_is_one_plain_line(change: dict[str, Any], said: str) -> None:
+def test_an_invalid_section_is_reported_as_a_single_line(change: dict[str, Any], said: str) -> None:
     assert section.read(GOOD, None) is not None
     with pytest.raises((OperatorError, ListError)) as error:
         section.read(GOOD | change, None)
