--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -48,7 +48,7 @@
             for _ in range(POLLS_PER_BEAT):
                 self.now_ms += timing.beat_ms / POLLS_PER_BEAT
                 self.poll(self.published(number))
-        assert self.allocator.is_fresh(self.now_ms)
+        assert self.allocator.may_exceed_floor(self.now_ms)
 
     def published(self, number: int) -> Mapping[str, tuple[int, Demands]]:
         """Return what the other members have published in this beat."""
--- a/sabledyke/lease/manager.py
+++ b/sabledyke/lease/manager.py
@@ -233,9 +233,7 @@
             timeout.reschedule(asyncio.get_running_loop().time() + ANSWER_GRACE_S)
 
     def _publish(self, event: HolderEvent) -> None:
-        if (
-            event is HolderEvent.RENEWED
-        ):  # too frequent for the log; ``lease status`` shows the remaining time
+        if event is HolderEvent.RENEWED:  # too frequent for the log; ``lease status`` shows renewals
             return
         log.emit_change(
             "lease",
--- a/sabledyke/quota_sharing/__init__.py
+++ b/sabledyke/quota_sharing/__init__.py
@@ -1,5 +1,5 @@
-"""Limits and reservations shared by many schedulers: each decides alone, and the sum holds.
+"""Limits and reservations shared by many schedulers, which decide independently and never exceed the sum.
 
-Decisions are pure (``allocation``, ``demand``); ``extension`` drives them. It is loaded only where the
-operator's file has ``[fleet]``.
+Decisions are pure (``allocation``, ``demand``); ``extension`` drives them. The package is imported only if
+the operator's file has a section ``[fleet]``.
 """
--- a/sabledyke/quota_sharing/allocation.py
+++ b/sabledyke/quota_sharing/allocation.py
@@ -1,18 +1,19 @@
-"""A member's share of a volume's limit and reservation: by demand, and all shares never exceed the whole.
-
-The allocator gets the demands that this member wrote and may have written, polls of what all members have
-written, and the time on its own clock. It knows no log, socket or clock; clocks are never compared.
-
-Every member keeps ``floor_fraction / members`` for itself, whatever happens. The rest goes by demand: a
-member counts its own demand at the smallest that it may have published of late, and each other's at the
-largest. So what each member takes is at most its share at one moment that lies in everybody's window, and
-shares at one moment add up to one. For that moment to exist a member changes what it publishes at most once
-in ``beat_ms``, from when the last was known to stand, and polls more often (``max_poll_gap_ms``). Who has
-not polled for that long, or whose demands were not confirmed for ``validity_ms``, takes its floor alone,
-and counts for the others until that is certain.
-
-Sources: the argument for leases (Gray and Cheriton, 'Leases', SOSP 1989) on demands in place of files;
-dmClock (Gulati et al., OSDI 2010) for shares that follow what was requested elsewhere.
+"""Shares of a volume's limit and reservation by demand; the shares of all members add up to at most 1.
+
+The allocator's inputs are the demands that this member has written or may have written, polls of the
+publications of all members, and the time on its own clock. It uses no log, socket or clock, and times of
+different clocks are never compared.
+
+Every member always keeps a floor of ``floor_fraction / members``. The rest is divided by demand: a member
+counts its own demand as the smallest that it may have published within the window, and that of each other
+member as the largest. Each member therefore takes at most its share at one moment that lies in the windows of
+all members, and the shares at one moment add up to one. For such a moment to exist, a member changes its
+publication at most once per ``beat_ms``, counted from the confirmation of the previous one, and polls more
+often (``max_poll_gap_ms``). A member that has not polled for that long, or whose demands were not confirmed
+for ``validity_ms``, takes only its floor; the other members count its demands until this is certain.
+
+Sources: Gray and Cheriton, 'Leases' (SOSP 1989), whose argument for files applies to demands here; Gulati et
+al., dmClock (OSDI 2010), for shares that follow the requests at other members.
 """
 
 from __future__ import annotations
@@ -24,21 +25,21 @@
 Demands = Mapping[int, float]
 """Units per second, by volume."""
 MAX_PUBLISHED_VOLUMES = 256
-"""Volumes that one member publishes its demands of."""
+"""Largest number of volumes whose demands one member publishes."""
 SHARES_TOPIC = "shares"
 """Topic whose registers hold the members' demands."""
 NO_DEMANDS: Demands = {}
 NEVER = -1e18
-"""A time before all others; its negative is after all others."""
+"""Time before all others; its negative is after all others."""
 
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """Durations on the clock of whoever counts them; rates of clocks differ by ``clock_drift`` at most.
+    """Durations in ms, each measured by the clock of the member that uses it.
 
     Attributes:
-        beat_ms: Between changes of what a member publishes.
-        clock_drift: Fraction by which a clock may run fast or slow.
+        beat_ms: Shortest time between two changes of a member's publication.
+        clock_drift: Largest fraction by which a clock may run fast or slow.
     """
 
     beat_ms: float = 500.0
@@ -46,22 +47,22 @@
 
     @property
     def max_poll_gap_ms(self) -> float:
-        """From before one poll to after the next; a member that takes longer keeps to its floor."""
+        """Longest time from the start of a poll to the end of the next; after it the floor applies."""
         return 0.9 * self.beat_ms * (1 - self.clock_drift) / (1 + self.clock_drift)
 
     @property
     def window_ms(self) -> float:
-        """For how long what was polled or published still counts."""
+        """Time in ms for which a polled or replaced publication still counts."""
         return 3 * self.max_poll_gap_ms * (1 + self.clock_drift) / (1 - self.clock_drift)
 
     @property
     def validity_ms(self) -> float:
-        """How long after its demands were known to stand a member takes more than its floor."""
+        """Time in ms after the confirmation of its demands in which a member may exceed its floor."""
         return 4 * self.beat_ms
 
     @property
     def expiry_ms(self) -> float:
-        """How long the demands of another may stand still before it certainly takes its floor alone."""
+        """Time in ms after which a member with an unchanged publication certainly takes only its floor."""
         return self.validity_ms * (1 + self.clock_drift) / (1 - self.clock_drift)
 
 
@@ -70,7 +71,12 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaPolicy:
-    """How limits are divided: ``floor_fraction`` of all evenly among ``members``, at the most of them."""
+    """Division of limits.
+
+    Attributes:
+        members: Expected number of members; a larger actual number lowers the floor.
+        floor_fraction: Fraction of each limit that is divided evenly; the rest is divided by demand.
+    """
 
     members: int
     floor_fraction: float = 0.2
@@ -78,14 +84,14 @@
 
 @dataclass(slots=True)
 class _Publication:
-    """Demands that this member published, or may have published.
+    """Publication that this member has written, or may have written.
 
     Attributes:
         number: Number of the publication.
-        demands: What it says.
-        started_at_ms: From before it was written.
-        replaces: Number of the publication that it was written over.
-        superseded_at_ms: By when it was known not to stand any more.
+        demands: Published demands.
+        started_at_ms: Time before the write began.
+        replaces: Number of the publication that the write replaces.
+        superseded_at_ms: Time at which a later publication was confirmed; None before that.
     """
 
     number: int
@@ -97,19 +103,19 @@
 
 @dataclass(slots=True)
 class _OtherMember:
-    """What was polled of another member.
+    """Polled publications of another member.
 
     Attributes:
         number: Number of its last publication.
-        changed_at_ms: By when this number was first seen.
-        seen: Its demands, each with when it was last seen to stand.
+        changed_at_ms: Time at which this number was first seen.
+        seen: Its demands, each with the time at which they were last polled.
     """
 
     number: int
     changed_at_ms: float
     seen: deque[tuple[float, Demands]] = field(default_factory=deque)
 
-    def observe(self, now_ms: float, number: int, demands: Demands) -> None:
+    def record_poll(self, now_ms: float, number: int, demands: Demands) -> None:
         if self.number != number:
             self.number = number
             self.changed_at_ms = now_ms
@@ -122,62 +128,65 @@
 
 
 class QuotaAllocator:
-    """The shares of one incarnation of a member.
+    """Computes the shares of one incarnation of a member.
 
-    Bounded: the publications of one window for each member, of ``MAX_PUBLISHED_VOLUMES`` volumes each.
+    Memory is bounded by the publications of each member in one window, with ``MAX_PUBLISHED_VOLUMES`` volumes
+    each.
     """
 
     def __init__(self, policy: QuotaPolicy, timing: Timing = DEFAULT_TIMING) -> None:
-        """Create an allocator that knows nobody else, and keeps to its floor.
+        """Create an allocator that grants the floor until polls and confirmations allow more.
 
         Args:
-            policy: How limits are divided.
-            timing: How long what is known counts.
+            policy: Division of limits.
+            timing: Durations for which publications count.
         """
         self.policy = policy
         self.timing = timing
-        self._publications = deque([_Publication(0, NO_DEMANDS, NEVER, 0)])  # a former incarnation's
+        self._publications = deque([_Publication(0, NO_DEMANDS, NEVER, 0)])  # of an earlier incarnation
         self._others: dict[str, _OtherMember] = {}
-        self._published_at_ms = NEVER  # from before the last one that was known to stand was written
-        self._known_to_all_at_ms = -NEVER  # from when on all others know of this incarnation
-        self._polled_at_ms = NEVER  # from before the last poll
+        self._published_at_ms = NEVER  # start of the write of the last confirmed publication
+        self._known_to_all_at_ms = -NEVER  # time from which all other members count this incarnation
+        self._polled_at_ms = NEVER  # start of the last poll
         self._polled_in_time_since_ms = -NEVER
         self._cached_shares: dict[int, float] = {}
 
     def on_publishing(self, number: int, demands: Demands, started_at_ms: float, replaces: int) -> None:
-        """Take note that demands are about to be written over publication ``replaces``: they may stand."""
+        """Record that demands are about to replace publication ``replaces``; they may count from now on."""
         self._publications.append(_Publication(number, demands, started_at_ms, replaces))
         self._cached_shares.clear()
 
     def on_published(self, number: int, now_ms: float) -> None:
-        """Take note that a publication stands; what was to replace an earlier one never will."""
+        """Record a confirmed publication; a later write that replaces an earlier one cannot take effect."""
         publication = next((known for known in self._publications if known.number == number != 0), None)
         if publication is None:
-            return  # a former incarnation's
+            return  # written by an earlier incarnation
         for known in self._publications:
             if known.number < number and known.superseded_at_ms is None:
                 known.superseded_at_ms = now_ms
         self._publications = deque(
             known for known in self._publications if known.number <= number or known.replaces == number
         )
-        if self._published_at_ms == NEVER:  # a former incarnation may still have a share
+        if self._published_at_ms == NEVER:  # an earlier incarnation may still use a share
             self._known_to_all_at_ms = now_ms + max(self.timing.expiry_ms, self.timing.window_ms)
-        elif now_ms - self._published_at_ms > self.timing.validity_ms:  # others may count it as expired
+        elif (
+            now_ms - self._published_at_ms > self.timing.validity_ms
+        ):  # other members may regard it as expired
             self._known_to_all_at_ms = now_ms + self.timing.window_ms
         self._published_at_ms = max(self._published_at_ms, publication.started_at_ms)
         self._cached_shares.clear()
 
     def on_rejected(self, number: int) -> None:
-        """Take note that a publication was certainly not written, and never will be."""
+        """Record that the write of a publication failed and cannot take effect later."""
         self._publications = deque(known for known in self._publications if known.number != number)
         self._cached_shares.clear()
 
     def on_poll(self, started_at_ms: float, now_ms: float, found: Mapping[str, tuple[int, Demands]]) -> None:
-        """Take note of what the other members have published.
+        """Record a poll of the other members' publications.
 
         Args:
-            started_at_ms: From before the poll.
-            now_ms: The time now.
+            started_at_ms: Time before the poll began.
+            now_ms: Current time.
             found: Number and demands of the publication of each other member.
         """
         if now_ms - self._polled_at_ms > self.timing.max_poll_gap_ms:
@@ -186,19 +195,21 @@
         for name, (number, demands) in found.items():
             if name not in self._others:
                 self._others[name] = _OtherMember(number, now_ms)
-            self._others[name].observe(now_ms, number, demands)
+            self._others[name].record_poll(now_ms, number, demands)
         for name in [name for name in self._others if name not in found]:
-            del self._others[name]  # an operator has had it forgotten
+            del self._others[name]  # removed by an operator
         self._drop_expired(now_ms - self.timing.window_ms, now_ms)
         self._cached_shares.clear()
 
-    def is_fresh(self, now_ms: float) -> bool:
-        """Return whether enough is known, here and by the others, to take more than the floor."""
-        return self._polls_in_time(now_ms) and self._is_known_to_all(now_ms) and self._is_confirmed(now_ms)
+    def may_exceed_floor(self, now_ms: float) -> bool:
+        """Return whether polls and publications are recent enough to take more than the floor."""
+        return (
+            self._is_polling_in_time(now_ms) and self._is_known_to_all(now_ms) and self._is_confirmed(now_ms)
+        )
 
     def share_of(self, volume: int, now_ms: float) -> float:
         """Return this member's share of the volume's limit and reservation, from 0 to 1."""
-        if not self.is_fresh(now_ms):
+        if not self.may_exceed_floor(now_ms):
             return self._floor
         share = self._cached_shares.get(volume)
         if share is None:
@@ -211,7 +222,7 @@
     def _floor(self) -> float:
         return self.policy.floor_fraction / max(self.policy.members, len(self._others) + 1)
 
-    def _polls_in_time(self, now_ms: float) -> bool:
+    def _is_polling_in_time(self, now_ms: float) -> bool:
         if now_ms - self._polled_at_ms > self.timing.max_poll_gap_ms:
             return False
         return now_ms - self._polled_in_time_since_ms >= self.timing.window_ms
--- a/sabledyke/quota_sharing/demand.py
+++ b/sabledyke/quota_sharing/demand.py
@@ -1,8 +1,8 @@
-"""The demands of a member's clients, smooth enough to be relied on and quick enough to follow. Pure.
+"""Measurement of the demands of a member's clients, smoothed but quick to follow large changes; no I/O.
 
-A share is counted from the smallest demand that its holder published of late and the largest that others did
-(``allocation``), so that every change costs something: a demand is published anew only where it has changed
-by more than ``MIN_CHANGE_RATIO``.
+A share is computed from the smallest recent demand of the member itself and the largest of each other member
+(``allocation``), so that each change of a demand temporarily reduces shares. A changed demand is therefore
+published only if it differs by more than ``MIN_CHANGE_RATIO``.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from sabledyke.quota_sharing.allocation import MAX_PUBLISHED_VOLUMES
 
 SMOOTHING = 0.3
-"""Weight of the last rate, where chance explains its difference."""
-SURPRISE_SMOOTHING = 0.8
-"""Weight of the last rate, where chance does not explain its difference."""
+"""Weight of the latest rate if its difference is within random variation."""
+SIGNIFICANT_CHANGE_SMOOTHING = 0.8
+"""Weight of the latest rate if its difference exceeds random variation."""
 CHANCE_DEVIATIONS = 3.0
-"""Standard deviations of a count that chance explains."""
+"""Standard deviations of a count that are regarded as random variation."""
 MIN_CHANGE_RATIO = 1.4
-"""Ratio to the published rate, or its inverse, from which on a rate is published anew."""
+"""Ratio of a rate to the published one, or the inverse, above which the new rate is published."""
 MIN_PUBLISHED_RATE = 0.05
-"""Units per second."""
+"""Smallest published rate, in units per second."""
 MIN_INTERVAL_S = 0.001
 MAX_COUNTED_VOLUMES = 4 * MAX_PUBLISHED_VOLUMES
 
@@ -29,24 +29,24 @@
     """Measures the demands of one member's clients."""
 
     def __init__(self, now_ms: float) -> None:
-        """Create a meter that has seen no request yet."""
-        self._units: dict[int, float] = {}  # since the last publication
-        self._limits: dict[int, float] = {}  # all there is of a volume, units per second
+        """Create a meter whose first measurement begins at ``now_ms``."""
+        self._units: dict[int, float] = {}  # units requested since the last publication, by volume
+        self._limits: dict[int, float] = {}  # units per second available to all members, by volume
         self._rates: dict[int, float] = {}
         self._published: dict[int, float] = {}
         self._since_ms = now_ms
 
     @property
     def has_demand(self) -> bool:
-        """Whether something was requested, or a demand is still published."""
+        """True if units were requested since the last publication, or a demand is still published."""
         return bool(self._units or self._published)
 
     def add(self, now_ms: float, volume: int, units: float, limit: float) -> None:
-        """Count units that were requested.
+        """Count the units of a request.
 
         Args:
             now_ms: Time on this member's clock.
-            volume: The volume.
+            volume: Volume of the request.
             units: Units of the request.
             limit: Units per second that all members together may take of the volume.
         """
@@ -57,10 +57,10 @@
             self._limits[volume] = limit
 
     def next_demands(self, now_ms: float) -> dict[int, float]:
-        """Return what to publish now, in units per second by volume.
+        """Return the demands to publish now, in units per second by volume.
 
-        No demand counts for more than there is of its volume: who requests ten times as much does not take
-        what others could have.
+        A demand is capped at the volume's limit, so that a member whose clients request many times the limit
+        does not displace the other members.
         """
         seconds = max(MIN_INTERVAL_S, (now_ms - self._since_ms) / 1000)
         for volume in {*self._rates, *self._units}:
@@ -78,9 +78,9 @@
     def _smoothed_rate(self, volume: int, seconds: float) -> float:
         rate = min(self._units.get(volume, 0.0) / seconds, self._limits.get(volume, 0.0))
         before = self._rates.get(volume, rate)
-        explained_by_chance = CHANCE_DEVIATIONS * sqrt(max(1.0, before * seconds))
-        is_surprise = abs(rate - before) * seconds > explained_by_chance
-        weight = SURPRISE_SMOOTHING if is_surprise else SMOOTHING
+        max_chance_deviation = CHANCE_DEVIATIONS * sqrt(max(1.0, before * seconds))
+        is_significant = abs(rate - before) * seconds > max_chance_deviation
+        weight = SIGNIFICANT_CHANGE_SMOOTHING if is_significant else SMOOTHING
         return before + weight * (rate - before)
 
     def _published_rate(self, volume: int) -> float:
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -1,6 +1,7 @@
-"""Shares limits with other members: publishes demands, polls the others', and marks work with its share.
+"""Extension that shares limits with other members: publishes demands, polls, and marks requests with a share.
 
-``allocation`` decides. A member whose clients request nothing that is shared neither writes nor polls.
+``allocation`` computes the share. A member whose clients request nothing that is shared neither writes nor
+polls.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
     from sabledyke.operator_config import OperatorConfig
 
 RETRY_INTERVAL_S = 0.2
-"""Pause after the log did not answer."""
-POLLS_PER_GAP = 4
-"""Polls in the time that a member may go without one."""
+"""Pause after a failed access to the compacted log."""
+POLLS_PER_MAX_GAP = 4
+"""Polls within the longest time that a member may go without one."""
 
 
 class QuotaExtension(Extension):
-    """See ``Extension``."""
+    """Member of a group of schedulers that share limits and reservations."""
 
     def __init__(
         self,
@@ -41,13 +42,13 @@
         log_section: LogSection,
         clock: Callable[[], float] = boottime_ms,
     ) -> None:
-        """Set up a member that has not begun yet.
+        """Create a member that accesses the log from ``open`` on.
 
         Args:
-            host: The server around it.
-            section: The operator's section of shares.
-            log_section: The operator's section of the log.
-            clock: Returns the time in ms.
+            host: Context of the server.
+            section: Operator's section of quota sharing.
+            log_section: Operator's section of the compacted log.
+            clock: Function that returns the time in ms.
         """
         self._section = section
         self._clock = clock
@@ -56,21 +57,21 @@
         self._allocator = QuotaAllocator(section.policy, section.timing)
         self.meter = DemandMeter(clock())
         self.publisher = DemandPublisher(self._name, self._compacted_log, self._allocator, self.meter, clock)
-        self._is_sharing = False  # it took more than its floor when last checked
+        self._is_sharing = False  # True if the last check allowed more than the floor
         self._task: asyncio.Task[None] | None = None
         self.apply_config(host.config)
 
     async def open(self) -> None:
-        """See ``Extension``: shares begin once the log answers; the program does not wait for it."""
+        """Start the task that publishes and polls, without a wait for the log."""
         self._task = asyncio.get_running_loop().create_task(self._run())
         log.emit("fleet", f"{self._name}: {self._section}")
 
     def apply_config(self, config: Config) -> None:
-        """See ``Extension``."""
+        """Apply the limits and reservations of a new configuration."""
         self._plans = config.settings.plans
 
     def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
-        """See ``Extension``: work of a volume that is shared gets this member's share."""
+        """Count the demand of a request for a shared volume, and set the request's quota share."""
         plan = self._plans[work.plan_index]
         if plan.limit > 0 or plan.reservation > 0:
             now_ms = self._clock()
@@ -79,38 +80,38 @@
         return onward(work, done)
 
     def check_operator_config(self, operator: OperatorConfig) -> None:
-        """See ``Extension``."""
+        """Reject a changed section."""
         if operator.fleet != self._section:
-            raise ConfigError("fleet differs, which takes a restart")
+            raise ConfigError("fleet differs; a change requires a restart")
 
     async def close(self) -> None:
-        """See ``Extension``: what it published counts for the others until they know that it ended."""
+        """Stop publishing and polling; the other members count the last publication until it expires."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
         await self._compacted_log.backend.close()
 
     async def _run(self) -> None:
-        poll_interval_s = self._section.timing.max_poll_gap_ms / POLLS_PER_GAP / 1000
+        poll_interval_s = self._section.timing.max_poll_gap_ms / POLLS_PER_MAX_GAP / 1000
         while True:
             try:
                 await self._step()
                 await asyncio.sleep(poll_interval_s)
             except StaleWriterError as fault:
                 log.emit("fleet", str(fault), **fault.fields)
-                return  # another process runs under its name: this one goes on with its floor
+                return  # another process uses the same name: this one keeps to its floor from now on
             except CompactedLogError as fault:
                 log.emit("fleet", f"shares: {fault}", **fault.fields)
                 self._log_change()
                 await asyncio.sleep(RETRY_INTERVAL_S)
-            except Exception as fault:  # shares expire by themselves, but a task is not to end silently
-                invariants.report_violation("a turn of shares", repr(fault))
+            except Exception as fault:  # shares expire without this task, but its failure must be visible
+                invariants.report_violation("a step of quota sharing", repr(fault))
                 await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _step(self) -> None:
         if not self.publisher.has_begun:
             await self.publisher.begin()
-        if self.publisher.is_quiet and not self.meter.has_demand:
+        if self.publisher.has_no_demand and not self.meter.has_demand:
             return
         await self.publisher.poll()
         if self._clock() - self.publisher.confirmed_at_ms >= self._section.timing.beat_ms:
@@ -118,7 +119,7 @@
         self._log_change()
 
     def _log_change(self) -> None:
-        is_sharing = self._allocator.is_fresh(self._clock())
+        is_sharing = self._allocator.may_exceed_floor(self._clock())
         if is_sharing is self._is_sharing:
             return
         self._is_sharing = is_sharing
@@ -127,7 +128,7 @@
 
 
 def set_up(host: ServerContext, operator: OperatorConfig) -> Extension | None:
-    """Return a member that shares limits, where the operator's file says that this process is one."""
+    """Return the extension; None if the operator's file has no section ``[fleet]`` or ``[board]``."""
     if operator.fleet is None or operator.board is None:
         return None
     return QuotaExtension(host, operator.fleet, operator.board)
--- a/sabledyke/quota_sharing/section.py
+++ b/sabledyke/quota_sharing/section.py
@@ -1,4 +1,4 @@
-"""The operator's section ``[fleet]``, which says how limits and reservations are shared among members."""
+"""The operator's section ``[fleet]``: the division of limits and reservations among members."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Section:
-    """What ``[fleet]`` says."""
+    """Settings of the section ``[fleet]``."""
 
     policy: QuotaPolicy
     timing: Timing = DEFAULT_TIMING
@@ -23,7 +23,7 @@
 
 
 class FleetTable(Table, frozen=True, kw_only=True):
-    """The section's keys, as they stand in the file."""
+    """Section ``[fleet]`` in the form of the operator's file."""
 
     members: Annotated[int, Meta(ge=1, le=1000)]
     floor: Annotated[float, Meta(ge=0.01, le=1)] = 0.2
@@ -32,10 +32,10 @@
 
 
 def read(data: dict[str, Any]) -> Section | None:
-    """Return the section, None where there is none.
+    """Read and check the section; return None if it is missing.
 
     Raises:
-        OperatorError: It is not as it must be.
+        OperatorError: The section is invalid.
     """
     if not data:
         return None
--- a/tests/lease/support.py
+++ b/tests/lease/support.py
@@ -1,4 +1,4 @@
-"""What several tests of leases use."""
+"""Settings and helpers shared by the tests of leases."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @asynccontextmanager
 async def etcd_server() -> AsyncIterator[Etcd]:
-    """An etcd of the testbed, for the time of one test."""
+    """Run an etcd server of the testbed for the duration of the context."""
     etcd = Etcd()
     await etcd.open()
     try:
--- a/tests/lease/test_authorities.py
+++ b/tests/lease/test_authorities.py
@@ -1,4 +1,4 @@
-"""Both authorities against an obviously right one, under random requests."""
+"""Comparison of both authorities with a minimal reference implementation, under random requests."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 REQUESTS = st.tuples(st.sampled_from(HOLDERS), st.sampled_from([Inspect, Acquire, Renew, Release]))
 
 
-class NaiveAuthority:
-    """How an authority is to reply, obviously: one lease, and who holds it under which token."""
+class ReferenceAuthority:
+    """Minimal authority for one lease, which only tracks the holder and the token."""
 
     def __init__(self) -> None:
         self.holder = ""
@@ -55,8 +55,8 @@
 @pytest.mark.parametrize("backend", ["table", "etcd"])
 @FIXED
 @given(st.lists(REQUESTS, max_size=30))
-def test_an_authority_answers_as_an_obviously_right_one(
-    tmp_path_factory: pytest.TempPathFactory, backend: str, moves: list[tuple[str, type]]
+def test_an_authority_answers_like_the_reference_implementation(
+    tmp_path_factory: pytest.TempPathFactory, backend: str, requests: list[tuple[str, type]]
 ) -> None:
     async def run() -> None:
         async with etcd_server() as etcd:
@@ -64,7 +64,7 @@
             authorities = {holder: authority_on(backend, file, etcd.port) for holder in HOLDERS}
             for authority in authorities.values():
                 await authority.open()
-            await _compare(authorities, moves)
+            await _compare(authorities, requests)
             for authority in authorities.values():
                 await authority.close()
 
@@ -77,18 +77,18 @@
     return SqlAuthority(Target(path=str(file)), 5000)
 
 
-async def _compare(authorities: dict[str, Authority], moves: list[tuple[str, type]]) -> None:
-    naive = NaiveAuthority()
+async def _compare(authorities: dict[str, Authority], requests: list[tuple[str, type]]) -> None:
+    reference = ReferenceAuthority()
     tokens = [0]
-    for holder, kind in moves:
+    for holder, kind in requests:
         seen = await authorities[holder].request("d", holder, Inspect())
         assert isinstance(seen, LeaseStatus)
-        assert _described(seen) == naive.request(holder, Inspect())
+        assert _described(seen) == reference.request(holder, Inspect())
         if kind is Acquire and not seen.is_free:
-            continue  # a manager acquires what is free, or what it saw unchanged
+            continue  # a manager acquires only a free lease, or one that it saw unchanged
         request = _request(kind, seen, token=tokens[-1])
         reply = await authorities[holder].request("d", holder, request)
-        assert _described(reply) == naive.request(holder, _request(kind, seen, token=naive.token))
+        assert _described(reply) == reference.request(holder, _request(kind, seen, token=reference.token))
         if isinstance(reply, Granted):
             assert reply.token > tokens[-1]  # tokens only rise
             tokens.append(reply.token)
--- a/tests/lease/test_cluster.py
+++ b/tests/lease/test_cluster.py
@@ -1,4 +1,4 @@
-"""Five processes of the program under one lease, and faults between them; judged by what the resource saw."""
+"""Five processes compete for one lease under faults; the run is evaluated by the calls at the resource."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A fault, and whether another holder must have come of it."""
+    """Experiment with faults, and whether another instance must have acquired the lease."""
 
     experiment: Experiment
-    changes: bool = True
+    changes_holder: bool = True
 
     @staticmethod
-    def of(*faults: Fault, changes: bool = True, **settings: Any) -> Case:
-        return Case(replace(PLAIN, faults=faults, **settings), changes)
+    def of(*faults: Fault, changes_holder: bool = True, **settings: Any) -> Case:
+        return Case(replace(PLAIN, faults=faults, **settings), changes_holder)
 
 
 ReportKey = tuple[str, str, int]  # authority, case, seed
@@ -47,17 +47,21 @@
     "late": Case.of(*LATE_MESSAGES),
     "term": Case.of(Fault(FaultKind.TERMINATE, 1.0)),
 }
-SQL_CASES = {  # what only a table has
+SQL_CASES = {  # faults that only a database table has
     "lock": Case.of(Fault(FaultKind.STOP_IN_TRANSACTION, 1.0, 3.0)),
     "lock_at_end": Case.of(Fault(FaultKind.STOP_IN_TRANSACTION, 2.0, 2.0), length_s=2.2),
 }
-NETWORK_CASES = {  # what only a network between holder and authority can do
+NETWORK_CASES = {  # faults of the network between holder and authority
     "part": Case.of(Fault(FaultKind.PARTITION, 1.0, 3.0)),
     "part_to": Case.of(Fault(FaultKind.PARTITION_REQUESTS, 1.0, 3.0)),
     "part_from": Case.of(Fault(FaultKind.PARTITION_ANSWERS, 1.0, 3.0)),
-    "slow": Case.of(*(Fault(FaultKind.SLOW_NETWORK, 0.5, 4.0, target) for target in range(5)), changes=False),
-    "cut": Case.of(*(Fault(FaultKind.RESET_CONNECTION, 0.5 + i / 2, 0.2) for i in range(6)), changes=False),
-    "restart": Case.of(Fault(FaultKind.RESTART_AUTHORITY, 1.0, 0.5, target=0), changes=False),
+    "slow": Case.of(
+        *(Fault(FaultKind.SLOW_NETWORK, 0.5, 4.0, target) for target in range(5)), changes_holder=False
+    ),
+    "cut": Case.of(
+        *(Fault(FaultKind.RESET_CONNECTION, 0.5 + i / 2, 0.2) for i in range(6)), changes_holder=False
+    ),
+    "restart": Case.of(Fault(FaultKind.RESTART_AUTHORITY, 1.0, 0.5, target=0), changes_holder=False),
 }
 ALL = {
     (backend, name): replace(case, experiment=replace(case.experiment, authority=backend))
@@ -70,14 +74,14 @@
 
 
 @dataclass(frozen=True)
-class Played:
-    """A run that was played, and the folder with its acts and timeline."""
+class FinishedRun:
+    """Report of a finished run, and the folder with its operations and timeline."""
 
     report: Report
     folder: Path
 
     def describe(self) -> str:
-        """Return all that a failure seen once needs to be traced."""
+        """Return the report, operations and timeline, to diagnose a failure that may not recur."""
         files = ("acts.jsonl", "timeline.jsonl")
         return "\n".join([*self.report.lines(), *((self.folder / name).read_text() for name in files)])
 
@@ -85,15 +89,15 @@
 @pytest.fixture(scope="module")
 def reports(
     request: pytest.FixtureRequest, tmp_path_factory: pytest.TempPathFactory
-) -> dict[ReportKey, Played]:
-    """The runs that the selected tests look at, some at a time: most of it is waiting."""
-    finished: dict[ReportKey, Played] = {}
+) -> dict[ReportKey, FinishedRun]:
+    """Reports of the runs that the selected tests need; several run at a time, as they mostly wait."""
+    finished: dict[ReportKey, FinishedRun] = {}
     semaphore = asyncio.Semaphore(MAX_CONCURRENT_RUNS)
 
     async def run_one(key: ReportKey, experiment: Experiment) -> None:
         async with semaphore:
             folder = tmp_path_factory.mktemp("run")
-            finished[key] = Played(await LeaseRun(experiment, folder, key[2]).play(), folder)
+            finished[key] = FinishedRun(await LeaseRun(experiment, folder, key[2]).play(), folder)
 
     async def run_all() -> None:
         async with asyncio.TaskGroup() as group:
@@ -115,31 +119,30 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize(("backend", "name"), ALL)
-def test_no_two_act_at_once_and_another_takes_over(
-    reports: dict[ReportKey, Played], backend: str, name: str, seed: int
+def test_no_two_holders_operate_at_once_and_another_acquires_the_lease(
+    reports: dict[ReportKey, FinishedRun], backend: str, name: str, seed: int
 ) -> None:
-    played = reports[backend, name, seed]
-    report = played.report
+    finished_run = reports[backend, name, seed]
+    report = finished_run.report
     evaluation = report.evaluation
-    assert evaluation.act_count > 10, played.describe()
-    assert evaluation.lease_overlap_count == 0, played.describe()
-    assert evaluation.out_at_release_count == 0, played.describe()
-    assert evaluation.overlap_count == 0, played.describe()
-    assert evaluation.stale_count == 0, played.describe()
-    if ALL[backend, name].changes:
-        assert evaluation.holder_count >= 2, played.describe()
-        assert report.takeover_gaps_ms, played.describe()  # how soon: benchmarks/lease.py
+    assert evaluation.act_count > 10, finished_run.describe()
+    assert evaluation.lease_overlap_count == 0, finished_run.describe()
+    assert evaluation.out_at_release_count == 0, finished_run.describe()
+    assert evaluation.overlap_count == 0, finished_run.describe()
+    assert evaluation.stale_count == 0, finished_run.describe()
+    if ALL[backend, name].changes_holder:
+        assert evaluation.holder_count >= 2, finished_run.describe()
+        assert report.takeover_gaps_ms, finished_run.describe()  # how soon: benchmarks/lease.py
     if name in SQL_CASES:
-        assert (
-            evaluation.longest_gap_ms > 1500
-        ), played.describe()  # nobody can act until its process has ended
+        # No instance can operate until the process that holds the database lock has ended.
+        assert evaluation.longest_gap_ms > 1500, finished_run.describe()
     if name == "late":
-        assert report.rejected >= 1  # what the network kept came after another's acts
+        assert report.rejected >= 1  # a delayed request arrived after operations of another holder
         assert any("has seen a token after" in str(line.get("event")) for line in report.timeline)
     assert all("life" in line and "mono" in line for line in report.timeline)
 
 
-def test_without_the_fence_the_checker_finds_an_act_out_of_order(
-    reports: dict[ReportKey, Played],
+def test_without_the_fence_the_evaluation_finds_a_stale_operation(
+    reports: dict[ReportKey, FinishedRun],
 ) -> None:
     assert reports[UNFENCED_RUN].report.evaluation.stale_count >= 1
--- a/tests/lease/test_giving_up.py
+++ b/tests/lease/test_giving_up.py
@@ -1,4 +1,4 @@
-"""A holder that gives up its lease while an act is out: by SIGTERM, by a recall, by new settings."""
+"""Release of a lease with an operation in flight, after SIGTERM, a recall or new settings."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from tests.lease.support import TIMEOUT_S
 
 POLL_S = 0.002
-ACTS_AFTERWARDS = 2
-ACT_DURATIONS_MS = (300, 600, 900)
+OPERATIONS_AFTERWARDS = 2
+OPERATION_DURATIONS_MS = (300, 600, 900)
 SEEDS = (1, 2)
 TASK = "sweep"
 
 
-class Play:
-    """Two candidates for one lease, a service that takes a while for an act, and one act that is out."""
+class ReleaseScenario:
+    """Two candidates for one lease, and a service whose operations take ``act_duration_ms``."""
 
     def __init__(self, folder: Path, act_duration_ms: float, seed: int) -> None:
         self.resource = FencedResource(act_duration_ms)
@@ -34,8 +34,8 @@
         self._random = Random(seed)
         self._extensions: list[LeaseExtension] = []
 
-    async def run(self, give_up: Callable[[Play], Awaitable[None]]) -> list[Act]:
-        """Have the holder give up its lease in the middle of an act; return the acts up to a few later."""
+    async def run(self, begin_release: Callable[[ReleaseScenario], Awaitable[None]]) -> list[Act]:
+        """Trigger a release during an operation; return all operations, including a few later ones."""
         async with AsyncExitStack() as stack:
             await self.resource.open()
             stack.push_async_callback(self.resource.close)
@@ -44,19 +44,19 @@
                 await extension.open()
                 stack.push_async_callback(extension.close)
                 self._extensions.append(extension)
-            while not (self.resource.acts and self._has_act_out()):
+            while not (self.resource.acts and self._has_operation_in_flight()):
                 await asyncio.sleep(POLL_S)
             await asyncio.sleep(self._random.random() * self.resource.act_duration_s / 2)
-            while not self._has_act_out():
+            while not self._has_operation_in_flight():
                 await asyncio.sleep(POLL_S)
             begun_before = self.resource.begun_count
-            await give_up(self)
-            while len(self.resource.acts) < begun_before + ACTS_AFTERWARDS:
+            await begin_release(self)
+            while len(self.resource.acts) < begun_before + OPERATIONS_AFTERWARDS:
                 await asyncio.sleep(POLL_S)
         return self.resource.acts
 
     def section(self, renew_ms: float = 250) -> LeaseSection:
-        """Return the settings, which differ by the renew interval."""
+        """Return the settings with this renew interval."""
         duty = {
             "name": TASK,
             "kind": "call",
@@ -69,21 +69,21 @@
         return settings
 
     async def close_holder(self) -> None:
-        """Close the holder as the program does after SIGTERM."""
+        """Close the holder's extension, as the program does after SIGTERM."""
         await self._holder().close()
 
     async def recall(self) -> None:
-        """Have an operator recall the lease."""
+        """Recall the lease, as an operator does."""
         authority = create_authority(self.section())
         await authority.open()
         await authority.recall(TASK, at_once=False)
         await authority.close()
 
     async def change_settings(self) -> None:
-        """Give the holder new settings as SIGHUP does."""
+        """Apply new settings to the holder, as SIGHUP does."""
         self._holder().apply_operator_config(OperatorConfig(lease=self.section(renew_ms=200)))
 
-    def _has_act_out(self) -> bool:
+    def _has_operation_in_flight(self) -> bool:
         return self.resource.begun_count > len(self.resource.acts)
 
     def _holder(self) -> LeaseExtension:
@@ -91,30 +91,36 @@
         return self._extensions[number]
 
 
-WAYS = {"stop": Play.close_holder, "recall": Play.recall, "settings": Play.change_settings}
-CASES = [(way, duration, seed) for way in WAYS for duration in ACT_DURATIONS_MS for seed in SEEDS]
+RELEASE_TRIGGERS = {
+    "stop": ReleaseScenario.close_holder,
+    "recall": ReleaseScenario.recall,
+    "settings": ReleaseScenario.change_settings,
+}
+CASES = [
+    (way, duration, seed) for way in RELEASE_TRIGGERS for duration in OPERATION_DURATIONS_MS for seed in SEEDS
+]
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, int, int], list[Act]]:
-    """All cases at once: most of it is waiting."""
+def completed_acts(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, int, int], list[Act]]:
+    """Operations of all cases, which run concurrently, as they mostly wait."""
 
     async def run_all() -> list[list[Act]]:
-        plays = [
-            Play(tmp_path_factory.mktemp("play"), duration, seed).run(WAYS[way])
+        runs = [
+            ReleaseScenario(tmp_path_factory.mktemp("play"), duration, seed).run(RELEASE_TRIGGERS[way])
             for way, duration, seed in CASES
         ]
-        return await asyncio.wait_for(asyncio.gather(*plays), TIMEOUT_S)
+        return await asyncio.wait_for(asyncio.gather(*runs), TIMEOUT_S)
 
     return dict(zip(CASES, asyncio.run(run_all()), strict=True))
 
 
 @pytest.mark.parametrize(("way", "duration_ms", "seed"), CASES)
-def test_no_act_begins_while_one_is_out_under_a_lease_that_was_given_up(
-    played: dict[tuple[str, int, int], list[Act]], way: str, duration_ms: int, seed: int
+def test_no_operation_begins_while_one_is_in_flight_under_a_lease_that_is_released(
+    completed_acts: dict[tuple[str, int, int], list[Act]], way: str, duration_ms: int, seed: int
 ) -> None:
-    """Guards against a lease that is released while the service still works on an act under it."""
-    acts = played[way, duration_ms, seed]
+    """Guards against the release of a lease while the service still works on an operation under it."""
+    acts = completed_acts[way, duration_ms, seed]
     evaluation = evaluate(acts)
     assert evaluation.overlap_count == 0, acts
     assert evaluation.stale_count == 0, acts
--- a/tests/lease/test_holder_acts.py
+++ b/tests/lease/test_holder_acts.py
@@ -1,4 +1,4 @@
-"""Acts in the holder's state: when a lease may be released, and when it is left to expire."""
+"""Operations in the holder's state: conditions to release a lease, or to let it expire."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 FREE = LeaseStatus(LeaseVersion(TOKEN - 1, 0), "", is_free=True)
 
 
-def acting(now_ms: float = 0.0) -> HolderState:
-    """Return a holder whose act is out."""
+def holder_in_operation(now_ms: float = 0.0) -> HolderState:
+    """Return the state of a holder with an operation in flight."""
     state = holder.on_tick(HolderState("me"), TIMES, now_ms, 0.0).state
     state = holder.on_reply(state, TIMES, now_ms, state.request_number, FREE, 0.0).state
     state = holder.on_tick(state, TIMES, now_ms, 0.0).state
@@ -43,39 +43,43 @@
 
 
 def recall(state: HolderState, now_ms: float = 200.0) -> Transition:
-    """Return what follows from a renewal that brings a recall."""
+    """Return the transition of a renewal whose reply contains a recall."""
     state = holder.on_tick(state, TIMES, now_ms, 0.0).state
     return holder.on_reply(state, TIMES, now_ms, state.request_number, Renewed(recalled=True), 0.0)
 
 
 def released(transition: Transition) -> bool:
-    """Return whether the lease is released."""
+    """Return whether the transition releases the lease."""
     return [sent.request for sent in transition.requests] == [Release(TOKEN)]
 
 
 def complete(state: HolderState, now_ms: float, *, is_completed: bool) -> Transition:
-    """Return what follows from the end of the act, or of the wait for it."""
+    """Return the transition at the end of the operation, or of the wait for its answer."""
     return holder.on_operation_completed(state, TIMES, now_ms, TOKEN, is_completed=is_completed)
 
 
 @pytest.mark.parametrize("reason", ["stop", "recall"])
 @pytest.mark.parametrize("is_completed", [True, False])
-def test_a_lease_that_is_given_up_waits_for_the_act_and_is_released_only_if_that_ended(
+def test_a_release_waits_for_the_operation_and_happens_only_if_it_has_completed(
     reason: str, *, is_completed: bool
 ) -> None:
-    given_up = holder.on_stop(acting(), TIMES, 200.0) if reason == "stop" else recall(acting())
-    assert given_up.events == [HolderEvent.WAITING_FOR_OPERATION]
-    assert not released(given_up)
-    assert not holder.may_begin_operation(given_up.state, 200.0)
-    assert holder.may_operate(given_up.state, 200.0)  # for the steps of the act that is out
-    after = complete(given_up.state, 300.0, is_completed=is_completed)
+    releasing = (
+        holder.on_stop(holder_in_operation(), TIMES, 200.0)
+        if reason == "stop"
+        else recall(holder_in_operation())
+    )
+    assert releasing.events == [HolderEvent.WAITING_FOR_OPERATION]
+    assert not released(releasing)
+    assert not holder.may_begin_operation(releasing.state, 200.0)
+    assert holder.may_operate(releasing.state, 200.0)  # for the steps of the operation in flight
+    after = complete(releasing.state, 300.0, is_completed=is_completed)
     assert released(after) is is_completed
     assert after.events == [HolderEvent.RELEASED if is_completed else HolderEvent.ABANDONED]
     assert after.state.phase is (Phase.STOPPED if reason == "stop" else Phase.WATCHING)
 
 
-def test_an_act_without_an_answer_counts_until_the_end_of_its_lease() -> None:
-    state = complete(acting(), 100.0, is_completed=False).state
+def test_an_operation_without_an_answer_counts_until_the_end_of_its_lease() -> None:
+    state = complete(holder_in_operation(), 100.0, is_completed=False).state
     ends_ms = TIMES.operating_window_ms + TIMES.safety_margin_ms
     assert state.phase is Phase.HOLDING
     assert not holder.may_begin_operation(state, 100.0)
@@ -87,16 +91,16 @@
     assert holder.may_begin_operation(state, ends_ms)
 
 
-def test_a_lease_that_was_left_to_expire_is_not_taken_up_again() -> None:
-    state = complete(recall(acting()).state, 300.0, is_completed=False).state
+def test_a_lease_that_was_left_to_expire_is_not_resumed() -> None:
+    state = complete(recall(holder_in_operation()).state, 300.0, is_completed=False).state
     state = holder.on_tick(state, TIMES, 300.0, 0.0).state
     mine = LeaseStatus(LeaseVersion(TOKEN, 1), "me", is_free=False, ttl_ms=TIMES.ttl_ms)
     state = holder.on_reply(state, TIMES, 300.0, state.request_number, mine, 0.0).state
     assert state.phase is Phase.WATCHING
 
 
-def test_a_holder_that_found_its_lease_again_and_hears_nothing_lets_it_expire() -> None:
-    """Guards against renewals without replies, which keep a lease from everybody."""
+def test_a_resumed_lease_expires_if_its_renewals_get_no_replies() -> None:
+    """Guards against renewals without replies, which keep a lease alive that no instance can use."""
     state = holder.on_tick(HolderState("me"), TIMES, 0.0, 0.0).state
     mine = LeaseStatus(LeaseVersion(TOKEN, 0), "me", is_free=False, ttl_ms=TIMES.ttl_ms)
     state = holder.on_reply(state, TIMES, 0.0, state.request_number, mine, 0.0).state
@@ -109,8 +113,8 @@
     assert not holder.may_operate(state, 5000.0)
 
 
-def test_a_call_takes_no_longer_than_its_lease_and_then_counts_as_out(tmp_path: Path) -> None:
-    """Guards against a call that outlives the lease, and against a release while the service works on it."""
+def test_a_call_is_limited_by_its_lease_and_then_counts_as_in_flight(tmp_path: Path) -> None:
+    """Guards against a call that outlives its lease, and against a release while the service works on it."""
 
     async def run() -> None:
         resource = FencedResource(act_duration_ms=5000)
@@ -131,14 +135,14 @@
         assert loop.time() - began_s <= TIMES.ttl_ms / 1000
         await manager.stop()
         await task
-        assert (await authority.list_leases())[0].holder == "me"  # it is not released
+        assert (await authority.list_leases())[0].holder == "me"  # not released
         await authority.close()
         await resource.close()
 
     asyncio.run(asyncio.wait_for(run(), TIMEOUT_S))
 
 
-def test_no_act_begins_beside_another(tmp_path: Path) -> None:
+def test_no_operation_begins_while_another_is_in_flight(tmp_path: Path) -> None:
     async def run() -> None:
         authority = SqlAuthority(Target(path=str(tmp_path / "leases")), TIMES.ttl_ms)
         await authority.open()
--- a/tests/lease/test_leader_tasks.py
+++ b/tests/lease/test_leader_tasks.py
@@ -1,4 +1,4 @@
-"""What leader tasks leave behind, and the fence that rejects those of a former holder."""
+"""Results of leader tasks, and the fence that rejects those of a former holder."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FixedToken:
-    """A lease manager that believes it holds the lease, under this token."""
+    """Token source that always returns the given token, like a holder unaware that its lease has ended."""
 
     holder_id = "n0.life"
 
@@ -41,8 +41,8 @@
     assert len(fence) == 2
 
 
-def test_leader_tasks_on_a_record_are_fenced_and_done_once_for_the_fleet(tmp_path: Path) -> None:
-    """Two holders of which one was overtaken: what the older one does leaves nothing behind."""
+def test_leader_tasks_on_a_record_are_fenced_and_leave_no_partial_results(tmp_path: Path) -> None:
+    """Guards against effects of a former holder: after a later one has run, its backup leaves no file."""
 
     async def run() -> None:
         record = Target(path=str(tmp_path / "record.sqlite3"))
@@ -59,7 +59,7 @@
         with pytest.raises(FencedError):
             await back_up(FixedToken(6))
         tokens = sorted(file.name.split(".")[1] for file in folder.iterdir())
-        assert tokens == ["5", "7"]  # the newest two, and nothing unfinished
+        assert tokens == ["5", "7"]  # the two newest backups, and no unfinished one
         newest = Target(path=str(next(folder.glob("nightly.7.*"))))
         assert await maintenance.check(newest, lambda _: None)
 
--- a/tests/lease/test_manager.py
+++ b/tests/lease/test_manager.py
@@ -1,4 +1,4 @@
-"""The lease manager against an authority that follows a script."""
+"""Tests of the lease manager with a scripted authority."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ScriptedAuthority:
-    """An authority that replies as it is told; an AuthorityError for None. It does nothing else."""
+    """Authority that returns the given replies in order, and raises AuthorityError for None or after them."""
 
     tracks_expiry = True
 
@@ -58,7 +58,7 @@
         raise NotImplementedError
 
 
-def test_a_grant_that_is_long_on_its_way_is_not_acted_on_and_time_counts_from_the_request() -> None:
+def test_a_delayed_grant_is_not_used_and_lease_time_counts_from_the_request() -> None:
     async def run() -> None:
         now_ms = [1000.0]
         free = LeaseStatus(LeaseVersion(0, 0), "", is_free=True)
@@ -69,7 +69,7 @@
         while len(script.requests) < 2:
             now_ms[0] += 5
             await asyncio.sleep(0)
-        now_ms[0] += 5000  # it is paused before the reply reaches it
+        now_ms[0] += 5000  # the process is paused before the reply reaches it
         while len(script.requests) < 4:
             with pytest.raises(LeaseLostError):
                 manager.current_token()
--- a/tests/lease/test_model.py
+++ b/tests/lease/test_model.py
@@ -1,4 +1,4 @@
-"""The holder's own code under the model checker of the testbed."""
+"""Model checking of the holder's production code."""
 
 from __future__ import annotations
 
@@ -21,8 +21,11 @@
 RECALL = FaultBudget(acts=1, recalls=1)
 
 
-def test_no_order_of_faults_has_two_holders_act() -> None:
-    """A slow and a fast clock, and faults, explored completely; ``lab check-leases`` has the others."""
+def test_no_order_of_faults_lets_two_holders_operate() -> None:
+    """Explore pairs with slow and fast clocks under faults completely.
+
+    ``lab check-leases`` explores the other configurations.
+    """
     configs = [config for config in PAIRS if not config.budget.deaths and not config.budget.late]
     configs += [config for config in GIVING_UP if config.budget == RECALL]
     with ProcessPoolExecutor() as pool:
@@ -32,10 +35,10 @@
 
 
 @pytest.mark.parametrize("config", GIVING_UP)
-def test_a_holder_that_releases_its_lease_with_an_act_out_is_caught(
+def test_a_release_with_an_operation_in_flight_is_found(
     config: ModelConfig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a model that does not see the fault that it is there for."""
+    """Guards against a model that misses a release with an operation in flight."""
     for module in (holder, holder_release):
         monkeypatch.setattr(module, "is_operation_in_flight", lambda *_: False)
     result = checker.check(config)
@@ -44,7 +47,7 @@
 
 
 @pytest.mark.parametrize("authority_tracks_expiry", [False, True])
-def test_a_holder_that_trusts_its_clock_is_caught_and_the_way_there_described(
+def test_a_holder_that_ignores_clock_drift_is_found_and_its_trace_described(
     *, authority_tracks_expiry: bool
 ) -> None:
     config = ModelConfig((SLOW, FAST), authority_tracks_expiry, times=TIMES_WITHOUT_DRIFT)
@@ -59,7 +62,7 @@
 
 
 @pytest.mark.parametrize(("rates", "is_complete"), [((FAST, FAST), True), ((SLOW, FAST, FAST), False)])
-def test_on_several_cores_the_same_states_are_found_and_of_twins_one(
+def test_a_parallel_check_finds_the_same_number_of_states(
     rates: tuple[int, ...], *, is_complete: bool
 ) -> None:
     config = ModelConfig(rates, max_states=2000)
--- a/tests/lease/test_operations.py
+++ b/tests/lease/test_operations.py
@@ -1,4 +1,4 @@
-"""What operators do with leases: the commands, and new settings while the program runs."""
+"""Commands for leases, and changes of their settings while the program runs."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("backend", ["table", "etcd"])
-def test_operators_see_leases_and_have_them_released(
+def test_operators_list_leases_and_request_their_release(
     backend: str, tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(log, "_limiter", log.Limiter())
@@ -52,7 +52,7 @@
                     assert said in out
                     if arguments == ["release", "sweep"]:
                         assert "given up by n0.life" in out
-                # It finds out when it renews, and the others have one lease's time to acquire it.
+                # The holder learns of the recall at its next renewal, and then releases the lease.
                 while manager.leading.is_set():
                     await asyncio.sleep(0.01)
                 assert await authority.last_completed_unix_ms("sweep") == 12
@@ -60,10 +60,10 @@
     asyncio.run(asyncio.wait_for(run(), TIMEOUT_S))
 
 
-def test_a_recall_says_that_it_waits_and_for_what(
+def test_a_recall_reports_that_the_holder_waits_for_an_operation(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a command that tells of a lease given up while its holder waits for an act."""
+    """Guards against a command that reports a release while the holder still waits for an operation."""
     monkeypatch.setattr(log, "_limiter", log.Limiter())
 
     async def run() -> None:
@@ -75,7 +75,7 @@
             async with manager.operation():
                 assert await asyncio.to_thread(main, command) == 0
                 assert "n0.life waits for the end of the act that is out" in capsys.readouterr().out
-                assert manager.current_token() == 1  # for the steps of this act
+                assert manager.current_token() == 1  # for the steps of this operation
             with pytest.raises(LeaseLostError):
                 manager.current_token()
 
@@ -84,7 +84,7 @@
 
 @contextlib.asynccontextmanager
 async def _held_lease(file: Path) -> AsyncIterator[tuple[LeaseManager, Authority]]:
-    """A manager that holds the lease ``sweep`` of the authority that an operator's file names."""
+    """Run a manager that holds the lease ``sweep`` of the authority in an operator's file."""
     authority = _authority(section.load(str(file)))
     await authority.open()
     manager = LeaseManager("sweep", "n0.life", authority, TIMES, 1)
@@ -97,13 +97,13 @@
 
 
 def _authority(settings: section.LeaseSection) -> Authority:
-    """The authority of these settings, with leases of 1 s."""
+    """Return the authority of these settings, with leases of 1 s."""
     if settings.path:
         return SqlAuthority(Target(path=settings.path), 1000)
     return EtcdAuthority(settings.etcd_endpoints, settings.prefix, 1000, 1000)
 
 
-def test_new_times_and_leader_tasks_take_no_restart_and_another_authority_does(tmp_path: Path) -> None:
+def test_new_times_and_leader_tasks_require_no_restart_but_another_authority_does(tmp_path: Path) -> None:
     def operator(path: str, **more: Any) -> OperatorConfig:
         table = {"path": str(tmp_path / path), "ttl_ms": 500, "renew_ms": 50, "margin_ms": 50, "duty": [CALL]}
         return OperatorConfig(lease=section.read(table | more, None))
--- a/tests/lease/test_slow_authority.py
+++ b/tests/lease/test_slow_authority.py
@@ -1,4 +1,4 @@
-"""An etcd that answers slowly, and one of several servers that does not answer at all."""
+"""Leases with an etcd that answers slowly, or with an unresponsive server among several."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from tests.lease.support import CALL, TIMEOUT_S, etcd_server
 
 RENEW_INTERVAL_MS = 800
-ANSWER_TIME_S = 0.24  # two calls make a request, and leave a third of the interval to a busy machine
+ANSWER_TIME_S = 0.24  # a request of two calls leaves a third of the interval as margin on a busy machine
 GRANT_TIMEOUT_S = 20.0
 CALL_CANCELLED_AFTER_S = 0.2
 
 
 class SlowEtcd(Etcd):
-    """An etcd that takes a while for each answer."""
+    """Etcd server that delays each answer by ``ANSWER_TIME_S``."""
 
     async def answer(self, path: str, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
         await asyncio.sleep(ANSWER_TIME_S)
@@ -30,8 +30,8 @@
 
 
 @contextlib.asynccontextmanager
-async def server_that_hangs() -> AsyncIterator[str]:
-    """The address of a server that reads and never answers."""
+async def unresponsive_server() -> AsyncIterator[str]:
+    """Run a server that reads and never answers; yield its address."""
 
     async def read_on(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError):
@@ -53,7 +53,7 @@
 
 
 async def hold_lease(*endpoints: str) -> None:
-    """Acquire a lease with the timeouts that the program has, and see it renewed once."""
+    """Acquire a lease with the production timeouts, and wait for one renewal."""
     times = {"ttl_ms": 2000, "renew_ms": RENEW_INTERVAL_MS, "margin_ms": 300}
     settings = section.read({"etcd": list(endpoints), "duty": [CALL], **times}, None)
     assert settings is not None
@@ -74,8 +74,8 @@
         await authority.close()
 
 
-def test_a_lease_is_acquired_where_two_calls_fit_into_the_time_of_a_request() -> None:
-    """Guards against calls that are cut while their request has time left, so that nobody gets the lease."""
+def test_a_lease_is_acquired_if_two_calls_fit_into_the_time_of_a_request() -> None:
+    """Guards against calls that time out before their request does, so that no instance gets the lease."""
 
     async def run() -> None:
         etcd = SlowEtcd()
@@ -89,18 +89,18 @@
 
 
 @pytest.mark.parametrize("hanging_first", [True, False])
-def test_a_lease_is_acquired_where_one_of_the_servers_hangs(*, hanging_first: bool) -> None:
+def test_a_lease_is_acquired_if_one_of_the_servers_is_unresponsive(*, hanging_first: bool) -> None:
     async def run() -> None:
-        async with server_that_hangs() as hanging, etcd_server() as etcd:
+        async with unresponsive_server() as hanging, etcd_server() as etcd:
             endpoints = [hanging, f"127.0.0.1:{etcd.port}"]
             await hold_lease(*(endpoints if hanging_first else reversed(endpoints)))
 
     asyncio.run(asyncio.wait_for(run(), TIMEOUT_S))
 
 
-def test_a_call_that_is_cancelled_leaves_the_next_to_another_server() -> None:
+def test_the_call_after_a_cancelled_one_goes_to_another_server() -> None:
     async def run() -> None:
-        async with server_that_hangs() as hanging, etcd_server() as etcd:
+        async with unresponsive_server() as hanging, etcd_server() as etcd:
             gateway = EtcdGateway([hanging, f"127.0.0.1:{etcd.port}"], TIMEOUT_S * 1000)
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(CALL_CANCELLED_AFTER_S):
--- a/tests/quota_sharing/test_shared_limits.py
+++ b/tests/quota_sharing/test_shared_limits.py
@@ -1,4 +1,4 @@
-"""Choices that add up: parts of a limit among members, in virtual time and with processes under faults."""
+"""Shares of a limit among members, in virtual time and with processes under faults."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_whatever_comes_between_members_their_shares_never_add_up_to_more_than_all(seed: int) -> None:
+def test_shares_never_add_up_to_more_than_the_limit_under_any_faults(seed: int) -> None:
     result = QuotaSimulation(seed, 2 + seed % 5).run(60_000)
     assert result.max_share_sum <= 1 + 1e-9
     assert result.mean_share_sum > 0.02
@@ -45,12 +45,12 @@
         ("writes_conditionally", 44),
     ],
 )
-def test_without_each_of_their_safeguards_they_do(safeguard: str, seed: int) -> None:
+def test_without_any_one_safeguard_shares_add_up_to_more_than_the_limit(safeguard: str, seed: int) -> None:
     simulation = QuotaSimulation(seed, safeguards=Safeguards(**{safeguard: False}))
     assert simulation.run(60_000).max_share_sum > 1.1
 
 
-def test_the_only_member_with_demand_gets_nearly_all_and_one_cut_off_falls_to_its_floor() -> None:
+def test_the_only_member_with_demand_gets_nearly_all_and_a_disconnected_one_only_its_floor() -> None:
     timing = Timing()
     allocator = QuotaAllocator(QuotaPolicy(10, 0.2))
     now = 0.0
@@ -62,22 +62,22 @@
         for _ in range(4):
             now += timing.beat_ms / 4
             allocator.on_poll(now - 1, now, {"n1": (number, {8: 5.0}), "n2": (1, {7: 30.0})})
-    # n2's publication has stood still: it counts as expired.
+    # n2's publication has not changed for so long that it counts as expired.
     assert allocator.share_of(7, now) == pytest.approx(share_with_demand)
     assert allocator.share_of(8, now) == floor
     assert allocator.share_of(9, now) == floor
-    assert allocator.share_of(7, now + timing.max_poll_gap_ms) == floor  # nothing was polled since
+    assert allocator.share_of(7, now + timing.max_poll_gap_ms) == floor  # no poll since
     allocator.on_poll(now, now + 1, {f"n{i}": (1, {7: 10.0}) for i in range(1, 40)})
     assert allocator.share_of(7, now + 1) == pytest.approx(0.2 / 40 + 0.8 * 30 / (30 + 38 * 10))
 
 
-def test_a_meter_publishes_a_steady_demand_once_and_follows_a_jump_at_the_next_beat() -> None:
+def test_a_meter_rarely_republishes_a_steady_demand_and_follows_a_jump_at_the_next_beat() -> None:
     random = Random(3)
     meter = DemandMeter(0.0)
     now = 0.0
     published: list[dict[int, float]] = []
     for beat in range(60):
-        for _ in range(sum(random.random() < 0.2 for _ in range(100)) * (beat < 40)):  # 40 units a second
+        for _ in range(sum(random.random() < 0.2 for _ in range(100)) * (beat < 40)):  # 40 units per second
             meter.add(now, 7, 1.0, 1000.0)
             meter.add(now, 8, 100.0, 50.0)
         now += 500.0
@@ -85,7 +85,7 @@
     steady = {demands[7] for demands in published[5:40]}
     assert len(steady) <= 3
     assert all(25 < rate < 60 for rate in steady)
-    assert {demands[8] for demands in published[5:40]} == {50.0}  # no more than there is
+    assert {demands[8] for demands in published[5:40]} == {50.0}  # capped at the limit
     assert published[41].get(7, 0.0) < 8
     assert published[-1] == {}
     assert not meter.has_demand
@@ -94,7 +94,7 @@
     assert len(meter.next_demands(now + 500)) == MAX_PUBLISHED_VOLUMES
 
 
-def test_the_scheduler_goes_by_the_share_that_a_request_names_and_else_by_scheduler_count() -> None:
+def test_the_scheduler_uses_the_share_of_the_request_or_else_the_scheduler_count() -> None:
     rig = SchedulerRig()
     plan = SETTINGS.plans.index(CAPPED)
     for number, (named, expected) in enumerate([(0.0, 0.5), (0.9, 0.9), (0.05, 0.05), (0.0, 0.05)], 1):
@@ -128,7 +128,7 @@
         ('[board]\npath = "b"\ntopics = ["shares"]', "is the fleet's"),
     ],
 )
-def test_a_section_that_cannot_be_is_one_plain_error(text: str, message: str) -> None:
+def test_an_invalid_section_is_reported_as_an_operator_error(text: str, message: str) -> None:
     with pytest.raises(OperatorError, match=message):
         operator_config.read(text, SETTINGS)
 
@@ -150,7 +150,7 @@
 
 
 EXPERIMENTS = {
-    # Four times what its floor gives: also on a machine that is too busy to look in time now and then.
+    # 4 times the floor: reached even on a busy machine where some polls are late.
     "leans": experiment("table", beat_ms=1000, moves_s=16.0, least=0.2),
     "kill": experiment("table", {"at": 5.0, "what": "kill_part"}),
     "pause": experiment("table", {"at": 5.0, "what": "pause", "who": "leaning", "for_s": 2.5}),
@@ -162,20 +162,20 @@
 
 
 def run_experiment(name: str) -> Report:
-    """Run one of them, in a process of its own."""
+    """Run the experiment; called in a worker process."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(shared_limits_run.run(EXPERIMENTS[name], Path(folder) / "run", 1))
 
 
 @pytest.fixture(scope="module")
 def reports() -> dict[str, Report]:
-    """All of them, four at a time, as they mostly wait."""
+    """Reports of all experiments; four run at a time, as they mostly wait."""
     with ProcessPoolExecutor(4, initializer=end_with_parent, initargs=(os.getpid(),)) as pool:
         return dict(zip(EXPERIMENTS, pool.map(run_experiment, EXPERIMENTS), strict=True))
 
 
 @pytest.mark.parametrize("name", EXPERIMENTS)
-def test_processes_together_keep_a_limit_whatever_breaks(reports: dict[str, Report], name: str) -> None:
+def test_processes_together_keep_a_limit_under_faults(reports: dict[str, Report], name: str) -> None:
     assert not reports[name].wrong, reports[name]
 
 
