--- a/sabledyke/lease/holder.py
+++ b/sabledyke/lease/holder.py
@@ -192,7 +192,10 @@
 
 
 def _expire(state: HolderState, times: LeaseTimes, now_ms: float) -> tuple[HolderState, list[HolderEvent]]:
-    """Stop operating when the lease expires, and drop an unresolved operation at the end of its lease."""
+    """Stop operating when the lease expires, and drop an unresolved operation at the end of its lease.
+
+    A lease that is being released is left to expire at that point.
+    """
     events: list[HolderEvent] = []
     if not is_operation_in_flight(state, now_ms):
         state = replace(state, operation_status=OperationStatus.COMPLETED)
--- a/sabledyke/lease/holder_state.py
+++ b/sabledyke/lease/holder_state.py
@@ -16,8 +16,9 @@
     Attributes:
         WATCHING: It checks the lease and acquires it when it may.
         HOLDING: It holds the lease and may begin operations.
-        RELEASING: An operation is in flight; no other begins, and its end is followed by the release.
-        STOPPING: As in ``RELEASING``, but the holder stops permanently after the release.
+        RELEASING: An operation is in flight; no other begins, and after it the lease is released, or left to
+            expire if its outcome is unknown.
+        STOPPING: As in ``RELEASING``, but the holder stops permanently afterwards.
         STOPPED: It no longer sends requests.
     """
 
--- a/sabledyke/quota_sharing/allocation.py
+++ b/sabledyke/quota_sharing/allocation.py
@@ -10,7 +10,8 @@
 all members, and the shares at one moment add up to one. For such a moment to exist, a member changes its
 publication at most once per ``beat_ms``, counted from the confirmation of the previous one, and polls more
 often (``max_poll_gap_ms``). A member that has not polled for that long, or whose demands were not confirmed
-for ``validity_ms``, takes only its floor; the other members count its demands until this is certain.
+for ``validity_ms``, takes only its floor; the other members count its demands until ``expiry_ms`` ensures
+that.
 
 Sources: Gray and Cheriton, 'Leases' (SOSP 1989), whose argument for files applies to demands here; Gulati et
 al., dmClock (OSDI 2010), for shares that follow the requests at other members.
@@ -57,7 +58,7 @@
 
     @property
     def validity_ms(self) -> float:
-        """Time in ms after the confirmation of its demands in which a member may exceed its floor."""
+        """Time in ms from the write of a confirmed publication in which the member may exceed its floor."""
         return 4 * self.beat_ms
 
     @property
@@ -157,7 +158,10 @@
         self._cached_shares.clear()
 
     def on_published(self, number: int, now_ms: float) -> None:
-        """Record a confirmed publication; a later write that replaces an earlier one cannot take effect."""
+        """Record a confirmed publication, and drop later writes that were to replace an earlier one.
+
+        Such a write is a compare-and-set on an old version and can no longer take effect.
+        """
         publication = next((known for known in self._publications if known.number == number != 0), None)
         if publication is None:
             return  # written by an earlier incarnation
@@ -169,9 +173,7 @@
         )
         if self._published_at_ms == NEVER:  # an earlier incarnation may still use a share
             self._known_to_all_at_ms = now_ms + max(self.timing.expiry_ms, self.timing.window_ms)
-        elif (
-            now_ms - self._published_at_ms > self.timing.validity_ms
-        ):  # other members may regard it as expired
+        elif now_ms - self._published_at_ms > self.timing.validity_ms:  # others may regard it as expired
             self._known_to_all_at_ms = now_ms + self.timing.window_ms
         self._published_at_ms = max(self._published_at_ms, publication.started_at_ms)
         self._cached_shares.clear()
--- a/sabledyke/quota_sharing/publisher.py
+++ b/sabledyke/quota_sharing/publisher.py
@@ -102,7 +102,7 @@
         demands = self._meter.next_demands(now_ms)
         self._number += 1
         number = self._number
-        self.has_no_demand = False  # the write may take effect even if it fails
+        self.has_no_demand = False  # the write may take effect even if no answer arrives
         self._allocator.on_publishing(number, demands, now_ms, self._confirmed_number)
         checks = {self._writer_key: self._writer_version, self._register_key: self._register_version}
         if await self._backend.commit(checks, {self._register_key: encode_demands(number, demands)}):
