--- a/sabledyke/testbed/quota_member.py
+++ b/sabledyke/testbed/quota_member.py
@@ -89,8 +89,8 @@
         super().__init__(policy, timing)
         self._safeguards = safeguards
 
-    def _polls_in_time(self, now_ms: float) -> bool:
-        return not self._safeguards.limits_poll_gap or super()._polls_in_time(now_ms)
+    def _is_polling_in_time(self, now_ms: float) -> bool:
+        return not self._safeguards.limits_poll_gap or super()._is_polling_in_time(now_ms)
 
     def _is_known_to_all(self, now_ms: float) -> bool:
         return not self._safeguards.waits_for_predecessor or super()._is_known_to_all(now_ms)
