--- a/benchmarks/tls_returning_node.py
+++ b/benchmarks/tls_returning_node.py
@@ -60,7 +60,7 @@
         """Run one millisecond, and return how many handshakes began."""
         admitted, expired = self.admission.pop_due(now_ms, NODE)
         for _ in admitted:
-            self.admission.on_handshake_completed(now_ms, NODE, good=True)
+            self.admission.on_handshake_completed(now_ms, NODE, succeeded=True)
         self._retry_later(now_ms, expired)
         begun = len(admitted)
         for attempt in [attempt for attempt in self.waiting if attempt.retry_at_ms <= now_ms]:
@@ -72,7 +72,7 @@
         answer = self.admission.request(now_ms, NODE, 0.0, attempt.number, timeout_at_ms, resumes=False)
         self.waiting.remove(attempt)
         if answer:
-            self.admission.on_handshake_completed(now_ms, NODE, good=True)
+            self.admission.on_handshake_completed(now_ms, NODE, succeeded=True)
             return 1
         if answer is None:
             self._retry_later(now_ms, [attempt.number])
--- a/sabledyke/tls/__init__.py
+++ b/sabledyke/tls/__init__.py
@@ -1,5 +1,6 @@
-"""TLS towards storage nodes and on the fronts, with keys that change in service and admission of handshakes.
+"""TLS to storage nodes and for clients, with key rotation at run time and admission of handshakes.
 
-The decisions (``keyring``, ``session_tickets``, ``handshake_admission``) know no socket, file or clock, and
-``tls_machine`` is fed bytes. ``connector`` and ``stream`` drive them, and ``extension`` sets all of it up.
+``keyring``, ``session_tickets`` and ``handshake_admission`` make decisions without access to sockets, files
+or the clock. ``tls_machine`` is a sans-I/O state machine. ``connector`` and ``stream`` drive these modules,
+and ``extension`` sets them up.
 """
--- a/sabledyke/tls/connector.py
+++ b/sabledyke/tls/connector.py
@@ -1,7 +1,7 @@
-"""Opening of verified connections to storage nodes, through admission, tickets and the handshake.
+"""Opens verified connections to storage nodes: handshake admission, session tickets and the handshake.
 
-What fails here is NO_CONNECTION to the core, since nothing of a request can have left. It is logged once for
-each node and cause, until a handshake with that node succeeds again.
+The core receives each failure as NO_CONNECTION, since no part of a request can have been sent. A failure is
+logged once per node and cause until a handshake with that node succeeds again.
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
 from sabledyke.tls.tls_machine import TlsError, TlsMachine
 
 MAX_REPORTED_NODES = 4096
-"""Nodes whose last error is remembered, so that it is not logged again."""
+"""Maximum number of nodes whose last logged error is stored to suppress repeated log lines."""
 
 _MIN_TIMEOUT_MS = 1.0
 
 
 class TlsConnector:
-    """Opens the connections of all links to storage nodes, whatever protocol they speak.
+    """Opens the TLS connections to all storage nodes, for HTTP and NVMe links alike.
 
     Attributes:
         admission: Admission of handshakes.
-        tickets: Tickets to resume sessions from.
+        tickets: Cache of the tickets from which sessions are resumed.
         full_handshakes: Number of full handshakes that succeeded.
         resumed_handshakes: Number of resumed handshakes that succeeded.
         failed_handshakes: Number of handshakes that failed.
-        rejected_handshakes: Number of attempts that were not admitted in time.
+        rejected_handshakes: Number of connection attempts that were not admitted before their deadline.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._generation = 0
         self._context: ssl.SSLContext | None = None
         self._attempt_numbers = itertools.count()
-        self._waiting: dict[int, asyncio.Future[bool]] = {}
+        self._waiters: dict[int, asyncio.Future[bool]] = {}
         self._timers: dict[NodeId, asyncio.TimerHandle] = {}
         self._reported_errors: dict[NodeId, str] = {}
         self.full_handshakes = 0
@@ -61,7 +61,10 @@
         self.rejected_handshakes = 0
 
     def use_generation(self, generation: Generation) -> None:
-        """Use these keys from now on; open connections stay, and former generations' tickets are dropped."""
+        """Use these keys for new connections, and drop the tickets of older generations.
+
+        Open connections are not affected.
+        """
         self._context = contexts.client_context(generation, allow_tls_1_2=self._section.allow_tls_1_2)
         self._generation = generation.number
         self.tickets.drop_older_generations(generation.number)
@@ -69,16 +72,16 @@
     async def connect(
         self, entry: NodeEntry, address: tuple[str, int], connect_timeout_ms: float, remaining_ms: float
     ) -> TlsStream:
-        """Open a verified connection.
+        """Open a verified connection to a storage node.
 
         Args:
             entry: The storage node.
-            address: Its address.
-            connect_timeout_ms: Timeout of the connection underneath.
-            remaining_ms: How long the attempt still has.
+            address: Host and port of the storage node.
+            connect_timeout_ms: Timeout of the TCP connection.
+            remaining_ms: Time until the attempt's deadline.
 
         Raises:
-            StreamClosedError: The connection failed, or its handshake was not admitted in time.
+            StreamClosedError: The connection or its handshake failed, or was not admitted in time.
         """
         node = entry.node_id
         now_ms = clock.now()
@@ -86,27 +89,27 @@
         ticket = self.tickets.pop_newest(now_ms, node, entry.started_ms, self._generation)
         if not await self._wait_for_admission(now_ms, entry, deadline_ms, resumes=ticket is not None):
             self.rejected_handshakes += 1
-            if ticket is not None:  # it was not used
+            if ticket is not None:  # an unused ticket remains valid
                 self.tickets.add(now_ms, node, entry.started_ms, self._generation, ticket)
             raise streams.StreamClosedError
-        good = False
+        succeeded = False
         inner: streams.IOStream | None = None
         try:
             with self._errors_reported(node):
                 inner = await streams.connect(address, min(connect_timeout_ms, _remaining_ms(deadline_ms)))
                 stream = await self._handshake(inner, entry, ticket, deadline_ms)
-            good = True
+            succeeded = True
             return stream
         finally:
-            if not good:
+            if not succeeded:
                 self.failed_handshakes += 1
                 if inner is not None:
                     streams.abort(inner)
-            self.admission.on_handshake_completed(clock.now(), node, good=good)
+            self.admission.on_handshake_completed(clock.now(), node, succeeded=succeeded)
             self._notify_due_attempts(node)
 
     def forget(self, node: NodeId) -> None:
-        """Forget a storage node that was removed from the endpoint list."""
+        """Drop the state of a node that left the endpoint list, and reject its waiting attempts."""
         for attempt in self.admission.forget(node):
             self._notify(attempt, admitted=False)
         self._cancel_timer(node)
@@ -114,7 +117,7 @@
         self._reported_errors.pop(node, None)
 
     def close(self) -> None:
-        """Cancel all timers at the end of the program."""
+        """Cancel all timers, at shutdown."""
         for timer in self._timers.values():
             timer.cancel()
 
@@ -144,7 +147,7 @@
     async def _wait_for_admission(
         self, now_ms: float, entry: NodeEntry, deadline_ms: float, *, resumes: bool
     ) -> bool:
-        """Return whether the handshake was admitted in time."""
+        """Wait until the handshake is admitted; return False if it was not admitted before the deadline."""
         attempt = next(self._attempt_numbers)
         node = entry.node_id
         admitted = self.admission.request(
@@ -153,28 +156,28 @@
         if admitted is not False:
             return bool(admitted)
         waiter: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._waiting[attempt] = waiter
+        self._waiters[attempt] = waiter
         self._notify_due_attempts(node)
         try:
             return bool(await waiter)
         except asyncio.CancelledError:
-            # Guards against an attempt that is cancelled in the same loop iteration in which it is admitted.
+            # The attempt may be cancelled in the same event loop iteration that admits it: release its slot.
             if waiter.done() and not waiter.cancelled() and waiter.result():
-                self.admission.on_handshake_completed(clock.now(), node, good=True)
+                self.admission.on_handshake_completed(clock.now(), node, succeeded=True)
             raise
         finally:
-            del self._waiting[attempt]
+            del self._waiters[attempt]
             if waiter.cancelled():
                 self.admission.withdraw(node, attempt)
 
     def _notify_due_attempts(self, node: NodeId) -> None:
-        """Notify the attempts that were admitted or are out of time, and again when that may change."""
+        """Notify the attempts that are admitted or have expired, and schedule the next such check."""
         self._cancel_timer(node)
         now_ms = clock.now()
         due = self.admission.pop_due(now_ms, node)
         for attempt in due.admitted:
-            if not self._notify(attempt, admitted=True):  # cancelled in this very loop iteration
-                self.admission.on_handshake_completed(now_ms, node, good=True)
+            if not self._notify(attempt, admitted=True):  # cancelled in the same event loop iteration
+                self.admission.on_handshake_completed(now_ms, node, succeeded=True)
         for attempt in due.expired:
             self._notify(attempt, admitted=False)
         next_due_ms = self.admission.next_due_ms(now_ms, node)
@@ -184,8 +187,8 @@
             self._timers[node] = loop.call_later(delay_s, self._notify_due_attempts, node)
 
     def _notify(self, attempt: int, *, admitted: bool) -> bool:
-        """Notify an attempt, and return whether it was still waiting."""
-        waiter = self._waiting.get(attempt)
+        """Notify an attempt; return False if it was no longer waiting."""
+        waiter = self._waiters.get(attempt)
         if waiter is None or waiter.done():
             return False
         waiter.set_result(admitted)
@@ -198,7 +201,7 @@
 
     @contextmanager
     def _errors_reported(self, node: NodeId) -> Iterator[None]:
-        """Report what goes wrong, and raise it as StreamClosedError."""
+        """Log TLS errors and timeouts, and raise them as StreamClosedError."""
         try:
             yield
         except TlsError as error:
@@ -212,7 +215,7 @@
             raise streams.StreamClosedError from None
 
     def _report(self, node: NodeId, text: str) -> None:
-        """Log an error, unless it was the node's last one."""
+        """Log an error, unless it equals the last error that was logged for the node."""
         if self._reported_errors.get(node) == text:
             return
         self._reported_errors[node] = text
--- a/sabledyke/tls/contexts.py
+++ b/sabledyke/tls/contexts.py
@@ -1,7 +1,7 @@
 """OpenSSL contexts for a generation of the keyring.
 
-The bytes that were checked are the bytes that are loaded: they pass through anonymous memory, never through a
-named file.
+Keys are passed to OpenSSL through anonymous in-memory files and not through their named files, so that the
+loaded bytes are exactly the bytes that were checked.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def client_context(generation: Generation, *, allow_tls_1_2: bool = False) -> ssl.SSLContext:
-    """Return the context for connections to storage nodes, whose chain and name are always verified."""
+    """Return the context for connections to storage nodes, which always verifies their chain and name."""
     context = _context(ssl.PROTOCOL_TLS_CLIENT, generation, allow_tls_1_2=allow_tls_1_2)
     context.check_hostname = True
     context.verify_mode = ssl.CERT_REQUIRED
@@ -25,12 +25,12 @@
 def server_context(
     generation: Generation, *, allow_tls_1_2: bool = False, require_client_certificates: bool = False
 ) -> ssl.SSLContext:
-    """Return the context for connections of clients.
+    """Return the context for connections from clients.
 
     Args:
-        generation: The keys.
-        allow_tls_1_2: Whether TLS 1.2 is accepted beside TLS 1.3.
-        require_client_certificates: Whether clients need a certificate that a trusted root has signed.
+        generation: The keys, chain and roots.
+        allow_tls_1_2: True to accept TLS 1.2 besides TLS 1.3.
+        require_client_certificates: True to require a client certificate signed by a trusted root.
     """
     context = _context(ssl.PROTOCOL_TLS_SERVER, generation, allow_tls_1_2=allow_tls_1_2)
     context.verify_mode = ssl.CERT_REQUIRED if require_client_certificates else ssl.CERT_NONE
@@ -54,7 +54,7 @@
 
 @contextmanager
 def _anonymous_file(data: bytes) -> Iterator[str]:
-    """Yield the path of a file in memory that holds the data."""
+    """Yield the path of an anonymous in-memory file that contains the data."""
     descriptor = os.memfd_create("keys", os.MFD_CLOEXEC)
     try:
         os.write(descriptor, data)
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -1,4 +1,4 @@
-"""Set-up of TLS, towards storage nodes and on the fronts, as an extension of the application."""
+"""Extension that sets up TLS to storage nodes and for clients of the frontends."""
 
 from __future__ import annotations
 
@@ -32,15 +32,20 @@
 
 CLIENT_HANDSHAKE_TIMEOUT_MS = 2000.0
 WARM_CHECK_INTERVAL_S = 2.0
-"""How often connections that are to be kept warm are checked."""
+"""Interval of the check that each recently used node has an open connection."""
 WARM_PERIOD_MS = 60_000.0
-"""For how long after its last use a storage node is kept warm."""
+"""Time after the last use of a storage node for which a connection to it is kept open."""
 EVICTION_INTERVAL_S = 30.0
-"""How often idle entries of admission are evicted."""
+"""Interval at which idle entries of handshake admission are evicted."""
 
 
 class TlsExtension(Extension):
-    """See ``Extension``."""
+    """TLS for connections to storage nodes and from clients.
+
+    Attributes:
+        keyring: The keys in use and their rotation.
+        connector: Opens the connections to storage nodes.
+    """
 
     def __init__(self, host: ServerContext, section: TlsSection) -> None:
         self._host = host
@@ -50,30 +55,34 @@
         self.connector = TlsConnector(
             section, self._budget(host.config), host.config.seed, host.config.settings.zones
         )
-        self._client_facing: ssl.SSLContext | None = None
-        self._last_used_ms: dict[NodeId, float] = {}  # when a connection was last requested
+        self._server_context: ssl.SSLContext | None = None
+        self._last_used_ms: dict[NodeId, float] = {}  # time of the last connection request
         self._timers: list[asyncio.TimerHandle] = []
 
-    def wrap_connect(self, plain: Connect) -> Connect:
-        """See ``Extension``: never plaintext where TLS is requested."""
+    def wrap_connect(self, connect_plaintext: Connect) -> Connect:
+        """Connect by TLS to the nodes that the section selects, without a fallback to plaintext."""
 
         async def connect(
             node: NodeId, address: Address, connect_timeout_ms: float, remaining_ms: float
         ) -> Stream:
             if self._section.nodes and node not in self._section.nodes:
-                return await plain(node, address, connect_timeout_ms, remaining_ms)
+                return await connect_plaintext(node, address, connect_timeout_ms, remaining_ms)
             self._last_used_ms[node] = clock.now()
             entry = self._host.node_entry(node)
             return await self.connector.connect(entry, address, connect_timeout_ms, remaining_ms)
 
         return connect
 
-    def connection_guard(self, front: str) -> Guard | None:
-        """See ``Extension``."""
-        return self._accept_client if front in self._section.fronts else None
+    def connection_guard(self, frontend_name: str) -> Guard | None:
+        """Require a TLS handshake of each client of the frontends that use TLS."""
+        return self._accept_client if frontend_name in self._section.tls_frontends else None
 
     async def open(self) -> None:
-        """See ``Extension``."""
+        """Load the keys and start the periodic tasks.
+
+        Raises:
+            ConfigError: The key files cannot be used.
+        """
         try:
             update = self.keyring.offer(clock.now(), self._section.paths.read_files())
         except (MaterialError, OperatorError) as error:
@@ -87,30 +96,30 @@
         self._repeat(EVICTION_INTERVAL_S, self._evict_idle)
 
     def apply_config(self, config: Config) -> None:
-        """See ``Extension``: a reload checks the files too."""
+        """Apply the new handshake budget, and check the key files for changes."""
         self.connector.admission.budget = self._budget(config)
         self._poll_files()
 
-    def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
-        """See ``Extension``."""
-        for node in gone:
+    def on_nodes_removed(self, removed: Iterable[NodeId]) -> None:
+        """Drop the state of the removed storage nodes."""
+        for node in removed:
             self.connector.forget(node)
             self._last_used_ms.pop(node, None)
 
     async def close(self) -> None:
-        """See ``Extension``."""
+        """Cancel all timers."""
         for timer in self._timers:
             timer.cancel()
         self.connector.close()
 
     async def _accept_client(self, inner: streams.IOStream) -> Stream | None:
-        """Complete a client's handshake in bounded time; None where it failed."""
-        assert self._client_facing is not None
-        machine = TlsMachine(self._client_facing, server=True)
+        """Complete a client's handshake within the timeout; return None if it failed."""
+        assert self._server_context is not None
+        machine = TlsMachine(self._server_context, server=True)
         try:
             await complete_handshake(inner, machine, CLIENT_HANDSHAKE_TIMEOUT_MS)
         except (TlsError, TimeoutError, streams.StreamClosedError, ssl.SSLError) as error:
-            log.emit("tls", f"a client's handshake failed: {str(error) or 'it does not end in time'}")
+            log.emit("tls", f"a client's handshake failed: {str(error) or 'it timed out'}")
             return None
         stream = TlsStream(inner, machine)
         if self._section.client_rights:
@@ -118,7 +127,7 @@
         return stream
 
     def _rights(self, names: set[str]) -> frozenset[int]:
-        """Return the volumes of all names of a certificate together; none for one without a name."""
+        """Return the union of the volumes that the names of a certificate may access."""
         volumes: set[int] = set()
         for name in names:
             volumes |= self._section.client_rights.get(name, frozenset())
@@ -126,8 +135,8 @@
 
     def _use_generation(self, generation: Generation) -> None:
         self.connector.use_generation(generation)
-        if self._section.fronts:
-            self._client_facing = contexts.server_context(
+        if self._section.tls_frontends:
+            self._server_context = contexts.server_context(
                 generation,
                 allow_tls_1_2=self._section.allow_tls_1_2,
                 require_client_certificates=self._section.require_client_certificates,
@@ -136,7 +145,7 @@
     def _poll_files(self) -> None:
         try:
             update = self.keyring.offer(clock.now(), self._section.paths.read_files())
-        except OperatorError as error:  # half a rotation: a file is missing for a moment
+        except OperatorError as error:  # a file may be missing briefly during a rotation
             log.emit("tls", f"new keys are not used: {error}; the old ones stay in force")
             return
         if update.changed:
@@ -144,9 +153,9 @@
         _log_messages(update.messages)
 
     def _keep_warm(self) -> None:
-        """Keep a connection ahead of need to each node that was used lately, so that no request waits for it.
+        """Keep a connection open to each recently used node, so that requests do not wait for a handshake.
 
-        It goes through admission like any other, and the idle timeout closes it like any other.
+        Handshake admission and the idle timeout apply to these connections as to all others.
         """
         now_ms = clock.now()
         for node, last_used_ms in list(self._last_used_ms.items()):
@@ -159,7 +168,7 @@
         self.connector.admission.evict_idle(clock.now())
 
     def _repeat(self, interval_s: float, action: Callable[[], None]) -> None:
-        """Run an action at this interval until the end."""
+        """Run an action periodically until the extension is closed."""
         index = len(self._timers)
 
         def run() -> None:
@@ -169,7 +178,7 @@
         self._timers.append(asyncio.get_running_loop().call_later(interval_s, run))
 
     def _budget(self, config: Config) -> HandshakeBudget:
-        """Return what a storage node can do under the settings in force."""
+        """Return the handshake budget of a storage node under the current settings."""
         settings = config.settings
         return HandshakeBudget(
             scheduler_count=settings.scheduler_count,
@@ -181,7 +190,7 @@
 
 
 def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
-    """Return the extension, where the operator's file requests it."""
+    """Return the extension, or None if the operator's file has no ``[tls]`` section."""
     return TlsExtension(host, section.tls) if section.tls is not None else None
 
 
--- a/sabledyke/tls/handshake_admission.py
+++ b/sabledyke/tls/handshake_admission.py
@@ -1,14 +1,13 @@
-"""Admission of TLS handshakes, so that no crowd of them overloads a storage node that has just started.
+"""Admission of TLS handshakes, which keeps reconnecting schedulers from overloading a restarted storage node.
 
 Decides which attempt may begin a handshake with a storage node, and when. Schedulers cannot communicate, so
-each keeps to an even share of what a node can do at its age. Clock and seed are passed in; all times are
-milliseconds.
+each limits itself to an equal share of the node's capacity, which grows during the node's warm-up. The clock
+and the seed are passed in; all times are in milliseconds.
 
-Each node has a token bucket of handshake work, in milliseconds of the node's CPU. It fills at this
-scheduler's share of the capacity that may go to handshakes, and holds what ``burst_ms`` at that rate come to.
+Each node has a token bucket of handshake work, in milliseconds of the node's CPU time. It fills at this
+scheduler's share of the capacity that handshakes may use, and holds what that rate yields in ``burst_ms``.
 
-Bounds: a node's entry goes with ``forget``, or with ``evict_idle``; those that wait are outstanding attempts,
-each with its deadline.
+Bounds: ``forget`` and ``evict_idle`` remove a node's entry; every waiting attempt has a deadline.
 """
 
 from __future__ import annotations
@@ -19,25 +18,25 @@
 from math import inf
 from typing import NamedTuple
 
-_MAX_FAILURES = 30  # counted, so that the backoff's exponent stays small
+_MAX_FAILURES = 30  # limits the exponent of the backoff
 _MIN_JITTER = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class HandshakeBudget:
-    """What a storage node can do. The costs are those that ``benchmarks/tls.py`` measured for P-256.
+    """Capacity of a storage node for handshakes; the default costs are for P-256, from ``benchmarks/tls.py``.
 
     Attributes:
-        scheduler_count: Schedulers that may connect at the same time.
-        initial_capacity_share: Share of its capacity that a node has when it starts.
-        warm_up_ms: Time until it has all of its capacity.
-        handshake_share: Share of its capacity that handshakes may take.
-        cores: Its CPU cores.
-        full_handshake_ms: CPU time that a full handshake takes of the node.
-        resumed_handshake_ms: CPU time that a resumed handshake takes of the node.
-        burst_ms: Time for which a bucket fills.
-        min_backoff_ms: Backoff after a failed handshake, doubled up to ...
-        max_backoff_ms: ... this.
+        scheduler_count: Number of schedulers that may connect at the same time.
+        initial_capacity_share: Share of its full capacity that a node has when it starts.
+        warm_up_ms: Time from its start until a node reaches its full capacity.
+        handshake_share: Share of a node's capacity that handshakes may use.
+        cores: Number of CPU cores of a node.
+        full_handshake_ms: CPU time of the node for a full handshake.
+        resumed_handshake_ms: CPU time of the node for a resumed handshake.
+        burst_ms: Time in which an empty bucket fills.
+        min_backoff_ms: Backoff after the first failed handshake; each further failure doubles it.
+        max_backoff_ms: Upper limit of the backoff.
     """
 
     scheduler_count: int
@@ -53,7 +52,7 @@
 
 
 class DueAttempts(NamedTuple):
-    """Attempts that need not wait any longer, by earliest deadline."""
+    """Attempts whose wait is over, ordered by deadline."""
 
     admitted: list[int]
     expired: list[int]
@@ -66,40 +65,41 @@
 
 
 @dataclass(slots=True)
-class _NodeAccount:
-    """One storage node as this scheduler has met it."""
+class _NodeState:
+    """Handshake work, failures and waiting attempts of one storage node."""
 
     started_ms: float
-    available_ms: float  # CPU time that may be spent now
+    available_ms: float  # fill level of the bucket, in CPU time of the node
     updated_ms: float
     failures: int = 0
-    retry_at_ms: float = -inf  # after failures: no handshake before this, and then one at a time
+    retry_at_ms: float = -inf  # end of the backoff after a failure
     in_flight: int = 0
-    waiting: list[_WaitingAttempt] = field(default_factory=list)  # a heap
+    waiting: list[_WaitingAttempt] = field(default_factory=list)  # heap by deadline
 
 
 class HandshakeAdmission:
-    """Admits handshakes to all storage nodes.
+    """Admits handshakes with all storage nodes.
 
     Attributes:
-        budget: What a storage node can do; the caller replaces it.
+        budget: Capacity of a storage node for handshakes; the caller may replace it at any time.
     """
 
     def __init__(self, budget: HandshakeBudget, seed: int) -> None:
         self.budget = budget
         self._random = random.Random(seed)
-        self._accounts: dict[bytes, _NodeAccount] = {}
-        # Schedulers that find a node back at the same moment would all begin with a full bucket then.
+        self._node_states: dict[bytes, _NodeState] = {}
+        # Random, so that schedulers that detect a restarted node at the same time do not all start with full
+        # buckets.
         self._initial_fill = self._jitter()
 
     @property
     def entry_count(self) -> int:
-        """Number of entries in all tables."""
-        waiting = sum(len(account.waiting) for account in self._accounts.values())
-        return len(self._accounts) + waiting
+        """Number of stored nodes and waiting attempts."""
+        waiting = sum(len(state.waiting) for state in self._node_states.values())
+        return len(self._node_states) + waiting
 
     def handshake_rate(self, now_ms: float, started_ms: float) -> float:
-        """Return the handshake work per time that this scheduler may cause at a node that started then."""
+        """Return the CPU time, in ms per ms, that this scheduler's handshakes may use on a node."""
         budget = self.budget
         warm_up_fraction = max(0.0, now_ms - started_ms) / budget.warm_up_ms
         initial_share = budget.initial_capacity_share
@@ -107,7 +107,7 @@
         return capacity_share * budget.cores * budget.handshake_share / budget.scheduler_count
 
     def handshake_cost_ms(self, *, resumes: bool) -> float:
-        """Return the CPU time that a handshake takes of the node."""
+        """Return the CPU time of the node for one handshake, in milliseconds."""
         return self.budget.resumed_handshake_ms if resumes else self.budget.full_handshake_ms
 
     def request(
@@ -123,145 +123,145 @@
         """Request a handshake.
 
         Args:
-            now_ms: The time.
+            now_ms: The current time.
             node: The storage node.
-            started_ms: When it started.
-            attempt: Identifies the attempt.
-            deadline_ms: When the attempt is given up.
-            resumes: Whether the handshake resumes a session.
+            started_ms: Start time of the storage node.
+            attempt: Identifier of the attempt.
+            deadline_ms: Time at which the attempt expires.
+            resumes: True if the handshake resumes a session.
 
         Returns:
-            True to begin at once; False to wait until ``pop_due`` names the attempt; None where there is no
-            capacity in time.
+            True if the handshake may begin at once; False if the attempt must wait until ``pop_due`` returns
+            it; None if there is no capacity before its deadline.
         """
-        account = self._account(now_ms, node, started_ms)
-        if self._may_begin(now_ms, account, resumes=resumes) and not account.waiting:
-            self._begin(account, resumes=resumes)
+        state = self._node_state(now_ms, node, started_ms)
+        if self._may_begin(now_ms, state, resumes=resumes) and not state.waiting:
+            self._begin(state, resumes=resumes)
             return True
-        if now_ms + self._expected_wait_ms(now_ms, account, deadline_ms, resumes=resumes) > deadline_ms:
+        if now_ms + self._expected_wait_ms(now_ms, state, deadline_ms, resumes=resumes) > deadline_ms:
             return None
-        heapq.heappush(account.waiting, _WaitingAttempt(deadline_ms, attempt, resumes))
+        heapq.heappush(state.waiting, _WaitingAttempt(deadline_ms, attempt, resumes))
         return False
 
     def pop_due(self, now_ms: float, node: bytes) -> DueAttempts:
-        """Remove and return the waiting attempts that may begin now or are out of time."""
-        account = self._accounts.get(node)
+        """Remove and return the waiting attempts that may begin now or have expired."""
+        state = self._node_states.get(node)
         due = DueAttempts([], [])
-        while account is not None and account.waiting:
-            first = account.waiting[0]
+        while state is not None and state.waiting:
+            first = state.waiting[0]
             if first.deadline_ms <= now_ms:
                 due.expired.append(first.attempt)
-            elif self._may_begin(now_ms, account, resumes=first.resumes):
-                self._begin(account, resumes=first.resumes)
+            elif self._may_begin(now_ms, state, resumes=first.resumes):
+                self._begin(state, resumes=first.resumes)
                 due.admitted.append(first.attempt)
             else:
                 break
-            heapq.heappop(account.waiting)
+            heapq.heappop(state.waiting)
         return due
 
     def next_due_ms(self, now_ms: float, node: bytes) -> float:
-        """Return when ``pop_due`` may have something new; inf for never."""
-        account = self._accounts.get(node)
-        if account is None or not account.waiting:
+        """Return the time at which ``pop_due`` may return the next attempt; inf if none is waiting."""
+        state = self._node_states.get(node)
+        if state is None or not state.waiting:
             return inf
-        first = account.waiting[0]
-        if account.failures and account.in_flight:
+        first = state.waiting[0]
+        if state.failures and state.in_flight:
             return first.deadline_ms
-        self._refill(now_ms, account)
-        missing_ms = self.handshake_cost_ms(resumes=first.resumes) - account.available_ms
-        admitted_ms = now_ms + self._refill_time_ms(now_ms, account, missing_ms)
-        if account.failures:
-            admitted_ms = max(admitted_ms, account.retry_at_ms)
+        self._refill(now_ms, state)
+        missing_ms = self.handshake_cost_ms(resumes=first.resumes) - state.available_ms
+        admitted_ms = now_ms + self._refill_time_ms(now_ms, state, missing_ms)
+        if state.failures:
+            admitted_ms = max(admitted_ms, state.retry_at_ms)
         return min(first.deadline_ms, admitted_ms)
 
     def withdraw(self, node: bytes, attempt: int) -> None:
         """Remove a waiting attempt that was cancelled."""
-        account = self._accounts.get(node)
-        if account is not None:
-            account.waiting = [waiting for waiting in account.waiting if waiting.attempt != attempt]
-            heapq.heapify(account.waiting)
+        state = self._node_states.get(node)
+        if state is not None:
+            state.waiting = [waiting for waiting in state.waiting if waiting.attempt != attempt]
+            heapq.heapify(state.waiting)
 
-    def on_handshake_completed(self, now_ms: float, node: bytes, *, good: bool) -> None:
-        """Note that a handshake that had begun is over.
+    def on_handshake_completed(self, now_ms: float, node: bytes, *, succeeded: bool) -> None:
+        """Record the end of a handshake that was admitted.
 
-        A node whose handshakes fail is tried one at a time, with backoff: a crowd of handshakes would fail
-        alike, and cost the node as much.
+        After a failure, handshakes with the node are admitted one at a time and with backoff: simultaneous
+        handshakes would all fail alike, and would load the node as much as successful ones.
         """
-        account = self._accounts.get(node)
-        if account is None:
+        state = self._node_states.get(node)
+        if state is None:
             return
-        account.in_flight = max(0, account.in_flight - 1)
-        if good:
-            account.failures = 0
-            account.retry_at_ms = -inf
+        state.in_flight = max(0, state.in_flight - 1)
+        if succeeded:
+            state.failures = 0
+            state.retry_at_ms = -inf
             return
-        account.failures = min(account.failures + 1, _MAX_FAILURES)
-        backoff_ms = self.budget.min_backoff_ms * 2 ** (account.failures - 1)
-        account.retry_at_ms = now_ms + min(backoff_ms, self.budget.max_backoff_ms) * self._jitter()
+        state.failures = min(state.failures + 1, _MAX_FAILURES)
+        backoff_ms = self.budget.min_backoff_ms * 2 ** (state.failures - 1)
+        state.retry_at_ms = now_ms + min(backoff_ms, self.budget.max_backoff_ms) * self._jitter()
 
     def forget(self, node: bytes) -> list[int]:
-        """Forget a node that was removed from the endpoint list, and return its waiting attempts."""
-        account = self._accounts.pop(node, None)
-        return [] if account is None else [waiting.attempt for waiting in account.waiting]
+        """Remove a node that left the endpoint list, and return its waiting attempts."""
+        state = self._node_states.pop(node, None)
+        return [] if state is None else [waiting.attempt for waiting in state.waiting]
 
     def evict_idle(self, now_ms: float) -> None:
-        """Forget warmed-up nodes of which nothing is left to know: idle, full bucket, no failure."""
-        for node, account in list(self._accounts.items()):
-            self._refill(now_ms, account)
-            full = account.available_ms >= self._burst_work_ms(now_ms, account.started_ms)
-            idle = not (account.waiting or account.in_flight or account.failures)
-            if full and idle and now_ms - account.started_ms > self.budget.warm_up_ms:
-                del self._accounts[node]
-
-    def _account(self, now_ms: float, node: bytes, started_ms: float) -> _NodeAccount:
-        """Return a node's account; a restarted node begins a new one, and attempts keep waiting."""
-        account = self._accounts.get(node)
-        if account is not None and account.started_ms == started_ms:
-            return account
+        """Remove the entries of warmed-up, idle nodes with a full bucket and no failures."""
+        for node, state in list(self._node_states.items()):
+            self._refill(now_ms, state)
+            full = state.available_ms >= self._burst_work_ms(now_ms, state.started_ms)
+            idle = not (state.waiting or state.in_flight or state.failures)
+            if full and idle and now_ms - state.started_ms > self.budget.warm_up_ms:
+                del self._node_states[node]
+
+    def _node_state(self, now_ms: float, node: bytes, started_ms: float) -> _NodeState:
+        """Return a node's state; a restarted node gets a new state that keeps the waiting attempts."""
+        state = self._node_states.get(node)
+        if state is not None and state.started_ms == started_ms:
+            return state
         available_ms = self._burst_work_ms(now_ms, started_ms) * self._initial_fill
-        waiting = account.waiting if account is not None else []
-        account = _NodeAccount(started_ms, available_ms, now_ms, waiting=waiting)
-        self._accounts[node] = account
-        return account
+        waiting = state.waiting if state is not None else []
+        state = _NodeState(started_ms, available_ms, now_ms, waiting=waiting)
+        self._node_states[node] = state
+        return state
 
     def _expected_wait_ms(
-        self, now_ms: float, account: _NodeAccount, deadline_ms: float, *, resumes: bool
+        self, now_ms: float, state: _NodeState, deadline_ms: float, *, resumes: bool
     ) -> float:
         ahead_ms = sum(
             self.handshake_cost_ms(resumes=waiting.resumes)
-            for waiting in account.waiting
+            for waiting in state.waiting
             if waiting.deadline_ms <= deadline_ms
         )
-        missing_ms = ahead_ms + self.handshake_cost_ms(resumes=resumes) - account.available_ms
-        wait_ms = self._refill_time_ms(now_ms, account, missing_ms)
-        if not account.failures:
+        missing_ms = ahead_ms + self.handshake_cost_ms(resumes=resumes) - state.available_ms
+        wait_ms = self._refill_time_ms(now_ms, state, missing_ms)
+        if not state.failures:
             return wait_ms
-        # Tried one at a time: only as many may wait as can succeed in time.
-        return inf if account.in_flight else max(wait_ms, account.retry_at_ms - now_ms)
+        # Handshakes with a failing node run one at a time: only attempts that can succeed in time may wait.
+        return inf if state.in_flight else max(wait_ms, state.retry_at_ms - now_ms)
 
-    def _refill_time_ms(self, now_ms: float, account: _NodeAccount, missing_ms: float) -> float:
-        """Return how long the bucket takes to gain so much work."""
-        rate = self.handshake_rate(now_ms, account.started_ms)
+    def _refill_time_ms(self, now_ms: float, state: _NodeState, missing_ms: float) -> float:
+        """Return the time in which the bucket gains this much work."""
+        rate = self.handshake_rate(now_ms, state.started_ms)
         return max(0.0, missing_ms) / rate if rate > 0 else inf
 
     def _burst_work_ms(self, now_ms: float, started_ms: float) -> float:
         return self.handshake_rate(now_ms, started_ms) * self.budget.burst_ms
 
-    def _refill(self, now_ms: float, account: _NodeAccount) -> None:
-        rate = self.handshake_rate(now_ms, account.started_ms)
+    def _refill(self, now_ms: float, state: _NodeState) -> None:
+        rate = self.handshake_rate(now_ms, state.started_ms)
         bucket_ms = max(rate * self.budget.burst_ms, self.budget.full_handshake_ms)
-        account.available_ms = min(account.available_ms + rate * (now_ms - account.updated_ms), bucket_ms)
-        account.updated_ms = now_ms
+        state.available_ms = min(state.available_ms + rate * (now_ms - state.updated_ms), bucket_ms)
+        state.updated_ms = now_ms
 
-    def _may_begin(self, now_ms: float, account: _NodeAccount, *, resumes: bool) -> bool:
-        self._refill(now_ms, account)
-        if account.failures and (account.in_flight or now_ms < account.retry_at_ms):
+    def _may_begin(self, now_ms: float, state: _NodeState, *, resumes: bool) -> bool:
+        self._refill(now_ms, state)
+        if state.failures and (state.in_flight or now_ms < state.retry_at_ms):
             return False
-        return account.available_ms >= self.handshake_cost_ms(resumes=resumes)
+        return state.available_ms >= self.handshake_cost_ms(resumes=resumes)
 
-    def _begin(self, account: _NodeAccount, *, resumes: bool) -> None:
-        account.available_ms -= self.handshake_cost_ms(resumes=resumes)
-        account.in_flight += 1
+    def _begin(self, state: _NodeState, *, resumes: bool) -> None:
+        state.available_ms -= self.handshake_cost_ms(resumes=resumes)
+        state.in_flight += 1
 
     def _jitter(self) -> float:
         return _MIN_JITTER + self._random.random() / 2
--- a/sabledyke/tls/key_material.py
+++ b/sabledyke/tls/key_material.py
@@ -1,7 +1,8 @@
-"""Keys, chains and trusted roots as files hold them, checked completely before any of it is used.
+"""Validation of key files: private key, certificate chain, trusted roots and revocation lists.
 
-Decides whether the files fit together and are valid at a given time. The bytes of the files, the mode of the
-key's file and the time are passed in; no file is opened here. Error texts contain no secret.
+Checks that the files are consistent and valid at a given time before any of them is used. The contents of the
+files, the mode of the key file and the time are passed in; no file is opened here. Error texts contain no
+secrets.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 MAX_FILE_BYTES = 1024 * 1024
 
-_GROUP_AND_OTHERS = 0o077
-_LIST_END = b"-----END X509 CRL-----"
+_GROUP_AND_OTHERS_MASK = 0o077
+_CRL_END_LINE = b"-----END X509 CRL-----"
 
 
 class MaterialError(SabledykeError):
-    """The files cannot be used; the text is the one line that says why."""
+    """The key files cannot be used; the text states the reason in one line."""
 
     code = "tls-material"
     remedy = "replace the file that the line names, then tls check"
@@ -32,14 +33,14 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyFiles:
-    """What the files hold, in PEM; a certificate without a key, or the other way, is an error.
+    """Contents of the key files, in PEM; the chain and the key are valid only together.
 
     Attributes:
-        chain: Our certificate and its intermediates.
-        key: Its key.
+        chain: The scheduler's certificate and its intermediates.
+        key: The private key of that certificate.
         roots: The trusted roots.
-        revocation_lists: Revocation lists, none or several.
-        key_mode: Permissions of the key's file.
+        revocation_lists: Any number of certificate revocation lists.
+        key_mode: Permission bits of the key file.
     """
 
     chain: bytes = b""
@@ -50,7 +51,12 @@
 
 
 class Expiration(NamedTuple):
-    """When something of ours expires, in Unix milliseconds, and what it is."""
+    """Expiration of one of the scheduler's certificates or roots.
+
+    Attributes:
+        time_ms: Expiration time in Unix milliseconds.
+        subject: Description of the certificate or root.
+    """
 
     time_ms: float
     subject: str
@@ -58,12 +64,12 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyMaterial:
-    """Files that were checked.
+    """Key files that passed all checks.
 
     Attributes:
-        files: The files.
-        expirations: When our certificates and the roots expire.
-        names: The names of our certificate.
+        files: The contents of the files.
+        expirations: Expirations of the certificate chain and the unexpired roots.
+        names: Alternative names of the scheduler's certificate.
     """
 
     files: KeyFiles
@@ -77,19 +83,19 @@
 
 
 def check_key_files(files: KeyFiles, now_ms: float) -> KeyMaterial:
-    """Check files completely.
+    """Check that key files are consistent and valid.
 
     Args:
-        files: The files.
-        now_ms: The time at which they have to be valid, in Unix milliseconds.
+        files: The contents of the files.
+        now_ms: The time at which they must be valid, in Unix milliseconds.
 
     Raises:
-        MaterialError: The first thing that is wrong with them.
+        MaterialError: The files cannot be used; the text states the first failed check.
     """
     now = datetime.fromtimestamp(now_ms / 1000, UTC)
     _check_key_file(files)
-    roots = _certificates(files.roots, "the roots") if files.roots else []
-    chain = _certificates(files.chain, "the chain") if files.chain else []
+    roots = _load_certificates(files.roots, "the roots") if files.roots else []
+    chain = _load_certificates(files.chain, "the chain") if files.chain else []
     valid_roots = _valid_roots(roots, now)
     expirations = [
         Expiration(_unix_ms(root.not_valid_after_utc), f"root {_name(root)}") for root in valid_roots
@@ -107,15 +113,15 @@
 
 def _check_key_file(files: KeyFiles) -> None:
     if bool(files.chain) != bool(files.key):
-        raise MaterialError("a certificate needs its key, and a key its certificate")
-    if files.key and files.key_mode & _GROUP_AND_OTHERS:
-        mode = f"its mode is {files.key_mode & 0o777:o}"
-        raise MaterialError(f"the key's file must be read by its owner alone (chmod 600), {mode}")
+        raise MaterialError("chain and key must be set together")
+    if files.key and files.key_mode & _GROUP_AND_OTHERS_MASK:
+        mode = f"but its mode is {files.key_mode & 0o777:o}"
+        raise MaterialError(f"the key file must be readable by its owner alone (chmod 600), {mode}")
 
 
 def _valid_roots(roots: list[x509.Certificate], now: datetime) -> list[x509.Certificate]:
     if not roots:
-        raise MaterialError("there are no trusted roots")
+        raise MaterialError("roots contains no trusted roots")
     valid = [root for root in roots if root.not_valid_after_utc > now]
     if not valid:
         raise MaterialError("every trusted root has expired")
@@ -126,30 +132,34 @@
     if now >= certificate.not_valid_after_utc:
         raise MaterialError(f"certificate {_name(certificate)} has expired")
     if now < certificate.not_valid_before_utc:
-        raise MaterialError(f"certificate {_name(certificate)} does not hold yet")
+        raise MaterialError(f"certificate {_name(certificate)} is not valid yet")
 
 
 def _check_chain(chain: list[x509.Certificate], key: bytes, roots: list[x509.Certificate]) -> None:
     _check_key_belongs_to(chain[0], key)
     for certificate, issuer in zip(chain, chain[1:], strict=False):
-        _check_signed(certificate, [issuer], f"the chain breaks after {_name(certificate)}")
+        _check_signed(
+            certificate,
+            [issuer],
+            f"the chain is broken: {_name(certificate)} is not signed by the next certificate",
+        )
     _check_signed(chain[-1], roots, f"no trusted root has signed {_name(chain[-1])}")
 
 
-def _certificates(data: bytes, what: str) -> list[x509.Certificate]:
+def _load_certificates(data: bytes, source: str) -> list[x509.Certificate]:
     if len(data) > MAX_FILE_BYTES:
-        raise MaterialError(f"{what}: more than {MAX_FILE_BYTES} bytes")
+        raise MaterialError(f"{source}: the file is larger than {MAX_FILE_BYTES} bytes")
     try:
         return x509.load_pem_x509_certificates(data)
     except (ValueError, UnsupportedAlgorithm):
-        raise MaterialError(f"{what}: no certificate in PEM can be read") from None
+        raise MaterialError(f"{source}: the file must contain valid certificates in PEM") from None
 
 
 def _check_key_belongs_to(certificate: x509.Certificate, key: bytes) -> None:
     try:
         private = load_pem_private_key(key, None)
-    except (ValueError, TypeError, UnsupportedAlgorithm):  # whose text may quote the key
-        raise MaterialError("the key cannot be read: PEM without a password is wanted") from None
+    except (ValueError, TypeError, UnsupportedAlgorithm):  # their texts may contain parts of the key
+        raise MaterialError("the key cannot be read: it must be in PEM without a password") from None
     encoding = Encoding.DER
     key_format = PublicFormat.SubjectPublicKeyInfo
     expected = certificate.public_key().public_bytes(encoding, key_format)
@@ -170,16 +180,16 @@
 
 
 def _check_revocation_lists(data: bytes, now: datetime) -> None:
-    lists = [text + _LIST_END + b"\n" for text in data.split(_LIST_END)[:-1]]
+    lists = [text + _CRL_END_LINE + b"\n" for text in data.split(_CRL_END_LINE)[:-1]]
     if not lists:
-        raise MaterialError("the revocation lists: none in PEM can be read")
+        raise MaterialError("the revocation lists: the file contains no list in PEM")
     for text in lists:
         try:
             crl = x509.load_pem_x509_crl(text)
         except ValueError:
-            raise MaterialError("the revocation lists: one cannot be read") from None
+            raise MaterialError("the revocation lists: a list cannot be parsed") from None
         if crl.next_update_utc is not None and crl.next_update_utc <= now:
-            raise MaterialError(f"the revocation list of {crl.issuer.rfc4514_string()} is out of date")
+            raise MaterialError(f"the revocation list of {crl.issuer.rfc4514_string()} has expired")
 
 
 def _alternative_names(certificate: x509.Certificate) -> tuple[str, ...]:
--- a/sabledyke/tls/keyring.py
+++ b/sabledyke/tls/keyring.py
@@ -1,8 +1,8 @@
-"""Generations of key, chain and trusted roots, and which of them is in force.
+"""Rotation of the private key, the certificate chain and the trusted roots.
 
-Decides whether files are a new generation, which roots are trusted during a rotation, and which warnings are
-due. A generation that cannot be used is reported once and changes nothing. Files and the time, in Unix
-milliseconds, are passed in; no file or socket is opened here.
+Decides whether files form a new generation, which roots are trusted during a rotation, and which expiration
+warnings are due. Files that cannot be used are reported once and change nothing. The files and the time, in
+Unix milliseconds, are passed in; no file or socket is opened here.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from sabledyke.tls.key_material import KeyFiles, KeyMaterial, MaterialError, check_key_files
 
 WARNING_DAYS = (1, 7, 30)
-"""Days before an expiration at which a warning is due, once for each generation."""
+"""Numbers of days before an expiration at which a warning is due, once per generation."""
 DAY_MS = 86_400_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class Generation:
-    """What is in force.
+    """A set of keys that is in use.
 
     Attributes:
-        number: Counts up from 1.
-        material: The checked files.
-        roots: The trusted roots, with those of the former generation while they overlap.
+        number: Sequence number, from 1.
+        material: The checked key files.
+        roots: The trusted roots in PEM, including the previous generation's during the overlap.
     """
 
     number: int
@@ -33,11 +33,11 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyringUpdate:
-    """What offering files led to.
+    """Result of offering files to the keyring.
 
     Attributes:
-        changed: Whether another generation, or other roots, are in force.
-        messages: What is to be logged.
+        changed: True if the generation or the set of trusted roots has changed.
+        messages: Texts to be logged.
     """
 
     changed: bool = False
@@ -45,39 +45,39 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _FormerRoots:
-    """Roots of the former generation, and until when they are trusted."""
+class _PreviousRoots:
+    """Roots of the previous generation, which stay trusted for a limited time."""
 
     roots: bytes
     trusted_until_ms: float
 
 
 class Keyring:
-    """The generation in force, the roots of the one before it, and the files that were rejected last."""
+    """Holds the current generation of keys, the previous roots and the files that were rejected last."""
 
     def __init__(self, overlap_ms: float) -> None:
         """Create a keyring.
 
         Args:
-            overlap_ms: For how long a former generation's roots stay trusted.
+            overlap_ms: Time for which the previous generation's roots stay trusted.
         """
         self._overlap_ms = overlap_ms
         self._current: Generation | None = None
-        self._former: _FormerRoots | None = None
+        self._previous: _PreviousRoots | None = None
         self._rejected: KeyFiles | None = None
         self._warned_days: int | None = None
 
     @property
     def generation(self) -> Generation:
-        """The generation in force; there is one once ``offer`` has accepted one."""
+        """The current generation; it exists once ``offer`` has accepted files."""
         assert self._current is not None
         return self._current
 
     def offer(self, now_ms: float, files: KeyFiles) -> KeyringUpdate:
-        """Accept files as a new generation completely, or not at all.
+        """Check files, and use all of them as the new generation or none.
 
         Raises:
-            MaterialError: The first files of all cannot be used.
+            MaterialError: The files cannot be used, and there is no earlier generation.
         """
         current = self._current
         if current is not None and files in (current.material.files, self._rejected):
@@ -92,7 +92,7 @@
         return self._accept(now_ms, material)
 
     def warnings(self, now_ms: float) -> tuple[str, ...]:
-        """Return the warning of an expiration within 30, 7 or 1 days, once for each."""
+        """Return the warning for an expiration within 30, 7 or 1 days, once for each limit."""
         if self._current is None:
             return ()
         first = self._current.material.first_expiration
@@ -110,15 +110,15 @@
         number = 1
         if self._current is not None:
             number = self._current.number + 1
-            former_roots = self._current.material.files.roots
-            self._former = _FormerRoots(former_roots, now_ms + self._overlap_ms)
+            previous_roots = self._current.material.files.roots
+            self._previous = _PreviousRoots(previous_roots, now_ms + self._overlap_ms)
         self._current = Generation(number, material, self._trusted_roots(now_ms, material))
         self._warned_days = None
         messages = (f"keys of generation {number} are in force",) if number > 1 else ()
         return KeyringUpdate(changed=True, messages=messages + self.warnings(now_ms))
 
     def _on_time_passed(self, now_ms: float, current: Generation) -> KeyringUpdate:
-        """End the former roots' overlap, and return the warnings that are due."""
+        """Drop the previous roots once their overlap has ended, and return the warnings that are due."""
         roots = self._trusted_roots(now_ms, current.material)
         if roots == current.roots:
             return KeyringUpdate(messages=self.warnings(now_ms))
@@ -127,10 +127,10 @@
         return KeyringUpdate(changed=True, messages=(message, *self.warnings(now_ms)))
 
     def _trusted_roots(self, now_ms: float, material: KeyMaterial) -> bytes:
-        if self._former is not None and now_ms >= self._former.trusted_until_ms:
-            self._former = None
-        former_roots = self._former.roots if self._former is not None else b""
+        if self._previous is not None and now_ms >= self._previous.trusted_until_ms:
+            self._previous = None
+        previous_roots = self._previous.roots if self._previous is not None else b""
         roots = material.files.roots
-        if former_roots in (b"", roots):
+        if previous_roots in (b"", roots):
             return roots
-        return roots + b"\n" + former_roots
+        return roots + b"\n" + previous_roots
--- a/sabledyke/tls/section.py
+++ b/sabledyke/tls/section.py
@@ -1,4 +1,4 @@
-"""The operator's section ``[tls]``: which storage nodes are reached by TLS, with which keys and names."""
+"""The ``[tls]`` section of the operator's file: TLS to storage nodes and for clients, and the key files."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyPaths:
-    """Where the files are; empty where there is none.
+    """Paths of the key files; an empty path means that there is no such file.
 
     Attributes:
-        chain: Our certificate and its intermediates.
-        key: Its key.
+        chain: The scheduler's certificate and its intermediates.
+        key: The private key of that certificate.
         roots: The trusted roots.
-        revocation_lists: Revocation lists.
+        revocation_lists: Certificate revocation lists.
     """
 
     chain: str = ""
@@ -31,10 +31,10 @@
     revocation_lists: str = ""
 
     def read_files(self) -> KeyFiles:
-        """Return what the files hold now.
+        """Return the current contents of the files.
 
         Raises:
-            OperatorError: One of them cannot be read.
+            OperatorError: A file cannot be read.
         """
         key = _read(self.key)
         chain = _read(self.chain)
@@ -52,7 +52,8 @@
     if not path:
         return _FileContent()
     try:
-        with open(path, "rb") as file:  # mode and bytes of one file: it cannot be swapped between
+        # Bytes and mode come from one open file, so that the file cannot be replaced between the two reads.
+        with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
             return _FileContent(data, os.fstat(file.fileno()).st_mode & 0o777)
     except OSError as error:
@@ -61,22 +62,22 @@
 
 @dataclass(slots=True, frozen=True)
 class TlsSection:
-    """What ``[tls]`` says.
+    """Settings of the ``[tls]`` section.
 
     Attributes:
-        paths: The files.
-        name_template: The name that a storage node's certificate must have.
-        nodes: Storage nodes that are reached by TLS; empty for all.
-        allow_tls_1_2: Whether TLS 1.2 is accepted beside TLS 1.3.
-        poll_interval_s: How often the files are checked; 0 for on SIGHUP only.
-        overlap_s: For how long a former generation's roots stay trusted.
-        handshake_timeout_ms: Timeout of a handshake.
-        handshake_share: Share of a storage node's capacity that handshakes may take.
-        cores: CPU cores of a storage node.
-        keep_warm: Whether a connection is opened ahead of need to nodes that were used lately.
-        fronts: Fronts that are reached by TLS only.
-        require_client_certificates: Whether clients need a certificate that a trusted root has signed.
-        client_rights: The volumes that a client may access, by the names of its certificate.
+        paths: Paths of the key files.
+        name_template: Template of the name that a storage node's certificate must have.
+        nodes: Storage nodes that are connected to by TLS; empty for all.
+        allow_tls_1_2: True if TLS 1.2 is accepted besides TLS 1.3.
+        poll_interval_s: Interval at which the files are checked; 0 to check them on SIGHUP only.
+        overlap_s: Time for which the previous generation's roots stay trusted.
+        handshake_timeout_ms: Timeout of a handshake with a storage node.
+        handshake_share: Share of a storage node's capacity that handshakes may use.
+        cores: Number of CPU cores of a storage node.
+        keep_warm: True if a connection is kept open to each recently used node.
+        tls_frontends: Names of the frontends that accept clients by TLS only.
+        require_client_certificates: True if clients must present a certificate signed by a trusted root.
+        client_rights: Volumes that a client may access, by a name in its certificate.
     """
 
     paths: KeyPaths
@@ -89,12 +90,12 @@
     handshake_share: float = 0.1
     cores: float = 2.0
     keep_warm: bool = True
-    fronts: tuple[str, ...] = ()
+    tls_frontends: tuple[str, ...] = ()
     require_client_certificates: bool = False
     client_rights: dict[str, frozenset[int]] = field(default_factory=dict)
 
     def certificate_name(self, host: str, site: str) -> str:
-        """Return the name that this storage node's certificate must have."""
+        """Return the name that the certificate of the node ``host`` in the zone ``site`` must have."""
         return self.name_template.format(host=host, site=site)
 
 
@@ -105,10 +106,10 @@
     volumes: tuple[str, ...]
 
     def rights(self) -> frozenset[int]:
-        """Return their numbers.
+        """Return the volume numbers.
 
         Raises:
-            ValueError: One of them is not in hex digits.
+            ValueError: A volume is not a hexadecimal number.
         """
         return frozenset(int(volume, 16) for volume in self.volumes)
 
@@ -116,11 +117,11 @@
         try:
             self.rights()
         except ValueError:
-            raise ValueError("volumes are hex digits in quotes") from None
+            raise ValueError("volumes must be strings of hex digits") from None
 
 
 class FrontTable(Table, frozen=True, kw_only=True):
-    """Fronts that are reached by TLS, and their clients."""
+    """The ``[tls.front]`` table: frontends that clients reach by TLS, and the clients' access rights."""
 
     fronts: tuple[Literal["HTTP", "NVMe"], ...] = ()
     client_certificates: bool = False
@@ -128,11 +129,11 @@
 
     def __post_init__(self) -> None:
         if self.client and not self.client_certificates:
-            raise ValueError("client needs client_certificates = true")
+            raise ValueError("client requires client_certificates = true")
 
 
 class TlsTable(Table, frozen=True, kw_only=True):
-    """The section as the file has it: its fields are the file's keys."""
+    """The ``[tls]`` table as written in the operator's file; its fields are the file's keys."""
 
     roots: str
     chain: str = ""
@@ -157,22 +158,22 @@
         except (ValueError, KeyError, IndexError):
             fields = ["?"]
         if not set(fields) <= {"host", "site"}:
-            raise ValueError(f"name may hold {{host}} and {{site}}, not {self.name!r}")
+            raise ValueError(f"name may contain only the fields {{host}} and {{site}}, not {self.name!r}")
         if not self.roots:
-            raise ValueError("roots is missing: without trusted roots no box can be verified")
+            raise ValueError("roots is missing: storage nodes cannot be verified without trusted roots")
         if self.front.fronts and not self.chain:
-            raise ValueError("chain is missing: fronts cannot show a certificate without it")
+            raise ValueError("chain is missing: frontends cannot present a certificate without it")
 
 
 def read(data: dict[str, Any]) -> TlsSection:
-    """Return the section; the contents of the files are not checked.
+    """Return the settings of the section without checking the contents of the key files.
 
     Raises:
         OperatorError: A key is missing or invalid.
     """
     table = convert(data, TlsTable, "tls")
     return TlsSection(
-        fronts=table.front.fronts,
+        tls_frontends=table.front.fronts,
         require_client_certificates=table.front.client_certificates,
         client_rights={row.name: row.rights() for row in table.front.client},
         paths=KeyPaths(table.chain, table.key, table.roots, table.revoked),
@@ -189,5 +190,5 @@
 
 
 def load(path: str) -> TlsSection:
-    """Return the section alone from an operator's file, as ``sabledyke tls check`` needs it."""
+    """Return only the ``[tls]`` section of an operator's file, for ``sabledyke tls check``."""
     return section_from(path, "tls", lambda data: read(data["tls"]) if "tls" in data else None)
--- a/sabledyke/tls/session_tickets.py
+++ b/sabledyke/tls/session_tickets.py
@@ -1,11 +1,12 @@
 """Cache of TLS session tickets.
 
-Tickets are used newest first and each once: a ticket used twice lets an observer link connections (RFC 8446,
-C.4). All times are milliseconds, and are passed in.
+Tickets are used newest first and only once, since a reused ticket lets an observer link connections (RFC
+8446, C.4). All times are in milliseconds and are passed in.
 
-Bounds: ``MAX_TICKETS_PER_NODE``, ``MAX_TICKETS`` in all (the node whose last ticket came longest ago loses
-one), ``MAX_AGE_MS``; a node that restarted or was removed, and a generation of keys that was replaced, lose
-all theirs.
+Bounds: at most ``MAX_TICKETS_PER_NODE`` tickets per node and ``MAX_TICKETS`` in total; above the total, the
+oldest ticket of the node whose last ticket was received longest ago is evicted. Tickets older than
+``MAX_AGE_MS`` are not used. All tickets of a restarted or removed node, or of a replaced generation of keys,
+are dropped.
 """
 
 from __future__ import annotations
@@ -19,26 +20,26 @@
 MAX_TICKETS_PER_NODE = 8
 MAX_TICKETS = 4096
 MAX_AGE_MS = 2 * 3600 * 1000.0
-"""Servers keep their ticket keys for hours, and the keyring changes anyhow."""
+"""Servers keep their ticket keys for hours, and a rotation of the keyring drops tickets earlier."""
 
 
 @dataclass(slots=True, frozen=True)
 class _CachedTicket(Generic[Ticket]):
     received_ms: float
-    generation: int  # of the keyring
+    generation: int  # generation number of the keyring
     ticket: Ticket
 
 
 @dataclass(slots=True)
 class _NodeTickets(Generic[Ticket]):
-    """The tickets of one incarnation of a storage node."""
+    """Tickets of one incarnation of a storage node, which ``started_ms`` identifies."""
 
     started_ms: float
-    tickets: deque[_CachedTicket[Ticket]]  # the newest last
+    tickets: deque[_CachedTicket[Ticket]]  # newest last
 
 
 class TicketCache(Generic[Ticket]):
-    """The tickets of all storage nodes.
+    """Cache of the tickets of all storage nodes.
 
     Attributes:
         ticket_count: Number of cached tickets.
@@ -53,17 +54,17 @@
         self._max_per_node = max_per_node
         self._max_total = max_total
         self._max_age_ms = max_age_ms
-        # The node that received a ticket last is last.
+        # Ordered by the time of the last received ticket, newest last.
         self._nodes: OrderedDict[bytes, _NodeTickets[Ticket]] = OrderedDict()
         self.ticket_count = 0
 
     @property
     def node_count(self) -> int:
-        """Number of storage nodes that have tickets."""
+        """Number of storage nodes with cached tickets."""
         return len(self._nodes)
 
     def add(self, now_ms: float, node: bytes, started_ms: float, generation: int, ticket: Ticket) -> None:
-        """Cache a ticket of a storage node that started at ``started_ms``."""
+        """Cache a ticket received from the incarnation of a storage node that started at ``started_ms``."""
         known = self._nodes.get(node)
         if known is None or known.started_ms != started_ms:
             self.forget(node)
@@ -78,11 +79,11 @@
         self._evict_excess()
 
     def pop_newest(self, now_ms: float, node: bytes, started_ms: float, generation: int) -> Ticket | None:
-        """Remove and return the newest usable ticket; newer ones that are unusable are dropped."""
+        """Remove and return the newest usable ticket, or None; unusable newer tickets are dropped."""
         known = self._nodes.get(node)
         if known is None:
             return None
-        if known.started_ms != started_ms:  # it restarted, and most likely has other ticket keys
+        if known.started_ms != started_ms:  # a restarted node most likely has new ticket keys
             self.forget(node)
             return None
         usable = None
@@ -96,13 +97,13 @@
         return usable
 
     def forget(self, node: bytes) -> None:
-        """Drop the tickets of a storage node that was removed or has restarted."""
+        """Drop the tickets of a storage node that was removed or restarted."""
         known = self._nodes.pop(node, None)
         if known is not None:
             self.ticket_count -= len(known.tickets)
 
     def drop_older_generations(self, generation: int) -> None:
-        """Drop the tickets of all generations of keys before this one."""
+        """Drop the tickets of all earlier generations of keys."""
         for node, known in list(self._nodes.items()):
             retained = deque(cached for cached in known.tickets if cached.generation >= generation)
             self.ticket_count -= len(known.tickets) - len(retained)
--- a/sabledyke/tls/stream.py
+++ b/sabledyke/tls/stream.py
@@ -1,7 +1,7 @@
-"""TLS over one of Tornado's streams, as links and clients need a stream.
+"""TLS over a Tornado stream, with the stream interface that links and client connections use.
 
-A write is done once the kernel has accepted all ciphertext that holds it, and all before it: so the boundary
-'its last byte was certainly not written' is where it is for plain streams.
+A write is complete once the kernel has accepted all of its ciphertext and everything before it. Until then,
+its last byte was certainly not sent, as with a plaintext stream.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 
 class TlsStream:
-    """A stream whose handshake is complete; see ``streams`` for what is expected of it.
+    """A stream whose TLS handshake is complete; implements the ``Stream`` protocol of ``net.streams``.
 
     Attributes:
-        machine: The connection's TLS.
-        rights: The volumes that its peer may access; None for all.
+        machine: The TLS state machine of the connection.
+        rights: Volumes that the peer may access; None for all.
     """
 
     def __init__(
@@ -39,9 +39,10 @@
         """Wrap a stream.
 
         Args:
-            inner: The stream underneath.
-            machine: Its TLS, after the handshake.
-            on_ticket: Called with the connection's ticket, once: to get it from OpenSSL costs 0.3 ms.
+            inner: The underlying stream.
+            machine: The TLS state machine, after the handshake.
+            on_ticket: Callback that receives a session ticket, at most once per connection, since reading a
+                ticket from OpenSSL takes 0.3 ms.
         """
         self._inner = inner
         self.machine = machine
@@ -51,20 +52,20 @@
 
     @property
     def socket(self) -> socket.socket | None:
-        """The socket underneath; None once closed."""
+        """The underlying socket; None once the stream is closed."""
         return self._inner.socket
 
     @property
     def rested(self) -> bool:
-        """Whether nothing was received that was not read, neither plaintext nor a closing alert."""
+        """True if the connection is open and no received plaintext is unread."""
         return self.machine.state is TlsState.OPEN and not self.machine.plaintext
 
     def closed(self) -> bool:
-        """Return whether it cannot be used any more."""
+        """Return True if the stream is closed."""
         return bool(self._inner.closed())
 
     def close(self) -> None:
-        """Close it; the closing alert is sent where the kernel accepts it at once."""
+        """Close the stream; the close_notify alert is sent only if the kernel accepts it at once."""
         if self._inner.closed():
             return
         self._deliver_ticket()
@@ -74,7 +75,7 @@
         self._inner.close()
 
     def write(self, data: bytes) -> asyncio.Future[None]:
-        """Send plaintext; the future is done once its ciphertext has left."""
+        """Send plaintext; the future is done once the kernel has accepted all of its ciphertext."""
         try:
             self.machine.send(data)
         except (TlsError, ssl.SSLError) as error:
@@ -85,14 +86,14 @@
         return asyncio.ensure_future(self._inner.write(self.machine.output))
 
     async def read_bytes(self, num_bytes: int, *, partial: bool = True) -> bytes:
-        """Return plaintext as it comes, at most ``num_bytes``.
+        """Wait for plaintext, and return at most ``num_bytes`` of it.
 
         Raises:
-            StreamClosedError: The stream has ended, with or without a closing alert.
-            ValueError: All of ``num_bytes`` were requested at once.
+            StreamClosedError: The stream has ended, with or without a close_notify alert.
+            ValueError: ``partial`` is False; only partial reads are supported.
         """
         if not partial:
-            raise ValueError("plaintext is returned only as it comes")
+            raise ValueError("a TLS stream supports only partial reads")
         while not self.machine.plaintext:
             if self.machine.state is TlsState.CLOSED:
                 self._inner.close()
@@ -110,13 +111,13 @@
             self._inner.close()
             raise StreamClosedError(error) from None
         except StreamClosedError:
-            if self.machine.state is TlsState.OPEN:  # cut off: what was received is not a complete response
+            if self.machine.state is TlsState.OPEN:  # truncation: received data may be incomplete
                 self.machine.state = TlsState.BROKEN
             raise
         self._flush()
 
     def _flush(self) -> None:
-        """Send what TLS itself has to send: alerts and key updates."""
+        """Send pending TLS records that carry no plaintext: alerts and key updates."""
         output = self.machine.output
         if output and not self._inner.closed():
             _write_in_background(self._inner, output)
@@ -157,6 +158,6 @@
 
 
 def _write_in_background(inner: IOStream, data: bytes) -> None:
-    """Write what the kernel accepts; the stream's end shows elsewhere."""
+    """Write without waiting, and ignore errors: the next read or write on the stream reports them."""
     written = asyncio.ensure_future(inner.write(data))
     written.add_done_callback(lambda future: future.cancelled() or future.exception())
--- a/sabledyke/tls/tls_machine.py
+++ b/sabledyke/tls/tls_machine.py
@@ -1,8 +1,7 @@
-"""TLS as a state machine that is fed bytes, on OpenSSL through memory buffers; for either side.
+"""Sans-I/O TLS state machine for clients and servers, on OpenSSL memory buffers.
 
-It never knows a socket. It guards against a response that ends without TLS's own closing alert being taken
-for a complete one, against a peer that sends without end before the handshake is complete, and against
-plaintext where TLS was requested: nothing is ever passed through.
+It uses no socket. It does not accept a stream without a close_notify alert as complete, limits the bytes of a
+handshake that does not complete, and never passes unencrypted input on as plaintext.
 """
 
 from __future__ import annotations
@@ -15,49 +14,49 @@
 from sabledyke.errors import SabledykeError
 
 MAX_HANDSHAKE_BYTES = 64 * 1024
-"""What a peer may send before its handshake is complete; chains are a few KB."""
+"""Maximum number of bytes that a peer may send before its handshake is complete; chains are a few KB."""
 
 _READ_BYTES = 64 * 1024
 
-_DESCRIPTIONS = {
+_ERROR_DESCRIPTIONS = {
     "CERTIFICATE_VERIFY_FAILED": "its certificate is not accepted",
     "WRONG_VERSION_NUMBER": "it speaks no TLS",
-    "UNSUPPORTED_PROTOCOL": "it speaks an old version of TLS",
-    "TLSV1_ALERT_PROTOCOL_VERSION": "it does not speak this version of TLS",
-    "TLSV13_ALERT_CERTIFICATE_REQUIRED": "it wants a certificate of ours",
-    "SSLV3_ALERT_BAD_CERTIFICATE": "it does not accept our certificate",
-    "SSLV3_ALERT_CERTIFICATE_EXPIRED": "it finds our certificate expired",
-    "TLSV1_ALERT_UNKNOWN_CA": "it does not know who signed our certificate",
-    "SSLV3_ALERT_HANDSHAKE_FAILURE": "it agrees to no way of encryption",
+    "UNSUPPORTED_PROTOCOL": "it supports only an old version of TLS",
+    "TLSV1_ALERT_PROTOCOL_VERSION": "it does not support this version of TLS",
+    "TLSV13_ALERT_CERTIFICATE_REQUIRED": "it requires a client certificate",
+    "SSLV3_ALERT_BAD_CERTIFICATE": "it rejected our certificate",
+    "SSLV3_ALERT_CERTIFICATE_EXPIRED": "it rejected our certificate as expired",
+    "TLSV1_ALERT_UNKNOWN_CA": "it does not trust the authority that signed our certificate",
+    "SSLV3_ALERT_HANDSHAKE_FAILURE": "it accepts none of the offered security parameters",
 }
 
 
 class TlsState(Enum):
-    """State of a connection."""
+    """State of a TLS connection."""
 
     HANDSHAKE = "handshake"
     OPEN = "open"
     CLOSED = "closed"
-    """Closed by the peer's closing alert: all that it sent is complete."""
+    """Closed by the peer's close_notify alert, after all of its data was received, or by ``close``."""
     BROKEN = "broken"
 
 
 class TlsError(SabledykeError):
-    """The bytes are no TLS, or the peer cannot be trusted; the text says which in plain words."""
+    """The peer violated the TLS protocol or could not be verified; the text states the reason."""
 
     code = "tls"
     remedy = "compare both sides' keys and names; tls check reads ours"
 
 
 class TlsMachine:
-    """One connection.
+    """TLS of one connection.
 
-    Feed it ciphertext, and write what ``output`` holds after every call. A machine that raised cannot be used
-    any further.
+    The caller feeds it received ciphertext, and after each call writes the bytes of ``output`` to the peer. A
+    machine that has raised an error cannot be used any further.
 
     Attributes:
-        state: The connection's state.
-        plaintext: What the peer sent and nobody has taken yet; the caller takes it.
+        state: State of the connection.
+        plaintext: Decrypted bytes from the peer; the caller removes the bytes that it has read.
     """
 
     def __init__(
@@ -71,10 +70,10 @@
         """Start a connection.
 
         Args:
-            context: OpenSSL's context.
-            server: Whether this is the server's side.
+            context: The OpenSSL context.
+            server: True for the server's side of the connection.
             name: The name that the peer's certificate must have.
-            session: The ticket to resume from.
+            session: The session to resume.
         """
         self._input = ssl.MemoryBIO()
         self._output = ssl.MemoryBIO()
@@ -87,39 +86,42 @@
 
     @property
     def output(self) -> bytes:
-        """Ciphertext to write; reading it takes it away."""
+        """Pending ciphertext for the peer; reading this property removes it from the buffer."""
         return self._output.read()
 
     @property
     def resumed(self) -> bool:
-        """Whether the handshake resumed a session."""
+        """True if the handshake resumed a session."""
         return bool(self._tls.session_reused)
 
     @property
     def ticket(self) -> ssl.SSLSession | None:
-        """The newest ticket: after the handshake with TLS 1.2, after the first response with TLS 1.3."""
+        """The newest session ticket, or None.
+
+        It is available after the handshake with TLS 1.2, and after the first response with TLS 1.3.
+        """
         session = self._tls.session
         return session if session is not None and session.has_ticket else None
 
     @property
     def version(self) -> str:
-        """The version that was agreed on, as ``TLSv1.3``."""
+        """The negotiated protocol version, for example ``TLSv1.3``; empty before the handshake."""
         return self._tls.version() or ""
 
     def peer_certificate(self) -> dict[str, object]:
-        """Return the peer's certificate as ``ssl`` reads it; empty without one."""
+        """Return the peer's certificate as ``ssl.SSLObject.getpeercert`` decodes it; empty without one."""
         return dict(self._tls.getpeercert() or {})
 
     def feed(self, data: bytes) -> None:
         """Process received ciphertext.
 
         Raises:
-            TlsError: It is not understood, or the peer is not trusted.
+            TlsError: The bytes violate the TLS protocol, or the peer could not be verified.
         """
         if self.state is TlsState.HANDSHAKE:
             self._handshake_bytes += len(data)
             if self._handshake_bytes > MAX_HANDSHAKE_BYTES:
-                self._fail("a handshake that does not end")
+                self._fail("the handshake exceeds the size limit")
         self._input.write(data)
         if self.state is TlsState.HANDSHAKE:
             self._continue_handshake()
@@ -127,13 +129,13 @@
             self._decrypt()
 
     def on_end_of_stream(self) -> None:
-        """Note that the connection has ended.
+        """Handle the end of the byte stream.
 
         Raises:
-            TlsError: The peer had not sent its closing alert.
+            TlsError: The peer has not sent a close_notify alert.
         """
         if self.state is not TlsState.CLOSED:
-            self._fail("cut off without a closing alert")
+            self._fail("the connection ended without a close_notify alert")
 
     def send(self, data: bytes) -> None:
         """Encrypt plaintext.
@@ -142,16 +144,16 @@
             TlsError: The handshake is not complete, or the connection is closed.
         """
         if self.state is not TlsState.OPEN:
-            raise TlsError(f"nothing can be sent: {self.state.value}")
+            raise TlsError(f"cannot send data in connection state {self.state.value}")
         remaining = memoryview(data)
         while remaining:
             written_bytes = self._tls.write(remaining)
             remaining = remaining[written_bytes:]
 
     def close(self) -> None:
-        """Put the closing alert into ``output``."""
+        """Append a close_notify alert to ``output``."""
         if self.state in (TlsState.OPEN, TlsState.CLOSED):
-            with contextlib.suppress(ssl.SSLError):  # the peer's own alert is not waited for
+            with contextlib.suppress(ssl.SSLError):  # does not wait for the peer's close_notify alert
                 self._tls.unwrap()
         if self.state is not TlsState.BROKEN:
             self.state = TlsState.CLOSED
@@ -183,18 +185,18 @@
 
 
 def describe_error(error: ssl.SSLError) -> str:
-    """Return what OpenSSL reports in plain words, for the on-call staff."""
+    """Return a description of an OpenSSL error for operators."""
     reason = error.reason or ""
-    text = _DESCRIPTIONS.get(reason, "not understood")
+    text = _ERROR_DESCRIPTIONS.get(reason, "TLS protocol error")
     detail = getattr(error, "verify_message", "") or reason.replace("_", " ").lower()
     return f"{text}: {detail}" if detail else text
 
 
 def certificate_names(certificate: dict[str, object]) -> set[str]:
-    """Return the alternative and common names that a certificate was signed for.
+    """Return the subject alternative names and the common name of a certificate.
 
     Args:
-        certificate: As ``TlsMachine.peer_certificate`` returns it.
+        certificate: A certificate in the form that ``TlsMachine.peer_certificate`` returns.
     """
     names = {str(value) for _, value in _pairs(certificate.get("subjectAltName"))}
     subject = certificate.get("subject")
--- a/tests/tls/__init__.py
+++ b/tests/tls/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of TLS: its decisions and state machine, without a socket."""
+"""Tests of TLS: decision modules and state machine without sockets, and complete servers on loopback."""
--- a/tests/tls/support.py
+++ b/tests/tls/support.py
@@ -1,4 +1,4 @@
-"""Keys and connections that several of these tests use."""
+"""Keys, keyrings and in-memory connections for the tests of TLS."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from tests.standins.keys import Authority
 from tests.standins.tls import server_context
 
-ROOT, OTHER = Authority(), Authority("other")
+ROOT, OTHER_ROOT = Authority(), Authority("other")
 
 
 CHAIN, KEY = ROOT.issue("box-0")
 
 
-NOW = time.time() * 1000
+NOW_MS = time.time() * 1000
 
 
-DAY = 86_400_000.0
+DAY_MS = 86_400_000.0
 
 
-SERVER = server_context(CHAIN, KEY)
+SERVER_CONTEXT = server_context(CHAIN, KEY)
 
 
-def ring(chain: bytes = b"", key: bytes = b"") -> Keyring:
-    made = Keyring(1000)
-    made.offer(NOW, KeyFiles(chain, key, ROOT.root))
-    return made
+def make_keyring(chain: bytes = b"", key: bytes = b"") -> Keyring:
+    keyring = Keyring(1000)
+    keyring.offer(NOW_MS, KeyFiles(chain, key, ROOT.root))
+    return keyring
 
 
-CLIENT = contexts.client_context(ring().generation)
+CLIENT_CONTEXT = contexts.client_context(make_keyring().generation)
 
 
-def pair(session: ssl.SSLSession | None = None) -> tuple[TlsMachine, TlsMachine]:
-    client = TlsMachine(CLIENT, name="box-0", session=session)
-    server = TlsMachine(SERVER, server=True)
+def connected_pair(session: ssl.SSLSession | None = None) -> tuple[TlsMachine, TlsMachine]:
+    client = TlsMachine(CLIENT_CONTEXT, name="box-0", session=session)
+    server = TlsMachine(SERVER_CONTEXT, server=True)
     for _ in range(4):
         server.feed(client.output)
         client.feed(server.output)
--- a/tests/tls/test_clients.py
+++ b/tests/tls/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that connect by TLS: their certificates, their rights, and handshakes that do not end."""
+"""Tests of clients that connect by TLS: certificates, access rights and incomplete handshakes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     ROOT,
     TlsServerRig,
     client_context,
-    play,
+    run_scenario,
 )
 
 CLIENT_RIGHTS = {"till-1": frozenset([1])}
@@ -29,25 +29,25 @@
 STATUS_MASK = 0x7FF  # status code and type
 
 
-def test_clients_are_admitted_by_their_certificates_to_their_volumes_only(tmp_path: Path) -> None:
+def test_clients_access_only_the_volumes_that_their_certificates_allow(tmp_path: Path) -> None:
     node = TlsNode(NODE_CONTEXT)
     known = ROOT.issue("till-1")
     unknown = OTHER_ROOT.issue("till-1")
 
     async def scenario(rig: TlsServerRig) -> None:
         assert await rig.request("a", client_context(tmp_path, known)) == 200
-        seen = len(node.seen)
+        seen_requests = len(node.seen)
         assert await rig.request("b", client_context(tmp_path, known), volume=2) == 403
         assert await rig.request("c", client_context(tmp_path, unknown)) == NO_ANSWER
         assert await rig.request("d", client_context(tmp_path)) == NO_ANSWER
         assert await rig.request("e") == NO_ANSWER  # without TLS
-        assert len(node.seen) == seen  # nothing of these reached a node
+        assert len(node.seen) == seen_requests  # no rejected request reached the node
 
-    play(
+    run_scenario(
         tmp_path,
         node,
         scenario,
-        fronts=("HTTP",),
+        tls_frontends=("HTTP",),
         require_client_certificates=True,
         client_rights=CLIENT_RIGHTS,
     )
@@ -59,7 +59,7 @@
     return int(first_line.split()[1])
 
 
-def test_handshakes_that_do_not_end_displace_no_client(
+def test_incomplete_handshakes_do_not_displace_connected_clients(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sabledyke.net.frontend.MAX_PENDING_HANDSHAKES", MAX_PENDING_HANDSHAKES)
@@ -74,23 +74,23 @@
         request = GET.format("1", "in", INFO).replace("\n", "\r\n").encode()
         writer.write(request)
         assert await read_status(reader) == 200
-        silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(30)]
+        unresponsive = [await asyncio.open_connection("127.0.0.1", port) for _ in range(30)]
         while len(frontend._pending_handshakes) < MAX_PENDING_HANDSHAKES:
             await asyncio.sleep(0.005)
         assert len(frontend.clients) == 1
         writer.write(request.replace(b"Req-Id: in", b"Req-Id: again"))
         assert await read_status(reader) == 200
-        while frontend._pending_handshakes:  # each times out
+        while frontend._pending_handshakes:  # until all have timed out
             await asyncio.sleep(0.01)
-        for _, silent_writer in silent:
-            silent_writer.close()
+        for _, unresponsive_writer in unresponsive:
+            unresponsive_writer.close()
         writer.close()
 
-    play(tmp_path, TlsNode(NODE_CONTEXT), scenario, fronts=("HTTP",))
+    run_scenario(tmp_path, TlsNode(NODE_CONTEXT), scenario, tls_frontends=("HTTP",))
 
 
 def connect_by_tls(monkeypatch: pytest.MonkeyPatch, folder: Path) -> None:
-    """Have NVMe hosts connect by TLS and present a certificate."""
+    """Make NVMe hosts connect by TLS and present a client certificate."""
     context = client_context(folder, ROOT.issue("till-1"))
     open_connection = asyncio.open_connection
 
@@ -100,7 +100,7 @@
     monkeypatch.setattr(asyncio, "open_connection", connect)
 
 
-def test_an_nvme_host_without_a_right_gets_its_status(tmp_path: Path) -> None:
+def test_an_nvme_host_without_access_to_a_volume_receives_access_denied(tmp_path: Path) -> None:
     node = TlsNode(NODE_CONTEXT)
 
     async def scenario(rig: TlsServerRig) -> None:
@@ -114,13 +114,13 @@
             assert len(node.seen) == 1
             host.close()
 
-    play(
+    run_scenario(
         tmp_path,
         node,
         scenario,
         NVME + VOLUME.format(1, "gold", 0) + VOLUME.format(2, "gold", 0),
         nodes=(NODE,),
-        fronts=("NVMe",),
+        tls_frontends=("NVMe",),
         require_client_certificates=True,
         client_rights=CLIENT_RIGHTS,
     )
--- a/tests/tls/test_handshake_load.py
+++ b/tests/tls/test_handshake_load.py
@@ -1,4 +1,4 @@
-"""How many handshakes storage nodes get, and when: at their return, and ahead of need."""
+"""Tests of the number of handshakes with a restarted storage node, and of connections opened in advance."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 import pytest
 
 from tests.standins.tls import TlsNode
-from tests.tls.tls_server_rig import NODE, NODE_CONTEXT, TlsServerRig, play
+from tests.tls.tls_server_rig import NODE, NODE_CONTEXT, TlsServerRig, run_scenario
 
 SCHEDULER_COUNT = 20
 REQUESTS_EACH = 10
-CAPACITY_SHARE = 0.2  # of a node that has just started
-HANDSHAKE_SHARE = 0.05  # of a node's time
+CAPACITY_SHARE = 0.2  # share of its full capacity that a restarted node has
+HANDSHAKE_SHARE = 0.05  # share of a node's capacity for handshakes
 WARM_UP_MS = 10_000.0
 
 
 def restart_node(rig: TlsServerRig) -> None:
-    """Have a scheduler believe that its node started just now, and that there are many schedulers."""
-    rig.server.watch.watch = lambda **_: None  # type: ignore[method-assign] # the start is set by hand
+    """Make a scheduler assume that its node has just restarted and that there are many schedulers."""
+    rig.server.watch.watch = lambda **_: None  # type: ignore[method-assign] # keeps the start time set below
     nodes = rig.server.core.nodes
     nodes[NODE] = replace(nodes[NODE], started_ms=time.time() * 1000)
     admission = rig.extension.connector.admission
@@ -34,15 +34,15 @@
     )
 
 
-def test_twenty_schedulers_do_not_overload_a_returning_node_with_handshakes(tmp_path: Path) -> None:
-    """Each admits by its own share: together they begin no more than it can serve, and all get through."""
+def test_twenty_schedulers_do_not_overload_a_restarted_node_with_handshakes(tmp_path: Path) -> None:
+    """Each scheduler uses only its share, so that the node is not overloaded and all requests succeed."""
     node = TlsNode(NODE_CONTEXT)
 
     async def start_rig(stack: AsyncExitStack, number: int) -> TlsServerRig:
         folder = tmp_path / str(number)
         folder.mkdir()
         changes = {"handshake_share": HANDSHAKE_SHARE}
-        rig = await stack.enter_async_context(TlsServerRig(folder, node, changes, ends_node=False))
+        rig = await stack.enter_async_context(TlsServerRig(folder, node, changes, stops_node=False))
         restart_node(rig)
         return rig
 
@@ -52,16 +52,19 @@
             stack.callback(node.die)
             rigs = [await start_rig(stack, number) for number in range(SCHEDULER_COUNT)]
             await asyncio.gather(*(rig.request() for rig in rigs for _ in range(REQUESTS_EACH)))
-            # 200 requests at once: what each bucket holds, and what it gains in a second at 21 % and 5 %.
+            # Bound for 200 simultaneous requests: the contents of each bucket plus its gain in one second, at
+            # 20 to 30 % of the capacity and a handshake share of 5 %.
             bound = SCHEDULER_COUNT * (1 + 1000 * 0.3 * 2 * HANDSHAKE_SHARE / SCHEDULER_COUNT / 0.5) * 2
-            assert node.handshakes <= bound  # how many were in time depends on the machine
+            assert node.handshakes <= bound  # the number admitted in time depends on the machine
             while set(await asyncio.gather(*(rig.request() for rig in rigs))) != {200}:
-                await asyncio.sleep(0.1)  # all get through, within the time above
+                await asyncio.sleep(0.1)  # all succeed within the timeout above
 
     asyncio.run(run())
 
 
-def test_a_connection_is_opened_ahead_of_need(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_to_a_recently_used_node_is_opened_in_advance(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("sabledyke.tls.extension.WARM_CHECK_INTERVAL_S", 0.05)
 
     async def scenario(rig: TlsServerRig) -> None:
@@ -70,13 +73,13 @@
         while not rig.idle_connections:
             await asyncio.sleep(0.01)
         handshakes = rig.handshake_count
-        assert await rig.request() == 200  # no client waited for its handshake
+        assert await rig.request() == 200  # uses the open connection, without a handshake
         assert rig.handshake_count == handshakes
         assert handshakes == 2
         rig.discovery.hosts.pop()
         rig.update_list()
         await asyncio.sleep(0.15)
-        assert rig.open_connections == 0  # none to a node that was removed
+        assert rig.open_connections == 0  # none to a removed node
         assert not rig.extension._last_used_ms
 
-    play(tmp_path, TlsNode(NODE_CONTEXT), scenario)
+    run_scenario(tmp_path, TlsNode(NODE_CONTEXT), scenario)
--- a/tests/tls/test_key_material.py
+++ b/tests/tls/test_key_material.py
@@ -1,4 +1,4 @@
-"""Checks of key files."""
+"""Tests of the validation of key files, and of ``sabledyke tls check``."""
 
 from __future__ import annotations
 
@@ -10,29 +10,34 @@
 
 from sabledyke.__main__ import main
 from sabledyke.tls.key_material import KeyFiles, MaterialError, check_key_files
-from tests.tls.support import CHAIN, KEY, NOW, OTHER, ROOT
+from tests.tls.support import CHAIN, KEY, NOW_MS, OTHER_ROOT, ROOT
 
 
 @pytest.mark.parametrize(
-    ("files", "says"),
+    ("files", "message"),
     [
         (KeyFiles(), "no trusted roots"),
-        (KeyFiles(roots=b"nonsense"), "no certificate in PEM"),
-        (KeyFiles(CHAIN, b"", ROOT.root), "needs its key"),
+        (KeyFiles(roots=b"nonsense"), "must contain valid certificates in PEM"),
+        (KeyFiles(CHAIN, b"", ROOT.root), "chain and key must be set together"),
         (KeyFiles(CHAIN, KEY, ROOT.root, key_mode=0o644), "its owner alone"),
-        (KeyFiles(CHAIN, OTHER.issue("x")[1], ROOT.root), "does not belong"),
-        (KeyFiles(CHAIN, KEY, OTHER.root), "no trusted root has signed"),
+        (KeyFiles(CHAIN, OTHER_ROOT.issue("x")[1], ROOT.root), "does not belong"),
+        (KeyFiles(CHAIN, KEY, OTHER_ROOT.root), "no trusted root has signed"),
         (KeyFiles(CHAIN, b"junk", ROOT.root), "the key cannot"),
         (KeyFiles(*ROOT.issue("x", days=-0.5), ROOT.root), "has expired"),
-        (KeyFiles(*ROOT.issue("x", begin=1), ROOT.root), "does not hold yet"),
-        (KeyFiles(CHAIN + OTHER.issue("y")[0], KEY, ROOT.root), "chain breaks"),
+        (KeyFiles(*ROOT.issue("x", begin=1), ROOT.root), "is not valid yet"),
+        (KeyFiles(CHAIN + OTHER_ROOT.issue("y")[0], KEY, ROOT.root), "chain is broken"),
         (KeyFiles(roots=ROOT.root, revocation_lists=b"x"), "revocation lists"),
-        (KeyFiles(roots=ROOT.root, revocation_lists=ROOT.revoke(days=-0.5)), "out of date"),
+        (
+            KeyFiles(roots=ROOT.root, revocation_lists=ROOT.revoke(days=-0.5)),
+            "revocation list of .* has expired",
+        ),
     ],
 )
-def test_keys_that_do_not_fit_are_rejected_in_one_line(files: KeyFiles, says: str) -> None:
-    with pytest.raises(MaterialError, match=says) as raised:
-        check_key_files(files, NOW)
+def test_invalid_key_files_are_rejected_with_a_one_line_error_without_the_key(
+    files: KeyFiles, message: str
+) -> None:
+    with pytest.raises(MaterialError, match=message) as raised:
+        check_key_files(files, NOW_MS)
     assert "\n" not in str(raised.value)
     assert "PRIVATE" not in str(raised.value)
 
@@ -48,7 +53,7 @@
     yield str(file)
 
 
-def test_the_command_reports_what_keys_are_good_for(
+def test_tls_check_reports_names_expirations_and_errors_of_the_keys(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with operator_file(tmp_path, CHAIN, KEY) as file:
--- a/tests/tls/test_key_rotation.py
+++ b/tests/tls/test_key_rotation.py
@@ -1,4 +1,4 @@
-"""Keys that change in service: the scheduler's, the storage node's and the root's."""
+"""Tests of key rotation at run time: the scheduler's, the storage node's and the root's."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     OTHER_ROOT,
     ROOT,
     TlsServerRig,
-    play,
+    run_scenario,
     write_keys,
 )
 
@@ -23,10 +23,10 @@
 
 
 class ContinuousLoad:
-    """Clients that send one request after the other, every third of them a write.
+    """Clients that each send requests one after another, every third one a write.
 
     Attributes:
-        statuses: What they got.
+        statuses: Statuses of all requests.
     """
 
     def __init__(self, rig: TlsServerRig) -> None:
@@ -36,7 +36,7 @@
         self._clients = [asyncio.create_task(self._run_client(number)) for number in range(CLIENT_COUNT)]
 
     async def stop(self) -> None:
-        """Stop, once requests in flight are answered."""
+        """Stop the clients, after the requests in flight are answered."""
         self._stopped.set()
         await asyncio.gather(*self._clients)
 
@@ -48,8 +48,8 @@
             self.statuses.append(await self._rig.request(key))
 
 
-def test_keys_rotated_under_load_cost_no_request(tmp_path: Path) -> None:
-    """Ours, the node's and the root; the node's old connections remain open."""
+def test_no_request_fails_while_keys_are_rotated_under_load(tmp_path: Path) -> None:
+    """The scheduler's keys, the node's keys and the root change; the node's old connections stay open."""
     both_roots = ROOT.root + OTHER_ROOT.root
     node = TlsNode(server_context(NODE_CHAIN, NODE_KEY, both_roots))
 
@@ -57,13 +57,13 @@
         load = ContinuousLoad(rig)
         await asyncio.sleep(0.3)
         new_chain, new_key = OTHER_ROOT.issue("scheduler")
-        write_keys(tmp_path, new_chain, new_key, OTHER_ROOT.root + ROOT.root)  # the new root is known first
+        write_keys(tmp_path, new_chain, new_key, OTHER_ROOT.root + ROOT.root)  # adds the new root first
         rig.server.reload()
         await asyncio.sleep(0.2)
         await node.renew(server_context(*OTHER_ROOT.issue("plain"), both_roots))
         rig.server.pool.close_idle(NODE)
         await asyncio.sleep(0.3)
-        write_keys(tmp_path, b"junk", b"junk", b"junk")  # a broken rotation changes nothing
+        write_keys(tmp_path, b"junk", b"junk", b"junk")  # invalid files are rejected
         rig.server.reload()
         await asyncio.sleep(0.2)
         await load.stop()
@@ -72,10 +72,10 @@
         assert rig.extension.keyring.generation.number == 2
         assert rig.extension.connector.failed_handshakes == 0
 
-    play(tmp_path, node, scenario)
+    run_scenario(tmp_path, node, scenario)
 
 
-def test_a_node_that_returns_with_a_new_certificate_and_without_tickets_is_served_again(
+def test_a_node_restarted_with_a_new_certificate_and_without_tickets_is_used_again(
     tmp_path: Path,
 ) -> None:
     node = TlsNode(NODE_CONTEXT)
@@ -87,9 +87,9 @@
         await node.renew(server_context(*ROOT.issue("plain")), reset=True)
         rig.discovery.hosts[0]["born_ms"] = restarted_ms
         rig.update_list()
-        give_up_at = time.monotonic() + 5
+        timeout_at_s = time.monotonic() + 5
         while await rig.request() != 200:
-            assert time.monotonic() < give_up_at
+            assert time.monotonic() < timeout_at_s
         assert rig.extension.connector.full_handshakes == 2
 
-    play(tmp_path, node, scenario)
+    run_scenario(tmp_path, node, scenario)
--- a/tests/tls/test_node_connection_faults.py
+++ b/tests/tls/test_node_connection_faults.py
@@ -1,4 +1,4 @@
-"""Faults on TLS connections to storage nodes: cuts and stalls at any byte."""
+"""Tests of faults on TLS connections to storage nodes: resets and stalls after any number of bytes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from tests.standins import Reader, Writer, read_http
 from tests.standins.tls import CuttingProxy, TlsNode
-from tests.tls.tls_server_rig import NODE_CONTEXT, PLAY_TIMEOUT_S, TlsServerRig, play
+from tests.tls.tls_server_rig import NODE_CONTEXT, SCENARIO_TIMEOUT_S, TlsServerRig, run_scenario
 
 
 @pytest.mark.parametrize("how", ["reset", "stall"])
@@ -17,11 +17,11 @@
 def test_a_cut_or_a_stall_at_any_byte_runs_no_write_beyond_its_key(
     tmp_path: Path, after: int, how: str
 ) -> None:
-    """In the handshake, in the tickets, in the answer: one answer each, and no write under two keys."""
+    """Faults in the handshake, the tickets or the response: one answer each, and no write under two keys."""
     node = TlsNode(NODE_CONTEXT)
 
     async def run() -> None:
-        async with asyncio.timeout(PLAY_TIMEOUT_S):
+        async with asyncio.timeout(SCENARIO_TIMEOUT_S):
             await node.open()
             proxy = CuttingProxy(node.port, after, how)
             await proxy.open()
@@ -34,7 +34,7 @@
         writes = [headers for first_line, headers, _ in node.seen if first_line.startswith("PUT")]
         assert status in (200, 500, 503)
         if status == 503:
-            assert not writes  # rejected: it has not run
+            assert not writes  # a rejected write has not run
         if status == 200:
             assert writes
         assert len({headers["idempotency-key"] for headers in writes}) <= 1
@@ -43,7 +43,7 @@
 
 
 class TruncatingNode(TlsNode):
-    """Cuts the connection within an answer, without the alert that closes it."""
+    """Aborts the connection within a response, without a close_notify alert."""
 
     async def talk(self, reader: Reader, writer: Writer) -> None:
         await read_http(reader)
@@ -52,10 +52,10 @@
         writer.transport.abort()
 
 
-def test_an_answer_without_its_closing_alert_is_not_complete(tmp_path: Path) -> None:
-    """Where only the end of the connection says that an answer is over, a cut must not pass for it."""
+def test_a_response_that_ends_without_close_notify_is_not_complete(tmp_path: Path) -> None:
+    """Guards against taking an aborted connection for the regular end of a response."""
 
     async def scenario(rig: TlsServerRig) -> None:
         assert await rig.request("k") == 500
 
-    play(tmp_path, TruncatingNode(NODE_CONTEXT), scenario)
+    run_scenario(tmp_path, TruncatingNode(NODE_CONTEXT), scenario)
--- a/tests/tls/test_node_verification.py
+++ b/tests/tls/test_node_verification.py
@@ -1,4 +1,4 @@
-"""Storage nodes behind TLS: whom the scheduler trusts, and with which keys it starts."""
+"""Tests of the verification of storage nodes, and of the scheduler's own keys at its start."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
     SCHEDULER_CHAIN,
     SCHEDULER_KEY,
     TlsServerRig,
-    play,
+    run_scenario,
     write_keys,
 )
 
 
-def test_the_name_in_a_nodes_certificate_may_come_from_its_zone(tmp_path: Path) -> None:
+def test_the_name_in_a_nodes_certificate_may_contain_its_zone(tmp_path: Path) -> None:
     node = TlsNode(server_context(*ROOT.issue(f"plain.{DEPLOYMENT.zones[0]}.example")))
 
     async def scenario(rig: TlsServerRig) -> None:
         assert await rig.request() == 200
 
-    play(tmp_path, node, scenario, name_template="{host}.{site}.example")
+    run_scenario(tmp_path, node, scenario, name_template="{host}.{site}.example")
 
 
-def test_requests_are_verified_both_ways_and_connections_resume(tmp_path: Path) -> None:
-    node = TlsNode(server_context(NODE_CHAIN, NODE_KEY, ROOT.root))  # it requires our certificate, too
+def test_both_sides_verify_certificates_and_reconnections_resume_the_session(tmp_path: Path) -> None:
+    node = TlsNode(server_context(NODE_CHAIN, NODE_KEY, ROOT.root))  # requires the scheduler's certificate
 
     async def scenario(rig: TlsServerRig) -> None:
         assert await rig.request() == 200
@@ -50,11 +50,11 @@
         assert connector.failed_handshakes == 0
         assert node.resumed == 20
 
-    play(tmp_path, node, scenario)
+    run_scenario(tmp_path, node, scenario)
 
 
 def untrusted_node(fault: str) -> Service:
-    """Return a storage node that cannot be trusted, or that does not complete the handshake."""
+    """Return a storage node that cannot be verified or does not complete the handshake."""
     match fault:
         case "plain":
             return FixedResponseNode(http(200, b"secret"), "stall")
@@ -90,7 +90,7 @@
         ("ends", "ended the connection"),
     ],
 )
-def test_a_node_that_cannot_be_trusted_gets_no_request_and_is_logged_once(
+def test_a_node_that_cannot_be_verified_receives_no_request_and_is_logged_once(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], fault: str, logged: str
 ) -> None:
     node = untrusted_node(fault)
@@ -99,29 +99,31 @@
         read_status = await rig.request()
         write_status = await rig.request("k")
         assert read_status == 503
-        assert write_status == 503  # rejected: neither has run
+        assert write_status == 503  # both requests were rejected and have not run
         assert rig.extension.connector.failed_handshakes >= 1
         if isinstance(node, TlsNode):
             assert not node.seen
 
     revoked = ROOT.revoke(NODE_CHAIN) if fault == "revoked" else b""
     write_keys(tmp_path, SCHEDULER_CHAIN, SCHEDULER_KEY, ROOT.root, revoked)
-    play(tmp_path, node, scenario)
+    run_scenario(tmp_path, node, scenario)
     output = capfd.readouterr().err
     assert output.count("sabledyke tls: plain: ") == 1
     assert logged in output
 
 
-def test_tls_1_2_is_spoken_only_where_it_is_allowed(tmp_path: Path) -> None:
+def test_tls_1_2_is_used_if_it_is_allowed(tmp_path: Path) -> None:
     node = TlsNode(server_context(NODE_CHAIN, NODE_KEY, version=ssl.TLSVersion.TLSv1_2))
 
     async def scenario(rig: TlsServerRig) -> None:
         assert await rig.request() == 200
 
-    play(tmp_path, node, scenario, allow_tls_1_2=True)
+    run_scenario(tmp_path, node, scenario, allow_tls_1_2=True)
 
 
-def test_a_key_that_does_not_fit_its_certificate_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_a_key_that_does_not_match_its_certificate_stops_the_start_with_a_one_line_error(
+    tmp_path: Path,
+) -> None:
     node = TlsNode(NODE_CONTEXT)
 
     async def start() -> str:
--- a/tests/tls/test_nvme_nodes.py
+++ b/tests/tls/test_nvme_nodes.py
@@ -1,4 +1,4 @@
-"""Storage nodes that speak NVMe/TCP behind TLS."""
+"""Tests of NVMe/TCP storage nodes that are connected to by TLS."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from tests.standins import NvmeHost, NvmeNode
 from tests.support.server_rig import NVME, VOLUME
-from tests.tls.tls_server_rig import NODE_CONTEXT, TlsServerRig, play
+from tests.tls.tls_server_rig import NODE_CONTEXT, TlsServerRig, run_scenario
 
 
 class TlsNvmeNode(NvmeNode):
-    """A controller behind TLS."""
+    """An NVMe/TCP controller that accepts TLS connections only."""
 
     async def open(self) -> None:
         self._server = await asyncio.start_server(self._client, "127.0.0.1", 0, ssl=NODE_CONTEXT)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
 
-def test_nvme_nodes_are_reached_by_tls_as_http_nodes_are(tmp_path: Path) -> None:
+def test_nvme_nodes_serve_reads_and_writes_over_tls(tmp_path: Path) -> None:
     node = TlsNvmeNode()
 
     async def scenario(rig: TlsServerRig) -> None:
@@ -30,4 +30,4 @@
         assert rig.handshake_count >= 2
         host.close()
 
-    play(tmp_path, node, scenario, NVME.replace('"block"', '"plain"') + VOLUME.format(1, "gold", 0))
+    run_scenario(tmp_path, node, scenario, NVME.replace('"block"', '"plain"') + VOLUME.format(1, "gold", 0))
--- a/tests/tls/tls_server_rig.py
+++ b/tests/tls/tls_server_rig.py
@@ -1,4 +1,4 @@
-"""A server that reaches one storage node by TLS, and the keys of its tests."""
+"""A server that connects to one storage node by TLS, and the keys for its tests."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 from tests.support.server_rig import DEPLOYMENT, GET, INFO, PUT
 from tests.support.settings import FAST_SHUTDOWN
 
-NODE = b"plain"  # the storage node's name, and so the one in its certificate
+NODE = b"plain"  # name of the storage node and of its certificate
 ROOT = Authority()
 OTHER_ROOT = Authority("other")
 NODE_CHAIN, NODE_KEY = ROOT.issue("plain")
 NODE_CONTEXT = server_context(NODE_CHAIN, NODE_KEY)
 SCHEDULER_CHAIN, SCHEDULER_KEY = ROOT.issue("scheduler", "127.0.0.1")
-NO_ANSWER = 0  # in place of a status
-PLAY_TIMEOUT_S = 30
+NO_ANSWER = 0  # returned in place of a status
+SCENARIO_TIMEOUT_S = 30
 
 
 def write_keys(folder: Path, chain: bytes, key: bytes, roots: bytes, revoked: bytes = b"") -> None:
-    """Write key files as an operator's tool does: each is replaced as a whole."""
+    """Write key files, replacing each atomically, as an operator's tool does."""
     for name, data in (("chain", chain), ("key", key), ("roots", roots), ("revoked", revoked)):
         temporary = folder / f"{name}.part"
         temporary.touch(0o600)
@@ -43,7 +43,7 @@
 
 
 def client_context(folder: Path, pair: tuple[bytes, bytes] | None = None) -> ssl.SSLContext:
-    """Return a context that trusts the scheduler; with a chain and its key it presents that certificate."""
+    """Return a client's context that trusts the scheduler and, given a chain and key, presents them."""
     context = ssl.create_default_context(cadata=ROOT.root.decode())
     if pair is not None:
         chain, key = pair
@@ -55,13 +55,13 @@
 
 
 class TlsServerRig:
-    """A server before one storage node at shard 0, reached by TLS.
+    """A server with one storage node at shard 0, connected to by TLS.
 
     Attributes:
-        folder: Where the key files are.
+        folder: Folder of the key files.
         node: The storage node.
-        discovery: The discovery stand-in, which lists it.
-        server: The server.
+        discovery: The discovery stand-in, which lists the storage node.
+        server: The server under test.
     """
 
     def __init__(
@@ -71,23 +71,23 @@
         tls_changes: dict[str, Any] | None = None,
         operator_text: str = "",
         *,
-        ends_node: bool = True,
+        stops_node: bool = True,
     ) -> None:
         """Prepare a server.
 
         Args:
-            folder: Where the key files are; without any, valid ones are written at the start.
-            node: The storage node, which listens already.
-            tls_changes: Fields of the TLS section.
+            folder: Folder of the key files; valid files are written on entry if it has none.
+            node: The storage node, which already listens.
+            tls_changes: Changed fields of the TLS section.
             operator_text: Further sections of the operator's file.
-            ends_node: The node ends with the server.
+            stops_node: True to stop the storage node with the server.
         """
         self.folder = folder
         self.node = node
         self.discovery = Discovery()
         self._tls_changes = tls_changes or {}
         self._operator_text = operator_text
-        self._ends_node = ends_node
+        self._stops_node = stops_node
         self._request_count = 0
         self._patch = pytest.MonkeyPatch()
 
@@ -107,48 +107,48 @@
     async def __aexit__(self, *_: object) -> None:
         self.server.leave()
         await self.server.finish()
-        if self._ends_node:
+        if self._stops_node:
             self.node.die()
         self.discovery.die()
         self._patch.undo()
         assert not invariants.violations
-        assert self.open_connections == 0  # no descriptor is lost
+        assert self.open_connections == 0  # no connection has leaked
 
     @property
     def extension(self) -> TlsExtension:
-        """The TLS extension."""
+        """The TLS extension of the server."""
         extension = self.server.parts[0]
         assert isinstance(extension, TlsExtension)
         return extension
 
     @property
     def handshake_count(self) -> int:
-        """Handshakes with the storage node that were completed."""
+        """Number of successful handshakes with the storage node."""
         connector = self.extension.connector
         return connector.full_handshakes + connector.resumed_handshakes
 
     @property
     def open_connections(self) -> int:
-        """Connections to the storage node that are open."""
+        """Number of open connections to the storage node."""
         return self.server.pool.open_connections
 
     @property
     def idle_connections(self) -> int:
-        """Connections to the storage node that are idle."""
+        """Number of idle connections to the storage node."""
         return len(self.server.pool._idle.get(NODE, ()))
 
     def update_list(self) -> None:
-        """Have the server receive the list that discovery would serve now."""
+        """Pass the current list of the discovery stand-in to the server."""
         served = discovery.read_listing(self.discovery.listing(), DEPLOYMENT)
         self.server.assembly.on_endpoint_list(served)
 
     async def request(self, key: str = "", context: ssl.SSLContext | None = None, volume: int = 1) -> int:
-        """Send a request on a connection of its own; return the status, or NO_ANSWER.
+        """Send a request on a new connection, and return its status, or NO_ANSWER if it got none.
 
         Args:
-            key: The idempotency key of a write; without one it is a read.
-            context: The client's TLS context; without one it connects without TLS.
-            volume: The volume.
+            key: Idempotency key of a write; empty for a read.
+            context: TLS context of the client; None to connect in plaintext.
+            volume: Number of the volume.
         """
         self._request_count += 1
         headers = f"{INFO}Idempotency-Key: {key}\nContent-Length: 1\n" if key else INFO
@@ -185,13 +185,13 @@
 Scenario = Callable[[TlsServerRig], Awaitable[None]]
 
 
-def play(
+def run_scenario(
     folder: Path, node: Service, scenario: Scenario, operator_text: str = "", **tls_changes: Any
 ) -> None:
-    """Play a scenario on a server before a storage node, with fields of the TLS section changed so."""
+    """Run a scenario on a server with one storage node and the given fields of the TLS section."""
 
     async def run() -> None:
-        async with asyncio.timeout(PLAY_TIMEOUT_S):
+        async with asyncio.timeout(SCENARIO_TIMEOUT_S):
             await node.open()
             async with TlsServerRig(folder, node, tls_changes, operator_text) as rig:
                 await scenario(rig)
