--- a/sabledyke/store/audit_journal.py
+++ b/sabledyke/store/audit_journal.py
@@ -1,7 +1,8 @@
-"""The chain of the receipt journal: each entry's hash covers the one before, so that a change or a gap shows.
+"""The hash chain of the receipt journal, which reveals changed and missing entries.
 
-SHA-256 over the previous hash and the entry as canonical JSON; the chain of an instance goes on over its
-incarnations. Decides whether rows are what was once appended. No I/O.
+Each hash is the SHA-256 of the previous hash and the entry as canonical JSON. The chain of an instance
+continues across its incarnations. ``ChainAudit`` decides whether rows are those that were appended. This
+module performs no I/O.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
     """Return the hash of an entry, in hex.
 
     Args:
-        head_hash: The hash of the entry before, empty for the first.
-        instance: Whose journal it is.
+        head_hash: The hash of the previous entry, empty for the first.
+        instance: The instance that owns the journal.
         sequence: The number of the entry, from 1.
         incarnation: The incarnation that appended it.
         entry: The entry.
@@ -61,16 +62,16 @@
 
 @dataclass(slots=True)
 class ChainAudit:
-    """A walk through one instance's journal in its order.
+    """An audit of one instance's journal, row by row in order.
 
     Attributes:
-        instance: Whose journal it is.
+        instance: The instance that owns the journal.
         last_sequence: The number of the last row that was read.
-        head_hash: Its hash, as the row has it.
-        incarnation: Its incarnation.
-        faults: What is wrong, for at most ``MAX_NAMED_FAULTS`` faults.
-        unnamed_faults: How many there are beyond those.
-        outcomes: How many entries there are of each outcome.
+        head_hash: The hash stored in that row.
+        incarnation: The incarnation stored in that row.
+        faults: Descriptions of the first faults, at most ``MAX_NAMED_FAULTS``.
+        unnamed_faults: Number of further faults.
+        outcomes: Number of entries by outcome.
     """
 
     MAX_NAMED_FAULTS: ClassVar[int] = 20
@@ -85,11 +86,11 @@
 
     @property
     def passed(self) -> bool:
-        """Whether no fault was found."""
+        """True if no fault was found."""
         return not self.faults
 
     def on_row(self, row: Row) -> None:
-        """Check one row of the journal, with the columns of ``statements.JOURNAL_COLUMNS``."""
+        """Check the next row of the journal, with the columns of ``statements.JOURNAL_COLUMNS``."""
         instance, sequence, incarnation, *fields, units, digest, outcome, stored_hash = row
         assert isinstance(sequence, int)
         assert isinstance(incarnation, int)
@@ -97,7 +98,7 @@
             self._add_gap(sequence)
         if incarnation < self.incarnation:
             self._add_fault(
-                f"entry {sequence} is of life {incarnation}, after one of life {self.incarnation}"
+                f"entry {sequence} is of incarnation {incarnation}, but follows one of {self.incarnation}"
             )
         expected_hash = _hash(
             self.head_hash,
@@ -105,21 +106,21 @@
         )
         if expected_hash != stored_hash and sequence == self.last_sequence + 1:
             self._add_fault(f"entry {sequence} was changed, or the one before it")
-        # Goes on from what the row says: one changed entry is one fault, not a fault of all that follow.
+        # The next row is checked against the stored hash, so that one changed entry is reported only once.
         self.last_sequence = sequence
         self.head_hash = str(stored_hash)
         self.incarnation = incarnation
         self.outcomes[str(outcome)] = self.outcomes.get(str(outcome), 0) + 1
 
     def on_end(self, position: JournalPosition) -> None:
-        """Check, after the last row, that the journal ends where the instance says it does."""
+        """Check, after the last row, that the journal ends at the instance's recorded position."""
         last = position.last_sequence
         if self.last_sequence < last:
             self._add_fault(f"entries {self.last_sequence + 1} to {last} are missing at the end")
         elif self.last_sequence > last:
             self._add_fault(f"entries {last + 1} to {self.last_sequence} were appended by no batch")
         elif self.head_hash != position.head_hash:
-            self._add_fault(f"the last entry, {self.last_sequence}, is not the one that was appended")
+            self._add_fault(f"the last entry, {self.last_sequence}, differs from the one that was appended")
 
     def _add_gap(self, sequence: int) -> None:
         first = self.last_sequence + 1
@@ -139,5 +140,5 @@
 
 
 def _as_float(value: object) -> object:
-    """Return units as the chain hashes them: SQLite gives a whole number back as an integer."""
+    """Return units as the chain hashes them, because SQLite returns a whole number as an integer."""
     return float(value) if isinstance(value, int) else value
--- a/sabledyke/store/batch_writer.py
+++ b/sabledyke/store/batch_writer.py
@@ -1,7 +1,8 @@
-"""The driver that writes the record's batches: it owns the connection, the task and the timers.
+"""The driver that writes the record's batches; it owns the connection, the task and the timers.
 
-It writes batch after batch while ``IntentManager`` has any, opens a session that broke anew, and hands the
-effects of each outcome to its owner. Decides nothing; a batch gathers what arrives before it is begun.
+It writes batches one after another while ``IntentManager`` has any, replaces a broken session, and passes the
+effects of each outcome to its owner. ``IntentManager`` makes all decisions. A batch contains what arrived
+before its start.
 """
 
 from __future__ import annotations
@@ -14,25 +15,25 @@
 from sabledyke.invariants import report_violation
 from sabledyke.net import clock
 from sabledyke.store import startup, statements
-from sabledyke.store.connect import CONNECT_TIMEOUT_S, START_PATIENCE_S, retry_while_transient
+from sabledyke.store.connect import CONNECT_TIMEOUT_S, START_TIMEOUT_S, retry_while_transient
 from sabledyke.store.database_errors import DatabaseError, DatabaseErrorKind
 from sabledyke.store.effects import Effect
 from sabledyke.store.intent_manager import IntentManager
 from sabledyke.store.session import Session
 from sabledyke.store.types import JournalPosition, RecordBatch, RecordedWrite, Row
 
-TICK_S = 0.05  # between checks of what waits, while anything does
-FLUSH_TIMEOUT_S = 1.0  # at the end, for what is still to be written
+TICK_S = 0.05  # interval of checks for stalls and passed deadlines, while anything waits
+FLUSH_TIMEOUT_S = 1.0  # time limit for the remaining writes during a shutdown
 FLUSH_POLL_S = 0.005
 
-Opener = Callable[[float], Awaitable[Session]]  # given the seconds for a connection to come up
+Opener = Callable[[float], Awaitable[Session]]  # opens a session, given the connection timeout in seconds
 
 
 class BatchWriter:
-    """Writes one record's batches.
+    """Writes the batches of one record.
 
     Attributes:
-        session: The connection, if one is open.
+        session: The database session, if one was opened.
     """
 
     def __init__(
@@ -49,18 +50,18 @@
         self._stopped = False
 
     async def open(self, longest_window_ms: float) -> None:
-        """Open the database, begin an incarnation, and read what can still matter.
+        """Open the database, begin an incarnation, and read the writes that may still be repeated.
 
         Args:
-            longest_window_ms: For how long a write may be repeated at the longest.
+            longest_window_ms: The longest deduplication window of any request class.
 
         Raises:
-            DatabaseError: Where that fails.
+            DatabaseError: The database cannot be opened, migrated or written.
         """
         await retry_while_transient(lambda: self._begin_incarnation(longest_window_ms))
 
     def schedule(self) -> None:
-        """Have a batch begun, where something waits for the database and none is scheduled."""
+        """Schedule a batch and the timer ticks, if anything waits and none is scheduled."""
         if not self._intents.needs_polling:
             return
         if self._task is None and self._gathering is None:
@@ -69,7 +70,7 @@
             self._tick_timer = self._loop.call_later(TICK_S, self._on_tick)
 
     def stop(self) -> None:
-        """Stop at once; what is not written stays unwritten."""
+        """Stop at once, without writing the remaining entries."""
         self._stopped = True
         for timer in (self._gathering, self._tick_timer):
             if timer is not None:
@@ -78,7 +79,7 @@
             self._task.cancel()
 
     async def close(self) -> None:
-        """Write what is left, for a bounded time, and log what could not be written."""
+        """Write the remaining entries for a bounded time, log how many are left, and close the session."""
         deadline = self._loop.time() + FLUSH_TIMEOUT_S
         while self._intents.has_pending_work and self._loop.time() < deadline:
             await asyncio.sleep(FLUSH_POLL_S)
@@ -91,7 +92,7 @@
 
     async def _begin_incarnation(self, longest_window_ms: float) -> None:
         if self.session is None or self.session.closed:
-            self.session = await self._opener(START_PATIENCE_S)
+            self.session = await self._opener(START_TIMEOUT_S)
         await startup.migrate(self.session)
         position = await startup.begin_incarnation(self.session, self._intents.instance)
         now_ms = clock.now()
@@ -103,7 +104,7 @@
         wait_ms = max(self._intents.limits.gather_ms, health.next_trial_ms() - clock.now())
         if wait_ms > 0:
             return self._loop.call_later(wait_ms / 1000, self._begin_task)
-        # All that arrives in this iteration of the loop, and then while its batch is written.
+        # The batch contains what arrives in this iteration of the event loop.
         return self._loop.call_soon(self._begin_task)
 
     def _begin_task(self) -> None:
@@ -122,7 +123,10 @@
             self.schedule()
 
     def _on_fault(self, error: BaseException) -> None:
-        """Guard against a fault here ending the record for good, with all that waits for it."""
+        """Handle an unexpected exception as a failed batch.
+
+        Guards against a fault that would stop the record permanently and leave waiting requests unanswered.
+        """
         log.emit("fault", "".join(traceback.format_exception(error)))
         failure = DatabaseError(DatabaseErrorKind.UNEXPECTED, repr(error), uncertain=True)
         now_ms = clock.now()
@@ -138,7 +142,7 @@
         self.schedule()
 
     async def _write_batches(self) -> None:
-        """Write batch after batch, as long as there are any; a session that broke is opened anew first."""
+        """Write batches as long as there are any; recover first if the session or position was lost."""
         intents = self._intents
         while intents.health.may_start_batch(clock.now()):
             if intents.position_unknown or self.session is None or self.session.closed:
@@ -156,7 +160,7 @@
                 self._carry_out(intents.on_batch_committed(clock.now(), accepted, existing))
 
     async def _write(self, session: Session, batch: RecordBatch) -> tuple[set[str], dict[str, RecordedWrite]]:
-        """Write a batch; return the accepted intents, and what the record had already for the others."""
+        """Write a batch; return the accepted intents, and the existing writes in place of the others."""
         results = await self._transact(session, batch)
         accepted = statements.accepted_intents(batch, results)
         existing: dict[str, RecordedWrite] = {}
@@ -170,7 +174,7 @@
 
     async def _transact(self, session: Session, batch: RecordBatch) -> list[list[Row]]:
         transaction = session.transact(statements.batch_steps(batch, self._intents.instance))
-        if session.backend == "sqlite":  # what the disk holds up cannot be called off
+        if session.backend == "sqlite":  # a call that waits for the disk cannot be cancelled
             return await transaction
         give_up_ms = self._intents.limits.give_up_ms
         try:
@@ -182,7 +186,7 @@
             raise DatabaseError(DatabaseErrorKind.STALL, text, uncertain=True) from error
 
     async def _recover(self) -> bool:
-        """Have a session that works, and the position as the database has it; whether that succeeded."""
+        """Open a session if needed, and read the position; return True on success."""
         intents = self._intents
         intents.health.on_batch_began(clock.now())
         try:
@@ -208,7 +212,7 @@
 
 
 async def _look_up(session: Session, name: str) -> list[Row]:
-    """Return the row of a recorded write; none where that fails: the next batch asks once more."""
+    """Return the row of a recorded write; none if the query fails, so that the next batch tries again."""
     try:
         return await session.query(statements.SELECT_WRITE, name)
     except DatabaseError:
--- a/sabledyke/store/connect.py
+++ b/sabledyke/store/connect.py
@@ -1,4 +1,4 @@
-"""Opens sessions to the databases that a section names; the PostgreSQL driver is loaded only for a URL."""
+"""Opens sessions to configured databases; the PostgreSQL driver is loaded only if a URL is set."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from sabledyke.store.session import Session, SqliteSession
 
 ResultT = TypeVar("ResultT")
-CONNECT_TIMEOUT_S = 0.3  # for a connection to a server to come up, in service
-START_PATIENCE_S = 5.0  # that a start waits for a database which another holds up
-FIRST_RETRY_WAIT_S = 0.02  # before the database is tried again, doubled up to ...
-LONGEST_RETRY_WAIT_S = 0.5
+CONNECT_TIMEOUT_S = 0.3  # timeout of a connection to a server, except during a start
+START_TIMEOUT_S = 5.0  # time that a start waits for a database that is locked or not ready
+MIN_RETRY_DELAY_S = 0.02  # first delay between tries; it doubles up to the longest delay
+MAX_RETRY_DELAY_S = 0.5
 
 
 async def connect(target: Target, *, create: bool = True, connect_s: float = CONNECT_TIMEOUT_S) -> Session:
@@ -24,12 +24,12 @@
 
     Args:
         target: The database.
-        create: Whether to create a file that is missing.
-        connect_s: Seconds for a connection to a server to come up.
+        create: True to create a missing file.
+        connect_s: Timeout of a connection to a server, in seconds.
 
     Raises:
-        DatabaseError: Where it does not come up.
-        StoreError: Where the driver is not installed.
+        DatabaseError: The database cannot be opened.
+        StoreError: The driver is not installed.
     """
     if target.path:
         session = SqliteSession(target.path, create=create)
@@ -53,20 +53,20 @@
 
 
 async def connect_at_start(target: Target, *, create: bool = True) -> Session:
-    """Open a session with more patience.
+    """Open a session during a start or for a command, and retry while the database is locked or not ready.
 
     Raises:
-        StoreError: Where it does not come up, in one plain line.
+        StoreError: The database cannot be opened; the message is a single line.
     """
     try:
-        return await retry_while_transient(lambda: connect(target, create=create, connect_s=START_PATIENCE_S))
+        return await retry_while_transient(lambda: connect(target, create=create, connect_s=START_TIMEOUT_S))
     except DatabaseError as error:
         raise StoreError(f"store {target}: {error}") from error
 
 
 @asynccontextmanager
 async def open_at_start(target: Target, *, create: bool = True) -> AsyncIterator[Session]:
-    """Have a session as ``connect_at_start`` opens it, closed at the end."""
+    """Open a session with ``connect_at_start``, and close it at the end of the context."""
     session = await connect_at_start(target, create=create)
     try:
         yield session
@@ -75,21 +75,21 @@
 
 
 async def retry_while_transient(function: Callable[[], Awaitable[ResultT]]) -> ResultT:
-    """Call a function until what stands in its way is over: a lock, a server that starts or ends.
+    """Call a function again while it fails because of a lock or a server that is starting or shutting down.
 
-    Guards against a start that fails for good because a former process, or the one that it is to replace, is
-    just closing the file or commits slowly.
+    Guards against a start that fails permanently because a former process, or the process to be replaced, is
+    still closing the file or committing slowly.
 
     Raises:
-        DatabaseError: One that is not transient, or the last after ``START_PATIENCE_S``.
+        DatabaseError: An error that is not transient, or the last one after ``START_TIMEOUT_S``.
     """
-    deadline = time.monotonic() + START_PATIENCE_S
-    wait_s = FIRST_RETRY_WAIT_S
+    deadline = time.monotonic() + START_TIMEOUT_S
+    delay_s = MIN_RETRY_DELAY_S
     while True:
         try:
             return await function()
         except DatabaseError as error:
             if error.kind not in TRANSIENT_KINDS or time.monotonic() >= deadline:
                 raise
-        await asyncio.sleep(wait_s)
-        wait_s = min(2 * wait_s, LONGEST_RETRY_WAIT_S)
+        await asyncio.sleep(delay_s)
+        delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
--- a/sabledyke/store/database_errors.py
+++ b/sabledyke/store/database_errors.py
@@ -1,7 +1,7 @@
-"""What can go wrong with a database, in the store's few terms.
+"""Database errors, classified by kind for both backends.
 
-SQLSTATEs are those of appendix A of PostgreSQL's manual, SQLite's codes those of its page of result codes.
-Decides of what kind a driver's error is, and whether a transaction may have taken effect all the same.
+SQLSTATEs follow appendix A of PostgreSQL's manual, SQLite's codes its page of result codes. Decides the kind
+of a driver's error, and whether its transaction may still have taken effect.
 """
 
 from __future__ import annotations
@@ -14,23 +14,24 @@
 
 
 class DatabaseErrorKind(Enum):
-    """What an error means to the operators of the store."""
+    """The kinds of database errors; the values are the texts shown to operators."""
 
     STALL = "does not answer in time"
     LOST = "cannot be reached"
     FULL = "has no room left"
     READ_ONLY = "is read-only"
     CORRUPT = "is corrupt"
-    SCHEMA = "has a schema that this version does not know"
-    AUTHENTICATION = "refuses the name or password"
+    SCHEMA = "has a schema that this version does not support"
+    AUTHENTICATION = "rejects the user name or password"
     FENCED = "was taken over by a later start under this name"
-    CONFLICT = "gave the transaction up for another"
+    CONFLICT = "rolled the transaction back because of a conflict"
     TOO_MANY_CONNECTIONS = "has no connection left"
     SHUTTING_DOWN = "is shutting down"
     UNEXPECTED = "reports an error"
 
 
-TRANSIENT_KINDS = (  # the same request may succeed a moment later
+# Kinds of errors after which the same request may soon succeed.
+TRANSIENT_KINDS = (
     DatabaseErrorKind.STALL,
     DatabaseErrorKind.CONFLICT,
     DatabaseErrorKind.TOO_MANY_CONNECTIONS,
@@ -42,8 +43,8 @@
     """A transaction or query did not succeed.
 
     Attributes:
-        kind: What the error means.
-        uncertain: The transaction's COMMIT was under way, and nothing tells whether it took effect.
+        kind: The kind of the error.
+        uncertain: True if COMMIT was in progress, so that the transaction may have taken effect.
     """
 
     code = "store"
@@ -90,14 +91,15 @@
 }
 
 
-_CONNECTION_EXCEPTION = "08"  # the class of SQLSTATEs for connections that end
-_PRIMARY_CODE_MASK = 0xFF  # of SQLite's extended result codes
+_CONNECTION_EXCEPTION = "08"  # SQLSTATE class of connection exceptions
+_PRIMARY_CODE_MASK = 0xFF  # bits of the primary code in SQLite's extended result codes
 
 
 def from_sqlstate(sqlstate: str, text: str) -> DatabaseError:
-    """Return a PostgreSQL server's error; whatever it reports has not taken effect.
+    """Return the error for a PostgreSQL server's SQLSTATE; a transaction that it reports did not commit.
 
-    Except for 08 and 57P: a connection that ends may end in the middle of a commit, which the caller knows.
+    Classes 08 and 57P are exceptions: the connection may have ended during a commit, and the caller sets
+    ``uncertain``.
     """
     if sqlstate.startswith(_CONNECTION_EXCEPTION):
         kind = DatabaseErrorKind.LOST
@@ -107,7 +109,7 @@
 
 
 def from_sqlite(error: sqlite3.Error, *, committing: bool = False) -> DatabaseError:
-    """Return SQLite's error; only an I/O error while committing leaves it open whether it took effect."""
+    """Return the error for a SQLite exception; only an I/O error during COMMIT makes it uncertain."""
     code = getattr(error, "sqlite_errorcode", 0) or 0
     if code == sqlite3.SQLITE_CONSTRAINT_CHECK:
         return DatabaseError(DatabaseErrorKind.FENCED, str(error))
--- a/sabledyke/store/drift.py
+++ b/sabledyke/store/drift.py
@@ -1,10 +1,10 @@
-"""Whether nodes still hold what the journal says was written there, by what their ordinary answers show.
+"""Detection of drift: nodes whose answers to reads differ from the last served write.
 
-Decides whether an answer shows other data than the last served write left. No node is probed: what nobody
-reads is not compared. Digests are SHA-256 in hex, times Unix milliseconds.
+Only ordinary answers are compared: no node is probed, so pieces that no client reads are not checked. Digests
+are SHA-256 in hex, times are Unix milliseconds.
 
-Bounds: at most ``MAX_KNOWN_PIECES`` pieces are known, the one used longest ago is evicted first;
-``_open_writes`` holds the writes that are open.
+Memory is bounded: at most ``MAX_KNOWN_PIECES`` pieces are known, and the least recently used one is evicted
+first. ``_open_writes`` holds open writes only.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 
 class DriftDetector:
-    """What is known to stand where; a piece of which anything is uncertain is not known.
+    """The digests of pieces whose contents are certain.
 
     Attributes:
-        compared: How many answers were compared.
-        differed: How many of these showed other data.
+        compared: Number of answers that were compared.
+        differed: Number of compared answers that showed other data.
     """
 
     def __init__(self, max_known_pieces: int = MAX_KNOWN_PIECES) -> None:
@@ -40,12 +40,12 @@
         self._open_writes: dict[Piece, int] = {}
 
     def on_write_began(self, piece: Piece) -> None:
-        """Note that a write of a piece was accepted: until it ends, answers may show either."""
+        """Record the start of a write; until it ends, reads may return the old or the new data."""
         self._known.pop(piece, None)
         self._open_writes[piece] = self._open_writes.get(piece, 0) + 1
 
     def on_write_completed(self, now_ms: float, piece: Piece, digest: str | None) -> None:
-        """Note that a write ended: served with this digest, or None where it may or may not have run."""
+        """Record the end of a write: its digest if it was served, or None if it may have run."""
         others = self._open_writes.get(piece, 1) - 1
         if others:
             self._open_writes[piece] = others
@@ -53,27 +53,30 @@
             self._open_writes.pop(piece, None)
         self._known.pop(piece, None)
         if digest is None or others:
-            return  # of two writes at a time nobody knows which was last
+            return  # another write of the piece is open, and which of them runs last is unknown
         self._known[piece] = _KnownPiece(digest, now_ms)
         if len(self._known) > self._max_known_pieces:
             self._known.popitem(last=False)
 
     def can_compare(self, requested_at_ms: float, piece: Piece) -> bool:
-        """Whether the answer to a read that was requested then can be compared."""
+        """Return True if the answer to a read requested at that time can be compared."""
         known = self._known.get(piece)
         return known is not None and known.written_at_ms < requested_at_ms
 
     def compare(
         self, now_ms: float, requested_at_ms: float, piece: Piece, digest: str, node: str
     ) -> DriftFinding | None:
-        """Compare an answer to a read; return what differs, once for each write.
+        """Compare the answer to a read with the last write; report a difference once for each write.
 
         Args:
             now_ms: The time.
-            requested_at_ms: When the read was requested.
-            piece: What was read.
-            digest: The digest of what was read.
+            requested_at_ms: Time at which the read was requested.
+            piece: The piece that was read.
+            digest: The digest of the data that was read.
             node: The name of the node that answered.
+
+        Returns:
+            The finding, or None if the answer agrees or cannot be compared.
         """
         if not self.can_compare(requested_at_ms, piece):
             return None
@@ -89,5 +92,5 @@
 
     @property
     def size(self) -> int:
-        """Entries in all tables."""
+        """Number of entries in all tables."""
         return len(self._known) + len(self._open_writes)
--- a/sabledyke/store/effects.py
+++ b/sabledyke/store/effects.py
@@ -1,4 +1,4 @@
-"""What the driver of the record is to do: the effects that ``IntentManager`` returns from each call."""
+"""Effects that ``IntentManager`` returns from each call for its driver to carry out."""
 
 from __future__ import annotations
 
@@ -9,21 +9,24 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """The intent is durable: send the attempt."""
+    """Send the attempt, because its intent is durable."""
 
     attempt: AttemptId
 
 
 @dataclass(slots=True, frozen=True)
 class ExpireAttempt:
-    """Do not send the attempt: its intent could not be made durable in time."""
+    """Do not send the attempt, because its intent did not become durable in time."""
 
     attempt: AttemptId
 
 
 @dataclass(slots=True, frozen=True)
 class BlockAttempt:
-    """Do not send the attempt: the write may have run where, or when, its idempotency key does not reach."""
+    """Do not send the attempt, because the write may have run outside the scope of its idempotency key.
+
+    The earlier send was to another deduplication scope, or its deduplication window has passed.
+    """
 
     attempt: AttemptId
 
@@ -33,8 +36,8 @@
     """Answer a write that a node has served.
 
     Attributes:
-        ticket: Which served answer, as the driver numbered it.
-        journaled: Whether the journal has its entry; where it has not, the client is answered ``failed``.
+        ticket: The driver's number of the served answer.
+        journaled: True if its entry is in the journal; otherwise the client is answered ``failed``.
     """
 
     ticket: int
@@ -43,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogLine:
-    """Log a line for the on-call staff."""
+    """Log a line for the operators."""
 
     text: str
 
--- a/sabledyke/store/extension.py
+++ b/sabledyke/store/extension.py
@@ -1,4 +1,4 @@
-"""Where the store is set up: the record's transport, and the links to nodes that are databases."""
+"""The store's extensions of the server: the record's transport, and the links to nodes that are databases."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 
 def set_up(host: ServerContext, section: OperatorConfig) -> Extension | None:
-    """Return the record, where the operator's file asks for it."""
+    """Return the extension for the record, if the operator's file sets one."""
     store = section.store
     return RecordExtension(host, store) if store is not None and store.record is not None else None
 
 
 def set_up_boxes(host: ServerContext, section: OperatorConfig) -> Extension | None:
-    """Return the links to databases, where the operator's file marks nodes as such."""
+    """Return the extension for nodes that are databases, if the operator's file has any."""
     store = section.store
     return SqlExtension(host, store) if store is not None and store.sql_nodes else None
 
 
 class RecordExtension(Extension):
-    """The record of sends and the receipt journal.
+    """The extension for the record of sends and the receipt journal.
 
     Attributes:
         recording_transport: The driver of the record.
@@ -56,25 +56,29 @@
         self._target = target
 
     def wrap_report(self, onward: ReportAttempt) -> ReportAttempt:
-        """See ``Extension``."""
+        """Insert the recording transport into the reports of attempts."""
         self.recording_transport.report = onward
         return self.recording_transport.on_attempt_completed
 
     def wrap_transport(self, inner: Transport) -> Transport:
-        """See ``Extension``."""
+        """Return the recording transport around another."""
         self.recording_transport.inner = inner
         return self.recording_transport
 
     def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
-        """See ``Extension``."""
+        """Pass a request to the core if it can be recorded."""
         return self.recording_transport.submit(work, done, onward)
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """See ``Extension``."""
+        """Journal the open write of a client that has disconnected."""
         self.recording_transport.on_client_departed(request_id)
 
     async def open(self) -> None:
-        """See ``Extension``."""
+        """Open the record and begin an incarnation.
+
+        Raises:
+            StoreError: The database cannot be opened.
+        """
         try:
             await self.recording_transport.open()
         except DatabaseError as error:
@@ -84,19 +88,19 @@
         log.emit("store", f"{self._target} is open; incarnation {position.incarnation}, {entries}")
 
     def apply_config(self, config: Config) -> None:
-        """See ``Extension``."""
+        """Use the settings of a new configuration."""
         self.recording_transport.settings = config.settings
 
     async def close(self) -> None:
-        """See ``Extension``."""
+        """Write the remaining entries and close the record."""
         await self.recording_transport.close()
 
 
 class SqlExtension(Extension):
-    """Nodes that are databases.
+    """The extension for nodes that are databases.
 
     Attributes:
-        dialer: What opens the links to them.
+        dialer: The dialer that opens links to these nodes.
     """
 
     def __init__(self, host: ServerContext, section: StoreSection) -> None:
@@ -104,18 +108,18 @@
         self.dialer = SqlDialer(host.config.settings, nodes, section.retention_ms)
 
     def dialers(self) -> dict[NodeId, Dial]:
-        """See ``Extension``."""
+        """Return the dialer for each node that is a database."""
         return dict.fromkeys(self.dialer.nodes, self.dialer.dial)
 
     def apply_config(self, config: Config) -> None:
-        """See ``Extension``."""
+        """Use the settings of a new configuration."""
         self.dialer.settings = config.settings
 
     def on_nodes_removed(self, gone: Iterable[NodeId]) -> None:
-        """See ``Extension``."""
+        """Close the sessions of nodes that were removed from the endpoint list."""
         for node in gone:
             self.dialer.on_node_removed(node)
 
     async def close(self) -> None:
-        """See ``Extension``."""
+        """Close the sessions of all nodes."""
         self.dialer.close()
--- a/sabledyke/store/health.py
+++ b/sabledyke/store/health.py
@@ -1,7 +1,7 @@
-"""Whether the store is fit to record a write now: stalls, backoff, and the trial that ends them.
+"""The state of the store: stalls, backoff, and the trial batches that end a stall.
 
-Decides whether keyed writes are accepted, what rejected clients are advised, and when the next batch may be
-tried. Knows no database; times are milliseconds.
+Decides whether keyed writes are accepted, which retry delay rejected clients are given, and when the next
+batch may be tried. Accesses no database; times are milliseconds.
 """
 
 from __future__ import annotations
@@ -11,29 +11,35 @@
 from enum import Enum
 from math import inf
 
-MIN_STALL_MS = 0.001  # a stall that has ended is never reported as none
+MIN_STALL_MS = 0.001  # shortest reported duration of a stall, because 0 means that there was none
 
 
 class HealthState(Enum):
-    """What the store is fit for."""
+    """The state of the store.
+
+    Attributes:
+        OPEN: Keyed writes are accepted.
+        STALLED: Keyed writes are rejected; a batch is in flight, or a trial is due later.
+        FENCED: Keyed writes are rejected permanently, because a later incarnation has started.
+    """
 
     OPEN = "open"
-    STALLED = "stalled"  # nothing is accepted; a batch is in flight or a trial is due later
-    FENCED = "fenced"  # a later incarnation has taken over: for good
+    STALLED = "stalled"
+    FENCED = "fenced"
 
 
 @dataclass(slots=True, frozen=True)
 class StoreLimits:
-    """The store's bounds.
+    """The limits of the store.
 
     Attributes:
-        stall_ms: How long a batch may go unanswered before it is a stall.
-        give_up_ms: ... and before its connection is given up, where it has one.
-        first_wait_ms: The time before the first trial after a stall, doubled up to ``longest_wait_ms``.
-        longest_wait_ms: A store that is back is found within it, and one trial.
-        backlog: Intents and entries that may wait; beyond it nothing is accepted.
-        batch: Intents, and entries, that go into one transaction.
-        gather_ms: How long a batch gathers what may join it.
+        stall_ms: Time without an answer after which a batch counts as stalled.
+        give_up_ms: Time without an answer after which the connection to a server is aborted.
+        first_wait_ms: Delay before the first trial after a stall; it doubles up to ``longest_wait_ms``.
+        longest_wait_ms: Longest delay between trials, which bounds the detection of a recovered store.
+        backlog: Number of pending intents and entries beyond which keyed writes are rejected.
+        batch: Maximum number of intents, and of entries, in one transaction.
+        gather_ms: Time that a batch waits for more intents and entries before it is written.
     """
 
     stall_ms: float = 250.0
@@ -49,10 +55,10 @@
     """The state machine: OPEN until a batch fails or takes too long, then STALLED until one succeeds.
 
     Attributes:
-        limits: The bounds of the store.
-        state: What the store is fit for.
-        entered_at_ms: When it entered this state.
-        stalls: How often it has stalled so far.
+        limits: The limits of the store.
+        state: The current state.
+        entered_at_ms: Time at which the store entered this state.
+        stalls: Number of stalls so far.
     """
 
     def __init__(self, limits: StoreLimits, seed: int) -> None:
@@ -61,21 +67,21 @@
         self.entered_at_ms = -inf
         self.stalls = 0
         self._random = random.Random(seed)
-        self._batch_began_at_ms: float | None = None  # of the batch in flight
+        self._batch_began_at_ms: float | None = None  # start of the batch in flight, if any
         self._backoff_ms = limits.first_wait_ms
         self._next_trial_ms = -inf
 
     @property
     def accepts_writes(self) -> bool:
-        """Whether keyed writes may be accepted."""
+        """True if keyed writes may be accepted."""
         return self.state is HealthState.OPEN
 
     def on_batch_began(self, now_ms: float) -> None:
-        """Note that a batch goes to the database."""
+        """Record the start of a batch."""
         self._batch_began_at_ms = now_ms
 
     def on_batch_committed(self, now_ms: float) -> float:
-        """Note that the batch took effect; return how long the stall was that this ends, 0 for none."""
+        """Record the commit of a batch; return the duration of the stall that it ends, 0 for none."""
         self._batch_began_at_ms = None
         self._backoff_ms = self.limits.first_wait_ms
         self._next_trial_ms = -inf
@@ -87,14 +93,14 @@
         return max(stalled_ms, MIN_STALL_MS)
 
     def on_batch_failed(self, now_ms: float, *, fenced: bool = False) -> bool:
-        """Note that the batch failed, or that nobody knows; return whether that begins a stall.
+        """Record a batch that failed or whose outcome is unknown; return True if a stall begins.
 
-        Guards against hammering a database that is down: trials back off, with jitter, so that many
-        schedulers do not come back to it at one moment.
+        Guards against overloading a database that is down: trials back off with jitter, so that many
+        schedulers do not retry at the same moment.
 
         Args:
             now_ms: The time.
-            fenced: A later incarnation has taken over, which ends the record of this one for good.
+            fenced: True if a later incarnation has started, which ends this one's record permanently.
         """
         self._batch_began_at_ms = None
         self._next_trial_ms = now_ms + self._backoff_ms * (0.5 + self._random.random() / 2)
@@ -102,27 +108,27 @@
         return self._enter(now_ms, HealthState.FENCED if fenced else HealthState.STALLED)
 
     def allow_immediate_retry(self) -> None:
-        """Note that no batch is in flight any more, without a failure: the next may go at once."""
+        """Record that no batch is in flight any more without counting a failure, so no backoff applies."""
         self._batch_began_at_ms = None
 
     def on_tick(self, now_ms: float) -> bool:
-        """Return whether a batch that does not come back begins a stall now."""
+        """Return True if a batch that is still unanswered begins a stall now."""
         if self._batch_began_at_ms is None or now_ms - self._batch_began_at_ms < self.limits.stall_ms:
             return False
         return self._enter(now_ms, HealthState.STALLED)
 
     def may_start_batch(self, now_ms: float) -> bool:
-        """Whether a batch may go to the database now."""
+        """Return True if a batch may be written now."""
         if self.state is HealthState.FENCED or self._batch_began_at_ms is not None:
             return False
         return now_ms >= self._next_trial_ms
 
     def next_trial_ms(self) -> float:
-        """Return when a batch may go next, as far as that is known."""
+        """Return the earliest time of the next batch."""
         return self._next_trial_ms
 
     def retry_after_ms(self, now_ms: float, max_ms: float) -> float:
-        """Return after how many milliseconds a rejected client may find the store back."""
+        """Return the milliseconds after which a rejected client should retry, at most ``max_ms``."""
         wait_ms = max(self._next_trial_ms - now_ms, 0.0)
         return min(max_ms, wait_ms + self.limits.longest_wait_ms)
 
--- a/sabledyke/store/in_doubt.py
+++ b/sabledyke/store/in_doubt.py
@@ -1,11 +1,11 @@
-"""A write whose COMMIT was not answered: what to ask the database next, and what is known in the end.
+"""Resolution of a write whose COMMIT was not answered: the next query to run, and the outcome found.
 
-Absence of the key proves nothing while the old transaction may still commit; only once the key is fenced, in
-a row that the old transaction would have to hold, is the write known not to have run. Knows neither a
-connection nor a clock.
+The absence of the key proves nothing while the old transaction may still commit. The write is known not to
+have run only after its key was fenced, in the row that the old transaction would have had to insert. This
+module uses neither a connection nor a clock.
 
-Why a unique row rather than the server's own report on the transaction (``pg_xact_status``): it is the same
-for both backends, needs no transaction id to have come back before the cut, and it waits by itself for a
+A unique row is used instead of the server's own report on the transaction (``pg_xact_status``) because it
+works on both backends, does not need a transaction id before the connection breaks, and waits for a
 transaction that still holds the row (PostgreSQL's manual, 64.5, "Index Uniqueness Checks").
 """
 
@@ -15,11 +15,11 @@
 from enum import Enum
 from typing import ClassVar
 
-MIN_REMAINING_MS = 20.0  # with less time than that, no further question is useful
+MIN_REMAINING_MS = 20.0  # shortest time left in which another query is useful
 
 
 class DoubtQuestion(Enum):
-    """What to ask the database."""
+    """The next query of the database."""
 
     LOOK_UP = "look up"
     FENCE = "fence"
@@ -27,23 +27,23 @@
 
 
 class DoubtResolution(Enum):
-    """What is known in the end."""
+    """The outcome of a write in doubt, as far as it is known."""
 
-    SERVED = "served"  # with the first result
+    SERVED = "served"
     NEVER = "never"
     MAY_HAVE_RUN = "may have run"
 
 
 @dataclass(slots=True)
 class InDoubtWrite:
-    """One write in doubt.
+    """A write in doubt.
 
     Attributes:
-        attempt: The attempt whose COMMIT was not answered.
-        deadline_ms: Until when to ask, on the clock that ``next_question`` is called with.
-        resolution: What is known so far.
-        result: The first result, where the write was served.
-        question_count: How many questions were asked, answered or not.
+        attempt: Id of the attempt whose COMMIT was not answered.
+        deadline_ms: Time at which the queries end, on the clock used for ``next_question``.
+        resolution: The outcome known so far.
+        result: The result of the attempt that ran first, if the write was served.
+        question_count: Number of queries run, whether answered or not.
     """
 
     MAX_QUESTIONS: ClassVar[int] = 6
@@ -57,7 +57,7 @@
     _resolved: bool = False
 
     def next_question(self, now_ms: float) -> DoubtQuestion:
-        """Return the next question."""
+        """Return the next query, or NOTHING if the outcome is known or no time or query is left."""
         if self._resolved or self.question_count >= self.MAX_QUESTIONS:
             return DoubtQuestion.NOTHING
         if self.deadline_ms - now_ms < MIN_REMAINING_MS:
@@ -67,29 +67,29 @@
         return DoubtQuestion.FENCE
 
     def on_key_found(self, attempt: str, state: str, result: bytes) -> None:
-        """Note that the key is there: done by whichever attempt was first, or fenced."""
+        """Handle a look-up that found the key, as written by the attempt that ran first or as fenced."""
         self.question_count += 1
         if state == "done":
             self._resolve(DoubtResolution.SERVED)
             self.result = result
         elif self._fenced and attempt == self.attempt:
-            # Our fence got the row after whatever held it had ended, and it is not done.
+            # The fence waited for any transaction that held the row, and the row is still not done.
             self._resolve(DoubtResolution.NEVER)
-        else:  # another attempt's fence, or ours has not been made yet
+        else:  # the row holds another attempt's fence, so this attempt must set its own
             self._fenced = False
 
     def on_key_absent(self) -> None:
-        """Note that the key is not there, which proves nothing by itself."""
+        """Handle a look-up that found no key, which alone does not prove that the write never ran."""
         self.question_count += 1
         self._fenced = False
 
     def on_fence_committed(self) -> None:
-        """Note that the fence was committed, or found the row present; a further look-up tells which."""
+        """Handle a committed fence; it may have found the row done, so a look-up must follow."""
         self.question_count += 1
         self._fenced = True
 
     def on_question_failed(self) -> None:
-        """Note that the question was not answered."""
+        """Count a query that was not answered."""
         self.question_count += 1
 
     def _resolve(self, resolution: DoubtResolution) -> None:
--- a/sabledyke/store/intent_table.py
+++ b/sabledyke/store/intent_table.py
@@ -1,10 +1,10 @@
 """The keyed writes in memory: their first sends, attempts that wait for an intent, and states to be recorded.
 
 Decides whether an attempt may be sent, must wait for its intent to be durable, has expired or is blocked.
-Knows neither a database nor a clock: the time is passed in, in Unix milliseconds.
+Accesses neither a database nor a clock: callers pass the time in Unix milliseconds.
 
-Bounds: attempts wait, and intents are unrecorded, only while their requests are open in the core; a write is
-evicted once its last attempt has ended and it is past any window in which it could be repeated.
+Memory is bounded: waiting attempts and unrecorded intents exist only while their requests are open in the
+core. A write is evicted after its last attempt has ended and every window for repeating it has passed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from sabledyke.store.tracked_writes import TrackedWrite, WaitingAttempt
 from sabledyke.store.types import Intent, RecordedWrite, SendRecord, Settlement, WriteState
 
-EVICT_INTERVAL_MS = 1000.0  # between searches for writes that memory need not hold any longer
+EVICT_INTERVAL_MS = 1000.0  # time between searches for writes to evict
 
 
 class IntentTable:
@@ -33,33 +33,33 @@
 
     @property
     def size(self) -> int:
-        """Entries in all tables, for what watches their bounds."""
+        """Number of entries in all tables, for checks of the memory bounds."""
         return len(self._writes) + len(self._unrecorded) + len(self._waiting) + len(self._settlements)
 
     @property
     def unrecorded(self) -> int:
-        """Intents that no batch has taken yet."""
+        """Number of intents that are not part of a batch yet."""
         return len(self._unrecorded)
 
     @property
     def has_waiting_attempts(self) -> bool:
-        """Whether any attempt waits for its intent."""
+        """True if any attempt waits for its intent."""
         return bool(self._waiting)
 
     @property
     def needs_batch(self) -> bool:
-        """Whether there are intents or states to be recorded."""
+        """True if intents or states are to be recorded."""
         return bool(self._unrecorded or self._settlements)
 
     def load(self, writes: Iterable[tuple[str, RecordedWrite]], retain_until_ms: float) -> None:
-        """Add the writes of earlier incarnations, each of which may have run."""
+        """Add writes of earlier incarnations; each of them may have run."""
         for name, write in writes:
             self._writes[name] = TrackedWrite(
                 write.first_send, retain_until_ms, durable=True, may_have_run=True
             )
 
     def earlier_send(self, name: str) -> SendRecord | None:
-        """Return the send of this write that may have run already, as far as memory has it."""
+        """Return the first send of a write that may have run; None if none is in memory."""
         write = self._writes.get(name)
         return write.first_send if write is not None and write.was_sent else None
 
@@ -74,48 +74,53 @@
         deadline_ms: float,
         request_class: RequestClass,
     ) -> list[Effect]:
-        """Decide about an attempt; without an effect, it waits for its intent.
+        """Send or block an attempt, or let it wait for its intent.
 
         Args:
             now_ms: The time.
             attempt: The attempt.
-            name: What the write is recorded by.
-            send: When and where the attempt is to be sent.
-            deadline_ms: When the attempt is over.
-            request_class: The class of the write, whose window bounds its repeats.
+            name: The name under which the write is recorded.
+            send: Time and place of the send.
+            deadline_ms: Time at which the attempt expires.
+            request_class: The class of the write; its deduplication window bounds repeats.
+
+        Returns:
+            The effect of the decision; empty if the attempt waits for its intent.
         """
         write = self._writes.get(name)
         if write is not None and write.durable:
             if write.was_sent and not self._may_repeat(now_ms, write, request_class, send):
                 return [BlockAttempt(attempt)]
-            if write.was_sent or write.first_send.place == send.place:  # never ran, same place: same intent
+            # The recorded intent also covers a write that never ran if its place is the same.
+            if write.was_sent or write.first_send.place == send.place:
                 write.in_flight += 1
                 return [SendAttempt(attempt)]
-        if write is None or write.durable:  # the first send, or one that never ran and goes elsewhere now
+        # A first send, and one to another place of a write that never ran, need a new intent.
+        if write is None or write.durable:
             retained_ms = request_class.deduplication_window_ms + request_class.deadline_ms
-            self._begin(name, send, now_ms + retained_ms)
+            self._add_write(name, send, now_ms + retained_ms)
         self._waiting[attempt] = WaitingAttempt(name, send, deadline_ms, request_class)
         return []
 
     def on_attempt_cancelled(self, attempt: AttemptId) -> bool:
-        """Drop a waiting attempt; False where it does not wait here, and so was sent or is over."""
+        """Drop a waiting attempt; return False if it was already sent or has ended."""
         waiting = self._waiting.pop(attempt, None)
         if waiting is None:
             return False
-        self._drop_if_unwanted(waiting.name)
+        self._drop_if_not_awaited(waiting.name)
         return True
 
     def on_attempt_completed(self, name: str, *, may_have_run: bool) -> None:
-        """Note that an attempt that was sent is over."""
+        """Record the end of an attempt that was sent."""
         write = self._writes.get(name)
         if write is not None:
             write.in_flight -= 1
             write.may_have_run |= may_have_run
 
     def on_write_completed(self, name: str, *, served: bool) -> WriteState | None:
-        """Return the state to record for a write that has its final answer.
+        """Return the state to record for a write that received its final answer.
 
-        None where nothing is on record, or where the write is being settled as never sent.
+        Returns None if no intent is known: nothing was recorded, or NEVER is already queued for it.
         """
         if served:
             return WriteState.SERVED
@@ -124,21 +129,21 @@
             return None
         if write.was_sent:
             return WriteState.UNKNOWN
-        self._drop_if_unwanted(name)
+        self._drop_if_not_awaited(name)
         return WriteState.NEVER
 
     def expire(self, now_ms: float) -> list[Effect]:
-        """Drop the attempts that have waited past their deadlines."""
+        """Drop the waiting attempts whose deadlines have passed."""
         effects: list[Effect] = []
         for attempt, waiting in list(self._waiting.items()):
             if now_ms >= waiting.deadline_ms:
                 del self._waiting[attempt]
-                self._drop_if_unwanted(waiting.name)
+                self._drop_if_not_awaited(waiting.name)
                 effects.append(ExpireAttempt(attempt))
         return effects
 
     def release_waiting(self, now_ms: float) -> list[Effect]:
-        """Decide about the waiting attempts whose intents are durable now."""
+        """Send, block or expire the waiting attempts whose intents are now durable."""
         effects: list[Effect] = []
         for attempt, waiting in list(self._waiting.items()):
             write = self._writes.get(waiting.name)
@@ -147,11 +152,12 @@
                 effects.append(self._release(now_ms, attempt, waiting, write))
         return effects
 
-    def give_up(self, intents: Iterable[Intent]) -> list[Effect]:
-        """Expire all waiting attempts, and forget unsent writes, with those of the batch in flight.
+    def expire_all_waiting(self, intents: Iterable[Intent]) -> list[Effect]:
+        """Expire all waiting attempts and drop all unsent writes, including those of the batch in flight.
 
         Args:
-            intents: The intents of the batch in flight: recorded after all, they are settled as never sent.
+            intents: The intents of the batch in flight. If the batch commits after all, they are settled as
+                never sent.
         """
         effects: list[Effect] = [ExpireAttempt(attempt) for attempt in self._waiting]
         names = {waiting.name for waiting in self._waiting.values()} | set(self._unrecorded)
@@ -176,60 +182,60 @@
         """Remove and return the states for the next batch.
 
         Args:
-            limit: The number of waiting states to take.
-            completed: States that come with the journal entries of the same batch.
-            intents: The intents of the same batch: what is sent anew is not settled as never sent.
+            limit: The maximum number of waiting states to take.
+            completed: States that belong to the journal entries of the same batch.
+            intents: The intents of the same batch. A write that is sent again is not settled as never sent.
         """
         states = take_states(self._settlements, limit, completed)
-        sent_anew = {intent.name for intent in intents}
+        sent_again = {intent.name for intent in intents}
         return [
             Settlement(name, state)
             for name, state in states.items()
-            if state is not WriteState.NEVER or not (name in self._writes or name in sent_anew)
+            if state is not WriteState.NEVER or not (name in self._writes or name in sent_again)
         ]
 
     def restore_settlements(self, settlements: Iterable[Settlement]) -> None:
-        """Take back the states of a batch that failed."""
+        """Queue the states of a failed batch again."""
         merge_settlements(self._settlements, settlements)
 
     def restore_intents(self, intents: Iterable[Intent]) -> None:
-        """Take back the intents of a batch that did not take effect, before all others."""
-        wanted = {intent.name: intent for intent in intents if intent.name in self._writes}
-        self._unrecorded = wanted | self._unrecorded
+        """Queue the intents of a batch that did not take effect ahead of all others."""
+        tracked = {intent.name: intent for intent in intents if intent.name in self._writes}
+        self._unrecorded = tracked | self._unrecorded
 
     def settle_as_never_sent(self, intents: Iterable[Intent]) -> None:
-        """Settle intents that may be on record and whose attempts are not sent."""
+        """Settle intents that may be recorded although their attempts are not sent."""
         for intent in intents:
             self._settlements.setdefault(intent.name, WriteState.NEVER)
 
     def on_recorded(
         self, intents: Iterable[Intent], accepted: set[str], existing: Mapping[str, RecordedWrite]
     ) -> None:
-        """Note the outcome of the intents of a committed batch.
+        """Apply the results of a committed batch to its intents.
 
         Args:
             intents: The intents of the batch.
-            accepted: Names of those that the record accepted.
-            existing: What the record had already, by name, for those that it did not.
+            accepted: Names of the intents that were recorded.
+            existing: Writes found in the record in place of the other intents, by name.
         """
         for intent in intents:
             write = self._writes.get(intent.name)
             if write is None:
                 self._settlements[intent.name] = WriteState.NEVER
             elif write.first_send != intent.sent:
-                continue  # begun anew meanwhile: its own intent is still to come
+                continue  # a newer intent of this write is still queued
             elif intent.name in accepted:
                 write.durable = True
             else:
                 self._adopt_existing(write, intent, existing.get(intent.name))
 
-    def drop_unwanted(self, intents: Iterable[Intent]) -> None:
-        """Drop the writes of these intents that nobody waits for any more."""
+    def drop_not_awaited(self, intents: Iterable[Intent]) -> None:
+        """Drop the unsent writes of these intents for which no attempt waits."""
         for intent in intents:
-            self._drop_if_unwanted(intent.name)
+            self._drop_if_not_awaited(intent.name)
 
     def evict(self, now_ms: float) -> None:
-        """Evict writes past any window; the database retains them longer and checks each intent."""
+        """Evict writes that can no longer be repeated; the database retains them longer for its checks."""
         if now_ms - self._evicted_at_ms < EVICT_INTERVAL_MS:
             return
         self._evicted_at_ms = now_ms
@@ -239,7 +245,7 @@
 
     # Helpers.
 
-    def _begin(self, name: str, send: SendRecord, retain_until_ms: float) -> None:
+    def _add_write(self, name: str, send: SendRecord, retain_until_ms: float) -> None:
         self._writes[name] = TrackedWrite(send, retain_until_ms)
         self._unrecorded[name] = Intent(name, send)
         if self._settlements.get(name) is WriteState.NEVER:
@@ -251,13 +257,14 @@
         if now_ms >= waiting.deadline_ms:
             return ExpireAttempt(attempt)
         if not self._may_repeat(now_ms, write, waiting.request_class, waiting.send):
-            # Also where nothing has run yet: what is on record names another place than this attempt's.
+            # An unsent write reaches this line if its recorded intent is for another place.
             return BlockAttempt(attempt) if write.was_sent else ExpireAttempt(attempt)
         write.in_flight += 1
         return SendAttempt(attempt)
 
     def _adopt_existing(self, write: TrackedWrite, intent: Intent, existing: RecordedWrite | None) -> None:
-        if existing is None or existing.state is WriteState.NEVER:  # it changed meanwhile: ask once more
+        # The row has changed since the intent was rejected, so the intent is recorded again.
+        if existing is None or existing.state is WriteState.NEVER:
             write.durable = False
             self._unrecorded[intent.name] = intent
             return
@@ -268,8 +275,8 @@
     def _is_awaited(self, name: str) -> bool:
         return any(waiting.name == name for waiting in self._waiting.values())
 
-    def _drop_if_unwanted(self, name: str) -> None:
-        """Drop an intent that nobody waits for: not recorded, or settled as never sent."""
+    def _drop_if_not_awaited(self, name: str) -> None:
+        """Drop an unsent write for which no attempt waits; settle a recorded one as never sent."""
         write = self._writes.get(name)
         if write is None or write.was_sent or self._is_awaited(name):
             return
--- a/sabledyke/store/journal_queue.py
+++ b/sabledyke/store/journal_queue.py
@@ -1,8 +1,8 @@
-"""The journal entries that are still to be written, and the served answers that wait for them.
+"""The queue of unwritten journal entries, and the served answers that wait for them.
 
-Decides which answers may be passed on, and what the journal says of those that may not. Knows neither a
-database nor a clock. Bounds: the manager accepts no writes beyond the backlog, so that the queue exceeds it
-by no more than the requests that are open.
+Decides which answers may be passed on, and which outcome the journal records for the others. Accesses neither
+a database nor a clock. The manager rejects writes beyond the backlog, so the queue exceeds the backlog by at
+most the number of open requests.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
     Attributes:
         entry: The entry.
-        settlement: The state to record with it, if any.
-        ticket: The served answer that waits for it, if any.
-        deadline_ms: When that answer is given up.
+        settlement: The state to record in the same batch, if any.
+        ticket: The number of the served answer that waits for the entry, if any.
+        deadline_ms: Time at which that answer fails if the entry is not durable.
     """
 
     entry: JournalEntry
@@ -32,24 +32,28 @@
 
 
 class JournalQueue:
-    """Entries in the order in which they will stand in the journal."""
+    """Entries in the order in which they are appended to the journal.
+
+    Attributes:
+        corrections: Number of entries that correct an earlier one whose answer was not passed on.
+    """
 
     def __init__(self) -> None:
         self._queued: deque[PendingEntry] = deque()
         self._in_flight: list[PendingEntry] = []
-        self.corrections = 0  # entries that say an earlier one's answer was not passed on
+        self.corrections = 0
 
     def __len__(self) -> int:
-        """Return the number of entries that no batch has taken."""
+        """Return the number of entries that are not part of the batch in flight."""
         return len(self._queued)
 
     @property
     def unwritten(self) -> int:
-        """Entries that are not in the journal yet, as far as is known."""
+        """Number of entries that are not known to be in the journal."""
         return len(self._queued) + len(self._in_flight)
 
     def append(self, pending: PendingEntry) -> None:
-        """Queue an entry."""
+        """Append an entry to the queue."""
         self._queued.append(pending)
 
     def take(self, limit: int) -> list[PendingEntry]:
@@ -58,7 +62,7 @@
         return self._in_flight
 
     def on_committed(self) -> list[Effect]:
-        """Pass on the answers whose entries are in the journal now."""
+        """Return effects that pass on the answers whose entries were committed."""
         effects: list[Effect] = [
             CompleteWrite(pending.ticket, journaled=True)
             for pending in self._in_flight
@@ -68,37 +72,38 @@
         return effects
 
     def requeue(self) -> None:
-        """Put the entries of a batch that failed back to the front."""
+        """Put the entries of a failed batch back at the front of the queue."""
         self._queued.extendleft(reversed(self._in_flight))
         self._in_flight = []
 
     def drop_written(self, count: int) -> None:
-        """Drop the first entries of the queue: they are in the journal after all."""
+        """Drop the first ``count`` entries of the queue, which were committed after all."""
         for _ in range(count):
             self._queued.popleft()
 
     def expire(self, now_ms: float) -> list[Effect]:
-        """Give up the answers that have waited past their deadlines."""
+        """Fail the answers whose deadlines have passed."""
         waiting = self._waiting_for_answer()
-        return [self._give_up(pending) for pending in waiting if now_ms >= pending.deadline_ms]
+        return [self._fail_answer(pending) for pending in waiting if now_ms >= pending.deadline_ms]
 
-    def give_up(self) -> list[Effect]:
-        """Give up all answers that wait."""
-        return [self._give_up(pending) for pending in self._waiting_for_answer()]
+    def fail_all_waiting(self) -> list[Effect]:
+        """Fail all answers that wait for their entries."""
+        return [self._fail_answer(pending) for pending in self._waiting_for_answer()]
 
     def _waiting_for_answer(self) -> list[PendingEntry]:
         return [pending for pending in (*self._in_flight, *self._queued) if pending.ticket is not None]
 
-    def _give_up(self, pending: PendingEntry) -> CompleteWrite:
-        """Answer ``failed``; the journal says so, if need be by a further entry.
+    def _fail_answer(self, pending: PendingEntry) -> CompleteWrite:
+        """Answer ``failed`` and set the entry's outcome, or append a correction if it is in flight.
 
-        Guards against an answer that waits past its deadline, or longer than a stall, for its entry.
+        Guards against an answer that waits for its entry past its deadline or throughout a stall.
         """
         ticket = pending.ticket
         assert ticket is not None
         pending.ticket = None
         corrected = replace(pending.entry, outcome=OUTCOME_UNCONFIRMED)
-        if any(other is pending for other in self._in_flight):  # it may be in the journal as served by now
+        # An entry in flight may already be in the journal as served.
+        if any(other is pending for other in self._in_flight):
             self._queued.append(PendingEntry(corrected, pending.settlement))
             self.corrections += 1
         else:
--- a/sabledyke/store/maintenance/__init__.py
+++ b/sabledyke/store/maintenance/__init__.py
@@ -1,8 +1,8 @@
-"""What the operators' commands do with a record: check, migrate, audit, reconcile, back up, restore, export.
+"""The operators' commands on a record: check, migrate, audit, reconcile, back up, restore and export.
 
-Each reads page by page inside one snapshot, so that it may run beside schedulers in service and holds one
-page in memory (``reconcile`` holds the names of the writes that are still retained). Each reports what it
-found, a line at a time, and returns whether all is well.
+Each command reads page by page inside one snapshot, so that it can run while schedulers use the record, and
+holds one page in memory (``reconcile`` holds the names of all retained writes). Each command reports its
+findings line by line, and returns True if it found no fault.
 """
 
 from sabledyke.store.maintenance.auditing import audit
--- a/sabledyke/store/maintenance/auditing.py
+++ b/sabledyke/store/maintenance/auditing.py
@@ -1,4 +1,4 @@
-"""``store audit``: every instance's chain is walked; a changed, missing or added entry is named."""
+"""``store audit``: checks the hash chain of each instance, and reports changed, missing or added entries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def audit(target: Target, report: Report) -> bool:
-    """Audit a record in service."""
+    """Audit a record, which may be in service; return True if it passes."""
     async with open_at_start(target, create=False) as session:
         await require_current_schema(session)
         async with session.snapshot():
@@ -27,34 +27,34 @@
 
 
 async def audit_session(session: Session, report: Report) -> bool:
-    """Audit the record that a session shows."""
+    """Audit the record of an open session; return True if it passes."""
     incarnations = await session.query(statements.SELECT_INCARNATIONS)
-    known = {str(row[0]) for row in incarnations}
-    strangers = {str(row[0]) for row in await session.query(statements.SELECT_JOURNAL_INSTANCES)} - known
-    sound = not strangers
+    started = {str(row[0]) for row in incarnations}
+    unknown = {str(row[0]) for row in await session.query(statements.SELECT_JOURNAL_INSTANCES)} - started
+    passed = not unknown
     with progress_display("audit", await count_rows(session, "journal")) as advance:
         for instance, *position in incarnations:
-            ends_at = startup.position_from_row(tuple(position))
-            sound &= await _audit_instance(session, str(instance), ends_at, report, advance)
-    for instance in sorted(strangers):
-        report(f"{instance}: has entries, but never started here")
-    return sound
+            final_position = startup.position_from_row(tuple(position))
+            passed &= await _audit_instance(session, str(instance), final_position, report, advance)
+    for instance in sorted(unknown):
+        report(f"{instance}: has journal entries, but has never started on this record")
+    return passed
 
 
 async def _audit_instance(
-    session: Session, instance: str, ends_at: JournalPosition, report: Report, advance: Advance
+    session: Session, instance: str, final_position: JournalPosition, report: Report, advance: Advance
 ) -> bool:
-    walk = ChainAudit(instance)
+    chain_audit = ChainAudit(instance)
     async for rows in journal_pages(session, instance):
         for row in rows:
-            walk.on_row(row)
+            chain_audit.on_row(row)
         advance(len(rows))
-    walk.on_end(ends_at)
-    outcomes = ", ".join(f"{count} {outcome}" for outcome, count in sorted(walk.outcomes.items()))
-    result = "the chain holds" if walk.passed else "THE CHAIN IS BROKEN"
+    chain_audit.on_end(final_position)
+    outcomes = ", ".join(f"{count} {outcome}" for outcome, count in sorted(chain_audit.outcomes.items()))
+    result = "the chain is intact" if chain_audit.passed else "THE CHAIN IS BROKEN"
     report(f"{instance}: {outcomes or 'no entries'}: {result}")
-    for fault in walk.faults:
+    for fault in chain_audit.faults:
         report(f"  {fault}")
-    if walk.unnamed_faults:
-        report(f"  and {walk.unnamed_faults} more")
-    return walk.passed
+    if chain_audit.unnamed_faults:
+        report(f"  and {chain_audit.unnamed_faults} more")
+    return chain_audit.passed
--- a/sabledyke/store/maintenance/backups.py
+++ b/sabledyke/store/maintenance/backups.py
@@ -1,4 +1,4 @@
-"""``store backup`` and ``store restore``: copies of a record, complete and audited."""
+"""``store backup`` and ``store restore``: complete and audited copies of a record."""
 
 from __future__ import annotations
 
@@ -26,13 +26,16 @@
 
 
 async def backup(target: Target, path: str, report: Report) -> bool:
-    """Copy a record in service into a SQLite file; complete and audited, or not there at all.
+    """Copy a record, which may be in service, into a SQLite file that appears only when it is complete.
+
+    Returns:
+        True if the copy passes its audit.
 
     Raises:
-        StoreError: Where the file exists, or the record cannot be opened.
+        StoreError: The file exists, or the record cannot be opened.
     """
     if Path(path).exists():
-        raise StoreError(f"{path} exists already: a backup never writes over another")
+        raise StoreError(f"{path} exists already: a backup never overwrites a file")
     partial_path = path + ".part"
     Path(partial_path).unlink(missing_ok=True)
     async with open_at_start(target, create=False) as source:
@@ -41,21 +44,25 @@
             await startup.migrate(copy)
             async with source.snapshot():
                 rows = await _copy(source, copy, statements.INSERT_SAME_INCARNATION)
-            sound = await audit_session(copy, report)
-            await copy.query("PRAGMA journal_mode = DELETE")  # one file, with nothing beside it
+            passed = await audit_session(copy, report)
+            # Leaves a single file, without a write-ahead log.
+            await copy.query("PRAGMA journal_mode = DELETE")
     _sync(partial_path)
     os.replace(partial_path, path)
     _sync(str(Path(path).absolute().parent))
-    fault = "" if sound else "; the record itself does not pass its audit"
-    report(f"{rows} rows are in {path}{fault}")
-    return sound
+    warning = "" if passed else "; the record itself does not pass its audit"
+    report(f"{rows} rows were copied to {path}{warning}")
+    return passed
 
 
 async def restore(target: Target, path: str, report: Report) -> bool:
-    """Fill an empty record from a backup that passes its checks; older incarnations are locked out of it.
+    """Fill an empty record from a backup that passes its checks; older incarnations cannot write to it.
+
+    Returns:
+        True if the backup passed its checks and was copied.
 
     Raises:
-        StoreError: Where the record is not empty, or cannot be opened.
+        StoreError: The record is not empty, or cannot be opened.
     """
     if not await check(Target(path=path), report):
         return False
@@ -66,20 +73,20 @@
         async with open_at_start(target) as copy:
             await startup.migrate(copy)
             await _require_empty(copy, target)
-            # Guards against a start from half a restore: until it is done, no program knows this version.
+            # Guards against a start on a partly restored record: no program accepts a negative version.
             await _set_version(copy, -SCHEMA_VERSION)
             rows = await _copy(source, copy, statements.INSERT_NEXT_INCARNATION)
             await _set_version(copy, SCHEMA_VERSION)
-    report(f"{rows} rows are in {target}")
+    report(f"{rows} rows were restored to {target}")
     return True
 
 
 async def _require_empty(session: Session, target: Target) -> None:
     for table in statements.COUNT_ROWS:
         if await count_rows(session, table):
-            raise StoreError(f"store {target}: holds rows in {table}: a restore needs an empty one")
+            raise StoreError(f"store {target}: holds rows in {table}: a restore needs an empty record")
     if await session.query(statements.SELECT_INCARNATIONS):
-        raise StoreError(f"store {target}: has been in service: a restore needs an empty one")
+        raise StoreError(f"store {target}: has been in service: a restore needs an empty record")
 
 
 async def _set_version(session: Session, version: int) -> None:
@@ -87,14 +94,14 @@
 
 
 async def _copy(source: Session, copy: Session, insert_incarnation: str) -> int:
-    """Copy all rows; return how many, not counting the incarnations."""
+    """Copy all rows; return their number without the incarnations."""
     total_rows = 0
     for table in statements.COUNT_ROWS:
         total_rows += await count_rows(source, table)
     incarnations = await source.query(statements.SELECT_INCARNATIONS)
     with progress_display("copy", total_rows) as advance:
         copied = await _copy_tables(source, copy, incarnations, advance)
-    if incarnations:  # last: nothing before it counts as a record in service
+    if incarnations:  # copied last, because a record counts as in service once it has incarnations
         await copy.transact([Step(insert_incarnation, incarnations)])
     return copied
 
@@ -102,7 +109,7 @@
 async def _copy_tables(source: Session, copy: Session, incarnations: list[Row], advance: Advance) -> int:
     copied = 0
 
-    async def put(sql: str, rows: list[Row]) -> None:
+    async def insert_rows(sql: str, rows: list[Row]) -> None:
         nonlocal copied
         await copy.transact([Step(sql, rows)])
         copied += len(rows)
@@ -110,19 +117,19 @@
 
     for incarnation in incarnations:
         async for rows in journal_pages(source, str(incarnation[0])):
-            await put(statements.INSERT_JOURNAL_ENTRY, rows)
+            await insert_rows(statements.INSERT_JOURNAL_ENTRY, rows)
     async for rows in write_pages(source):
-        await put(statements.INSERT_WRITE, rows)
+        await insert_rows(statements.INSERT_WRITE, rows)
     drift = await source.query(statements.SELECT_DRIFT)
     for first in range(0, len(drift), PAGE_ROWS):
-        await put(statements.INSERT_DRIFT, drift[first : first + PAGE_ROWS])
+        await insert_rows(statements.INSERT_DRIFT, drift[first : first + PAGE_ROWS])
     return copied
 
 
 def _sync(path: str) -> None:
-    """Guard against a backup that is there by name and not on the disk."""
-    handle = os.open(path, os.O_RDONLY)
+    """Flush a file or directory to the disk, so that a finished backup survives a crash."""
+    descriptor = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
--- a/sabledyke/store/maintenance/exporting.py
+++ b/sabledyke/store/maintenance/exporting.py
@@ -1,4 +1,4 @@
-"""``store export``: the journal as JSON lines."""
+"""``store export``: writes the journal as JSON lines."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 async def export(target: Target, file: IO[bytes], since_ms: int, report: Report) -> bool:
-    """Write the journal, an object an entry, oldest first within each instance.
+    """Write one JSON object for each entry of the journal, oldest first within each instance.
 
     Args:
         target: The record.
-        file: Where to write.
-        since_ms: Entries completed before that are left out, in Unix milliseconds.
-        report: Called with the number of entries.
+        file: The file to write to.
+        since_ms: Unix milliseconds; entries completed before this time are skipped.
+        report: Called with the number of entries written.
     """
     async with open_at_start(target, create=False) as session:
         await require_current_schema(session)
--- a/sabledyke/store/maintenance/pages.py
+++ b/sabledyke/store/maintenance/pages.py
@@ -1,4 +1,4 @@
-"""Walks through a record's tables, a page at a time, with a progress display."""
+"""Iteration over a record's tables, a page at a time, and a progress display."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @contextmanager
 def progress_display(title: str, total_rows: int) -> Iterator[Advance]:
-    """Have a progress display on a terminal; nothing elsewhere, or where its library is not installed."""
+    """Show a progress display, if stderr is a terminal and tqdm is installed."""
     try:
         from tqdm import tqdm
     except ImportError:
@@ -28,22 +28,26 @@
 
 
 async def require_current_schema(session: Session) -> None:
-    """Raise a DatabaseError unless the record has this program's schema."""
+    """Check the version of the record's schema.
+
+    Raises:
+        DatabaseError: The record does not have this program's schema.
+    """
     found = await startup.schema_version(session)
     if found != SCHEMA_VERSION:
         advice = "run store migrate" if found < SCHEMA_VERSION else "use a newer program"
-        text = f"version {found}, where this program reads {SCHEMA_VERSION}: {advice}"
+        text = f"version {found}, but this program requires {SCHEMA_VERSION}: {advice}"
         raise DatabaseError(DatabaseErrorKind.SCHEMA, text)
 
 
 async def count_rows(session: Session, table: str) -> int:
-    """Return how many rows a table has."""
+    """Return the number of rows of a table."""
     rows = await session.query(statements.COUNT_ROWS[table])
     return as_int(rows[0][0])
 
 
 async def instances(session: Session) -> list[str]:
-    """Return the names of the instances that began an incarnation here."""
+    """Return the names of the instances that have started on this record."""
     return [str(row[0]) for row in await session.query(statements.SELECT_INCARNATIONS)]
 
 
@@ -56,7 +60,7 @@
 
 
 async def write_pages(session: Session) -> AsyncIterator[list[Row]]:
-    """Yield the pages of the recorded writes, by name."""
+    """Yield the pages of the recorded writes, in the order of their names."""
     last_name = ""
     while rows := await session.query(statements.SELECT_WRITES_PAGE, last_name):
         yield rows
@@ -64,6 +68,6 @@
 
 
 def as_int(value: object) -> int:
-    """Return a column that holds integers."""
+    """Return the value of an integer column, with its type checked."""
     assert isinstance(value, int)
     return value
--- a/sabledyke/store/maintenance/reconciliation.py
+++ b/sabledyke/store/maintenance/reconciliation.py
@@ -1,4 +1,4 @@
-"""``store reconcile``: whether the journal agrees with the record of sends and with what nodes showed."""
+"""``store reconcile``: compares the journal with the record of sends, and reports drift found on nodes."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from sabledyke.store.session import Session
 from sabledyke.store.types import OUTCOME_SERVED, OUTCOME_UNCONFIRMED, WriteState
 
-MAX_SHOWN_FINDINGS = 20  # of a kind that are written out; the others are counted
+MAX_SHOWN_FINDINGS = 20  # findings of each kind that are listed; any others are only counted
 LOGGED_DIGEST_LENGTH = 12
 
-WriteKey = tuple[int, str]  # a volume and an idempotency token
+WriteKey = tuple[int, str]  # a volume and an idempotency key as recorded
 
 
 @dataclass(slots=True)
 class _Reconciliation:
-    """What disagrees, by the names of the writes.
+    """Disagreements between the record of sends and the journal, by the names of the writes.
 
     Attributes:
-        missing: Served on record, and not in the journal.
-        contradicting: Served in the journal, and never sent on record.
-        in_doubt: They may have run, and nobody was answered that they did.
+        missing: Writes recorded as served that are not served in the journal.
+        contradicting: Writes served in the journal that are recorded as never sent.
+        in_doubt: Writes that may have run although no client was answered that they did.
     """
 
     missing: list[str] = field(default_factory=list)
@@ -54,8 +54,8 @@
 async def reconcile(target: Target, report: Report) -> bool:
     """Compare the journal with the record of sends, and report the drift that was found.
 
-    What is in doubt is reported and is no fault: the client was answered ``failed``, and the write may have
-    run.
+    Writes in doubt are reported but are not faults: the client was answered ``failed``, and the write may
+    have run. The result is True if there are no other findings.
     """
     async with open_at_start(target, create=False) as session:
         await require_current_schema(session)
@@ -70,15 +70,15 @@
     for key, (name, state) in recorded.items():
         found.add(name, state, journaled=key in journaled)
     drift = await _drift_lines(session)
-    _report_findings(report, "served on record, and not in the journal", found.missing)
-    _report_findings(report, "served in the journal, and never sent on record", found.contradicting)
-    _report_findings(report, "in doubt: may have run, and nobody was told that it did", found.in_doubt)
-    _report_findings(report, "boxes that showed other data than was written", drift)
+    _report_findings(report, "recorded as served, but not in the journal", found.missing)
+    _report_findings(report, "served in the journal, but recorded as never sent", found.contradicting)
+    _report_findings(report, "in doubt: may have run, but was not answered as served", found.in_doubt)
+    _report_findings(report, "storage nodes that returned other data than was written", drift)
     return not (found.missing or found.contradicting or drift)
 
 
 async def _recorded_writes(session: Session) -> dict[WriteKey, tuple[str, str]]:
-    """Return name and state of each recorded write."""
+    """Return the name and state of each recorded write."""
     writes: dict[WriteKey, tuple[str, str]] = {}
     with progress_display("record", await count_rows(session, "writes")) as advance:
         async for rows in write_pages(session):
@@ -91,7 +91,7 @@
 
 
 async def _journaled_keys(session: Session, recorded: dict[WriteKey, tuple[str, str]]) -> set[WriteKey]:
-    """Return those of the recorded writes that a node has served according to the journal."""
+    """Return the recorded writes that a node has served according to the journal."""
     served: set[WriteKey] = set()
     with progress_display("journal", await count_rows(session, "journal")) as advance:
         for instance in await instances(session):
@@ -109,7 +109,7 @@
     for _, _, volume, piece, node, expected, found in await session.query(statements.SELECT_DRIFT):
         shown = str(found)[:LOGGED_DIGEST_LENGTH]
         written = str(expected)[:LOGGED_DIGEST_LENGTH]
-        lines.append(f"{node}: volume {volume} piece {piece} shows {shown}, {written} was written")
+        lines.append(f"{node}: volume {volume} piece {piece} shows {shown}, but {written} was written")
     return lines
 
 
--- a/sabledyke/store/maintenance/schema.py
+++ b/sabledyke/store/maintenance/schema.py
@@ -1,4 +1,4 @@
-"""``store check`` and ``store migrate``: whether a record is sound, and its schema brought up to date."""
+"""``store check`` and ``store migrate``: check that a record is usable, and migrate its schema."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def check(target: Target, report: Report) -> bool:
-    """Check that it can be opened, that its schema is this program's, and that the file is sound."""
+    """Check that the record can be opened, has this program's schema, and is not corrupt."""
     async with open_at_start(target, create=False) as session:
         if not await _check_schema(session, report):
             return False
@@ -22,7 +22,7 @@
 
 
 async def migrate(target: Target, report: Report) -> bool:
-    """Bring the schema up to date, in place and with all rows."""
+    """Migrate the schema in place, without loss of rows."""
     async with open_at_start(target) as session:
         found = await startup.migrate(session, report)
     before = "" if found == SCHEMA_VERSION else f", was {found}"
@@ -33,12 +33,12 @@
 async def _check_schema(session: Session, report: Report) -> bool:
     found = await startup.schema_version(session)
     if found < 0:
-        report("a restore into it was not finished: empty it and restore again")
+        report("a restore was not finished: empty the database and restore again")
         return False
     if found != SCHEMA_VERSION:
         is_newer = found > SCHEMA_VERSION
-        advice = "it is newer than this program knows" if is_newer else "run migrate, or start a scheduler"
-        report(f"schema {found}, this program's is {SCHEMA_VERSION}: {advice}")
+        advice = "use a newer program" if is_newer else "run store migrate, or start a scheduler"
+        report(f"schema {found}, but this program requires {SCHEMA_VERSION}: {advice}")
         return False
     report(f"schema {found}")
     return True
@@ -56,4 +56,4 @@
     for table in statements.COUNT_ROWS:
         report(f"{table}: {await count_rows(session, table)} rows")
     for instance, incarnation, batches, entries, _ in await session.query(statements.SELECT_INCARNATIONS):
-        report(f"instance {instance}: life {incarnation}, {batches} batches, {entries} entries")
+        report(f"instance {instance}: incarnation {incarnation}, {batches} batches, {entries} entries")
--- a/sabledyke/store/open_requests.py
+++ b/sabledyke/store/open_requests.py
@@ -1,4 +1,4 @@
-"""What the recording transport remembers of requests and attempts that are under way. Times are Unix ms."""
+"""Open requests and attempts, as the recording transport holds them. Times are Unix milliseconds."""
 
 from __future__ import annotations
 
@@ -12,7 +12,15 @@
 
 @dataclass(slots=True, frozen=True)
 class WaitingAttempt:
-    """An attempt that waits for its intent."""
+    """An attempt that waits for its intent.
+
+    Attributes:
+        node: The node to send the attempt to.
+        work: The request.
+        name: The name under which the write is recorded.
+        requested_at_ms: Time at which the core started the attempt.
+        deadline_ms: Time at which the attempt expires.
+    """
 
     node: NodeId
     work: ClientRequest
@@ -23,7 +31,12 @@
 
 @dataclass(slots=True, frozen=True)
 class SentAttempt:
-    """An attempt of a keyed write that was sent."""
+    """An attempt of a keyed write that was sent.
+
+    Attributes:
+        name: The name under which the write is recorded.
+        waited_ms: Time that the attempt waited for its intent.
+    """
 
     name: str
     waited_ms: float
@@ -31,26 +44,34 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenWrite:
-    """A write that is open, for its journal entry and for drift."""
+    """An open write, held for its journal entry and for the detection of drift.
+
+    Attributes:
+        work: The request.
+        name: The name under which the write is recorded; empty if it has no idempotency key.
+        began_at_ms: Time at which the write was accepted.
+        deadline_ms: Time at which a served answer fails if its entry is not durable.
+        digest: SHA-256 of the written data, in hex.
+    """
 
     work: ClientRequest
-    name: str  # empty where it has no key
+    name: str
     began_at_ms: float
     deadline_ms: float
     digest: str
 
     @property
     def piece(self) -> tuple[int, int]:
-        """Volume and data key of what it writes."""
+        """Volume and data key of the written piece."""
         return self.work.volume, self.work.data_key
 
     def journal_entry(self, completed_at_ms: float, class_name: str, outcome: str) -> JournalEntry:
         """Return the entry for the receipt journal.
 
         Args:
-            completed_at_ms: When the write had its final answer.
-            class_name: The name of its request class.
-            outcome: What its client was answered; see ``JournalEntry``.
+            completed_at_ms: Time of the final answer.
+            class_name: The name of the request class.
+            outcome: The outcome, as ``JournalEntry`` defines it.
         """
         work = self.work
         sent_to = work.last_node
@@ -71,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServedAnswer:
-    """An answer that waits for its journal entry."""
+    """A served answer that waits for its journal entry, and the callback that receives it."""
 
     done: Done
     answer: Answer
--- a/sabledyke/store/postgres.py
+++ b/sabledyke/store/postgres.py
@@ -1,7 +1,7 @@
-"""A connection to PostgreSQL, on asyncpg. Loaded only where a URL is set.
+"""A connection to PostgreSQL through asyncpg; the module is loaded only if a URL is set.
 
-Decides nothing. One thing is kept exact here: an error is uncertain from the moment when COMMIT is handed to
-the connection until its answer has been read.
+This module only translates calls and errors. An error is uncertain exactly from the moment at which COMMIT is
+handed to the connection until its answer has been read.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 CLOSE_TIMEOUT_S = 0.5
 STATEMENT_CACHE_SIZE = 64
-_CONNECTION_LOST = (OSError, asyncpg.InterfaceError, asyncio.IncompleteReadError, EOFError)
-_SESSION_ENDS = ("08", "57P")  # classes of SQLSTATEs with which a connection ends
+_CONNECTION_ERRORS = (OSError, asyncpg.InterfaceError, asyncio.IncompleteReadError, EOFError)
+_SESSION_ENDING_CLASSES = ("08", "57P")  # SQLSTATE prefixes of errors that end the connection
 
 
 @dataclass(slots=True, frozen=True)
 class PostgresAddress:
-    """How to reach a database. The password is never part of what is printed.
+    """Address and credentials of a database; the password is never printed.
 
     Attributes:
-        host: The server.
-        port: Its port.
-        database: The database.
-        user: The role.
-        password: Its password, empty for none.
-        tls: As libpq's ``sslmode``.
-        connect_timeout_s: For a connection to come up.
+        host: Name or address of the server.
+        port: Port of the server.
+        database: Name of the database.
+        user: Name of the role.
+        password: Password of the role, empty for none.
+        tls: TLS mode, as libpq's ``sslmode``.
+        connect_timeout_s: Timeout of a connection, in seconds.
     """
 
     host: str
@@ -52,7 +52,7 @@
 
 
 class PostgresSession:
-    """See ``session.Session``."""
+    """A session with a PostgreSQL server."""
 
     backend = "postgresql"
 
@@ -61,10 +61,10 @@
 
     @classmethod
     async def open(cls, address: PostgresAddress) -> PostgresSession:
-        """Connect.
+        """Connect to a server.
 
         Raises:
-            DatabaseError: Where that cannot be done in time.
+            DatabaseError: The server rejects the connection or does not answer in time.
         """
         try:
             return cls(await _connect(address))
@@ -73,57 +73,57 @@
         except TimeoutError as error:
             text = f"no connection within {address.connect_timeout_s * 1000:.0f} ms"
             raise DatabaseError(DatabaseErrorKind.LOST, text) from error
-        except (*_CONNECTION_LOST, ValueError) as error:
-            raise _lost(error) from error
+        except (*_CONNECTION_ERRORS, ValueError) as error:
+            raise _connection_error(error) from error
 
     async def transact(
         self, steps: Sequence[Step], committing: Callable[[], None] = lambda: None
     ) -> list[list[Row]]:
-        """See ``session.Session``."""
-        handed_over = False
+        """Run all steps in one transaction; an error while COMMIT is unanswered is uncertain."""
+        commit_begun = False
         try:
             await self._connection.execute("BEGIN")
             results = [await self._run_step(step) for step in steps]
-            handed_over = True
+            commit_begun = True
             committing()
             status = await self._connection.execute("COMMIT")
         except asyncio.CancelledError:
             self.abort()
             raise
         except asyncpg.PostgresError as error:
-            failure = _from_server(error, committing=handed_over)
-            if not handed_over and not self.closed:
+            failure = _server_error(error, committing=commit_begun)
+            if not commit_begun and not self.closed:
                 await self._roll_back()
             elif failure.uncertain:
                 self.abort()
             raise failure from error
-        except _CONNECTION_LOST as error:
+        except _CONNECTION_ERRORS as error:
             self.abort()
-            raise _lost(error, uncertain=handed_over) from error
-        if status != "COMMIT":  # a server answers ROLLBACK where the transaction had failed
+            raise _connection_error(error, uncertain=commit_begun) from error
+        if status != "COMMIT":  # the server answers ROLLBACK if the transaction had failed
             raise DatabaseError(DatabaseErrorKind.UNEXPECTED, f"COMMIT was answered with {status}")
         return results
 
     async def query(self, sql: str, *values: Value) -> list[Row]:
-        """See ``session.Session``."""
+        """Return the rows of one statement."""
         try:
             return _rows(await self._connection.fetch(sql, *values))
         except asyncpg.PostgresError as error:
-            raise _from_server(error, committing=False) from error
-        except _CONNECTION_LOST as error:
+            raise _server_error(error, committing=False) from error
+        except _CONNECTION_ERRORS as error:
             self.abort()
-            raise _lost(error) from error
+            raise _connection_error(error) from error
 
     async def script(self, lines: Sequence[str]) -> None:
-        """See ``session.Session``."""
+        """Run statements without values in one transaction."""
         await self.transact([Step(line) for line in lines])
 
     @contextlib.asynccontextmanager
     async def snapshot(self) -> AsyncIterator[None]:
-        """See ``session.Session``."""
+        """Run the queries of the context in one read-only transaction."""
         try:
             await self._connection.execute("BEGIN ISOLATION LEVEL REPEATABLE READ READ ONLY")
-        except (asyncpg.PostgresError, *_CONNECTION_LOST) as error:
+        except (asyncpg.PostgresError, *_CONNECTION_ERRORS) as error:
             raise DatabaseError(DatabaseErrorKind.LOST, str(error)) from error
         try:
             yield
@@ -132,17 +132,17 @@
 
     @property
     def closed(self) -> bool:
-        """See ``session.Session``."""
+        """True if the connection can no longer be used."""
         return bool(self._connection.is_closed())
 
     def abort(self) -> None:
-        """See ``session.Session``: at once, without a message to the server."""
-        with contextlib.suppress(*_CONNECTION_LOST):
+        """Close the connection at once, without a message to the server."""
+        with contextlib.suppress(*_CONNECTION_ERRORS):
             self._connection.terminate()
 
     async def close(self) -> None:
-        """See ``session.Session``."""
-        with contextlib.suppress(asyncpg.PostgresError, TimeoutError, *_CONNECTION_LOST):
+        """Close the connection in good order, and abort it if that fails."""
+        with contextlib.suppress(asyncpg.PostgresError, TimeoutError, *_CONNECTION_ERRORS):
             await self._connection.close(timeout=CLOSE_TIMEOUT_S)
         self.abort()
 
@@ -156,7 +156,7 @@
     async def _roll_back(self) -> None:
         try:
             await self._connection.execute("ROLLBACK")
-        except (asyncpg.PostgresError, *_CONNECTION_LOST):
+        except (asyncpg.PostgresError, *_CONNECTION_ERRORS):
             self.abort()
 
 
@@ -179,15 +179,15 @@
     return [tuple(record) for record in records]
 
 
-def _lost(error: Exception, *, uncertain: bool = False) -> DatabaseError:
+def _connection_error(error: Exception, *, uncertain: bool = False) -> DatabaseError:
     text = str(error) or type(error).__name__
     return DatabaseError(DatabaseErrorKind.LOST, text, uncertain=uncertain)
 
 
-def _from_server(error: asyncpg.PostgresError, *, committing: bool) -> DatabaseError:
-    """Return the server's error; where the connection ends with it, a commit under way is uncertain."""
+def _server_error(error: asyncpg.PostgresError, *, committing: bool) -> DatabaseError:
+    """Return the server's error; it is uncertain if it ends the connection while COMMIT is unanswered."""
     sqlstate = error.sqlstate or ""
     failure = database_errors.from_sqlstate(sqlstate, str(error))
-    if committing and (sqlstate.startswith(_SESSION_ENDS) or not sqlstate):
+    if committing and (sqlstate.startswith(_SESSION_ENDING_CLASSES) or not sqlstate):
         return DatabaseError(failure.kind, str(error), uncertain=True)
     return failure
--- a/sabledyke/store/recording_transport.py
+++ b/sabledyke/store/recording_transport.py
@@ -1,8 +1,8 @@
-"""The driver of the record: a transport round another, and a filter between the listeners and the core.
+"""The driver of the record: a transport that wraps another, and a filter between the listeners and the core.
 
-It carries out what ``IntentManager`` decides. An attempt of a keyed write goes on to the connection pool once
-its intent is durable; a served answer goes on to its client once its journal entry is. ``BatchWriter`` writes
-both.
+It carries out the decisions of ``IntentManager``. An attempt of a keyed write reaches the connection pool
+after its intent is durable, and a served answer reaches its client after its journal entry is durable.
+``BatchWriter`` writes both.
 """
 
 from __future__ import annotations
@@ -41,23 +41,22 @@
     write_name,
 )
 
-ANSWER_MARGIN_MS = (
-    ANSWER_GUARD_MS + 1000 * TICK_S + 10
-)  # before its deadline, a served answer is passed on or given up
-MIN_TIMEOUT_MS = 1.0  # of an attempt whose intent became durable late
+# A served answer is passed on or fails this long before its deadline.
+ANSWER_MARGIN_MS = ANSWER_GUARD_MS + 1000 * TICK_S + 10
+MIN_TIMEOUT_MS = 1.0  # shortest timeout of an attempt whose intent became durable late
 LOGGED_DIGEST_LENGTH = 12
 
 
 class RecordingTransport:
-    """The record's transport; one for a server.
+    """The record's transport; a server has one.
 
     Attributes:
-        intents: The decisions.
+        intents: The decisions about the record.
         settings: The settings in force.
         writer: The driver of the database.
-        drift: What nodes are known to hold.
-        report: Where to report how attempts ended.
-        inner: The transport below.
+        drift: The detector of drift on the nodes.
+        report: The callback for results of attempts.
+        inner: The wrapped transport.
     """
 
     def __init__(
@@ -65,7 +64,7 @@
         intents: IntentManager,
         opener: Opener,
         settings: Settings,
-        entry: Callable[[NodeId], NodeEntry],
+        node_entry: Callable[[NodeId], NodeEntry],
     ) -> None:
         self.intents = intents
         self.settings = settings
@@ -73,7 +72,7 @@
         self.drift = DriftDetector()
         self.report: ReportAttempt
         self.inner: Transport
-        self._entry = entry
+        self._node_entry = node_entry
         self._loop = asyncio.get_running_loop()
         self._waiting: dict[AttemptId, WaitingAttempt] = {}
         self._sent: dict[AttemptId, SentAttempt] = {}
@@ -85,27 +84,27 @@
         """Open the database and begin an incarnation.
 
         Raises:
-            DatabaseError: Where that fails.
+            DatabaseError: The database cannot be opened or written.
         """
         windows = (request_class.deduplication_window_ms for request_class in self.settings.classes)
         await self.writer.open(max(windows))
 
     async def close(self) -> None:
-        """Write what is left, for a bounded time."""
+        """Write the remaining entries for a bounded time, then close the database."""
         await self.writer.close()
 
     # Between the listeners and the core.
 
     def submit(self, work: ClientRequest, done: Done, onward: Submit) -> int:
-        """Hand work on to the core; a keyed write only while it can be recorded.
+        """Pass a request to the core; reject keyed writes while they cannot be recorded.
 
         Args:
             work: The request.
-            done: What to call with its final answer.
-            onward: The way to the core.
+            done: The callback for the final answer.
+            onward: The function that submits a request to the core.
 
         Returns:
-            The number of the request; 0 where it was rejected here.
+            The number of the request; 0 if it was rejected here.
         """
         now_ms = clock.now()
         name = write_name(work)
@@ -125,7 +124,7 @@
         return request_id
 
     def on_client_departed(self, request_id: int) -> None:
-        """Note that the client of a request is gone: a write is complete, and nobody is answered."""
+        """Journal an open write whose client has disconnected; it has no answer."""
         write = self._open_writes.pop(request_id, None)
         if write is not None:
             self.drift.on_write_completed(clock.now(), write.piece, None)
@@ -181,7 +180,7 @@
     # Between the core and the connection pool.
 
     def start(self, request_id: int, number: int, node: NodeId, work: ClientRequest, timeout: float) -> None:
-        """See ``core.Transport``."""
+        """Start an attempt; one of a keyed write waits until its intent is durable."""
         name = write_name(work)
         if not name:
             self.inner.start(request_id, number, node, work, timeout)
@@ -189,19 +188,20 @@
         attempt = request_id, number
         now_ms = clock.now()
         deadline_ms = now_ms + timeout
-        entry = self._entry(node)
+        node_entry = self._node_entry(node)
         self._waiting[attempt] = WaitingAttempt(node, work, name, now_ms, deadline_ms)
-        send = SendRecord(now_ms, entry.shard, entry.zone)
+        send = SendRecord(now_ms, node_entry.shard, node_entry.zone)
         request_class = self.settings.classes[work.class_index]
         effects = self.intents.on_attempt(now_ms, attempt, name, send, deadline_ms, request_class)
         if any(not isinstance(effect, SendAttempt) for effect in effects):
-            self._loop.call_soon(self._carry_out, effects)  # a transport never reports from inside a call
+            # A transport must not report a result from inside a call.
+            self._loop.call_soon(self._carry_out, effects)
         else:
             self._carry_out(effects)
         self.writer.schedule()
 
     def cancel(self, request_id: int, number: int) -> None:
-        """See ``core.Transport``."""
+        """Cancel an attempt, whether it waits for its intent or was sent."""
         attempt = request_id, number
         if attempt not in self._waiting:
             self.inner.cancel(request_id, number)
@@ -209,11 +209,11 @@
             self._end_unsent(attempt, AttemptResult(Outcome.CANCELLED, may_have_run=False))
 
     def close_idle(self, node: NodeId) -> None:
-        """See ``core.Transport``."""
+        """Close idle connections to a node."""
         self.inner.close_idle(node)
 
     def on_attempt_completed(self, request_id: int, number: int, result: AttemptResult) -> None:
-        """Pass on what the transport below reports."""
+        """Report the result of an attempt that the wrapped transport carried."""
         sent = self._sent.pop((request_id, number), None)
         if sent is not None:
             self.intents.on_attempt_completed(sent.name, may_have_run=result.may_have_run)
--- a/sabledyke/store/section.py
+++ b/sabledyke/store/section.py
@@ -1,7 +1,7 @@
-"""The operator's section ``[store]``: where the record is, its limits, and nodes that are databases.
+"""The operator's section ``[store]``: the record's database, its limits, and nodes that are databases.
 
-Passwords come from a file that only its owner may read, or from the environment; never from the operator's
-file, and they are never part of what is printed. The fields of the tables are the keys of the file.
+Passwords come from a file that only its owner may read, or from the environment, but never from the
+operator's file, and they are never printed. The fields of the tables are the keys of the file.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from sabledyke.store.health import StoreLimits
 from sabledyke.toml_tables import Table, convert, from_file, parsed
 
-PASSWORD_VARIABLE = "SABLEDYKE_STORE_PASSWORD"  # the record's, where no file is named
-DEFAULT_RETENTION_S = 3600  # that a write is retained: far longer than any client repeats it
+PASSWORD_VARIABLE = "SABLEDYKE_STORE_PASSWORD"  # holds the record's password if no file is set
+DEFAULT_RETENTION_S = 3600  # retention of writes, which is far longer than any client repeats them
 DEFAULT_PORT = 5432
 MAX_PASSWORD_LENGTH = 1024
 TlsMode = Literal["disable", "require", "verify-ca", "verify-full"]
@@ -29,16 +29,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """A database: a SQLite file, or a PostgreSQL server.
+    """A database: a SQLite file, or one on a PostgreSQL server.
 
     Attributes:
-        path: The file; empty for a server.
-        host: The server.
-        port: Its port.
-        database: The database.
-        user: The role.
-        password: Its password, empty for none.
-        tls: As libpq's ``sslmode``.
+        path: Path of the file; empty for a server.
+        host: Name or address of the server.
+        port: Port of the server.
+        database: Name of the database.
+        user: Name of the role.
+        password: Password of the role, empty for none.
+        tls: TLS mode, as libpq's ``sslmode``.
     """
 
     path: str = ""
@@ -56,12 +56,12 @@
 
 @dataclass(slots=True, frozen=True)
 class SqlNode:
-    """A listed node that is a database; for PostgreSQL, discovery says at which address it listens.
+    """A storage node that is a database; the address of a PostgreSQL server comes from discovery.
 
     Attributes:
         node: The node.
-        target: Its database.
-        connections: How many sessions may be in use.
+        target: The node's database.
+        connections: Maximum number of sessions in use.
     """
 
     node: NodeId
@@ -71,13 +71,13 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreSection:
-    """What ``[store]`` says.
+    """The checked contents of ``[store]``.
 
     Attributes:
-        record: Where the record is; None for no record.
-        limits: The bounds of the store.
-        retention_ms: For how long a write is retained in the database.
-        sql_nodes: Nodes that are databases.
+        record: The record's database; None for no record.
+        limits: The limits of the store.
+        retention_ms: Time for which the database retains a write.
+        sql_nodes: The nodes that are databases.
     """
 
     record: Target | None = None
@@ -87,7 +87,7 @@
 
     def __str__(self) -> str:
         """Return the section as ``check-config`` prints it."""
-        nodes = f", {len(self.sql_nodes)} boxes are databases" if self.sql_nodes else ""
+        nodes = f", {len(self.sql_nodes)} storage nodes are databases" if self.sql_nodes else ""
         return f"{self.record or 'off'}{nodes}"
 
 
@@ -95,7 +95,7 @@
 
 
 class DatabaseTable(Table, frozen=True, kw_only=True):
-    """The keys that say where a database is."""
+    """The keys that locate a database."""
 
     path: str = ""
     url: str = ""
@@ -111,7 +111,7 @@
 
 
 class StoreTable(DatabaseTable, frozen=True, kw_only=True):
-    """The table ``[store]``, as the file has it."""
+    """The table ``[store]`` of the operator's file."""
 
     stall_ms: Annotated[float, Meta(gt=0, le=10_000)] = DEFAULT_LIMITS.stall_ms
     give_up_ms: Annotated[float, Meta(gt=0, le=60_000)] = DEFAULT_LIMITS.give_up_ms
@@ -124,22 +124,22 @@
     box: tuple[SqlNodeTable, ...] = ()
 
     def __post_init__(self) -> None:
-        """Check what concerns more than one key."""
+        """Check the constraints between several keys."""
         if self.first_wait_ms > self.longest_wait_ms:
-            raise ValueError("first_wait_ms is longer than longest_wait_ms")
+            raise ValueError("first_wait_ms must not be longer than longest_wait_ms")
         if len({row.host for row in self.box}) < len(self.box):
-            raise ValueError("two box rows have the same host")
+            raise ValueError("two box tables have the same host")
 
 
 def read(data: dict[str, Any], environ: Mapping[str, str]) -> StoreSection | None:
-    """Return the section, checked; None where it asks for nothing.
+    """Return the checked section; None if it sets neither a record nor a node.
 
     Args:
-        data: The section as the file has it.
+        data: The section of the operator's file.
         environ: The environment, for passwords.
 
     Raises:
-        OperatorError: Where it is wrong, in one plain line.
+        OperatorError: The section is invalid; the message is a single line.
     """
     table = convert(data, StoreTable, "store")
     limits = StoreLimits(
@@ -159,12 +159,10 @@
 
 
 def load(path: str, environ: Mapping[str, str] = os.environ) -> StoreSection:
-    """Return the section alone, from an operator's file.
-
-    It is what the store's commands need, without the deployment.
+    """Return only this section of an operator's file, for the store's commands.
 
     Raises:
-        OperatorError: Where the file or its section is wrong, or names no record.
+        OperatorError: The file or its section is invalid, or sets no record.
     """
 
     def read_section(text: str) -> StoreSection | None:
@@ -177,14 +175,16 @@
 
 
 def read_password(path: str) -> str:
-    """Return the first line of a file that nobody but its owner may read.
+    """Return the first line of a file that only its owner may read.
 
     Raises:
-        OperatorError: Where others may read it, or it holds no password.
+        OperatorError: Other users may read the file, or it holds no password.
     """
     try:
         with open(path, encoding="utf-8") as file:
-            mode = os.fstat(file.fileno()).st_mode  # of what was opened: it cannot be swapped
+            mode = os.fstat(
+                file.fileno()
+            ).st_mode  # fstat checks the opened file even if its path is replaced
             if mode & (stat.S_IRWXG | stat.S_IRWXO):
                 found = f"its mode is {mode & 0o777:o}"
                 raise OperatorError(f"{path} must be read by its owner alone (chmod 600), {found}")
@@ -192,7 +192,7 @@
     except OSError as error:
         raise OperatorError(f"{path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
-        raise OperatorError(f"{path} is no text") from error
+        raise OperatorError(f"{path} must be a text file in UTF-8") from error
     if not password:
         raise OperatorError(f"{path} holds no password")
     return password
@@ -201,13 +201,13 @@
 def _sql_node(row: SqlNodeTable, where: str, environ: Mapping[str, str]) -> SqlNode:
     target = _target(row, where, environ.get(row.password_variable, ""))
     if target is None:
-        raise OperatorError(f"{where} names neither path nor url")
+        raise OperatorError(f"{where} sets neither path nor url")
     return SqlNode(row.host.encode(), target, row.connections)
 
 
 def _target(table: DatabaseTable, where: str, password: str) -> Target | None:
     if table.path and table.url:
-        raise OperatorError(f"{where} names both path and url")
+        raise OperatorError(f"{where} must not set both path and url")
     if not table.url:
         return Target(path=table.path) if table.path else None
     url, port = _split_url(table.url, where)
@@ -226,12 +226,12 @@
 
 
 def _split_url(text: str, where: str) -> tuple[SplitResult, int]:
-    """Return the URL and its port; no error text repeats the URL, which may hold a password."""
+    """Return the URL and its port; error messages omit the URL, because it may contain a password."""
     try:
         url = urlsplit(text)
         port = url.port or DEFAULT_PORT
     except ValueError:
-        raise OperatorError(f"{where}.url cannot be read") from None
+        raise OperatorError(f"{where}.url cannot be parsed") from None
     if url.password is not None:
         raise OperatorError(f"{where}.url holds a password: set password_file, or {PASSWORD_VARIABLE}")
     if url.scheme not in ("postgresql", "postgres"):
@@ -245,5 +245,5 @@
     modes = get_args(TlsMode)
     key, _, mode = query.partition("=")
     if key != "sslmode" or mode not in modes:
-        raise OperatorError(f"{where}.url may say sslmode={' or '.join(modes)}, and nothing else")
+        raise OperatorError(f"{where}.url may only have the parameter sslmode={' or '.join(modes)}")
     return cast(TlsMode, mode)
--- a/sabledyke/store/session.py
+++ b/sabledyke/store/session.py
@@ -1,7 +1,7 @@
-"""A connection to a database, as the store's drivers and commands use it, and SQLite's.
+"""The protocol of database sessions that the store's drivers and commands use, and SQLite's implementation.
 
-Decides nothing: every error of a driver becomes a ``DatabaseError``. SQLite is used from one thread of its
-own for each connection, so that a disk or a lock that stalls holds up nobody else.
+Every error of a database driver becomes a ``DatabaseError``. Each SQLite connection is used in a thread of
+its own, so that a stalled disk or lock delays neither the event loop nor other connections.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from sabledyke.store.worker_thread import WorkerThread
 
 ResultT = TypeVar("ResultT")
-CHECKPOINT_PAGES = 4000  # of the log, 16 MB, after which a commit also moves them into the file
-BUSY_TIMEOUT_S = 0.1  # that SQLite waits for another's lock; longer waits are the caller's decision
+CHECKPOINT_PAGES = 4000  # pages of the write-ahead log (16 MB) after which a commit runs a checkpoint
+BUSY_TIMEOUT_S = 0.1  # time that SQLite waits for a lock; callers decide about longer waits
 
 
 class Session(Protocol):
-    """One connection; one call at a time."""
+    """A database connection that runs one call at a time."""
 
     backend: str
 
@@ -36,38 +36,43 @@
 
         Args:
             steps: The statements.
-            committing: Called just before COMMIT is handed over: if it was not called by the time that
+            committing: Called just before COMMIT is handed to the connection. If it has not been called when
                 ``abort`` returns, the transaction never takes effect.
 
         Returns:
-            The rows of each step, [] for one that returns none.
+            The rows of each step, [] for a step without rows.
 
         Raises:
-            DatabaseError: Where it did not succeed; it says whether it may have taken effect.
+            DatabaseError: The transaction failed; ``uncertain`` is set if it may have taken effect.
         """
 
     async def query(self, sql: str, *values: Value) -> list[Row]:
         """Return the rows of one statement."""
 
     async def script(self, lines: Sequence[str]) -> None:
-        """Run statements without values in one transaction, for the schema."""
+        """Run statements without values, such as those of a schema, in one transaction."""
 
     def snapshot(self) -> contextlib.AbstractAsyncContextManager[None]:
-        """Have the queries inside see one state of the database, whatever others commit meanwhile."""
+        """Return a context whose queries all see one state of the database, despite concurrent commits."""
 
     @property
     def closed(self) -> bool:
-        """Whether it cannot be used any more."""
+        """True if the connection can no longer be used."""
 
     def abort(self) -> None:
-        """Give the connection up, whatever is under way on it."""
+        """Abandon the connection at once, even during a call."""
 
     async def close(self) -> None:
-        """End the connection in good order."""
+        """Close the connection in good order."""
 
 
 class SqliteSession:
-    """A connection to a SQLite file; see ``Session``."""
+    """A session with a SQLite file.
+
+    Attributes:
+        path: The file.
+        closed: True if the connection can no longer be used.
+    """
 
     backend = "sqlite"
 
@@ -77,34 +82,34 @@
         self._create = create
         self._thread = WorkerThread("store")
         self._connection: sqlite3.Connection | None = None
-        self._commit_lock = threading.Lock()  # between a commit that is to begin and abort()
-        self._translated: dict[str, str] = {}  # statements in SQLite's dialect: as many as the program has
+        self._commit_lock = threading.Lock()  # excludes abort() while a commit begins
+        self._translated: dict[str, str] = {}  # SQLite's text of each statement, bounded by their number
 
     async def open(self) -> None:
         """Open the file.
 
         Raises:
-            DatabaseError: Where that cannot be done.
+            DatabaseError: The file cannot be opened, or is no database.
         """
         await self._thread.call(self._open)
 
     async def transact(
         self, steps: Sequence[Step], committing: Callable[[], None] = lambda: None
     ) -> list[list[Row]]:
-        """See ``Session``."""
+        """Run all steps in one transaction, in the connection's thread."""
         return await self._thread.call(lambda: self._transact(steps, committing))
 
     async def query(self, sql: str, *values: Value) -> list[Row]:
-        """See ``Session``."""
+        """Return the rows of one statement."""
         return await self.run(lambda connection: connection.execute(self._translate(sql), values).fetchall())
 
     async def script(self, lines: Sequence[str]) -> None:
-        """See ``Session``."""
+        """Run statements without values in one transaction."""
         await self.transact([Step(line) for line in lines])
 
     @contextlib.asynccontextmanager
     async def snapshot(self) -> AsyncIterator[None]:
-        """See ``Session``."""
+        """Run the queries of the context in one read transaction."""
         await self.query("BEGIN")
         try:
             yield
@@ -112,7 +117,7 @@
             await self.query("ROLLBACK")
 
     async def run(self, function: Callable[[sqlite3.Connection], ResultT]) -> ResultT:
-        """Call a function with the connection in its thread, for what SQLite alone has."""
+        """Call a function with the connection in its thread, for features that only SQLite has."""
 
         def call() -> ResultT:
             assert self._connection is not None
@@ -124,7 +129,7 @@
         return await self._thread.call(call)
 
     def abort(self) -> None:
-        """See ``Session``: a wait for a lock ends soon; a wait for the disk cannot be called off."""
+        """Abandon the connection: a wait for a lock ends soon, but a wait for the disk cannot be stopped."""
         if self.closed:
             return
         with self._commit_lock:
@@ -134,10 +139,10 @@
         self._end_thread()
 
     async def close(self) -> None:
-        """See ``Session``.
+        """Close the connection after the calls in progress, without waiting for them.
 
-        What is under way is done first, in its thread, and nobody waits for it here: the file may be held for
-        a moment longer (``connect.retry_while_transient``).
+        The thread may hold the file a little longer than this call, so ``connect.retry_while_transient``
+        retries the next start.
         """
         if not self.closed:
             self.closed = True
@@ -154,7 +159,7 @@
             connection.execute("PRAGMA journal_mode = WAL").close()
             connection.execute("PRAGMA synchronous = FULL").close()
             connection.execute(f"PRAGMA wal_autocheckpoint = {CHECKPOINT_PAGES}").close()
-            connection.execute("SELECT count(*) FROM sqlite_master").close()  # is it a database at all?
+            connection.execute("SELECT count(*) FROM sqlite_master").close()  # fails if it is no database
         except sqlite3.Error as error:
             self.closed = True
             raise database_errors.from_sqlite(error) from error
@@ -169,20 +174,20 @@
     def _transact(self, steps: Sequence[Step], committing: Callable[[], None]) -> list[list[Row]]:
         connection = self._connection
         assert connection is not None
-        handed_over = False
+        commit_begun = False
         try:
             connection.execute("BEGIN IMMEDIATE")
             results = [self._run_step(connection, step) for step in steps]
             with self._commit_lock:
-                # Guards against a commit after abort() has returned: it would run though it counts as not
-                # run.
+                # Guards against a commit after abort() has returned, because its caller treats the write as
+                # not run.
                 if self.closed:
-                    raise DatabaseError(DatabaseErrorKind.LOST, "given up before its commit")
-                handed_over = True
+                    raise DatabaseError(DatabaseErrorKind.LOST, "connection was aborted before COMMIT")
+                commit_begun = True
                 committing()
             connection.execute("COMMIT")
         except sqlite3.Error as error:
-            failure = database_errors.from_sqlite(error, committing=handed_over)
+            failure = database_errors.from_sqlite(error, committing=commit_begun)
             _roll_back(connection)
             raise failure from error
         except DatabaseError:
--- a/sabledyke/store/session_pool.py
+++ b/sabledyke/store/session_pool.py
@@ -1,4 +1,4 @@
-"""The sessions to one storage node that is a database, and how many there may be."""
+"""A bounded pool of sessions to one storage node that is a database."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from sabledyke.store.section import SqlNode, Target
 from sabledyke.store.session import Session
 
-MAX_IDLE_S = 60.0  # for which a session may be idle
+MAX_IDLE_S = 60.0  # idle time after which a session is closed instead of being used again
 
 
 @dataclass(slots=True, frozen=True)
 class _IdleSession:
     session: Session
-    since_s: float  # on the loop's clock
+    since_s: float  # start of the idle time, on the event loop's clock
 
 
 class SessionPool:
-    """One node's sessions, used by one link at a time each.
+    """The sessions to one node; each is used by one link at a time.
 
     Attributes:
         node: The node.
-        target: Its database, at the address that discovery gives.
+        target: The node's database, at the address from discovery.
         settings: The settings in force.
-        permits: As many as there may be sessions in use.
-        closed: The node was removed from the endpoint list, or the program ends.
+        permits: A semaphore that limits the number of sessions in use.
+        closed: True if the node was removed from the endpoint list, or the program shuts down.
     """
 
     def __init__(self, node: SqlNode, target: Target, settings: Settings) -> None:
@@ -46,7 +46,7 @@
         """Return an idle session, or a new one.
 
         Raises:
-            DatabaseError: Where none comes up.
+            DatabaseError: No session can be opened.
         """
         now_s = asyncio.get_running_loop().time()
         while self._idle:
@@ -60,19 +60,19 @@
         return session
 
     def release(self, session: Session) -> None:
-        """Take a session back after its use."""
+        """Return a session to the pool after its use."""
         if self.closed or session.closed:
             session.abort()
         else:
             self._idle.append(_IdleSession(session, asyncio.get_running_loop().time()))
 
     def count_write(self) -> int:
-        """Return the number of this write, from 1."""
+        """Count a write; return its number, from 1."""
         self._writes += 1
         return self._writes
 
     def close(self) -> None:
-        """Close idle sessions; those in use are closed after it."""
+        """Close idle sessions; a session in use is closed when it is released."""
         self.closed = True
         while self._idle:
             self._idle.pop().session.abort()
--- a/sabledyke/store/settlements.py
+++ b/sabledyke/store/settlements.py
@@ -1,6 +1,6 @@
-"""The states to record for ended writes, by the names of the writes.
+"""The states to record for completed writes, by the names of the writes.
 
-Decides which of two states for one write stands, and which states go into the next batch.
+Decides which of two states of one write is recorded, and which states the next batch contains.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 
 from sabledyke.store.types import Settlement, WriteState
 
-_STRENGTH = {  # of two states for one write, the stronger stands
+# The state with the higher number replaces the other state of the same write.
+_PRECEDENCE = {
     None: 0,
     WriteState.NEVER: 1,
     WriteState.UNKNOWN: 2,
@@ -19,21 +20,24 @@
 
 
 def merge_settlements(states: dict[str, WriteState], settlements: Iterable[Settlement | None]) -> None:
-    """Add settlements to ``states``, each unless a stronger state of its write stands there."""
+    """Add settlements to ``states``, except where the write's present state takes precedence."""
     for settlement in settlements:
-        if settlement is not None and _STRENGTH[settlement.state] > _STRENGTH[states.get(settlement.name)]:
+        if (
+            settlement is not None
+            and _PRECEDENCE[settlement.state] > _PRECEDENCE[states.get(settlement.name)]
+        ):
             states[settlement.name] = settlement.state
 
 
 def take_states(
     waiting: dict[str, WriteState], limit: int, completed: Iterable[Settlement | None]
 ) -> dict[str, WriteState]:
-    """Remove the oldest of the waiting states, and return them merged with others of the same batch.
+    """Remove the oldest waiting states, and return them merged with others of the same batch.
 
     Args:
         waiting: The states that wait for a batch, oldest first.
-        limit: The number of these to take.
-        completed: States that come with the journal entries of the same batch.
+        limit: The maximum number of waiting states to take.
+        completed: States that belong to the journal entries of the same batch.
     """
     states = dict(islice(waiting.items(), limit))
     for name in states:
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -1,9 +1,9 @@
 """Links to storage nodes that are databases.
 
-An attempt is a query, or a transaction of payload and key together. A node's sessions are bounded
-(``SessionPool``); links are light and share them, and an attempt that waits for one has not run. A write has
-certainly not run until its COMMIT is handed to a connection; where that COMMIT is not answered, the write is
-in doubt and ``InDoubtWrite`` says what to ask, on another connection, until its time ends.
+An attempt is a query, or a transaction that writes the payload and the idempotency key together. Links share
+a bounded number of sessions (``SessionPool``), and an attempt that waits for a session has not run. A write
+has certainly not run before its COMMIT is handed to a connection. If that COMMIT is not answered, the write
+is in doubt, and ``InDoubtWrite`` chooses the queries to run on other connections until its deadline.
 """
 
 from __future__ import annotations
@@ -30,14 +30,20 @@
 from sabledyke.store.session_pool import SessionPool
 from sabledyke.store.types import Row, Step, write_name
 
-COMMIT_TIMEOUT_SHARE = 0.5  # of an attempt's time, before its COMMIT is looked up on another connection
-FORGET_INTERVAL_WRITES = 256  # between those that also delete keys which nobody repeats any more
-RETRY_WAIT_S = 0.01  # after a question that failed
+COMMIT_TIMEOUT_SHARE = 0.5  # share of an attempt's time after which an unanswered write is looked up
+KEY_DELETION_INTERVAL_WRITES = 256  # number of writes between deletions of keys past their retention
+QUERY_RETRY_DELAY_S = 0.01  # delay after a failed query
 ATTEMPT_ID_BYTES = 12
 
 
 class SqlLink:
-    """See ``link.Link``."""
+    """A link to one database; it uses a session of the pool only during an exchange.
+
+    Attributes:
+        closed: True if the link can no longer be used.
+        reusable: True if another exchange may follow the last one.
+        may_have_run: True if the node may have run the last exchange.
+    """
 
     def __init__(self, pool: SessionPool, retention_ms: float) -> None:
         self.closed = False
@@ -48,29 +54,33 @@
         self._session: Session | None = None
 
     def enter_idle(self, on_activity: Callable[[], None]) -> None:
-        """See ``link.Link``: a session is checked when it is acquired."""
+        """Do nothing, because a session is checked when it is acquired."""
 
     def leave_idle(self) -> bool:
-        """See ``link.Link``."""
+        """Return True if the pool of sessions is still open."""
         return not self._pool.closed
 
     def close(self) -> None:
-        """See ``link.Link``."""
+        """Close the link, and abort the session that it uses."""
         self.closed = True
         if self._session is not None:
             self._session.abort()
 
     async def exchange(self, work: ClientRequest, timeout: float) -> AttemptResult:
-        """See ``link.Link``."""
+        """Carry out one attempt within ``timeout`` milliseconds, including the wait for a session.
+
+        Raises:
+            StreamClosedError: The link was closed, or its session ended.
+        """
         self.may_have_run = False
         self.reusable = False
         deadline_ms = clock.now() + timeout
         async with self._pool.permits:
             if self.closed:
                 raise StreamClosedError
-            ended = await (self._write(work, deadline_ms) if work.write else self._read(work))
+            attempt_result = await (self._write(work, deadline_ms) if work.write else self._read(work))
         self.reusable = not self.closed
-        return ended
+        return attempt_result
 
     # Reads.
 
@@ -108,14 +118,14 @@
                 results = await transaction
         except TimeoutError as error:
             session.abort()
-            if not self.may_have_run:  # it stalled before COMMIT, and can never commit now
+            if not self.may_have_run:  # the transaction stalled before COMMIT and can no longer commit
                 raise StreamClosedError from error
         except DatabaseError as error:
             if not error.uncertain:
-                return self._not_run(session, error)
+                return self._not_run_result(session, error)
             session.abort()
         else:
-            return _ended_by_key(results[2])
+            return _result_from_key(results[2])
         finally:
             self._release()
         return await self._resolve(InDoubtWrite(attempt, deadline_ms), name)
@@ -130,14 +140,14 @@
             Step(statements.UPSERT_PIECE, [(volume, piece, work.body, name, attempt)]),
             Step(statements.SELECT_KEY, [(name,)]),
         ]
-        if self._pool.count_write() % FORGET_INTERVAL_WRITES == 0:
+        if self._pool.count_write() % KEY_DELETION_INTERVAL_WRITES == 0:
             steps.append(Step(statements.DELETE_OLD_KEYS, [(now_ms - int(self._retention_ms),)]))
         return steps
 
     def _on_committing(self) -> None:
         self.may_have_run = True
 
-    def _not_run(self, session: Session, error: DatabaseError) -> AttemptResult:
+    def _not_run_result(self, session: Session, error: DatabaseError) -> AttemptResult:
         self.may_have_run = False
         self._log(str(error))
         if session.closed:
@@ -147,7 +157,7 @@
     # Writes in doubt.
 
     async def _resolve(self, write: InDoubtWrite, name: str) -> AttemptResult:
-        """Ask until the write is known to have run or not, or its time is over."""
+        """Query the database until the outcome of a write is known or its deadline has passed."""
         while (question := write.next_question(clock.now())) is not DoubtQuestion.NOTHING:
             try:
                 async with asyncio.timeout((write.deadline_ms - clock.now()) / 1000):
@@ -158,7 +168,7 @@
                 write.on_question_failed()
             except DatabaseError:
                 write.on_question_failed()
-                await asyncio.sleep(RETRY_WAIT_S)
+                await asyncio.sleep(QUERY_RETRY_DELAY_S)
             finally:
                 self._release()
         resolution = write.resolution
@@ -205,7 +215,7 @@
 
 
 class SqlDialer:
-    """Opens links to the nodes that are databases; see ``link.Dial``.
+    """Opens links to the nodes that are databases.
 
     Attributes:
         settings: The settings in force.
@@ -219,7 +229,7 @@
         self._pools: dict[NodeId, SessionPool] = {}
 
     async def dial(self, node: NodeId, address: Address, _timeout_ms: float) -> SqlLink:
-        """See ``link.Dial``."""
+        """Return a link to a node; the node's sessions are opened when they are needed."""
         sql_node = self.nodes[node]
         target = sql_node.target
         if not target.path:
@@ -234,7 +244,7 @@
         return SqlLink(pool, self._retention_ms)
 
     def on_node_removed(self, node: NodeId) -> None:
-        """Close the sessions of a node that was removed from the endpoint list, those in use after it."""
+        """Close the sessions of a removed node; a session in use is closed when it is released."""
         pool = self._pools.pop(node, None)
         if pool is not None:
             pool.close()
@@ -245,8 +255,8 @@
             pool.close()
 
 
-def _ended_by_key(rows: list[Row]) -> AttemptResult:
-    """Return what the key says after the transaction: done by this attempt, or by whichever was first."""
+def _result_from_key(rows: list[Row]) -> AttemptResult:
+    """Return the result stored with the key, by this attempt or by the attempt that ran first."""
     if not rows or rows[0][1] != "done":
         return AttemptResult(Outcome.ERROR, may_have_run=True)
     result = rows[0][2]
--- a/sabledyke/store/startup.py
+++ b/sabledyke/store/startup.py
@@ -1,7 +1,7 @@
-"""Opening a database for the record: its schema brought up to date, and an incarnation for this start.
+"""Opening of a record's database: schema migrations, and the incarnation of this start.
 
-Decides which migrations are missing, by number. Every step is one transaction, so that a kill at any point
-leaves a version that the next start goes on from.
+Decides which numbered migrations are missing. Each migration is one transaction, so that a start killed at
+any point leaves a version from which the next start can continue.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from sabledyke.store.statements import MIGRATIONS, SCHEMA_VERSION
 from sabledyke.store.types import JournalPosition, RecordedWrite, Row, Step
 
-MAX_RECENT_WRITES = (
-    16_384  # earlier sends that a start reads; older or more of them are found by their intents
-)
-FIRST_NUMBERED_VERSION = 2  # version 1 has no table that holds its number
-MAX_LOST_RACES = 2 * SCHEMA_VERSION  # migrations that may be lost to another start
+# Maximum number of earlier writes that a start reads; any others are found when their intents are recorded.
+MAX_RECENT_WRITES = 16_384
+FIRST_NUMBERED_VERSION = 2  # first schema that stores its version number
+MAX_LOST_RACES = 2 * SCHEMA_VERSION  # migrations that may fail because another start made them first
 
 
 async def schema_version(session: Session) -> int:
-    """Return the version of the schema that is there.
+    """Return the version of the present schema.
 
-    0 for none, 1 for a file from before there were versions, negative for a restore that was not finished.
+    The version is 0 for an empty database, 1 for a file from before schemas had versions, and negative after
+    an unfinished restore.
     """
     tables = {row[0] for row in await session.query(statements.SELECT_TABLE_NAMES[session.backend])}
     if "schema_version" not in tables:
@@ -36,24 +36,24 @@
 
 
 async def migrate(session: Session, report: Callable[[str], None] = lambda _: None) -> int:
-    """Bring the schema up to date in place, a version at a time.
+    """Migrate the schema in place, one version at a time.
 
-    Guards against two that start at once: the second finds its transaction rejected, reads the version again
-    and goes on from what the first one made.
+    Guards against two concurrent starts: the transaction of the second one is rejected, and it continues from
+    the version that the first one created.
 
     Args:
         session: The database.
         report: Called with a line for each version.
 
     Returns:
-        The version that was found.
+        The version before the migration.
 
     Raises:
-        DatabaseError: Where a migration fails, or the schema is newer or half restored.
+        DatabaseError: A migration failed, or the schema is newer or partly restored.
     """
     found = await schema_version(session)
     if found < 0:
-        unfinished = "a restore into it was not finished: empty it and restore again"
+        unfinished = "a restore was not finished: empty the database and restore again"
         raise DatabaseError(DatabaseErrorKind.SCHEMA, unfinished)
     version = found
     lost_races = 0
@@ -67,38 +67,38 @@
                 raise
         version = await schema_version(session)
     if version > SCHEMA_VERSION:
-        newer = f"version {version}, where this program knows up to {SCHEMA_VERSION}"
+        newer = f"version {version}, but this program supports versions up to {SCHEMA_VERSION}"
         raise DatabaseError(DatabaseErrorKind.SCHEMA, newer)
     return found
 
 
 async def begin_incarnation(session: Session, instance: str) -> JournalPosition:
-    """Begin the next incarnation: from then on the database rejects what an older one writes."""
+    """Begin the next incarnation; from then on the database rejects batches of older ones."""
     results = await session.transact([Step(statements.BEGIN_INCARNATION, [(instance,)])])
     return position_from_row(results[0][0])
 
 
 async def read_position(session: Session, instance: str) -> JournalPosition:
-    """Return where the instance stands, once nothing that was under way can change it any more.
+    """Return the instance's position after any transaction in progress has ended.
 
     Raises:
-        DatabaseError: Where that fails, or the record does not know the instance.
+        DatabaseError: The query failed, or the record does not contain the instance.
     """
     results = await session.transact([Step(statements.SELECT_POSITION, [(instance,)])])
     rows = results[0]
     if not rows:
-        raise DatabaseError(DatabaseErrorKind.FENCED, "the record does not know this instance any more")
+        raise DatabaseError(DatabaseErrorKind.FENCED, "the record does not contain this instance any more")
     return position_from_row(rows[0])
 
 
 async def recent_writes(session: Session, since_ms: float) -> list[tuple[str, RecordedWrite]]:
-    """Return earlier sends that may still be repeated, by name: a bounded number, newest first."""
+    """Return earlier writes that may still be repeated, with their names: a bounded number, newest first."""
     rows = await session.query(statements.SELECT_RECENT_WRITES, since_ms, MAX_RECENT_WRITES)
     return [(str(row[0]), statements.recorded_write(row)) for row in rows]
 
 
 def position_from_row(row: Row) -> JournalPosition:
-    """Return a row of SELECT_POSITION or BEGIN_INCARNATION as a position."""
+    """Return the position of a row of SELECT_POSITION or BEGIN_INCARNATION."""
     incarnation, batches, last_sequence, head_hash = row
     assert isinstance(incarnation, int)
     assert isinstance(batches, int)
@@ -107,7 +107,7 @@
 
 
 def _migration_steps(version: int) -> list[Step]:
-    """Return the steps from this version to the next."""
+    """Return the steps of the migration from this version to the next."""
     steps = [Step(line) for line in MIGRATIONS[version]]
     if version + 1 >= FIRST_NUMBERED_VERSION:
         steps.append(Step(statements.UPSERT_SCHEMA_VERSION, [(version + 1,)]))
--- a/sabledyke/store/statements.py
+++ b/sabledyke/store/statements.py
@@ -1,7 +1,8 @@
-"""The SQL, for both backends: numbered migrations, and batches as the steps of one transaction.
+"""The SQL statements for both backends: numbered migrations, and batches as the steps of one transaction.
 
-Written once in PostgreSQL's dialect, with ``$1::type`` for values; ``to_sqlite`` turns that into SQLite's.
-Why not an SQL toolkit: see ``docs/design/store.md``, where it was measured. No I/O here.
+The statements are in PostgreSQL's dialect, with ``$1::type`` for values; ``to_sqlite`` translates them into
+SQLite's. ``docs/design/store.md`` has the measurements behind not using an SQL toolkit. This module performs
+no I/O.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
     WriteState,
 )
 
-SCHEMA_VERSION = 2  # of the record
-FORGET_LIMIT_ROWS = 1000  # old writes, or keys, that one transaction deletes
-PAGE_ROWS = 2000  # an audit or a copy of millions of rows holds one page in memory
+SCHEMA_VERSION = 2  # schema version of the record
+DELETION_LIMIT_ROWS = 1000  # maximum number of old writes, or of old keys, that one transaction deletes
+PAGE_ROWS = 2000  # rows that an audit or a copy holds in memory, of possibly millions
 
-# Version 1 is the table that SQLite files had before there were versions: such a file has no schema_version.
+# Version 1 is the table of SQLite files without a schema_version, from before schemas had versions.
 _V1 = (
     "CREATE TABLE IF NOT EXISTS writes (name TEXT PRIMARY KEY, at DOUBLE PRECISION NOT NULL,"
     " shard BIGINT NOT NULL, zone BIGINT NOT NULL, state TEXT NOT NULL)",
@@ -35,7 +36,7 @@
     "ALTER TABLE writes ADD COLUMN instance TEXT NOT NULL DEFAULT ''",
     "ALTER TABLE writes ADD COLUMN life BIGINT NOT NULL DEFAULT 0",
     "CREATE INDEX writes_at ON writes (at)",
-    # A write of an older incarnation breaks the CHECK: the database itself gives the whole transaction up.
+    # A batch of an older incarnation violates the CHECK, so the database rolls its transaction back.
     "CREATE TABLE lives (instance TEXT PRIMARY KEY, life BIGINT NOT NULL, batch BIGINT NOT NULL,"
     " seq BIGINT NOT NULL, head TEXT NOT NULL, fence BIGINT NOT NULL CHECK (fence = 0))",
     "CREATE TABLE journal (instance TEXT NOT NULL, seq BIGINT NOT NULL, life BIGINT NOT NULL,"
@@ -48,7 +49,7 @@
 )
 MIGRATIONS = (_V1, _V2)
 
-# The tables of a database that serves as a storage node: created where missing, and without versions yet.
+# The tables of a database that serves as a storage node; missing ones are created. They have no version.
 NODE_TABLES = (
     "CREATE TABLE IF NOT EXISTS pieces (volume TEXT NOT NULL, piece TEXT NOT NULL, body BYTEA NOT NULL,"
     " PRIMARY KEY (volume, piece))",
@@ -57,7 +58,7 @@
     "CREATE INDEX IF NOT EXISTS keys_at ON keys (at)",
 )
 
-SELECT_TABLE_NAMES = {  # names of tables, by backend
+SELECT_TABLE_NAMES = {
     "sqlite": "SELECT name FROM sqlite_master WHERE type = 'table'",
     "postgresql": "SELECT tablename FROM pg_catalog.pg_tables WHERE schemaname = current_schema()",
 }
@@ -72,13 +73,13 @@
     " VALUES ($1::text, 1, 0, 0, '', 0)"
     " ON CONFLICT (instance) DO UPDATE SET life = lives.life + 1 RETURNING life, batch, seq, head"
 )
-# FOR UPDATE waits for a transaction that may still commit; SQLite has one writer at a time anyhow.
+# FOR UPDATE waits for a transaction that may still commit; SQLite allows only one writer at a time.
 SELECT_POSITION = "SELECT life, batch, seq, head FROM lives WHERE instance = $1::text FOR UPDATE"
 ADVANCE_POSITION = (
     "UPDATE lives SET fence = CASE WHEN life = $2::bigint AND batch = $3::bigint THEN 0 ELSE 1 END,"
     " batch = $3::bigint + 1, seq = $4::bigint, head = $5::text WHERE instance = $1::text"
 )
-# What never ran may be sent anew, and so may what this incarnation recorded and has not sent.
+# Accepts new writes, writes that never ran, and writes that this incarnation recorded but has not sent.
 INSERT_INTENT = (
     "INSERT INTO writes (name, at, shard, zone, state, instance, life) VALUES ($1::text,"
     " $2::double precision, $3::bigint, $4::bigint, 'sent', $5::text, $6::bigint)"
@@ -103,7 +104,7 @@
 )
 DELETE_OLD_WRITES = (
     "DELETE FROM writes WHERE name IN"
-    f" (SELECT name FROM writes WHERE at < $1::double precision ORDER BY at LIMIT {FORGET_LIMIT_ROWS})"
+    f" (SELECT name FROM writes WHERE at < $1::double precision ORDER BY at LIMIT {DELETION_LIMIT_ROWS})"
 )
 SELECT_WRITE = "SELECT name, at, shard, zone, state FROM writes WHERE name = $1::text"
 SELECT_RECENT_WRITES = (
@@ -111,7 +112,7 @@
     " ORDER BY at DESC LIMIT $2::bigint"
 )
 
-# Walks, a page at a time.
+# Statements that read or copy a record, a page at a time.
 JOURNAL_COLUMNS = (
     "instance, seq, life, at, began, class, volume, token, piece, shard, box, units, digest, outcome, hash"
 )
@@ -135,14 +136,15 @@
     "INSERT INTO writes (name, at, shard, zone, state, instance, life) VALUES ($1::text,"
     " $2::double precision, $3::bigint, $4::bigint, $5::text, $6::text, $7::bigint)"
 )
-INSERT_NEXT_INCARNATION = (  # one higher: whoever wrote to the lost record is locked out of this one
+# The higher incarnation fences off schedulers that wrote to the lost record.
+INSERT_NEXT_INCARNATION = (
     "INSERT INTO lives (instance, life, batch, seq, head, fence)"
     " VALUES ($1::text, $2::bigint + 1, $3::bigint, $4::bigint, $5::text, 0)"
 )
 
 INSERT_SAME_INCARNATION = INSERT_NEXT_INCARNATION.replace("$2::bigint + 1", "$2::bigint")
 
-# The database as a storage node. A claim makes the key the attempt's own; only then is its piece written.
+# Statements of a storage node. A piece is written only if its attempt has claimed the key.
 CLAIM_KEY = (
     "INSERT INTO keys (name, attempt, state, at, result) VALUES ($1::text, $2::text, 'done', $3::bigint,"
     " $4::bytea) ON CONFLICT (name) DO UPDATE SET attempt = excluded.attempt, state = 'done',"
@@ -155,7 +157,7 @@
     " ON CONFLICT (volume, piece) DO UPDATE SET body = excluded.body"
 )
 SELECT_KEY = "SELECT attempt, state, result FROM keys WHERE name = $1::text"
-# Waits where the attempt's own transaction still holds the row: it then finds what that one left.
+# Waits for the attempt's own transaction if that holds the row, and then finds the row that it committed.
 FENCE_KEY = (
     "INSERT INTO keys (name, attempt, state, at, result) VALUES ($1::text, $2::text, 'fenced', $3::bigint,"
     " $4::bytea) ON CONFLICT (name) DO UPDATE SET attempt = excluded.attempt WHERE keys.state = 'fenced'"
@@ -163,14 +165,14 @@
 SELECT_PIECE = "SELECT body FROM pieces WHERE volume = $1::text AND piece = $2::text"
 DELETE_OLD_KEYS = (
     "DELETE FROM keys WHERE name IN"
-    f" (SELECT name FROM keys WHERE at < $1::bigint ORDER BY at LIMIT {FORGET_LIMIT_ROWS})"
+    f" (SELECT name FROM keys WHERE at < $1::bigint ORDER BY at LIMIT {DELETION_LIMIT_ROWS})"
 )
 
 _VALUE = re.compile(r"\$(\d+)(::(double precision|[a-z]+))?")
 
 
 def to_sqlite(sql: str) -> str:
-    """Return a statement in SQLite's dialect; a table with its own key needs no row numbers beside it."""
+    """Return a statement in SQLite's dialect; tables with a primary key are created WITHOUT ROWID."""
     text = _VALUE.sub(r"?\1", sql).removesuffix(" FOR UPDATE")
     if text.startswith("CREATE TABLE") and "PRIMARY KEY" in text:
         return text + " WITHOUT ROWID"
@@ -180,8 +182,8 @@
 def batch_steps(batch: RecordBatch, instance: str) -> list[Step]:
     """Return a batch as the steps of one transaction.
 
-    The first step fails, and with it all, where this incarnation is not the last. States come before intents,
-    as what never ran may be recorded anew in the same batch.
+    The first step fails, and with it the transaction, if a later incarnation has started. States come before
+    intents, because a write that never ran may be recorded again in the same batch.
     """
     incarnation = batch.after.incarnation
     steps = [Step(ADVANCE_POSITION, [_position_row(batch, instance)])]
@@ -194,13 +196,13 @@
         steps.append(Step(INSERT_JOURNAL_ENTRY, _journal_rows(batch, instance)))
     if batch.drifts:
         steps.append(Step(INSERT_DRIFT, _drift_rows(batch.drifts, instance)))
-    if batch.forget_before_ms:
-        steps.append(Step(DELETE_OLD_WRITES, [(batch.forget_before_ms,)]))
+    if batch.delete_before_ms:
+        steps.append(Step(DELETE_OLD_WRITES, [(batch.delete_before_ms,)]))
     return steps
 
 
 def accepted_intents(batch: RecordBatch, results: list[list[Row]]) -> set[str]:
-    """Return the names of the batch's intents that the record accepted, from the results of its steps."""
+    """Return the names of the batch's intents that were recorded, from the results of its steps."""
     if not batch.intents:
         return set()
     intent_step = 2 if batch.settled else 1
@@ -208,7 +210,7 @@
 
 
 def recorded_write(row: Row) -> RecordedWrite:
-    """Return a row of SELECT_WRITE or SELECT_RECENT_WRITES, without its name."""
+    """Return the write of a row of SELECT_WRITE or SELECT_RECENT_WRITES, without its name."""
     _, sent_at_ms, shard, zone, state = row
     assert isinstance(sent_at_ms, float | int)
     assert isinstance(shard, int)
--- a/sabledyke/store/tracked_writes.py
+++ b/sabledyke/store/tracked_writes.py
@@ -1,4 +1,4 @@
-"""What the intent table holds of each keyed write and attempt that waits. Times are Unix milliseconds."""
+"""Keyed writes and waiting attempts, as the intent table holds them. Times are Unix milliseconds."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     """A keyed write that is open, or one whose earlier send may have run.
 
     Attributes:
-        first_send: Its first send.
-        retain_until_ms: Until when it stays in memory; the database retains it longer.
-        durable: Whether its intent is in the database.
-        may_have_run: Whether an attempt that ended may have run.
-        in_flight: Attempts whose outcome is not known.
+        first_send: The first send of the write.
+        retain_until_ms: Time until which the write stays in memory; the database retains it longer.
+        durable: True if the intent is in the database.
+        may_have_run: True if a completed attempt may have run.
+        in_flight: Number of attempts that were sent and have not ended.
     """
 
     first_send: SendRecord
@@ -28,7 +28,7 @@
 
     @property
     def was_sent(self) -> bool:
-        """Whether an attempt was sent, or is being sent."""
+        """True if an attempt is in flight, or an earlier one may have run."""
         return self.may_have_run or self.in_flight > 0
 
 
@@ -37,10 +37,10 @@
     """An attempt that waits for the intent of its write to be durable.
 
     Attributes:
-        name: The write's name.
-        send: What is recorded of this send.
-        deadline_ms: When the attempt expires.
-        request_class: The class of its request.
+        name: The name of the write.
+        send: Time and place of the send, as the intent records them.
+        deadline_ms: Time at which the attempt expires.
+        request_class: The class of the request.
     """
 
     name: str
--- a/sabledyke/store/types.py
+++ b/sabledyke/store/types.py
@@ -1,6 +1,6 @@
-"""The terms of the store: intents, entries of the receipt journal, positions and batches.
+"""Data types of the store: intents, entries of the receipt journal, positions and batches.
 
-Plain data without I/O. Times are Unix milliseconds.
+This module performs no I/O. Times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -14,31 +14,39 @@
 from sabledyke.core import ClientRequest
 
 Value = str | int | float | bytes | None
-Row = tuple[Any, ...]  # of Values; what each column holds is the statement's business
+Row = tuple[Any, ...]  # a tuple of Values; the statement defines the columns
 
-OUTCOME_SERVED = "served"  # outcomes as the journal stores them, beside those of ``core``
+# Outcomes as the journal stores them; ``core.AnswerStatus`` holds the others.
+OUTCOME_SERVED = "served"
 OUTCOME_DEPARTED = "departed"
 OUTCOME_UNCONFIRMED = "unconfirmed"
 MAX_PLAIN_TOKEN_LENGTH = 128
 
 
 class WriteState(StrEnum):
-    """The state of a recorded write, as the column ``state`` stores it."""
+    """The state of a recorded write, as the column ``state`` stores it.
+
+    Attributes:
+        SENT: The write may have been sent, and its outcome is not recorded yet.
+        SERVED: A node served the write.
+        UNKNOWN: The write may have run.
+        NEVER: The write was never sent.
+    """
 
     SENT = "sent"
     SERVED = "served"
-    UNKNOWN = "unknown"  # it may have run
-    NEVER = "never"  # it was never sent
+    UNKNOWN = "unknown"
+    NEVER = "never"
 
     @classmethod
     def _missing_(cls, _: object) -> WriteState:
-        """Read any other text as UNKNOWN: such a write is not on record as never sent."""
+        """Return UNKNOWN for any other text, because only NEVER proves that a write was not sent."""
         return cls.UNKNOWN
 
 
 @dataclass(slots=True, frozen=True)
 class SendRecord:
-    """The first send of a write that may have run: when and where."""
+    """The time, shard and zone of the first send of a write that may have run."""
 
     sent_at_ms: float
     shard: int
@@ -46,13 +54,13 @@
 
     @property
     def place(self) -> tuple[int, int]:
-        """Shard and zone."""
+        """Shard and zone of the node."""
         return self.shard, self.zone
 
 
 @dataclass(slots=True, frozen=True)
 class Intent:
-    """A keyed write that is about to be sent; durable before it is."""
+    """A keyed write that is about to be sent; it is recorded durably before the send."""
 
     name: str
     sent: SendRecord
@@ -60,22 +68,22 @@
 
 @dataclass(slots=True, frozen=True)
 class JournalEntry:
-    """A completed keyed write, as the receipt journal has it.
+    """A completed keyed write, as the receipt journal stores it.
 
     Attributes:
-        completed_at_ms: When it had its final answer.
-        began_at_ms: When it was accepted.
-        class_name: Its request class.
-        volume: Its volume, in hex.
-        key: Its idempotency key, as ``idempotency_token`` writes it.
-        piece: The piece of data that it wrote, in hex.
-        shard: The shard that it was sent to.
-        node: The storage node that it was sent to; empty for none.
-        units: Its cost.
-        digest: The SHA-256 of what was written, in hex.
-        outcome: What the client was answered (``served``, ``refused``, ``failed``); ``departed`` where it had
-            left; ``unconfirmed`` where a node had served the write but the journal could not accept its entry
-            in time, so that the client was answered ``failed``.
+        completed_at_ms: Time of the final answer.
+        began_at_ms: Time at which the write was accepted.
+        class_name: Name of the request class.
+        volume: Volume, in hex.
+        key: Idempotency key in the form that ``idempotency_token`` returns.
+        piece: Piece of data that was written, in hex.
+        shard: Shard that the write was sent to.
+        node: Storage node that the write was sent to; empty for none.
+        units: Cost of the write.
+        digest: SHA-256 of the written data, in hex.
+        outcome: Answer to the client (``served``, ``refused``, ``failed``); ``departed`` if the client had
+            disconnected; ``unconfirmed`` if a node served the write but its entry could not be written to the
+            journal in time, so that the client was answered ``failed``.
     """
 
     completed_at_ms: int
@@ -93,13 +101,13 @@
 
 @dataclass(slots=True, frozen=True)
 class JournalPosition:
-    """How far an instance has come.
+    """The position of an instance's journal.
 
     Attributes:
-        incarnation: Which start of the instance this is, from 1.
-        batches: How many batches it has written, over all incarnations.
-        last_sequence: The number of the journal's last entry, 0 for none.
-        head_hash: The hash of that entry, in hex.
+        incarnation: Number of the instance's current start, from 1.
+        batches: Number of batches written, over all incarnations.
+        last_sequence: Number of the last journal entry, 0 for none.
+        head_hash: Hash of that entry, in hex.
     """
 
     incarnation: int
@@ -110,7 +118,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DriftFinding:
-    """A node showed other data than the journal's last served write of a piece left there."""
+    """A node returned data that differs from the last served write of the piece in the journal."""
 
     found_at_ms: int
     volume: str
@@ -121,7 +129,7 @@
 
 
 class Settlement(NamedTuple):
-    """The state to record for a write that has ended."""
+    """The state to record for a completed write."""
 
     name: str
     state: WriteState
@@ -129,7 +137,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """One statement of a transaction and the rows to run it with; ``$1::type`` stands for a value."""
+    """One statement of a transaction and the rows to run it with; its parameters are ``$1::type``."""
 
     sql: str
     rows: Sequence[Row] = ((),)
@@ -137,17 +145,17 @@
 
 @dataclass(slots=True)
 class RecordBatch:
-    """What goes into one transaction, from one position to the next.
+    """The contents of one transaction, which advances the journal from one position to the next.
 
     Attributes:
         before: The position that the transaction requires.
-        after: The position that it leaves.
-        intents: Writes about to be sent.
-        entries: Entries for the journal.
-        hashes: Their hashes.
-        settled: States of writes that have ended.
+        after: The position after the transaction.
+        intents: Intents of writes that are about to be sent.
+        entries: Entries to append to the journal.
+        hashes: Hashes of the entries.
+        settled: States of completed writes.
         drifts: Findings of drift.
-        forget_before_ms: Writes sent before that are deleted, some at a time; 0 for none.
+        delete_before_ms: Writes sent before this time are deleted, a bounded number per batch; 0 for none.
     """
 
     before: JournalPosition
@@ -157,21 +165,21 @@
     hashes: list[str] = field(default_factory=list)
     settled: list[Settlement] = field(default_factory=list)
     drifts: list[DriftFinding] = field(default_factory=list)
-    forget_before_ms: float = 0.0
+    delete_before_ms: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class RecordedWrite:
-    """A write that the record has already, by another incarnation or another scheduler."""
+    """A write that another incarnation or another scheduler has already recorded."""
 
     first_send: SendRecord
     state: WriteState
 
 
 def idempotency_token(work: ClientRequest) -> str:
-    """Return a key as the record has it: as the client wrote it, or a digest of one that is long or odd.
+    """Return an idempotency key as it is recorded: unchanged if short printable ASCII, else as a digest.
 
-    Guards against keys that no database accepts as text, or that make rows of kilobytes.
+    Guards against keys that databases reject as text and against rows of several kilobytes.
     """
     token = work.idempotency_key
     if len(token) <= MAX_PLAIN_TOKEN_LENGTH and token.isascii() and token.isprintable():
@@ -180,7 +188,7 @@
 
 
 def write_name(work: ClientRequest) -> str:
-    """Return what a keyed write is recorded by; empty for other work."""
+    """Return the name under which a keyed write is recorded; empty for any other request."""
     if not (work.write and work.idempotency_key):
         return ""
     return f"{work.class_index}/{work.volume:x}/{idempotency_token(work)}"
--- a/sabledyke/store/worker_thread.py
+++ b/sabledyke/store/worker_thread.py
@@ -1,4 +1,4 @@
-"""A thread for blocking calls in order, which holds up neither the event loop nor the program's end."""
+"""A thread that runs blocking calls in order and delays neither the event loop nor the program's exit."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class WorkerThread:
-    """Runs calls in order in a daemon thread: unlike an executor's, it is not waited for at the end."""
+    """Runs calls in order in a daemon thread, which unlike an executor's does not delay the exit."""
 
     def __init__(self, name: str) -> None:
         self._calls: SimpleQueue[tuple[Callable[[], Any], asyncio.Future[Any]] | None] = SimpleQueue()
@@ -21,16 +21,16 @@
         threading.Thread(target=self._run, name=name, daemon=True).start()
 
     async def call(self, function: Callable[[], ResultT]) -> ResultT:
-        """Return what the function returns in the thread, or raise what it raises.
+        """Run a function in the thread; return its result or raise its exception.
 
-        Cancelling the wait does not cancel the call: the function runs all the same.
+        Cancelling the wait does not cancel the call: the function still runs.
         """
         future: asyncio.Future[ResultT] = self._loop.create_future()
         self._calls.put((function, future))
         return await future
 
     def end(self, last: Callable[[], None]) -> None:
-        """End the thread after one last call; nobody waits for it."""
+        """End the thread after one last call, without waiting for it."""
         self._calls.put((last, self._loop.create_future()))
         self._calls.put(None)
 
@@ -41,9 +41,9 @@
             error: BaseException | None = None
             try:
                 value = function()
-            except BaseException as raised:  # it goes to whoever waits for the call
+            except BaseException as raised:  # raised again in the task that waits for the call
                 error = raised
-            with contextlib.suppress(RuntimeError):  # the loop has ended meanwhile
+            with contextlib.suppress(RuntimeError):  # the loop may be closed by now
                 self._loop.call_soon_threadsafe(_settle, future, value, error)
 
 
@@ -54,4 +54,4 @@
         future.set_result(value)
     else:
         future.set_exception(error)
-        future.exception()  # marks it as retrieved: nobody may be waiting any more
+        future.exception()  # marks the exception as retrieved, because the waiting task may have ended
--- a/tests/store/filled_record.py
+++ b/tests/store/filled_record.py
@@ -1,4 +1,4 @@
-"""A record with served writes, for the operators' commands to look at."""
+"""A record with served writes, for tests of the operators' commands."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def check_filled_record(tmp_path: Path, backend: str, check: Check) -> list[str]:
-    """Fill a record with 30 served writes of two incarnations; return what a check reports of it."""
+    """Fill a record with 30 served writes of two incarnations; return the lines that a check reports."""
     reported: list[str] = []
 
     async def run() -> None:
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -1,4 +1,4 @@
-"""A server with a record on either backend, nodes that know their keys, and ways to kill and stall it."""
+"""A server with a record on either backend, nodes that deduplicate writes, and means to kill the server."""
 
 from __future__ import annotations
 
@@ -25,20 +25,30 @@
 from tests.support.server_rig import DEPLOYMENT, GET, PUT
 from tests.support.settings import FAST_SHUTDOWN
 
-RECOVERY_TIMEOUT_S = 5  # within which a store that is back is found
+RECOVERY_TIMEOUT_S = 5  # time limit for writes to be served again after a fault
 BACKENDS = ("sqlite", "postgresql")
 Scenario = Callable[["RecordDeployment"], Awaitable[None]]
 
 
 class KeyedNode(Service):
-    """Keeps pieces, drops repeats of a key, counts what took effect; ``fates`` say how each write ends."""
+    """A node that stores pieces and drops repeats of a key.
+
+    Attributes:
+        pieces: The stored data by path.
+        effects: The number of executions by key.
+        sent: The number of received writes by key.
+        write_behaviors: The behavior for each of the next writes: "ok", "lost" (the write runs but is not
+            answered), "cut" (the write does not run) or "hold" (the answer waits for ``release``).
+        holding: Set when a write is held.
+        release: Lets held writes be answered.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.pieces: dict[str, bytes] = {}
         self.effects: dict[str, int] = {}
         self.sent: dict[str, int] = {}
-        self.fates: list[str] = []  # in turn: "ok", "lost" (ran, no answer), "cut" (did not run), "hold"
+        self.write_behaviors: list[str] = []
         self.holding = asyncio.Event()
         self.release = asyncio.Event()
 
@@ -52,24 +62,24 @@
                 continue
             key = headers["idempotency-key"]
             self.sent[key] = self.sent.get(key, 0) + 1
-            fate = self.fates.pop(0) if self.fates else "ok"
-            if fate == "cut":
+            behavior = self.write_behaviors.pop(0) if self.write_behaviors else "ok"
+            if behavior == "cut":
                 writer.transport.abort()
                 return
             if self.effects.setdefault(key, 0) == 0:
                 self.effects[key] = 1
                 self.pieces[path] = body
-            if fate == "hold":
+            if behavior == "hold":
                 self.holding.set()
                 await self.release.wait()
-            elif fate == "lost":
+            elif behavior == "lost":
                 writer.transport.abort()
                 return
             writer.write(http(200, body))
 
 
 class RecordDeployment:
-    """One deployment: nodes, discovery, a database, and one incarnation of a server after another."""
+    """A deployment of nodes, discovery, a database, and successive incarnations of a server."""
 
     def __init__(self, tmp_path: Path, backend: str, extra: str = "") -> None:
         self.backend, self.path, self._extra = backend, str(tmp_path / "record.sqlite3"), extra
@@ -81,55 +91,57 @@
 
     @property
     def text(self) -> str:
-        """The operator's section."""
+        """The text of the operator's file."""
         if self.backend == "sqlite":
             return f'[store]\npath = "{self.path}"\n{self._extra}'
         return f'[store]\nurl = "postgresql://sabledyke@127.0.0.1:{self.postgres.port}/record"\n{self._extra}'
 
     @property
     def file(self) -> str:
-        """The SQLite file underneath."""
+        """Path of the SQLite file, which on PostgreSQL is the stand-in server's."""
         return self.path if self.backend == "sqlite" else self.postgres.path
 
     def target(self) -> section.Target:
-        """The database, as the tools open it."""
-        table = self.extras().store
+        """Return the database, as the operators' commands open it."""
+        table = self.read_operator_config().store
         assert table is not None
         assert table.record is not None
         return table.record
 
-    def extras(self) -> operator_config.OperatorConfig:
-        """The operator's file."""
-        words = {"SABLEDYKE_STORE_PASSWORD": "secret"}
-        store = section.read(tomllib.loads(self.text)["store"], words)
+    def read_operator_config(self) -> operator_config.OperatorConfig:
+        """Return the parsed operator's file."""
+        environment = {"SABLEDYKE_STORE_PASSWORD": "secret"}
+        store = section.read(tomllib.loads(self.text)["store"], environment)
         return operator_config.OperatorConfig(store=store)
 
     def listing(self) -> Any:
-        """The endpoint list."""
+        """Return the endpoint list."""
         return discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
 
     async def start_incarnation(self) -> Server:
-        """A start."""
-        here = ("127.0.0.1", self.discovery.port)
-        config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, self.listing(), DEPLOYMENT)
-        self.server = Server(config, self.extras(), FAST_SHUTDOWN)
+        """Start a server, which begins the next incarnation."""
+        discovery_address = ("127.0.0.1", self.discovery.port)
+        config = Config(
+            "n0", ("127.0.0.1", 0), discovery_address, 1, 256, 1 << 22, self.listing(), DEPLOYMENT
+        )
+        self.server = Server(config, self.read_operator_config(), FAST_SHUTDOWN)
         await self.server.open()
         self.server.start()
         return self.server
 
     @property
     def recording_transport(self) -> RecordingTransport:
-        """The record's driver."""
-        part = self.server.parts[0]
-        assert isinstance(part, RecordExtension)
-        return part.recording_transport
+        """The recording transport of the present server."""
+        record_extension = self.server.parts[0]
+        assert isinstance(record_extension, RecordExtension)
+        return record_extension.recording_transport
 
     async def kill(self) -> None:
-        """The server stops where it stands: nothing is answered, written or closed in good order."""
+        """Stop the server at once, without answers, writes or an orderly close."""
         while self.server.listeners:
             self.server.listeners.pop().close()
         driver = self.server.assembly.driver
-        driver.run_batch = lambda: None  # type: ignore[method-assign]  # a dead process's guards do not fire
+        driver.run_batch = lambda: None  # type: ignore[method-assign]  # a killed process decides nothing
         writer = self.recording_transport.writer
         writer.stop()
         driver.cancel_timer()
@@ -148,7 +160,7 @@
         await asyncio.sleep(0.02)
 
     async def restart_after_kill(self) -> None:
-        """Start the next incarnation, as often as it takes."""
+        """Try to start the next incarnation until it succeeds."""
         while True:
             try:
                 await self.start_incarnation()
@@ -157,51 +169,53 @@
                 await asyncio.sleep(0.01)
 
     async def shut_down(self) -> None:
-        """The server ends in good order."""
+        """Shut the server down in good order."""
         self.server.leave()
         await self.server.finish()
 
     async def put(
         self, key: str, body: bytes = b"x", piece: int = 1, shard: int = 0, wait: float = 1.0
     ) -> tuple[int, dict[str, str], bytes]:
-        """A keyed write."""
+        """Send a keyed write; return the status, headers and body of the answer."""
         self.ids += 1
-        while not self.server.listeners:  # between two incarnations
+        while not self.server.listeners:  # waits for the next incarnation
             await asyncio.sleep(0.005)
-        more = f"IO-Info: units=1,shard={shard},hosts=1\nIdempotency-Key: {key}\n"
-        more += f"Content-Length: {len(body)}\n"
-        text = PUT.format(f"{piece:x}", f"w{self.ids}", more).replace("Deadline: 1.0", f"Deadline: {wait}")
+        request_headers = f"IO-Info: units=1,shard={shard},hosts=1\nIdempotency-Key: {key}\n"
+        request_headers += f"Content-Length: {len(body)}\n"
+        text = PUT.format(f"{piece:x}", f"w{self.ids}", request_headers).replace(
+            "Deadline: 1.0", f"Deadline: {wait}"
+        )
         return await ask(self.server.listeners[0].port, text, body)
 
     async def put_until_served(self, key: str, piece: int) -> None:
-        """Write until the write is served, for a bounded time."""
+        """Repeat a write until it is served, for a bounded time."""
         deadline = time.monotonic() + RECOVERY_TIMEOUT_S
         while (await self.put(key, piece=piece))[0] != 200:
             assert time.monotonic() < deadline
 
     async def get(self, piece: int = 1, shard: int = 0) -> tuple[int, bytes]:
-        """A read."""
+        """Send a read; return the status and body of the answer."""
         self.ids += 1
         text = GET.format(f"{piece:x}", f"r{self.ids}", f"IO-Info: units=1,shard={shard},hosts=1\n")
         status, _, body = await ask(self.server.listeners[0].port, text)
         return status, body
 
     def rows(self, sql: str) -> list[tuple[Any, ...]]:
-        """What the database holds."""
+        """Return the rows of a query of the database."""
         with sqlite3.connect(self.file) as db:
             return db.execute(sql).fetchall()
 
     def journal(self) -> list[tuple[str, str]]:
-        """Key and outcome of each entry, in order."""
+        """Return the key and outcome of each journal entry, in order."""
         return self.rows("SELECT token, outcome FROM journal ORDER BY instance, seq")
 
 
 @asynccontextmanager
 async def record_deployment(tmp_path: Path, backend: str, extra: str = "") -> AsyncIterator[RecordDeployment]:
-    """A deployment whose first server is up; at the end no invariant is broken and the journal holds."""
+    """Run a deployment with its first server started; at the end no invariant may have been violated."""
     deployment = RecordDeployment(tmp_path, backend, extra)
     invariants.violations.clear()
-    log._limiter = log.Limiter()  # lines of other tests do not count
+    log._limiter = log.Limiter()  # log lines of other tests must not count against the rate limit
     async with asyncio.timeout(30):
         for service in (*deployment.nodes, deployment.discovery):
             await service.open()
--- a/tests/store/record_model.py
+++ b/tests/store/record_model.py
@@ -1,4 +1,4 @@
-"""A naive model of the record's SQL, and a simulation of clients, nodes and faults with it."""
+"""A simple model of the record's SQL, and a simulation of clients, nodes and faults that uses it."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class RecordModel:
-    """A naive model of what the SQL does: rows and a journal that only complete batches change."""
+    """A simple model of the record's tables, which only complete batches change."""
 
     def __init__(self) -> None:
         self.writes: dict[str, _WriteRow] = {}
@@ -47,12 +47,12 @@
         self.journal: list[_JournalRow] = []
 
     def start(self) -> JournalPosition:
-        """Begin an incarnation."""
+        """Begin the next incarnation."""
         self.position = replace(self.position, incarnation=self.position.incarnation + 1)
         return self.position
 
     def commit(self, batch: RecordBatch) -> tuple[set[str], dict[str, RecordedWrite]]:
-        """Apply a batch; return the accepted intents, and what there was for the others."""
+        """Apply a batch; return the accepted intents, and the existing writes in place of the others."""
         incarnation = batch.after.incarnation
         if (self.position.incarnation, self.position.batches) != (incarnation, batch.before.batches):
             raise DatabaseError(DatabaseErrorKind.FENCED)
@@ -75,13 +75,13 @@
         return accepted, existing
 
     def audit(self) -> audit_journal.ChainAudit:
-        """Walk the journal."""
-        walk = audit_journal.ChainAudit("n0")
+        """Audit the journal."""
+        chain_audit = audit_journal.ChainAudit("n0")
         for row in self.journal:
             values = astuple(row.entry)
-            walk.on_row(("n0", row.sequence, row.incarnation, *values, row.entry_hash))
-        walk.on_end(self.position)
-        return walk
+            chain_audit.on_row(("n0", row.sequence, row.incarnation, *values, row.entry_hash))
+        chain_audit.on_end(self.position)
+        return chain_audit
 
     def _settle(self, row: _WriteRow, state: WriteState, incarnation: int) -> None:
         if state == WriteState.SERVED or (row.owner == incarnation and row.state == WriteState.SENT):
@@ -89,20 +89,29 @@
 
 
 class RecordSimulation:
-    """Incarnations of a manager, clients that repeat their keys, nodes of two cells, and faults."""
+    """Incarnations of an intent manager, clients that repeat keys, nodes of two cells, and faults.
+
+    Attributes:
+        faults: Probability of a failed batch, and of a committed batch whose answer is lost.
+        effects: Time and cell of each execution, by the name of the write.
+        served: Names of the writes that clients were answered as served.
+        answers: Number of served answers, whether passed on or failed.
+        attempts: Attempts that wait or were sent.
+        tickets: Names of the writes whose served answers wait, by ticket.
+    """
 
     def __init__(self, seed: int, faults: float) -> None:
         self.random = random.Random(seed)
         self.faults = faults
         self.database = RecordModel()
         self.now = 1000.0
-        self.effects: dict[str, list[tuple[float, int]]] = {}  # when and in which cell each ran
-        self.served: set[str] = set()  # what clients were answered
+        self.effects: dict[str, list[tuple[float, int]]] = {}
+        self.served: set[str] = set()
         self.answers = 0
         self.start_incarnation()
 
     def start_incarnation(self) -> None:
-        """Start: nothing is left but the database."""
+        """Start an incarnation, with only the contents of the database left."""
         self.manager = IntentManager("n0", LIMITS, self.random.randrange(99), 1e9)
         since = self.now - KEYED.deduplication_window_ms
         recent = [
@@ -111,12 +120,12 @@
             if row.state != WriteState.NEVER and row.send.sent_at_ms >= since
         ]
         self.manager.on_opened(self.database.start(), recent, self.now + KEYED.deduplication_window_ms)
-        self.attempts: dict[AttemptId, _Attempt] = {}  # waiting or sent
+        self.attempts: dict[AttemptId, _Attempt] = {}
         self.tickets: dict[int, str] = {}
         self.last_id = 0
 
     def run(self, steps: int, kills: float) -> None:
-        """Play so many random events, after each of which the manager may be killed."""
+        """Run random events; after each, the manager is killed with the probability ``kills``."""
         for _ in range(steps):
             self.now += self.random.choice((0, 1, 3, 20))
             event = self.random.choice(
@@ -135,18 +144,18 @@
                 self.kill()
 
     def kill(self) -> None:
-        """Kill the manager anywhere, and start the next incarnation some time later."""
+        """Kill the manager, and start the next incarnation some time later."""
         batch = self.manager.next_batch(self.now) if not self.manager.position_unknown else None
         if batch is not None and self.random.random() < 0.5:
-            self.database.commit(batch)  # killed between its commit and the answer
+            self.database.commit(batch)  # the kill comes between the commit and its answer
         for attempt in self.attempts.values():
-            if attempt.sent and self.random.random() < 0.5:  # the node runs what the dead had sent
+            if attempt.sent and self.random.random() < 0.5:  # the node runs an attempt of the killed manager
                 self.effects.setdefault(attempt.name, []).append((self.now, attempt.cell))
         self.now += self.random.choice((50, 1400, 1600))
         self.start_incarnation()
 
     def begin_attempt(self) -> None:
-        """Attempt a write with one of a few keys, in either cell."""
+        """Begin an attempt of a write with one of a few keys, in either cell."""
         name = f"k{self.random.randrange(12)}"
         self.last_id += 1
         attempt = self.last_id, 0
@@ -157,16 +166,16 @@
         self.carry_out(self.manager.on_attempt(self.now, attempt, name, send, deadline, KEYED))
 
     def end_attempt(self) -> None:
-        """End an attempt that was sent: it runs or not, and its answer may be lost."""
+        """End a random attempt that was sent; it may run or not, and its answer may be lost."""
         sent = [attempt for attempt, known in self.attempts.items() if known.sent]
         if not sent:
             return
         known = self.attempts.pop(self.random.choice(sent))
-        fate = self.random.choice(("served", "served", "lost", "lost after", "refused"))
-        if fate in ("served", "lost after"):
+        result = self.random.choice(("served", "served", "lost", "lost after", "refused"))
+        if result in ("served", "lost after"):
             self.effects.setdefault(known.name, []).append((self.now, known.cell))
-        self.manager.on_attempt_completed(known.name, may_have_run=fate != "refused")
-        self.complete_write(known.name, "served" if fate == "served" else "failed")
+        self.manager.on_attempt_completed(known.name, may_have_run=result != "refused")
+        self.complete_write(known.name, "served" if result == "served" else "failed")
 
     def complete_write(self, name: str, outcome: str) -> None:
         """Give a write its final answer."""
@@ -179,7 +188,7 @@
         self.carry_out(self.manager.on_write_completed(name, entry, ticket, self.now + 300))
 
     def write_batch(self) -> None:
-        """Write a batch, which may fail or lose its answer; or read the position anew."""
+        """Write a batch, which may fail or lose its answer, or read the position again."""
         manager = self.manager
         if manager.position_unknown:
             if manager.health.may_start_batch(self.now):
@@ -190,12 +199,12 @@
             return
         self.now += self.random.choice((1, 5, 30)) if self.random.random() > 0.05 else 150
         self.carry_out(manager.on_tick(self.now))
-        fate = self.random.random()
-        if fate < self.faults:  # nothing of it took effect
+        draw = self.random.random()
+        if draw < self.faults:  # the batch does not take effect
             kind = self.random.choice(FAILURES)
             error = DatabaseError(kind, uncertain=self.random.random() < 0.5)
             self.carry_out(manager.on_batch_failed(self.now, error))
-        elif fate < 2 * self.faults:  # all of it did, and the answer is lost
+        elif draw < 2 * self.faults:  # the batch takes effect, and its answer is lost
             self.database.commit(batch)
             error = DatabaseError(DatabaseErrorKind.LOST, uncertain=True)
             self.carry_out(manager.on_batch_failed(self.now, error))
@@ -204,7 +213,7 @@
             self.carry_out(manager.on_batch_committed(self.now, accepted, existing))
 
     def carry_out(self, effects: list[Effect]) -> None:
-        """Do what the manager returned, as its driver does, and check each step."""
+        """Carry out the manager's effects as its driver does, and check each step."""
         for effect in effects:
             match effect:
                 case SendAttempt(attempt):
@@ -231,7 +240,7 @@
 class _WriteRow:
     send: SendRecord
     state: WriteState
-    owner: int  # the incarnation that recorded it
+    owner: int  # the incarnation that recorded the write
 
     def may_be_sent_by(self, incarnation: int) -> bool:
         if self.state == WriteState.NEVER:
--- a/tests/store/sql_node_deployment.py
+++ b/tests/store/sql_node_deployment.py
@@ -1,4 +1,4 @@
-"""A server before one storage node that is a database of either kind."""
+"""A deployment of a server with one storage node that is a database on either backend."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.support.server_rig import DEPLOYMENT, GET, PUT
 from tests.support.settings import FAST_SHUTDOWN
 
-INFO = "IO-Info: units=1,shard=0,hosts=1\n"
+IO_INFO_HEADER = "IO-Info: units=1,shard=0,hosts=1\n"
 
 
 class SqlNodeDeployment:
-    """A server before one box, a database of either kind."""
+    """A server with one storage node that is a database on either backend."""
 
     def __init__(self, tmp_path: Path, backend: str) -> None:
         self.backend, self.path = backend, str(tmp_path / "box.sqlite3")
@@ -42,8 +42,8 @@
             target = Target(host="elsewhere", database="d", user="sabledyke", password="secret")
         store = StoreSection(sql_nodes=(SqlNode(b"db", target, 3),))
         known = discovery.read_listing(self.discovery.listing(), DEPLOYMENT, cached=True)
-        here = ("127.0.0.1", self.discovery.port)
-        config = Config("n0", ("127.0.0.1", 0), here, 1, 256, 1 << 22, known, DEPLOYMENT)
+        discovery_address = ("127.0.0.1", self.discovery.port)
+        config = Config("n0", ("127.0.0.1", 0), discovery_address, 1, 256, 1 << 22, known, DEPLOYMENT)
         self.server = Server(config, operator_config.OperatorConfig(store=store), FAST_SHUTDOWN)
         await self.server.open()
         self.server.start()
@@ -59,20 +59,20 @@
 
     async def put(self, key: str, body: bytes = b"x", piece: int = 1) -> tuple[int, bytes]:
         self.ids += 1
-        more = f"{INFO}Idempotency-Key: {key}\nContent-Length: {len(body)}\n"
-        text = PUT.format(f"{piece:x}", f"w{self.ids}", more)
+        request_headers = f"{IO_INFO_HEADER}Idempotency-Key: {key}\nContent-Length: {len(body)}\n"
+        text = PUT.format(f"{piece:x}", f"w{self.ids}", request_headers)
         status, _, answer = await ask(self.server.listeners[0].port, text, body)
         return status, answer
 
     async def warm_up(self) -> None:
-        """A first piece, once the machine lets a connection come up in its 250 ms."""
-        until = time.monotonic() + 5
+        """Write a first piece, and retry while a busy machine cannot open a connection within 250 ms."""
+        deadline = time.monotonic() + 5
         while (await self.put("first", piece=9))[0] != 200:
-            assert time.monotonic() < until
+            assert time.monotonic() < deadline
 
     async def get(self, piece: int = 1) -> tuple[int, bytes]:
         self.ids += 1
-        text = GET.format(f"{piece:x}", f"r{self.ids}", INFO)
+        text = GET.format(f"{piece:x}", f"r{self.ids}", IO_INFO_HEADER)
         status, _, body = await ask(self.server.listeners[0].port, text)
         return status, body
 
@@ -80,9 +80,9 @@
         with sqlite3.connect(self.path) as db:
             return db.execute(sql).fetchall()
 
-    def sent(self, start: str) -> int:
-        """How often a statement that begins so reached the server."""
-        return sum(s.startswith(start) for s in self.postgres.statements)
+    def count_statements(self, prefix: str) -> int:
+        """Return the number of statements with this beginning that reached the server."""
+        return sum(s.startswith(prefix) for s in self.postgres.statements)
 
 
 def run_scenario(
--- a/tests/store/test_backup.py
+++ b/tests/store/test_backup.py
@@ -1,4 +1,4 @@
-"""Backup and restore."""
+"""Backup and restore of a record."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-def test_backup_and_restore_keep_every_row_and_lock_older_incarnations_out(
+def test_backup_and_restore_keep_every_row_and_exclude_older_incarnations(
     tmp_path: Path, backend: str
 ) -> None:
     copy, fresh = str(tmp_path / "copy.sqlite3"), Target(path=str(tmp_path / "fresh.sqlite3"))
 
     async def check(deployment: RecordDeployment, reported: list[str]) -> None:
-        await deployment.start_incarnation()  # in service, meanwhile
+        await deployment.start_incarnation()  # the record is in service during the backup
         assert await maintenance.backup(deployment.target(), copy, reported.append)
         assert (await deployment.put("later"))[0] == 200
         with pytest.raises(StoreError, match="exists already"):
             await maintenance.backup(deployment.target(), copy, reported.append)
-        with pytest.raises(StoreError, match="needs an empty one"):
+        with pytest.raises(StoreError, match="needs an empty record"):
             await maintenance.restore(deployment.target(), copy, reported.append)
         assert await maintenance.restore(fresh, copy, reported.append)
         assert await maintenance.audit(fresh, reported.append)
@@ -51,7 +51,7 @@
     check_filled_record(tmp_path, backend, check)
 
 
-def test_a_restore_that_was_not_finished_is_no_record(tmp_path: Path) -> None:
+def test_an_unfinished_restore_fails_the_check(tmp_path: Path) -> None:
     copy, fresh = str(tmp_path / "copy.sqlite3"), Target(path=str(tmp_path / "fresh.sqlite3"))
 
     async def check(deployment: RecordDeployment, reported: list[str]) -> None:
@@ -71,7 +71,7 @@
 
 
 def test_a_postgresql_record_is_backed_up_while_it_is_written(tmp_path: Path) -> None:
-    """One snapshot: what is committed meanwhile is not in it, and its chain holds."""
+    """Guards against a copy that mixes states: the backup reads one snapshot, so its chain is intact."""
 
     async def run() -> None:
         server = Postgres(str(tmp_path / "pg.sqlite3"))
--- a/tests/store/test_health.py
+++ b/tests/store/test_health.py
@@ -1,11 +1,11 @@
-"""Backoff of trials after a stall."""
+"""The backoff of trial batches after a stall."""
 
 from __future__ import annotations
 
 from sabledyke.store.health import StoreHealth, StoreLimits
 
 
-def test_trials_back_off_and_find_a_store_that_is_back_within_a_second() -> None:
+def test_trials_back_off_and_detect_a_recovered_store_within_a_second() -> None:
     health, now = StoreHealth(StoreLimits(), 3), 0.0
     waits = []
     for _ in range(12):
--- a/tests/store/test_intent_manager_random.py
+++ b/tests/store/test_intent_manager_random.py
@@ -1,4 +1,4 @@
-"""The record's decisions under random schedules, with faults at every step."""
+"""The intent manager under random schedules with faults at every step."""
 
 from __future__ import annotations
 
@@ -12,15 +12,18 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_no_key_has_its_effect_beyond_its_window_and_group_whatever_fails(seed: int) -> None:
-    """Incarnations are killed anywhere; batches fail, stall or lose their answers, and so do nodes."""
+def test_no_write_is_repeated_outside_its_window_and_cell_under_faults(seed: int) -> None:
+    """Guards against a repeat outside the deduplication scope when processes, batches and nodes fail.
+
+    Incarnations are killed at any step; batches fail, stall or lose their answers, and nodes lose theirs.
+    """
     simulation = RecordSimulation(seed, faults=(0.0, 0.1, 0.3)[seed % 3])
     simulation.run(900, kills=0.01 * (seed % 4))
     for name, ran in simulation.effects.items():
         first, cell = ran[0]
         for at, where in ran[1:]:
-            # A node ran a repeat inside the window and the cell of the first: there it drops it. The window
-            # is counted from the first send, which came up to its attempt's time before the effect.
+            # A node drops a repeat inside the window and cell of the first execution. The window starts at
+            # the first send, which precedes the execution by at most the deadline of its attempt.
             assert where == cell, name
             assert at < first + KEYED.deduplication_window_ms + KEYED.deadline_ms, name
     audit = simulation.database.audit()
@@ -31,8 +34,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_every_attempt_and_every_answer_ends_once_and_nothing_is_retained(seed: int) -> None:
-    """After any schedule of faults and an idle time, all tables are empty."""
+def test_every_attempt_and_every_answer_ends_once_and_all_tables_become_empty(seed: int) -> None:
+    """Guards against leaks: all tables are empty after any schedule of faults and an idle time."""
     simulation = RecordSimulation(seed, faults=0.2)
     simulation.run(600, kills=0.0)
     simulation.faults = 0.0
@@ -42,7 +45,8 @@
         simulation.write_batch()
         simulation.carry_out(simulation.manager.on_tick(simulation.now))
     simulation.now += 60_000
-    simulation.manager.on_drift(DriftFinding(0, "", "", "", "", ""))  # one more batch, which forgets
+    # A finding of drift causes one more batch, and writes are evicted after a batch.
+    simulation.manager.on_drift(DriftFinding(0, "", "", "", "", ""))
     simulation.write_batch()
     assert not simulation.attempts
     assert not simulation.tickets
--- a/tests/store/test_killed_program.py
+++ b/tests/store/test_killed_program.py
@@ -1,4 +1,4 @@
-"""The program itself killed at any step of a keyed write."""
+"""A client repeats a keyed write after the program was killed at one of the steps of the write."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 )
 from tests.support.platform_config import ROOT, platform_settings
 
-SETTLE_S = 0.05  # for an answer that is not to come
+SETTLE_S = 0.05  # time to wait for an answer that must not arrive
 TEST_TIMEOUT_S = 40
 
 
 class KilledProgram:
-    """The program in a process of its own, before one node that knows its keys."""
+    """The program in a process of its own, with one node that deduplicates by idempotency key."""
 
     def __init__(self, tmp_path: Path) -> None:
         self.record = tmp_path / "record.sqlite3"
@@ -44,12 +44,12 @@
             "aim": 5000,
             "hard_limit": 20000,
         }
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            self._port = free.getsockname()[1]
+        with socket.socket() as port_socket:
+            port_socket.bind(("127.0.0.1", 0))
+            self._port = port_socket.getsockname()[1]
 
     async def start(self) -> asyncio.subprocess.Process:
-        """Start the program, and wait until it serves."""
+        """Start the program, and wait until it accepts requests."""
         self._config.write_bytes(orjson.dumps(self._configuration()))
         environment = {**os.environ, "GW_CONFIG": str(self._config)}
         for name in ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY"):
@@ -64,7 +64,7 @@
         return program
 
     async def put(self, ident: str) -> int:
-        """Write with the one key; the status, 0 where no answer came."""
+        """Write with the key ``k``; return the status, 0 if there was no answer."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
         plan = self._settings["grades"][0]["name"]
         head = (
@@ -107,11 +107,11 @@
     node = deployment.node
     await node.open()
     program = await deployment.start()
-    node.fates = ["hold"]
+    node.write_behaviors = ["hold"]
     first = asyncio.create_task(deployment.put("a"))
-    await node.holding.wait()  # the intent is durable, the node has run it
+    await node.holding.wait()  # the intent is durable, and the node has run the write
     lock = sqlite3.connect(deployment.record, isolation_level=None)
-    if when == "served":  # its entry cannot be written: the answer is not passed on
+    if when == "served":  # the entry cannot be written, so the answer is not passed on
         lock.execute("BEGIN IMMEDIATE")
     if when != "sent":
         node.release.set()
@@ -124,7 +124,7 @@
     lock.close()
     node.release.set()
     if when != "journalled":
-        assert await first in (0, 500)  # the client knows nothing, or that it may have run
+        assert await first in (0, 500)  # the client has no answer, or one with unknown outcome
     program = await deployment.start()
     assert await deployment.put("b") == 200
     assert node.effects == {"k": 1}
@@ -134,10 +134,8 @@
 
 
 @pytest.mark.parametrize("when", ["sent", "served", "journalled"])
-def test_a_program_killed_between_intent_send_answer_and_journal_repeats_nothing(
-    tmp_path: Path, when: str
-) -> None:
-    """SIGKILL to the program itself, a restart, and the client's repeat."""
+def test_a_program_killed_between_the_steps_of_a_write_does_not_repeat_it(tmp_path: Path, when: str) -> None:
+    """Guards against a second execution after SIGKILL, a restart, and the client's repeat."""
     deployment = KilledProgram(tmp_path)
 
     async def bounded() -> None:
