--- a/tests/store/test_maintenance.py
+++ b/tests/store/test_maintenance.py
@@ -1,4 +1,4 @@
-"""The operators' commands audit and reconcile, and all of them on a file."""
+"""The operators' commands: audit and reconcile on both backends, and all commands on a SQLite file."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 @pytest.mark.parametrize(
     ("sql", "expected_text"),
     [
-        ("SELECT 1", "the chain holds"),
+        ("SELECT 1", "the chain is intact"),
         ("UPDATE journal SET units = 2 WHERE seq = 7", "entry 7 was changed"),
         ("UPDATE journal SET outcome = 'failed' WHERE seq = 30", "entry 30 was changed"),
         ("DELETE FROM journal WHERE seq = 7", "entry 7 is missing"),
         ("DELETE FROM journal WHERE seq IN (8, 9)", "entries 8 to 9 are missing"),
         ("DELETE FROM journal WHERE seq > 28", "entries 29 to 30 are missing at the end"),
         ("UPDATE lives SET seq = 29", "entries 30 to 30 were appended by no batch"),
-        ("DELETE FROM lives", "never started here"),
+        ("DELETE FROM lives", "has never started on this record"),
     ],
 )
-def test_an_audit_names_what_was_tampered_with(
+def test_an_audit_names_changed_missing_and_added_entries(
     tmp_path: Path, backend: str, sql: str, expected_text: str
 ) -> None:
     async def check(deployment: RecordDeployment, reported: list[str]) -> None:
@@ -44,9 +44,9 @@
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-def test_reconcile_reports_what_disagrees(tmp_path: Path, backend: str) -> None:
+def test_reconcile_reports_disagreements_between_journal_and_record(tmp_path: Path, backend: str) -> None:
     async def check(deployment: RecordDeployment, reported: list[str]) -> None:
-        # Served in the journal: not in doubt.
+        # A write with unknown outcome is not in doubt if the journal has it as served.
         change_record(deployment, "UPDATE writes SET state = 'unknown' WHERE name LIKE '%k0-1'")
         assert await maintenance.reconcile(deployment.target(), reported.append)
         change_record(deployment, "UPDATE writes SET state = 'never' WHERE name LIKE '%k0-2'")
@@ -57,33 +57,33 @@
 
     reported = check_filled_record(tmp_path, backend, check)
     assert reported[:6] == [
-        "served on record, and not in the journal: 1",
+        "recorded as served, but not in the journal: 1",
         "  1/9/lost",
-        "served in the journal, and never sent on record: 1",
+        "served in the journal, but recorded as never sent: 1",
         "  1/1/k0-2",
-        "in doubt: may have run, and nobody was told that it did: 1",
+        "in doubt: may have run, but was not answered as served: 1",
         "  1/9/open",
     ]
 
 
-def test_the_commands_on_a_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    operators = tmp_path / "operator.toml"
+def test_all_commands_on_a_sqlite_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    operator_file = tmp_path / "operator.toml"
 
     async def check(deployment: RecordDeployment, _: list[str]) -> None:
-        operators.write_text(deployment.text)
+        operator_file.write_text(deployment.text)
 
     check_filled_record(tmp_path, "sqlite", check)
     capsys.readouterr()
 
-    def run(*words: str) -> tuple[int, str, str]:
-        status = main(["store", *words, "--operator", str(operators)])
+    def run(*arguments: str) -> tuple[int, str, str]:
+        status = main(["store", *arguments, "--operator", str(operator_file)])
         out = capsys.readouterr()
         return status, out.out, out.err
 
     status, out, _ = run("check")
     assert status == 0
     assert "journal: 30 rows" in out
-    assert "instance n0: life 2" in out
+    assert "instance n0: incarnation 2" in out
     assert run("migrate")[:2] == (0, "schema 2\n")
     assert run("audit")[0] == run("reconcile")[0] == 0
     exported = tmp_path / "journal.jsonl"
@@ -91,18 +91,18 @@
     rows = [json.loads(line) for line in exported.read_text().splitlines()]
     assert [r["seq"] for r in rows] == list(range(1, 31))
     assert rows[0]["outcome"] == "served"
-    assert run("export", str(exported))[0] == 2  # never over another file
+    assert run("export", str(exported))[0] == 2  # an export never overwrites a file
     assert run("export", str(tmp_path / "new"), "--since", str(rows[-1]["at"] + 1))[1] == "0 entries\n"
     assert run("export", str(tmp_path / "x"), "--since", "monday")[0] == 2
     assert run("backup", str(tmp_path / "b"))[0] == 0
     with sqlite3.connect(tmp_path / "record.sqlite3") as db:
         db.execute("DELETE FROM journal WHERE seq = 1")
     assert run("audit")[0] == 1
-    operators.write_text("[store]\n")
+    operator_file.write_text("[store]\n")
     status, _, err = run("check")
     assert status == 2
     assert err.count("\n") == 1
     assert "names no record" in err
-    operators.write_text(f'[store]\npath = "{tmp_path}/none.sqlite3"\n')
+    operator_file.write_text(f'[store]\npath = "{tmp_path}/none.sqlite3"\n')
     assert run("check")[0] == 2
     assert not (tmp_path / "none.sqlite3").exists()
--- a/tests/store/test_record.py
+++ b/tests/store/test_record.py
@@ -1,4 +1,4 @@
-"""What the record keeps of served, repeated, unconfirmed and drifted writes."""
+"""The record of served, repeated and unconfirmed writes, and of drift."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-def test_what_is_served_is_in_the_journal_before_its_client_knows(tmp_path: Path, backend: str) -> None:
+def test_a_served_write_is_in_the_journal_before_its_client_is_answered(tmp_path: Path, backend: str) -> None:
     async def scenario(deployment: RecordDeployment) -> None:
         answers = await asyncio.gather(*(deployment.put(f"k{n}", b"body", n, n % 2) for n in range(20)))
         assert [(s, b) for s, _, b in answers] == [(200, b"body")] * 20
@@ -36,13 +36,13 @@
 @pytest.mark.parametrize("backend", BACKENDS)
 def test_a_repeat_after_a_restart_respects_window_and_cell(tmp_path: Path, backend: str) -> None:
     async def scenario(deployment: RecordDeployment) -> None:
-        deployment.nodes[0].fates = ["lost"] * 8
+        deployment.nodes[0].write_behaviors = ["lost"] * 8
         assert (await deployment.put("k"))[0] == 500
         sent = deployment.nodes[0].sent["k"]
         await deployment.kill()
-        deployment.nodes[0].fates = []
+        deployment.nodes[0].write_behaviors = []
         await deployment.start_incarnation()
-        assert (await deployment.put("k", shard=1))[0] == 500  # another cell
+        assert (await deployment.put("k", shard=1))[0] == 500  # the shard belongs to another cell
         assert not deployment.nodes[1].sent
         assert (await deployment.put("k"))[0] == 200
         assert deployment.nodes[0].effects["k"] == 1
@@ -50,7 +50,8 @@
         with sqlite3.connect(deployment.file) as db:
             db.execute("UPDATE writes SET at = at - 1500")
         await deployment.start_incarnation()
-        assert (await deployment.put("k"))[0] == 500  # past its window: not sent, though memory never held it
+        # The window has passed: the write is not sent, although only the database knows the first send.
+        assert (await deployment.put("k"))[0] == 500
         assert deployment.nodes[0].sent["k"] == sent + 1
         assert deployment.recording_transport.intents.position.incarnation == 3
 
@@ -60,8 +61,8 @@
 @pytest.mark.parametrize("backend", BACKENDS)
 def test_a_served_write_that_cannot_be_journalled_is_answered_failed(tmp_path: Path, backend: str) -> None:
     async def scenario(deployment: RecordDeployment) -> None:
-        deployment.nodes[0].fates = ["hold"]
-        one = asyncio.create_task(deployment.put("k", wait=2.0))
+        deployment.nodes[0].write_behaviors = ["hold"]
+        write = asyncio.create_task(deployment.put("k", wait=2.0))
         await deployment.nodes[0].holding.wait()
         end = asyncio.Event()
 
@@ -74,7 +75,7 @@
         if backend == "sqlite":
             other.execute("BEGIN IMMEDIATE")
         deployment.nodes[0].release.set()
-        assert (await one)[0] == 500
+        assert (await write)[0] == 500
         assert deployment.nodes[0].effects["k"] == 1
         end.set()
         other.close()
@@ -103,7 +104,7 @@
             await deployment.shut_down()
             reported: list[str] = []
             assert not await maintenance.reconcile(deployment.target(), reported.append)
-            assert "boxes that showed other data than was written: 1" in reported
+            assert "storage nodes that returned other data than was written: 1" in reported
             assert "box-0" in "".join(reported)
 
     asyncio.run(run())
@@ -111,7 +112,7 @@
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-def test_the_database_rejects_what_an_older_incarnation_writes(
+def test_the_database_rejects_batches_of_an_older_incarnation(
     tmp_path: Path, backend: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(deployment: RecordDeployment) -> None:
@@ -123,7 +124,7 @@
         status, _, _ = await deployment.put("late")
         assert status == 503
         assert "late" not in deployment.nodes[0].sent
-        assert (await deployment.get())[0] == 200  # reads go on
+        assert (await deployment.get())[0] == 200  # reads are still served
         deployment.server = newer
         assert (await deployment.put("b"))[0] == 200
         assert [k for k, _ in deployment.journal()] == ["a", "b"]
--- a/tests/store/test_record_faults.py
+++ b/tests/store/test_record_faults.py
@@ -1,4 +1,4 @@
-"""Stalls, faults at every message, full disks and random kills repeat nothing and lose nothing."""
+"""No write is repeated or lost after stalls, faults at every message, full disks and random kills."""
 
 from __future__ import annotations
 
@@ -20,10 +20,13 @@
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-def test_a_stall_rejects_keyed_writes_at_once_and_nothing_else_and_ends_by_itself(
+def test_a_stall_rejects_only_keyed_writes_and_ends_by_itself(
     tmp_path: Path, backend: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """The stall is of commits; the guard of the core answers nobody (an invariant, checked by the rig)."""
+    """Guards against writes that wait throughout a stall of commits.
+
+    The rig checks an invariant at the end: no request is answered by the core's guard timer.
+    """
 
     async def scenario(deployment: RecordDeployment) -> None:
         assert (await deployment.put("before"))[0] == 200
@@ -44,7 +47,7 @@
         later = [await deployment.put(f"later{n}", piece=n) for n in range(5)]
         assert all(s == 503 and float(h["retry-after"]) > 0 for s, h, _ in later)
         assert all([(await deployment.get(n))[0] == 200 for n in range(5)])
-        assert not deployment.nodes[0].sent.keys() & {"first0", "later0"}  # nothing unrecorded was sent
+        assert not deployment.nodes[0].sent.keys() & {"first0", "later0"}  # no unrecorded write is sent
         end.set()
         other.close()
         await deployment.put_until_served("after", piece=9)
@@ -59,10 +62,10 @@
 
 @pytest.mark.parametrize("fault", ["cut before", "cut after", "40001", "53300", "57P01", "slow"])
 @pytest.mark.parametrize("message", range(1, 13))
-def test_a_fault_at_every_message_of_the_record_repeats_nothing(
+def test_a_fault_at_any_message_of_the_record_repeats_no_write(
     tmp_path: Path, message: int, fault: str
 ) -> None:
-    """Writes go on while the connection breaks, errs or lags at each message in turn."""
+    """Clients write while the connection breaks, fails or is slow at one message."""
 
     async def scenario(deployment: RecordDeployment) -> None:
         first = deployment.postgres.sessions
@@ -80,8 +83,8 @@
     run_scenario(tmp_path, "postgresql", scenario)
 
 
-def test_connections_of_other_programs_are_no_sessions_of_the_record(tmp_path: Path) -> None:
-    """A busy machine gives a port of a service that has ended to the next one, with its former clients."""
+def test_connections_of_other_programs_are_not_counted_as_sessions(tmp_path: Path) -> None:
+    """Guards against miscounted sessions when a port is reused and clients of its former service connect."""
 
     async def scenario(deployment: RecordDeployment) -> None:
         for _ in range(2):
@@ -96,55 +99,56 @@
 
 
 class RandomClients:
-    """Clients that repeat what failed, while nodes, commits and the server break at random."""
+    """Clients that repeat failed writes while nodes, commits and the server fail at random."""
 
-    def __init__(self, deployment: RecordDeployment, chance: random.Random) -> None:
+    def __init__(self, deployment: RecordDeployment, rng: random.Random) -> None:
         self.served: set[str] = set()
         self._deployment = deployment
-        self._chance = chance
+        self._rng = rng
 
     async def script(self, point: Point) -> None:
         """Cut some connections, and stall some commits."""
-        if self._chance.random() < 0.01:
+        if self._rng.random() < 0.01:
             raise ConnectionCutError
-        if point.what == "COMMIT" and self._chance.random() < 0.03:
+        if point.what == "COMMIT" and self._rng.random() < 0.03:
             await asyncio.sleep(0.3)
 
     async def run_incarnation(self, incarnation: int) -> None:
-        """Let 15 clients write, kill the server among them, and start the next one."""
+        """Start 15 clients, kill the server while they write, and start the next incarnation."""
         for node in self._deployment.nodes:
-            node.fates = [self._chance.choice(("ok", "ok", "lost", "cut")) for _ in range(12)]
+            node.write_behaviors = [self._rng.choice(("ok", "ok", "lost", "cut")) for _ in range(12)]
         numbers = range(incarnation * 15, incarnation * 15 + 15)
         clients = [asyncio.create_task(self.write(number)) for number in numbers]
-        await asyncio.sleep(0.05 + self._chance.random() * 0.2)
+        await asyncio.sleep(0.05 + self._rng.random() * 0.2)
         await self._deployment.kill()
         await self._deployment.restart_after_kill()
         await asyncio.gather(*clients)
 
     async def write(self, number: int) -> None:
-        """Write with a key of its own, up to three times."""
+        """Write with the key of this number, up to three times."""
         key = f"k{number}"
         for _ in range(3):
             with suppress(OSError, asyncio.IncompleteReadError):
                 if (await self._deployment.put(key, piece=number, shard=number % 2))[0] == 200:
                     self.served.add(key)
                     return
-            await asyncio.sleep(self._chance.random() * 0.1)
+            await asyncio.sleep(self._rng.random() * 0.1)
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
 @pytest.mark.parametrize("seed", range(3))
-def test_a_random_schedule_of_kills_and_faults_repeats_nothing(
+def test_a_random_schedule_of_kills_and_faults_repeats_no_write(
     tmp_path: Path, seed: int, backend: str
 ) -> None:
-    """Clients repeat what failed, nodes lose answers, the server is killed anywhere, commits break."""
+    """Guards against repeated or lost writes when nodes, commits and the server fail at the same time."""
 
     async def scenario(deployment: RecordDeployment) -> None:
         clients = RandomClients(deployment, random.Random(seed))
         deployment.postgres.script = clients.script
         for incarnation in range(3):
             await clients.run_incarnation(incarnation)
-        for number in range(45, 65):  # on a busy machine each kill may come before anything was served
+        # On a busy machine, each kill may come before any write was served.
+        for number in range(45, 65):
             if not clients.served:
                 await clients.write(number)
         assert clients.served
@@ -163,20 +167,20 @@
         ("query_only = 1", "query_only = 0"),
     ],
 )
-def test_a_full_or_read_only_disk_in_service_is_a_stall_and_loses_nothing(
+def test_a_full_or_read_only_disk_causes_a_stall_and_loses_no_write(
     tmp_path: Path, pragma: str, back: str
 ) -> None:
     async def scenario(deployment: RecordDeployment) -> None:
         assert (await deployment.put("before"))[0] == 200
         session = deployment.recording_transport.writer.session
         assert isinstance(session, SqliteSession)
-        deployment.nodes[0].fates = ["hold"]
+        deployment.nodes[0].write_behaviors = ["hold"]
         held = asyncio.create_task(deployment.put("held", piece=2))
         await deployment.nodes[0].holding.wait()
         await session.run(lambda db: db.execute(f"PRAGMA {pragma}").close())
         deployment.nodes[0].release.set()
-        assert (await held)[0] in (200, 500)  # a page may have had room for one more entry
-        n = 0  # until the pages that are there are full
+        assert (await held)[0] in (200, 500)  # the last page may have room for one more entry
+        n = 0  # number of writes until the present pages are full
         while (await deployment.put(f"k{n}", b"x" * 3000, n))[0] == 200:
             n += 1
         assert (await deployment.get())[0] == 200
--- a/tests/store/test_record_startup.py
+++ b/tests/store/test_record_startup.py
@@ -1,4 +1,4 @@
-"""How a start opens a record: waiting, upgrading, or ending in one plain line."""
+"""The opening of a record at a start: it waits for locks, migrates the schema, or fails with one line."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 
-def test_a_start_waits_for_whoever_locks_the_file_just_now(tmp_path: Path) -> None:
+def test_a_start_waits_for_another_process_that_locks_the_file(tmp_path: Path) -> None:
     async def scenario(deployment: RecordDeployment) -> None:
         await deployment.shut_down()
         other = sqlite3.connect(deployment.file, isolation_level=None)
@@ -46,7 +46,7 @@
     run_scenario(tmp_path, "postgresql", scenario)
 
 
-def test_a_file_of_schema_1_is_upgraded_in_place_with_all_its_rows(tmp_path: Path) -> None:
+def test_a_file_of_schema_1_is_migrated_in_place_with_all_its_rows(tmp_path: Path) -> None:
     path = tmp_path / "record.sqlite3"
     now = time.time() * 1000
     with sqlite3.connect(path) as db:
@@ -64,7 +64,7 @@
             ("1/1/new", "sent"),
             ("1/1/old", "unknown"),
         ]
-        assert (await deployment.put("old"))[0] == 500  # past its window
+        assert (await deployment.put("old"))[0] == 500  # the deduplication window has passed
         assert not deployment.nodes[0].sent
         assert (await deployment.put("never", shard=1))[0] == 200
         assert (await deployment.put("new"))[0] == 200
@@ -77,14 +77,14 @@
     ("make", "expected_text"),
     [
         ("corrupt", "is corrupt"),
-        ("newer", "a schema that this version does not know"),
+        ("newer", "a schema that this version does not support"),
         ("folder", "cannot be reached"),
-        ("half", "a restore into it was not finished"),
-        ("password", "refuses the name or password"),
+        ("half", "a restore was not finished"),
+        ("password", "rejects the user name or password"),
         ("down", "cannot be reached"),
     ],
 )
-def test_a_store_that_cannot_be_used_ends_the_start_in_one_line(
+def test_a_start_fails_with_a_single_line_if_the_store_is_unusable(
     tmp_path: Path, make: str, expected_text: str
 ) -> None:
     async def run() -> str:
--- a/tests/store/test_retention.py
+++ b/tests/store/test_retention.py
@@ -1,4 +1,4 @@
-"""What memory and the database retain, and what a start reads."""
+"""Retention of writes in memory and in the database, and the writes that a start reads."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 from tests.store.record_model import ENTRY, KEYED, LIMITS
 
 
-def test_memory_and_disk_forget_at_a_bounded_pace(tmp_path: Path) -> None:
-    """Ever-new keys: memory holds what can still matter, and the table what is remembered."""
+def test_memory_and_database_hold_a_bounded_number_of_writes(tmp_path: Path) -> None:
+    """Guards against unbounded growth when every write has a new key.
+
+    Memory holds the writes inside their windows, and the table the writes inside the retention.
+    """
 
     async def run() -> tuple[int, int]:
         session = await connect(Target(path=str(tmp_path / "record.sqlite3")))
@@ -43,10 +46,10 @@
     largest, rows = asyncio.run(run())
     windows = (KEYED.deduplication_window_ms + KEYED.deadline_ms) / 50
     assert largest < windows + 40
-    assert rows < 60_000 / 50 + statements.FORGET_LIMIT_ROWS
+    assert rows < 60_000 / 50 + statements.DELETION_LIMIT_ROWS
 
 
-def test_a_start_reads_only_what_can_still_matter(tmp_path: Path) -> None:
+def test_a_start_reads_a_bounded_number_of_recent_writes(tmp_path: Path) -> None:
     async def run() -> None:
         session = await connect(Target(path=str(tmp_path / "record.sqlite3")))
         await startup.migrate(session)
@@ -56,9 +59,8 @@
         recent = await startup.recent_writes(session, 39_900.0)
         assert len(recent) == 50
         assert recent[0][0] == "1/1/39999"
-        assert (
-            len(await startup.recent_writes(session, 0.0)) == startup.MAX_RECENT_WRITES
-        )  # bounded, newest first
+        # The number of writes that a start reads is bounded.
+        assert len(await startup.recent_writes(session, 0.0)) == startup.MAX_RECENT_WRITES
         plan = await session.query("EXPLAIN QUERY PLAN " + statements.SELECT_RECENT_WRITES, 0.0, 1)
         assert "writes_at" in str(plan)
         await session.close()
--- a/tests/store/test_section.py
+++ b/tests/store/test_section.py
@@ -1,4 +1,4 @@
-"""The section [store] of the operator's file."""
+"""The section ``[store]`` of the operator's file."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 @pytest.mark.parametrize(
     ("text", "expected_text"),
     [
-        ('path = "a"\nurl = "postgresql://u@h"', "both"),
+        ('path = "a"\nurl = "postgresql://u@h"', "must not set both"),
         ('url = "mysql://u@h"', "must read"),
         ('url = "postgresql://u:hush@h/d"', "holds a password"),
         ('url = "postgresql://h/d"', "must read"),
-        ('url = "postgresql://u@h:x"', "cannot be read"),
+        ('url = "postgresql://u@h:x"', "cannot be parsed"),
         ('url = "postgresql://u@h?x=1"', "sslmode"),
         ('path = "a"\nbatch = 0', "batch"),
         ('path = "a"\nstall_ms = -1', "stall_ms"),
@@ -55,7 +55,7 @@
         ('url = "postgresql://u@h"\npassword_file = "/nowhere/at/all"', "No such file"),
     ],
 )
-def test_a_bad_section_is_one_plain_line(text: str, expected_text: str) -> None:
+def test_an_invalid_section_is_reported_in_a_single_line(text: str, expected_text: str) -> None:
     with pytest.raises(OperatorError, match=expected_text) as raised:
         read(text)
     assert "\n" not in str(raised.value)
--- a/tests/store/test_sql_link.py
+++ b/tests/store/test_sql_link.py
@@ -1,4 +1,4 @@
-"""A database as a storage node: reads and keyed writes through the program, with faults at every message."""
+"""A database as a storage node: reads and keyed writes through the server, with faults at every message."""
 
 from __future__ import annotations
 
@@ -17,8 +17,10 @@
 from tests.support.server_rig import DEPLOYMENT
 
 
-def first_commit(fault: Callable[[Point], Awaitable[None]], stage: str) -> Callable[[Point], Awaitable[None]]:
-    """A script that acts at the first COMMIT after a key was claimed."""
+def at_first_commit(
+    fault: Callable[[Point], Awaitable[None]], stage: str
+) -> Callable[[Point], Awaitable[None]]:
+    """Return a script that applies a fault at the first COMMIT after a key was claimed."""
     seen: list[Point] = []
     claimed: set[int] = set()
 
@@ -46,12 +48,12 @@
         assert await deployment.get() == (200, b"one")
         assert (await deployment.put("l", b"three"))[0] == 200
         assert await deployment.get() == (200, b"three")
-        assert (await deployment.get(99))[0] == 503  # a read: a retry is harmless
+        assert (await deployment.get(99))[0] == 503  # a missing piece; a retry of a read is harmless
         answers = await asyncio.gather(*(deployment.put(f"m{n}", b"%d" % n, n) for n in range(12)))
         assert {s for s, _ in answers} == {200}
         assert [await deployment.get(n) for n in range(12)] == [(200, b"%d" % n) for n in range(12)]
         assert len(deployment.rows("SELECT * FROM keys")) == 14
-        assert deployment.postgres.sessions <= 3  # the node's bound on connections
+        assert deployment.postgres.sessions <= 3  # the configured maximum of sessions
 
     run_scenario(tmp_path, backend, scenario)
 
@@ -59,7 +61,7 @@
 def test_a_commit_whose_answer_is_lost_is_found_by_its_key(tmp_path: Path) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
         await deployment.warm_up()
-        deployment.postgres.script = first_commit(cut, "after")
+        deployment.postgres.script = at_first_commit(cut, "after")
         status, result = await deployment.put("k", b"one")
         assert status == 200
         assert await deployment.put("k", b"two") == (200, result)
@@ -69,33 +71,38 @@
     run_scenario(tmp_path, "postgresql", scenario)
 
 
-def test_a_commit_that_never_happened_is_fenced_and_only_then_made_again(tmp_path: Path) -> None:
+def test_a_commit_that_never_happened_is_fenced_before_the_write_is_retried(tmp_path: Path) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
         await deployment.warm_up()
-        deployment.postgres.script = first_commit(cut, "before")
-        claims = deployment.sent("INSERT INTO keys")
+        deployment.postgres.script = at_first_commit(cut, "before")
+        claims = deployment.count_statements("INSERT INTO keys")
         assert (await deployment.put("k", b"one"))[0] == 200
         assert await deployment.get() == (200, b"one")
-        assert deployment.sent("INSERT INTO keys") == claims + 3  # the claim, its fence, the claim made again
+        # The server receives the claim, its fence, and the second claim.
+        assert deployment.count_statements("INSERT INTO keys") == claims + 3
         assert deployment.rows("SELECT state FROM keys WHERE name LIKE '%k'") == [("done",)]
 
     run_scenario(tmp_path, "postgresql", scenario)
 
 
-def test_a_commit_that_happens_late_is_waited_for_not_repeated(tmp_path: Path) -> None:
-    """The connection is lost, and the old transaction commits only later: absence alone would mislead."""
+def test_a_commit_that_happens_late_is_awaited_and_not_repeated(tmp_path: Path) -> None:
+    """Guards against a repeat of a write whose key is absent only until the old transaction commits.
+
+    The connection is lost, and the server commits the transaction later.
+    """
 
     async def scenario(deployment: SqlNodeDeployment) -> None:
         await deployment.warm_up()
 
-        async def late(_: Point) -> None:
+        async def commit_late(_: Point) -> None:
             deployment.postgres.cut_connections()
-            await asyncio.sleep(0.15)  # the server goes on with what it has received
+            await asyncio.sleep(0.15)  # the server then continues with the COMMIT that it has received
 
-        deployment.postgres.script = first_commit(late, "before")
-        claims = deployment.sent("INSERT INTO keys")
+        deployment.postgres.script = at_first_commit(commit_late, "before")
+        claims = deployment.count_statements("INSERT INTO keys")
         assert (await deployment.put("k", b"one"))[0] == 200
-        assert deployment.sent("INSERT INTO keys") == claims + 2  # the claim and the fence that waited for it
+        # The server receives the claim, and the fence that waits for it.
+        assert deployment.count_statements("INSERT INTO keys") == claims + 2
         assert deployment.rows("SELECT state FROM keys WHERE name LIKE '%k'") == [("done",)]
 
     run_scenario(tmp_path, "postgresql", scenario)
@@ -105,25 +112,25 @@
     async def scenario(deployment: SqlNodeDeployment) -> None:
         await deployment.warm_up()
 
-        over = []
+        stall_ended = []
 
         async def stall(_: Point) -> None:
             await asyncio.sleep(5)
-            over.append(True)
+            stall_ended.append(True)
 
-        deployment.postgres.script = first_commit(stall, "before")
-        claims = deployment.sent("INSERT INTO pieces")
+        deployment.postgres.script = at_first_commit(stall, "before")
+        claims = deployment.count_statements("INSERT INTO pieces")
         assert (await deployment.put("k", b"one"))[0] == 500
-        assert not over  # long before the stall ends
-        assert deployment.sent("INSERT INTO pieces") == claims + 1
-        assert await deployment.get(9) == (200, b"x")  # reads are not held up
+        assert not stall_ended  # the answer does not wait for the end of the stall
+        assert deployment.count_statements("INSERT INTO pieces") == claims + 1
+        assert await deployment.get(9) == (200, b"x")  # reads are not delayed
 
     run_scenario(tmp_path, "postgresql", scenario)
 
 
 @pytest.mark.parametrize("fault", ["cut before", "cut after", "40001", "53300", "57P01", "slow"])
 @pytest.mark.parametrize("message", range(1, 24, 3))
-def test_a_fault_at_every_message_leaves_one_effect_and_a_true_answer(
+def test_a_fault_at_any_message_causes_at_most_one_execution_and_a_correct_answer(
     tmp_path: Path, message: int, fault: str
 ) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
@@ -138,16 +145,17 @@
         if status == 200:
             assert piece
         if status == 503:
-            assert not piece  # refused: trying again is harmless
-        until = time.monotonic() + 5
-        while (await deployment.put("k", b"one"))[0] != 200:  # the scheduler may try the node singly first
-            assert time.monotonic() < until
+            assert not piece  # a rejected write has not run, so a retry is harmless
+        deadline = time.monotonic() + 5
+        # The scheduler may first send single requests as probes to the node.
+        while (await deployment.put("k", b"one"))[0] != 200:
+            assert time.monotonic() < deadline
         assert await deployment.get() == (200, b"one")
 
     run_scenario(tmp_path, "postgresql", scenario)
 
 
-def test_a_locked_file_rejects_work_and_a_given_up_commit_never_happens(tmp_path: Path) -> None:
+def test_a_locked_file_rejects_writes_and_an_aborted_commit_never_happens(tmp_path: Path) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
         await deployment.warm_up()
         other = sqlite3.connect(deployment.path, isolation_level=None)
--- a/tests/store/test_statements.py
+++ b/tests/store/test_statements.py
@@ -1,11 +1,11 @@
-"""The SQL in both dialects."""
+"""The translation of SQL statements into SQLite's dialect."""
 
 from __future__ import annotations
 
 from sabledyke.store import statements
 
 
-def test_statements_read_alike_for_both_backends() -> None:
+def test_all_statements_translate_into_sqlite_without_type_casts() -> None:
     assert statements.to_sqlite(statements.SELECT_POSITION).endswith("WHERE instance = ?1")
     for name, sql in vars(statements).items():
         if name.isupper() and isinstance(sql, str):
