--- a/sabledyke/store/batch_writer.py
+++ b/sabledyke/store/batch_writer.py
@@ -104,7 +104,8 @@
         wait_ms = max(self._intents.limits.gather_ms, health.next_trial_ms() - clock.now())
         if wait_ms > 0:
             return self._loop.call_later(wait_ms / 1000, self._begin_task)
-        # The batch contains what arrives in this iteration of the event loop.
+        # The first batch contains what arrives in this iteration of the event loop, and each further batch
+        # what arrives while the previous one is written.
         return self._loop.call_soon(self._begin_task)
 
     def _begin_task(self) -> None:
--- a/sabledyke/store/intent_manager.py
+++ b/sabledyke/store/intent_manager.py
@@ -35,7 +35,7 @@
     Settlement,
 )
 
-MAX_CONFLICTS = 3  # consecutive serialization conflicts that are retried without a stall
+MAX_CONFLICTS = 3  # consecutive conflicts with other transactions that are retried without a stall
 
 
 class IntentManager:
--- a/sabledyke/store/section.py
+++ b/sabledyke/store/section.py
@@ -182,9 +182,8 @@
     """
     try:
         with open(path, encoding="utf-8") as file:
-            mode = os.fstat(
-                file.fileno()
-            ).st_mode  # fstat checks the opened file even if its path is replaced
+            # fstat checks the opened file even if another file replaces it at its path.
+            mode = os.fstat(file.fileno()).st_mode
             if mode & (stat.S_IRWXG | stat.S_IRWXO):
                 found = f"its mode is {mode & 0o777:o}"
                 raise OperatorError(f"{path} must be read by its owner alone (chmod 600), {found}")
--- a/sabledyke/store/statements.py
+++ b/sabledyke/store/statements.py
@@ -1,8 +1,8 @@
 """The SQL statements for both backends: numbered migrations, and batches as the steps of one transaction.
 
 The statements are in PostgreSQL's dialect, with ``$1::type`` for values; ``to_sqlite`` translates them into
-SQLite's. ``docs/design/store.md`` has the measurements behind not using an SQL toolkit. This module performs
-no I/O.
+SQLite's. ``docs/design/store.md`` explains, with measurements, why no SQL toolkit is used. This module
+performs no I/O.
 """
 
 from __future__ import annotations
@@ -172,7 +172,7 @@
 
 
 def to_sqlite(sql: str) -> str:
-    """Return a statement in SQLite's dialect; tables with a primary key are created WITHOUT ROWID."""
+    """Return a statement in SQLite's dialect; a table with a primary key needs no row ids beside it."""
     text = _VALUE.sub(r"?\1", sql).removesuffix(" FOR UPDATE")
     if text.startswith("CREATE TABLE") and "PRIMARY KEY" in text:
         return text + " WITHOUT ROWID"
