--- a/sabledyke/cli/lab.py
+++ b/sabledyke/cli/lab.py
@@ -40,13 +40,18 @@
 def _check_leases(*, exhaustive: bool) -> bool:
     """Check each setup of the model, print its result, and return whether all hold."""
     from sabledyke.testbed.lease_model import checker
-    from sabledyke.testbed.lease_model.state import GIVING_UP, GIVING_UP_WITH_FAULTS, PAIRS, THREES
+    from sabledyke.testbed.lease_model.state import (
+        RELEASE_CONFIGS,
+        RELEASE_WITH_FAULT_CONFIGS,
+        THREE_INSTANCE_CONFIGS,
+        TWO_INSTANCE_CONFIGS,
+    )
 
     holds = True
-    small_fleets = PAIRS + GIVING_UP
+    small_fleets = TWO_INSTANCE_CONFIGS + RELEASE_CONFIGS
     with ProcessPoolExecutor() as pool:
         pairs = [*zip(small_fleets, pool.map(checker.check, small_fleets), strict=True)]
-    large_fleets = (GIVING_UP_WITH_FAULTS + THREES) * exhaustive
+    large_fleets = (RELEASE_WITH_FAULT_CONFIGS + THREE_INSTANCE_CONFIGS) * exhaustive
     found_later = ((setup, checker.check(setup, parallel=True)) for setup in large_fleets)
     for setup, found in chain(pairs, found_later):
         authority = "counting authority" if setup.authority_tracks_expiry else "table"
--- a/sabledyke/testbed/__init__.py
+++ b/sabledyke/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: models, faults, load, checkers and experiments; never loaded by ``serve``."""
+"""The testbed: models, faults, load, checkers and experiments. ``serve`` never imports it."""
--- a/sabledyke/testbed/lease_model/__init__.py
+++ b/sabledyke/testbed/lease_model/__init__.py
@@ -1,10 +1,11 @@
-"""Holders and authority of a lease as a model: every order of faults that a small fleet can meet.
+"""Model of the holders and the authority of a lease, checked for every order of faults in a small fleet.
 
-The holders are ``lease.holder`` itself, not a copy of it. Time passes in ticks; in each, a slow clock counts
-``SLOW`` and a fast one ``FAST``, the worst that the bound on rates allows. Messages may be delayed for any
-time, reordered or lost; an instance may be paused, or die and come back as a new incarnation; the authority
-may restart. Budgets bound how often each fault comes, which makes the states finite; delay costs nothing.
+The model runs ``lease.holder`` itself, not a copy of it. Time advances in ticks. In each tick a slow clock
+advances by ``SLOW`` and a fast one by ``FAST``, the largest difference that the bound on clock drift allows.
+Messages may be delayed for any time, reordered or lost. An instance may be paused, or crash and restart as a
+new incarnation. The authority may restart. A budget limits how often each fault occurs, so that the number of
+states is finite; delays are not limited.
 
-States are kept in a canonical form (``canonical``, ``symmetry``). What must hold: no two instances act at
-once, and the one that acts has the highest token of all that hold one (``checker``).
+States are stored in a canonical form (``canonical``, ``symmetry``). Invariants (``checker``): at most one
+instance may operate under the lease at any time, and its token is the highest that any instance holds.
 """
--- a/sabledyke/testbed/lease_model/canonical.py
+++ b/sabledyke/testbed/lease_model/canonical.py
@@ -1,7 +1,7 @@
-"""The canonical form of a state of the lease model: only what can still have an effect.
+"""The canonical form of a state of the lease model, which contains only what can still have an effect.
 
-Times are relative to now, versions and tokens stand by rank, messages without effect are dropped. Of states
-that differ only in which instance is which, ``symmetry`` picks one.
+Times are relative to the current time, versions and tokens are replaced by their ranks, and messages without
+an effect are dropped. ``symmetry`` selects one of the states that differ only in the numbering of instances.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 from sabledyke.testbed.lease_model.symmetry import representative
 from sabledyke.testbed.state_updates import ranks
 
-FAR_MS = 64.0
-"""Times further off than this count alike."""
+TIME_HORIZON_MS = 64.0
+"""Times that differ from the current time by more than this are equivalent."""
 ROUNDING_DIGITS = 6
 
 
 def canonical(state: ModelState) -> ModelState:
-    """Return the canonical form of a state, which stands for all states that behave alike."""
+    """Return the canonical form of a state, which represents all states with the same behaviour."""
     in_flight = _effective_messages(state)
     version_ranks = _VersionRanks(_versions(state, in_flight))
     ranked = ModelState(
         instances=tuple(_canonical_instance(instance, version_ranks) for instance in state.instances),
         version=version_ranks.version(state.version),
         holder_id=state.holder_id,
-        expires_in=_plain(state.expires_in) if state.holder_id else 0.0,
+        expires_in=_normalized(state.expires_in) if state.holder_id else 0.0,
         in_flight=tuple(
             Message(
                 message.instance,
@@ -56,7 +56,10 @@
 
 
 def _effective_messages(state: ModelState) -> tuple[Message, ...]:
-    """Return what can still have an effect: of what an instance gave up, its newest request that writes."""
+    """Return the messages that can still have an effect.
+
+    Of the requests for which an instance no longer waits, only the newest one that writes can have one.
+    """
     newest: dict[tuple[int, bool], Message] = {}
     for message in state.in_flight:
         if message.is_awaited or isinstance(message.payload, Acquire | Renew | Release):
@@ -65,7 +68,7 @@
 
 
 def _versions(state: ModelState, in_flight: tuple[Message, ...]) -> Iterator[LeaseVersion]:
-    """Return the versions that a state mentions; a token without a beat counts as with its first one."""
+    """Return the versions in a state; a token without a beat counts as a version with beat 0."""
     yield UNACQUIRED
     yield state.version
     for instance in state.instances:
@@ -77,8 +80,8 @@
             yield LeaseVersion(instance.holder.pending_request.token, 0)
         if instance.holder.abandoned_token:
             yield LeaseVersion(instance.holder.abandoned_token, 0)
-        if instance.act is not None:
-            yield LeaseVersion(instance.act.token, 0)
+        if instance.operation is not None:
+            yield LeaseVersion(instance.operation.token, 0)
     for message in in_flight:
         match message.payload:
             case Acquire(version) | LeaseStatus(version):
@@ -88,7 +91,7 @@
 
 
 class _VersionRanks:
-    """Ranks of tokens, and of the beats of each token."""
+    """Ranks of the tokens in a state, and of the beats of each token."""
 
     def __init__(self, versions: Iterator[LeaseVersion]) -> None:
         beats: dict[int, set[int]] = {}
@@ -124,44 +127,47 @@
 
 
 def _canonical_instance(instance: Instance, version_ranks: _VersionRanks) -> Instance:
-    """Reset what the holder's phase does not read, and round times up to the ticks that they matter at."""
+    """Reset the fields that the holder's phase does not read, and round times up to the next tick."""
     holder = instance.holder
     rate = instance.clock_rate
     request = holder.pending_request
     is_waiting = request is not None
     is_holding = holder.phase in HOLDING_PHASES
     is_act_out = holder.act_status is not ActStatus.COMPLETED
-    act = instance.act
-    if act is not None:
-        act = act._replace(
-            token=version_ranks.tokens[act.token], remaining=_at_tick(max(act.remaining, 0.0), rate)
+    operation = instance.operation
+    if operation is not None:
+        operation = operation._replace(
+            token=version_ranks.tokens[operation.token],
+            remaining=_at_tick(max(operation.remaining, 0.0), rate),
         )
-    acts = is_holding and holder.acts_until_ms > 0
+    is_acting = is_holding and holder.acts_until_ms > 0
     has_seen = holder.seen_version is not None
     canonical_holder = HolderState(
         holder_id=holder.holder_id,
         phase=holder.phase,
         token=version_ranks.tokens[holder.token] if is_holding else 0,
-        acts_until_ms=_at_tick(holder.acts_until_ms, rate) if acts else min(holder.acts_until_ms, -FAR_MS),
-        acting=acts,
+        acts_until_ms=_at_tick(holder.acts_until_ms, rate)
+        if is_acting
+        else min(holder.acts_until_ms, -TIME_HORIZON_MS),
+        acting=is_acting,
         act_status=holder.act_status,
         act_covered_until_ms=_at_tick(max(holder.act_covered_until_ms, 0.0), rate) if is_act_out else 0.0,
         abandoned_token=version_ranks.tokens[holder.abandoned_token] if holder.abandoned_token else 0,
         seen_version=version_ranks.version(holder.seen_version) if holder.seen_version else None,
         seen_free=holder.seen_free,
-        unchanged_since_ms=_plain(max(holder.unchanged_since_ms, -TIMES.ttl_ms)) if has_seen else 0.0,
+        unchanged_since_ms=_normalized(max(holder.unchanged_since_ms, -TIMES.ttl_ms)) if has_seen else 0.0,
         pending_request=version_ranks.request(request) if request is not None else None,
-        requested_at_ms=_plain(holder.requested_at_ms) if is_waiting else 0.0,
+        requested_at_ms=_normalized(holder.requested_at_ms) if is_waiting else 0.0,
         next_request_at_ms=0.0 if is_waiting else _at_tick(max(holder.next_request_at_ms, 0.0), rate),
     )
-    return Instance(canonical_holder, rate, instance.is_paused, act)
+    return Instance(canonical_holder, rate, instance.is_paused, operation)
 
 
-def _plain(time: float) -> float:
-    """Return the same number with the same text: 4.0 for 4, and no -0.0."""
+def _normalized(time: float) -> float:
+    """Return the number in the one form that has the same ``repr`` each time: 4.0 for 4, and 0.0 for -0.0."""
     return float(time) + 0.0
 
 
 def _at_tick(time: float, rate: int) -> float:
-    """Return the first time, in its own units, at which a clock that advances by ticks shows this or more."""
+    """Return the first reading, at or after this time, of a clock that advances by ``rate`` in each tick."""
     return float(ceil(round(time / rate, ROUNDING_DIGITS)) * rate)
--- a/sabledyke/testbed/lease_model/checker.py
+++ b/sabledyke/testbed/lease_model/checker.py
@@ -1,4 +1,4 @@
-"""The check of the lease model: its invariants, the search, and traces for people."""
+"""The check of the lease model: its invariants, the search, and readable traces."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sabledyke.lease import holder
 from sabledyke.lease.holder_state import HOLDING_PHASES, HolderState
 from sabledyke.lease.types import UNACQUIRED
-from sabledyke.testbed.lease_model import acts
+from sabledyke.testbed.lease_model import operations
 from sabledyke.testbed.lease_model.state import Instance, ModelConfig, ModelState
 from sabledyke.testbed.lease_model.transitions import successors
 from sabledyke.testbed.parallel_search import explore_parallel
@@ -18,7 +18,7 @@
 
 
 def check(config: ModelConfig, *, parallel: bool = False) -> LeaseSearchResult:
-    """Explore all reachable states of a configuration, in this process or on all cores."""
+    """Explore all reachable states of a configuration, on all cores if ``parallel`` is true."""
     times = replace(config.times, authority_tracks_expiry=config.authority_tracks_expiry)
     config = replace(config, times=times)
     model = StateModel((initial_state(config),), partial(successors, config), violation)
@@ -27,7 +27,7 @@
 
 
 def initial_state(config: ModelConfig) -> ModelState:
-    """Return the state in which nobody has asked for the lease yet."""
+    """Return the state in which no instance has requested the lease yet."""
     instances = tuple(
         Instance(HolderState(str(number)), rate) for number, rate in enumerate(config.clock_rates)
     )
@@ -35,7 +35,7 @@
 
 
 def violation(state: ModelState) -> str:
-    """Return which invariant a state violates, "" for none."""
+    """Return the invariant that a state violates, "" for none."""
     acting = [
         instance.holder
         for instance in state.instances
@@ -43,7 +43,7 @@
     ]
     if not acting:
         return ""
-    if overlap := acts.overlapping_act(state.instances):
+    if overlap := operations.overlapping_operation(state.instances):
         return overlap
     if len(acting) > 1:
         return f"{' and '.join(state.holder_id for state in acting)} act at once"
@@ -51,12 +51,12 @@
         instance.holder.token for instance in state.instances if instance.holder.phase in HOLDING_PHASES
     )
     if acting[0].token < highest_token:
-        return f"{acting[0].holder_id} acts under a token older than another's"
+        return f"{acting[0].holder_id} may operate under a token older than another holder's"
     return ""
 
 
 def describe(result: LeaseSearchResult) -> list[str]:
-    """Return a line for each step of a trace: who acts, until when, and how the lease stands."""
+    """Return a line for each step of a trace: the instances, how long each may operate, and the lease."""
     lines = [_described_step(step) for step in result.trace]
     return [*lines, result.violation] if result.violation else lines
 
@@ -64,7 +64,7 @@
 def _described_step(step: Transition[ModelState]) -> str:
     state = step.successor
     instances = ", ".join(_described_instance(instance) for instance in state.instances)
-    lease = f"the lease is {state.holder_id or 'nobody'}'s, {tuple(state.version)}"
+    lease = f"the lease is held by {state.holder_id or 'nobody'}, version {tuple(state.version)}"
     return f"{step.action}: {instances}; {lease}"
 
 
--- a/sabledyke/testbed/lease_model/state.py
+++ b/sabledyke/testbed/lease_model/state.py
@@ -1,4 +1,4 @@
-"""States of the lease model, and the configurations that it is explored in."""
+"""States of the lease model, and the configurations in which it is explored."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 SLOW = 1
 FAST = 2
 DRIFT = (FAST - SLOW) / (FAST + SLOW)
-"""Rates of 1 and 2 are 1.5, less and more this fraction of it."""
+"""Bound on clock drift: ``SLOW`` and ``FAST`` deviate from their mean by this fraction of it."""
 TIMES = LeaseTimes(ttl_ms=4, renew_interval_ms=2, safety_margin_ms=0, max_clock_drift=DRIFT)
-TIMES_OF_RECALL = LeaseTimes(ttl_ms=4, renew_interval_ms=1, safety_margin_ms=0, max_clock_drift=DRIFT)
-"""Times with which a holder renews, and learns of a recall, while an act that it began before may be out."""
+RECALL_TIMES = LeaseTimes(ttl_ms=4, renew_interval_ms=1, safety_margin_ms=0, max_clock_drift=DRIFT)
+"""Times with which a holder may renew, and be notified of a recall, while an operation is in flight."""
 TIMES_WITHOUT_DRIFT = LeaseTimes(
     ttl_ms=TIMES.ttl_ms, renew_interval_ms=TIMES.renew_interval_ms, safety_margin_ms=0, max_clock_drift=0
 )
-"""Times of a holder that trusts its clock, which the model finds to be unsafe."""
+"""Times of a holder that assumes that clocks do not drift; the model shows that this is unsafe."""
 MAX_STATES = 30_000_000
 RESTART_MARK = "+"
-"""Appended to the identifier of an instance once for each incarnation after its first."""
+"""Suffix of a holder identifier, repeated once for each incarnation of the instance after its first."""
 
 
 class FaultBudget(NamedTuple):
-    """How often each fault may still come; ``lab`` prints these names.
+    """Remaining number of times that each fault may occur; ``lab`` prints the names of the fields.
 
     Attributes:
-        losses: Messages that are lost.
-        late: Requests that arrive after their instance gave them up.
-        pauses: Instances that are paused.
-        deaths: Instances that die and come back.
+        losses: Lost messages, lost answers to operations, and reset connections of operations.
+        late: Requests that arrive after their instance has stopped waiting for the reply.
+        pauses: Pauses of instances.
+        deaths: Crashes of instances, each followed by an immediate restart.
         restarts: Restarts of an authority that tracks expiry.
-        acts: Acts that begin; their answers are lost, or not waited for, as often as messages.
-        stops: Instances that are told to stop.
-        returns: Stopped instances that come back, as new incarnations.
+        acts: Operations that begin.
+        stops: Requests to an instance to shut down.
+        returns: Restarts of stopped instances, as new incarnations.
         recalls: Recalls of the lease by an operator.
     """
 
@@ -52,14 +52,14 @@
     recalls: int = 0
 
 
-class ModelAct(NamedTuple):
-    """An act of an instance at the service that carries it out.
+class ModelOperation(NamedTuple):
+    """An operation of an instance at the service that executes it.
 
     Attributes:
-        token: The token that it was begun under.
-        remaining: Until the end of what its call may take, on its instance's clock; it runs no longer.
-        is_running: The service works on it.
-        is_awaited: The holder waits for the answer.
+        token: Token of the lease under which the operation began.
+        remaining: Time until its call times out, on its instance's clock. It does not run after that.
+        is_running: True while the service executes it.
+        is_awaited: True while the holder waits for its answer.
     """
 
     token: int
@@ -69,12 +69,12 @@
 
 
 class Message(NamedTuple):
-    """A request or reply in flight; a reply to a request that was given up is dropped at once.
+    """A request or reply in flight; a reply for which its instance no longer waits is dropped at once.
 
     Attributes:
         instance: Number of the instance that sent the request.
-        incarnation: The holder identifier that it was sent under.
-        is_awaited: The instance still waits for the reply.
+        incarnation: Holder identifier of the incarnation that sent the request.
+        is_awaited: True while the instance waits for the reply.
         payload: The request, or its reply.
     """
 
@@ -85,19 +85,19 @@
 
 
 class Instance(NamedTuple):
-    """One instance; the times of its holder are relative to now.
+    """One instance; the times of its holder are relative to the current time.
 
     Attributes:
-        holder: Its side of the lease.
-        clock_rate: What its clock counts in a tick.
-        is_paused: It does nothing, while its clock goes on.
-        act: Its last act, as long as anything of it can still have an effect.
+        holder: State of its holder.
+        clock_rate: Time by which its clock advances in a tick.
+        is_paused: True while it is paused; its clock still advances.
+        operation: Its last operation, as long as it runs or its answer is awaited.
     """
 
     holder: HolderState
     clock_rate: int
     is_paused: bool = False
-    act: ModelAct | None = None
+    operation: ModelOperation | None = None
 
 
 class ModelState(NamedTuple):
@@ -106,11 +106,11 @@
     Attributes:
         instances: The instances, by number.
         version: Version of the lease at the authority.
-        holder_id: Who holds it there, "" for nobody.
-        expires_in: Time until an authority that tracks expiry frees it, on its clock.
+        holder_id: Identifier of its holder at the authority, "" for none.
+        expires_in: Time until an authority that tracks expiry frees the lease, on the authority's clock.
         in_flight: Messages between instances and the authority.
-        budget: Faults that may still come.
-        is_recalled: An operator wants the lease released.
+        budget: Faults that may still occur.
+        is_recalled: True if an operator has recalled the lease.
     """
 
     instances: tuple[Instance, ...]
@@ -124,15 +124,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ModelConfig:
-    """A fleet to explore.
+    """Configuration of a fleet whose states are explored.
 
     Attributes:
         clock_rates: Rate of each instance's clock.
-        authority_tracks_expiry: The authority frees leases by itself, as etcd does; a table does not.
-        authority_clock_rate: Rate of its clock.
+        authority_tracks_expiry: True if the authority frees expired leases itself, as etcd does; a database
+            table does not.
+        authority_clock_rate: Rate of the authority's clock.
         times: Times of the lease.
-        budget: Faults that may come.
-        max_states: Bound of the search.
+        budget: Faults that may occur.
+        max_states: Number of states at which the search stops.
     """
 
     clock_rates: tuple[int, ...] = (SLOW, FAST, FAST)
@@ -144,18 +145,18 @@
 
 
 def _can_happen(fault: str, *, authority_tracks_expiry: bool) -> bool:
-    """Return whether a fault changes anything: a row in a database stays when the database restarts."""
+    """Return whether a fault has an effect: a database restart does not change the rows of a table."""
     return authority_tracks_expiry or fault != "restarts"
 
 
-# Small fleets, each explored completely: two instances with every fault by itself, three with none or one.
+# Small fleets, each explored completely: two instances with one fault, three instances with no or one fault.
 NETWORK_FAULTS = ("losses", "late", "pauses", "deaths", "restarts")
-PAIRS = [
+TWO_INSTANCE_CONFIGS = [
     ModelConfig((SLOW, FAST), tracks_expiry, budget=FaultBudget(**{fault: 1}))
     for tracks_expiry, fault in product((False, True), NETWORK_FAULTS)
     if _can_happen(fault, authority_tracks_expiry=tracks_expiry)
 ]
-THREES = [
+THREE_INSTANCE_CONFIGS = [
     ModelConfig((SLOW, FAST, FAST), tracks_expiry, budget=budget)
     for tracks_expiry in (False, True)
     for budget in (
@@ -174,16 +175,17 @@
         ModelConfig(
             (SLOW, FAST),
             tracks_expiry,
-            times=TIMES_OF_RECALL if budget.recalls else TIMES,
+            times=RECALL_TIMES if budget.recalls else TIMES,
             budget=budget,
         )
         for tracks_expiry, budget in product((False, True), budgets)
     ]
 
 
-# Two instances, one act, and what makes a holder give up its lease; losses take the answer to the act too.
-GIVING_UP = _both_authorities((FaultBudget(acts=1, stops=1), FaultBudget(acts=1, recalls=1)))
-GIVING_UP_WITH_FAULTS = _both_authorities(
+# Two instances, one operation, and the events after which a holder releases its lease. The answer to the
+# operation may be among the losses.
+RELEASE_CONFIGS = _both_authorities((FaultBudget(acts=1, stops=1), FaultBudget(acts=1, recalls=1)))
+RELEASE_WITH_FAULT_CONFIGS = _both_authorities(
     (
         FaultBudget(acts=1, stops=1, returns=1),
         FaultBudget(acts=1, stops=1, losses=1),
--- a/sabledyke/testbed/lease_model/symmetry.py
+++ b/sabledyke/testbed/lease_model/symmetry.py
@@ -1,4 +1,4 @@
-"""One state for all that differ only in which instance is which, among instances with clocks of one rate."""
+"""Symmetry reduction: one state represents all that differ only in the numbering of instances of one rate."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 Renaming = Callable[[str], str]
 NEVER_SEEN = (-1, -1)
 NOT_ITS_LEASE = -1
-NO_ACT = ()
+NO_OPERATION = ()
 
 
 def representative(state: ModelState) -> ModelState:
-    """Return the state in which the instances of one rate stand in the order of their sort keys.
+    """Return the state in which the instances of each clock rate are sorted by their sort keys.
 
-    Where two instances have the same sort key, it is the first by its text of all orders.
+    If two instances have equal sort keys, return the state with the smallest ``repr`` among all orders.
     """
     rates = [instance.clock_rate for instance in state.instances]
     if len(set(rates)) == len(rates):
@@ -46,7 +46,7 @@
 
 
 def _sort_key(state: ModelState, number: int) -> SortKey:
-    """Return all that a state says of one instance, whatever its number, in a form that can be sorted."""
+    """Return a sortable form of the parts of a state that concern one instance, without its number."""
     instance = state.instances[number]
     holder = instance.holder
     messages = tuple(
@@ -65,7 +65,7 @@
         holder.act_status.value,
         holder.act_covered_until_ms,
         holder.abandoned_token,
-        instance.act or NO_ACT,
+        instance.operation or NO_OPERATION,
         holder.seen_version or NEVER_SEEN,
         holder.seen_free,
         holder.unchanged_since_ms,
@@ -78,7 +78,7 @@
 
 
 def _payload_key(payload: LeaseRequest | LeaseReply | None) -> tuple[str, tuple[int, ...]]:
-    """Return a message without the identifiers in it."""
+    """Return a sortable form of a message, without the holder identifiers in it."""
     match payload:
         case Acquire(version):
             return "try_acquire", version
@@ -92,7 +92,7 @@
 
 
 def _reordered(state: ModelState, order: tuple[int, ...]) -> ModelState:
-    """Return the state with instance ``order[i]`` in place ``i``, and identifiers by the new places."""
+    """Return the state with instance ``order[i]`` at place ``i``, and identifiers with the new numbers."""
     places = {str(old): new for new, old in enumerate(order)}
 
     def renamed(holder_id: str) -> str:
--- a/sabledyke/testbed/lease_model/transitions.py
+++ b/sabledyke/testbed/lease_model/transitions.py
@@ -1,4 +1,4 @@
-"""Transitions of the lease model: clocks go on, messages arrive or are lost, instances and authority fail."""
+"""Transitions of the lease model: clock ticks, deliveries and losses of messages, and failures."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     Renew,
     Renewed,
 )
-from sabledyke.testbed.lease_model import acts
-from sabledyke.testbed.lease_model.canonical import FAR_MS, canonical
+from sabledyke.testbed.lease_model import operations
+from sabledyke.testbed.lease_model.canonical import TIME_HORIZON_MS, canonical
 from sabledyke.testbed.lease_model.state import RESTART_MARK, Instance, Message, ModelConfig, ModelState
 from sabledyke.testbed.state_search import Transition
 from sabledyke.testbed.state_updates import replaced_at, spend
@@ -30,7 +30,7 @@
 
 
 def successors(config: ModelConfig, state: ModelState) -> Transitions:
-    """Return what can happen next, with each successor in its canonical form."""
+    """Return the transitions that a state allows, each successor in its canonical form."""
     for action, successor in _transitions(config, state):
         yield Transition(action, canonical(successor))
 
@@ -42,9 +42,9 @@
     for number in range(len(state.instances)):
         yield from _instance_transitions(config, state, number)
     if state.budget.restarts and config.authority_tracks_expiry:
-        # etcd, as published: a new leader gives every lease its full time again.
+        # etcd, as documented: a new leader extends every lease to its full TTL.
         restarted = spend(state, "restarts")._replace(expires_in=config.times.ttl_ms)
-        yield Transition("the authority starts anew", restarted)
+        yield Transition("the authority restarts", restarted)
     if state.budget.recalls and state.holder_id:
         yield Transition("the lease is recalled", spend(state, "recalls")._replace(is_recalled=True))
 
@@ -66,38 +66,38 @@
 def _instance_transitions(config: ModelConfig, state: ModelState, number: int) -> Transitions:
     instance = state.instances[number]
     if instance.is_paused:
-        awake = _with_instance(state, number, instance._replace(is_paused=False))
-        yield Transition(f"{number} goes on", _run_timers(config, awake, number))
+        resumed = _with_instance(state, number, instance._replace(is_paused=False))
+        yield Transition(f"{number} resumes", _run_timers(config, resumed, number))
     elif state.budget.pauses:
         paused = _with_instance(state, number, instance._replace(is_paused=True))
-        yield Transition(f"{number} stands still", spend(paused, "pauses"))
+        yield Transition(f"{number} is paused", spend(paused, "pauses"))
     if state.budget.deaths:
-        yield Transition(f"{number} dies and comes back", _restart(spend(state, "deaths"), number))
+        yield Transition(f"{number} crashes and restarts", _restart(spend(state, "deaths"), number))
     if state.budget.returns and instance.holder.phase is Phase.STOPPED:
-        yield Transition(f"{number} comes back", _restart(spend(state, "returns"), number))
+        yield Transition(f"{number} restarts", _restart(spend(state, "returns"), number))
     if instance.is_paused:
         return
-    for step in acts.steps(config, instance, state.budget):
+    for step in operations.steps(config, instance, state.budget):
         yield Transition(f"{number} {step.action}", _take_step(state, number, step))
     if state.budget.stops and instance.holder.phase in (Phase.WATCHING, *HOLDING_PHASES):
         stopped = holder.on_stop(instance.holder, config.times, 0.0)
         stopping = _send(spend(state, "stops"), number, stopped.state, stopped.requests)
-        yield Transition(f"{number} is told to stop", stopping)
+        yield Transition(f"{number} is requested to stop", stopping)
 
 
-def _take_step(state: ModelState, number: int, step: acts.ActStep) -> ModelState:
+def _take_step(state: ModelState, number: int, step: operations.OperationStep) -> ModelState:
     if step.cost:
         state = spend(state, step.cost)
-    state = _with_instance(state, number, state.instances[number]._replace(act=step.act))
-    if step.decided is None:
+    state = _with_instance(state, number, state.instances[number]._replace(operation=step.operation))
+    if step.holder_transition is None:
         return state
-    return _send(state, number, step.decided.state, step.decided.requests)
+    return _send(state, number, step.holder_transition.state, step.holder_transition.requests)
 
 
 def _tick(config: ModelConfig, state: ModelState) -> ModelState:
-    """Advance all clocks, those of paused instances too; instances that are awake and due send requests."""
+    """Advance all clocks, also of paused instances, and run the timers of those that are not paused."""
     instances = tuple(
-        acts.after_tick(instance._replace(holder=_advanced(instance.holder, instance.clock_rate)))
+        operations.after_tick(instance._replace(holder=_advanced(instance.holder, instance.clock_rate)))
         for instance in state.instances
     )
     state = _expire(config, state._replace(instances=instances))
@@ -108,7 +108,7 @@
 
 
 def _expire(config: ModelConfig, state: ModelState) -> ModelState:
-    """Advance the authority's clock, and free a lease that expires."""
+    """Advance the authority's clock, and free the lease if it expires."""
     if not config.authority_tracks_expiry or not state.holder_id:
         return state._replace(expires_in=0.0)
     expires_in = state.expires_in - config.authority_clock_rate
@@ -118,7 +118,7 @@
 
 
 def _run_timers(config: ModelConfig, state: ModelState, number: int) -> ModelState:
-    timeout = acts.timed_out(config, state.instances[number])
+    timeout = operations.timeout_step(config, state.instances[number])
     if timeout is not None:
         state = _take_step(state, number, timeout)
     new_holder, requests, _ = holder.on_tick(state.instances[number].holder, config.times, 0.0, 0.0)
@@ -128,17 +128,22 @@
 def _receive_reply(config: ModelConfig, state: ModelState, message: Message) -> ModelState:
     reply = message.payload
     assert isinstance(reply, LeaseStatus | Granted | Renewed)
-    known = state.instances[message.instance].holder
-    new_holder, requests, _ = holder.on_reply(known, config.times, 0.0, known.request_number, reply, 0.0)
+    current_holder = state.instances[message.instance].holder
+    new_holder, requests, _ = holder.on_reply(
+        current_holder, config.times, 0.0, current_holder.request_number, reply, 0.0
+    )
     state = _send(state, message.instance, new_holder, requests)
     return _run_timers(config, state, message.instance)
 
 
 def _send(state: ModelState, number: int, new_holder: HolderState, requests: list[SendRequest]) -> ModelState:
-    """Put requests in flight; one that the instance waited for before is late from now on."""
+    """Set the instance's holder and put its requests in flight.
+
+    A message for which the instance no longer waits is late if the budget allows, otherwise it is dropped.
+    """
     is_waiting = new_holder.pending_request is not None
     if not is_waiting or requests:
-        state = _give_up_awaited(state, number)
+        state = _stop_waiting_for_reply(state, number)
     sent = [Message(number, new_holder.holder_id, is_waiting, send.request) for send in requests]
     instance = state.instances[number]._replace(holder=new_holder)
     return state._replace(
@@ -146,22 +151,22 @@
     )
 
 
-def _give_up_awaited(state: ModelState, number: int) -> ModelState:
+def _stop_waiting_for_reply(state: ModelState, number: int) -> ModelState:
     if not any(message.instance == number and message.is_awaited for message in state.in_flight):
         return state
     if state.budget.late:
-        return spend(_nothing_awaited(state, number), "late")
+        return spend(_without_awaited_messages(state, number), "late")
     in_flight = (m for m in state.in_flight if m.instance != number or not m.is_awaited)
     return state._replace(in_flight=tuple(in_flight))
 
 
-def _nothing_awaited(state: ModelState, number: int) -> ModelState:
+def _without_awaited_messages(state: ModelState, number: int) -> ModelState:
     in_flight = (m._replace(is_awaited=m.is_awaited and m.instance != number) for m in state.in_flight)
     return state._replace(in_flight=tuple(in_flight))
 
 
 def _serve(config: ModelConfig, state: ModelState, message: Message) -> ModelState:
-    """Have the authority answer a request, in one step."""
+    """Process a request at the authority, and put the reply in flight if the instance still waits for it."""
     state, reply = _authority_reply(config, state, message)
     if not message.is_awaited:
         return state
@@ -186,7 +191,7 @@
             )
             return state, Granted(granted[0])
         case Renew(number) if is_holder and number == token:
-            # An authority that tracks expiry keeps the version of a lease while it is held.
+            # An authority that tracks expiry does not change the version of a lease at renewals.
             renewed = version if tracks_expiry else _next_beat(version)
             recalled = state.is_recalled
             return state._replace(version=renewed, expires_in=config.times.ttl_ms), Renewed(recalled)
@@ -204,16 +209,16 @@
 
 
 def _restart(state: ModelState, number: int) -> ModelState:
-    """Return the instance at once as a new incarnation; what it sent before is still in flight."""
+    """Restart an instance at once as a new incarnation; its earlier messages remain in flight."""
     used = {instance.holder.holder_id for instance in state.instances}
     used |= {message.incarnation for message in state.in_flight}
     used.add(state.holder_id)
     names = (f"{number}{RESTART_MARK * count}" for count in range(1, MAX_INCARNATIONS))
     new_name = next(name for name in names if name not in used)
     old = state.instances[number]
-    act = old.act._replace(is_awaited=False) if old.act is not None else None
-    reborn = Instance(HolderState(new_name), old.clock_rate, act=act)
-    return _with_instance(_nothing_awaited(state, number), number, reborn)
+    operation = old.operation._replace(is_awaited=False) if old.operation is not None else None
+    restarted_instance = Instance(HolderState(new_name), old.clock_rate, operation=operation)
+    return _with_instance(_without_awaited_messages(state, number), number, restarted_instance)
 
 
 def _with_instance(state: ModelState, number: int, instance: Instance) -> ModelState:
@@ -221,10 +226,10 @@
 
 
 def _advanced(state: HolderState, elapsed: float) -> HolderState:
-    """Return the same state with its clock so much later, and at 0 again."""
+    """Return the holder's state after this time, with times relative to the new current time."""
 
     def shifted(at_ms: float) -> float:
-        return max(at_ms - elapsed, -FAR_MS)
+        return max(at_ms - elapsed, -TIME_HORIZON_MS)
 
     return HolderState(
         holder_id=state.holder_id,
--- a/tests/lease/test_model.py
+++ b/tests/lease/test_model.py
@@ -10,10 +10,10 @@
 from sabledyke.testbed.lease_model import checker
 from sabledyke.testbed.lease_model.state import (
     FAST,
-    GIVING_UP,
-    PAIRS,
+    RELEASE_CONFIGS,
     SLOW,
     TIMES_WITHOUT_DRIFT,
+    TWO_INSTANCE_CONFIGS,
     FaultBudget,
     ModelConfig,
 )
@@ -23,15 +23,17 @@
 
 def test_no_order_of_faults_has_two_holders_act() -> None:
     """A slow and a fast clock, and faults, explored completely; ``lab check-leases`` has the others."""
-    configs = [config for config in PAIRS if not config.budget.deaths and not config.budget.late]
-    configs += [config for config in GIVING_UP if config.budget == RECALL]
+    configs = [
+        config for config in TWO_INSTANCE_CONFIGS if not config.budget.deaths and not config.budget.late
+    ]
+    configs += [config for config in RELEASE_CONFIGS if config.budget == RECALL]
     with ProcessPoolExecutor() as pool:
         for config, result in zip(configs, pool.map(checker.check, configs), strict=True):
             assert result.is_complete, config
             assert not result.violation, (config, checker.describe(result))
 
 
-@pytest.mark.parametrize("config", GIVING_UP)
+@pytest.mark.parametrize("config", RELEASE_CONFIGS)
 def test_a_holder_that_releases_its_lease_with_an_act_out_is_caught(
     config: ModelConfig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
