--- a/sabledyke/testbed/drain_model/__init__.py
+++ b/sabledyke/testbed/drain_model/__init__.py
@@ -1,10 +1,11 @@
-"""Drains of storage nodes as a model: every order in which coordinators, members, nodes and operators act.
+"""Model of drains of storage nodes, checked for every order of steps of coordinators, members and operators.
 
-Coordinators and members are ``rollout.node_drain`` itself. Reading, deciding and writing are transitions of
-their own, with anything in between. A member sends to any node that it does not know to be closed, dies
-without notice, and comes back as a later incarnation; nodes are taken away once they are drained on the log.
-Budgets bound the faults, which makes the states finite; offsets are kept by rank.
+The model runs the code of ``rollout.node_drain`` itself. Reading, deciding and writing are separate
+transitions, and any other transition may happen between them. A member sends to any node that is not closed
+as of its last read, may crash at any time, and restarts as a later incarnation. A node restarts only once the
+log records it as drained. A budget limits the faults, so that the number of states is finite; offsets are
+replaced by their ranks.
 
-What must hold in every state: no member has anything in flight at a drained node, and none would send it
-anything; and no drain is begun beyond the budget (``checker``).
+Invariants, which hold in every state (``checker``): no member has a request in flight at a drained node, no
+member would send a request to one, and no drain begins beyond the disruption budget.
 """
--- a/sabledyke/testbed/drain_model/checker.py
+++ b/sabledyke/testbed/drain_model/checker.py
@@ -1,4 +1,4 @@
-"""The check of the drain model: its invariants, and the search."""
+"""The check of the drain model: its invariants and the search."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
     """Explore all reachable states of a fleet that drains storage nodes.
 
     Args:
-        member_count: Members that send to the nodes.
-        drained_count: Nodes that a plan drains; one more stays.
-        max_out: Nodes that the plan lets be out at once.
-        budget: Faults that may come.
-        safeguards: What the protocol keeps to.
-        max_states: Bound of the search.
+        member_count: Number of members that send requests to the nodes.
+        drained_count: Number of nodes that the plan drains; the fleet has one node more.
+        max_out: Number of nodes that the plan allows to be out of service at the same time.
+        budget: Faults that may occur.
+        safeguards: Safeguards of the protocol that are in force.
+        max_states: Number of states at which the search stops.
     """
     start = initial_state(member_count, drained_count, max_out, budget)
     return explore(StateModel((start,), partial(successors, safeguards), violation), max_states)
 
 
 def violation(state: DrainState) -> str:
-    """Return which invariant a state violates, "" for none."""
+    """Return the invariant that a state violates, "" for none."""
     drained = {
         record.name
         for record in state.records
@@ -44,7 +44,7 @@
     }
     for index, instance in enumerate(state.instances):
         if instance.is_up and instance.in_flight_at & drained:
-            return f"something of n{index} is out at a drained box"
+            return f"n{index} has a request in flight at a drained box"
         if instance.is_up and instance.serves and drained - instance.closed_nodes:
             return f"n{index} would send to a drained box"
     return state.violation
--- a/sabledyke/testbed/drain_model/member_transitions.py
+++ b/sabledyke/testbed/drain_model/member_transitions.py
@@ -1,4 +1,4 @@
-"""Transitions of one member of the drain model: it sends, reads the log, acknowledges drains, and fails."""
+"""Transitions of one member of the drain model: requests, reads of the log, acknowledgements and faults."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 EARLIER_READ_MS = 0.0
 THIS_READ_MS = 1.0
-"""Later than the earlier read by more than the member's grace, which is none."""
+"""Time of the current read: later than the earlier one by more than the member's grace period of 0 ms."""
 
 
 def member_transitions(safeguards: Safeguards, state: DrainState, index: int, view: FleetView) -> Transitions:
-    """Return what a member, and the network between it and the nodes, can do."""
+    """Return the transitions of a member, and of the network between it and the nodes."""
     instance = state.instances[index]
     if not instance.is_up:
         yield from _transitions_while_down(safeguards, state, index, view)
@@ -42,31 +42,36 @@
     safeguards: Safeguards, state: DrainState, index: int, view: FleetView
 ) -> Transitions:
     name = f"n{index}"
-    known = view.members[name]
-    if known.state is MemberState.READY:
-        silent = replace(known, state=MemberState.SILENT)
-        yield Transition(f"{name} is noticed to be silent", with_append(state, (silent,)))
-    reborn = Instance(state.instances[index].incarnation + 1, serves=False)
-    started = with_instance(state, index, reborn)
+    registered = view.members[name]
+    if registered.state is MemberState.READY:
+        unresponsive = replace(registered, state=MemberState.SILENT)
+        yield Transition(f"{name} is recorded as unresponsive", with_append(state, (unresponsive,)))
+    restarted = Instance(state.instances[index].incarnation + 1, serves=False)
+    started = with_instance(state, index, restarted)
     if safeguards.registers_before_reading:
-        started = with_append(started, (Member(name, reborn.incarnation),))
-    yield Transition(f"{name} starts again", started)
+        started = with_append(started, (Member(name, restarted.incarnation),))
+    yield Transition(f"{name} restarts", started)
 
 
 def _fault_transitions(state: DrainState, index: int, view: FleetView) -> Transitions:
     name = f"n{index}"
     instance = state.instances[index]
-    known = view.members[name]
+    registered = view.members[name]
     if state.budget.deaths:
         down = instance._replace(is_up=False, serves=False, in_flight_at=frozenset(), pending=None)
         died = with_instance(spend(state, "deaths"), index, down)
-        yield Transition(f"{name} dies", died)
+        yield Transition(f"{name} crashes", died)
         is_idle = not instance.in_flight_at and instance.pending is None
-        if is_idle and known.incarnation == instance.incarnation:
-            yield Transition(f"{name} leaves", with_append(died, (replace(known, state=MemberState.OUT),)))
-    if state.budget.missed_heartbeats and known.state is MemberState.READY:
-        silent = replace(known, state=MemberState.SILENT)
-        yield Transition(f"{name} is not heard", with_append(spend(state, "missed_heartbeats"), (silent,)))
+        if is_idle and registered.incarnation == instance.incarnation:
+            yield Transition(
+                f"{name} shuts down", with_append(died, (replace(registered, state=MemberState.OUT),))
+            )
+    if state.budget.missed_heartbeats and registered.state is MemberState.READY:
+        unresponsive = replace(registered, state=MemberState.SILENT)
+        yield Transition(
+            f"{name} is recorded as unresponsive while it runs",
+            with_append(spend(state, "missed_heartbeats"), (unresponsive,)),
+        )
 
 
 def _request_transitions(state: DrainState, index: int, view: FleetView) -> Transitions:
@@ -74,7 +79,7 @@
     instance = state.instances[index]
     for node in sorted(instance.in_flight_at):
         answered = instance._replace(in_flight_at=instance.in_flight_at - {node})
-        yield Transition(f"{name} is answered by {node}", with_instance(state, index, answered))
+        yield Transition(f"{name} receives an answer from {node}", with_instance(state, index, answered))
     if not instance.serves or not state.budget.sends:
         return
     for node in view.plans[PLAN_NAME].nodes:
@@ -85,7 +90,7 @@
 
 
 def _read_transitions(safeguards: Safeguards, state: DrainState, index: int, view: FleetView) -> Transitions:
-    """Return the read of the log after which the member serves, acknowledges drains, or knows more."""
+    """Return the read of the log after which the member serves, acknowledges drains, or has new knowledge."""
     name = f"n{index}"
     instance = state.instances[index]
     acknowledger = node_drain.DrainAcknowledger(
@@ -104,12 +109,12 @@
         known_drains=frozenset(acknowledger.closed_since_ms),
         serves=True,
     )
-    known = view.members[name]
-    if known.incarnation != instance.incarnation or known.state is not MemberState.READY:
+    registered = view.members[name]
+    if registered.incarnation != instance.incarnation or registered.state is not MemberState.READY:
         ready = Move("is ready", (Member(name, instance.incarnation, state=MemberState.READY),))
         serving = read._replace(pending=ready)
-        yield Transition(f"{name} looks, and serves", with_instance(state, index, serving))
+        yield Transition(f"{name} reads the log, and serves", with_instance(state, index, serving))
     elif move is not None or read != instance:
-        description = move.description if move else "nothing to say"
+        description = move.description if move else "nothing to write"
         decided = read._replace(pending=move)
-        yield Transition(f"{name} looks: {description}", with_instance(state, index, decided))
+        yield Transition(f"{name} reads the log: {description}", with_instance(state, index, decided))
--- a/sabledyke/testbed/drain_model/state.py
+++ b/sabledyke/testbed/drain_model/state.py
@@ -14,14 +14,14 @@
 
 
 class FaultBudget(NamedTuple):
-    """How often each fault may still come.
+    """Remaining number of times that each fault may occur.
 
     Attributes:
-        deaths: Members that die without notice, or shut down gracefully with nothing in flight.
-        missed_heartbeats: Members that live, and that the coordinator takes for silent.
-        takeovers: Coordinators that start while another one may go on.
-        halts: Times that an operator halts the plan, or rolls it back.
-        sends: Requests that members send, in all.
+        deaths: Crashes of members, and graceful shutdowns with no request in flight.
+        missed_heartbeats: Running members that a coordinator records as unresponsive.
+        takeovers: Starts of a coordinator while another one may still run.
+        halts: Halts and rollbacks of the plan by an operator.
+        sends: Requests that all members together send.
     """
 
     deaths: int = 0
@@ -33,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Safeguards:
-    """What makes drains safe; each may be left out, to show that it is needed.
+    """Safeguards of the drain protocol; a test may turn each off to show that it is needed.
 
     Attributes:
-        registers_before_reading: A new incarnation writes that it lives before it reads for the first time.
-        waits_for_silent_members: A drain waits for members that are silent.
-        checks_order: A coordinator's move needs the latest token, and the end of the log as it was read.
-        waits_for_in_flight: A member waits for what it has in flight.
+        registers_before_reading: A new incarnation registers on the log before its first read.
+        waits_for_silent_members: A drain waits for the acknowledgements of unresponsive members.
+        checks_order: The log accepts a coordinator's change only with the latest token and an unchanged end.
+        waits_for_in_flight: A member acknowledges a drain only with no request in flight at the node.
     """
 
     registers_before_reading: bool = True
@@ -52,13 +52,13 @@
     """A member's process.
 
     Attributes:
-        incarnation: Its incarnation.
-        is_up: It runs.
-        serves: It accepts requests of clients.
-        closed_nodes: Nodes that it sends nothing to, as of its last read.
+        incarnation: Number of its incarnation.
+        is_up: True while it runs.
+        serves: True while it accepts requests of clients.
+        closed_nodes: Nodes to which it sends no requests, as of its last read.
         known_drains: Drains that an earlier read has found, by the offset at which each began.
-        in_flight_at: Nodes at which it has something in flight.
-        pending: A move that it decided on and has not written yet.
+        in_flight_at: Nodes at which it has a request in flight.
+        pending: The change that it has decided on and not written yet.
     """
 
     incarnation: int = 1
@@ -77,11 +77,11 @@
         records: Records of the log, in the order of their keys.
         next_offset: Offset of the next record.
         highest_token: The highest token under which a coordinator has written.
-        nodes: Storage nodes as the endpoint list has them.
+        nodes: Storage nodes in the endpoint list.
         instances: The members' processes.
         coordinators: The coordinators.
-        budget: Faults that may still come.
-        violation: What did not hold at the last transition, "" for nothing.
+        budget: Faults that may still occur.
+        violation: The invariant that the last transition violated, "" for none.
     """
 
     records: tuple[Record, ...]
@@ -95,7 +95,7 @@
 
 
 def initial_state(member_count: int, drained_count: int, max_out: int, budget: FaultBudget) -> DrainState:
-    """Return a fleet at rest, nodes of one shard, and a plan to drain all of them but one."""
+    """Return a fleet with no drain, all nodes in one shard, and a plan to drain all of them but one."""
     members = [
         Member(f"n{i}", 1, state=MemberState.READY, offset=offset)
         for i, offset in enumerate(range(2, member_count + 2))
--- a/sabledyke/testbed/drain_model/transitions.py
+++ b/sabledyke/testbed/drain_model/transitions.py
@@ -1,4 +1,4 @@
-"""Transitions of the drain model: of coordinators, storage nodes and an operator."""
+"""Transitions of the drain model: coordinators, storage nodes and an operator."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from sabledyke.testbed.fleet_transitions import (
     PLAN_NAME,
     TIMEOUTS,
-    accepts,
+    log_accepts,
     operator_transitions,
     takeover_transitions,
+    with_change_written,
     with_decision,
     without_decision,
-    written,
 )
 from sabledyke.testbed.model_log import view_of
 from sabledyke.testbed.offset_ranks import OffsetRanks
@@ -31,9 +31,9 @@
 
 
 def successors(safeguards: Safeguards, state: DrainState) -> Transitions:
-    """Return what can happen next, with the offsets of each successor by rank."""
+    """Return the transitions that a state allows, with ranks as the offsets of each successor."""
     for action, successor in _transitions(safeguards, state):
-        yield Transition(action, _ranked(successor))
+        yield Transition(action, _with_offset_ranks(successor))
 
 
 def _transitions(safeguards: Safeguards, state: DrainState) -> Transitions:
@@ -65,13 +65,13 @@
     token = state.coordinators[index].token
     if view.epoch is None or view.epoch.token != token:
         return Move("coordinates", (Epoch(name, token),), expected_end=view.next_offset)
-    known = view if safeguards.waits_for_silent_members else _with_silent_as_out(view)
+    observed_view = view if safeguards.waits_for_silent_members else _with_unresponsive_as_out(view)
     nodes = {node.name: node for node in state.nodes}
-    drain_move = node_drain.decide(known, token, 0.0, ChangeTracker(), TIMEOUTS, nodes)
-    return drain_move or planner.decide(known, name, token, 0.0, ChangeTracker(), TIMEOUTS)
+    drain_change = node_drain.decide(observed_view, token, 0.0, ChangeTracker(), TIMEOUTS, nodes)
+    return drain_change or planner.decide(observed_view, name, token, 0.0, ChangeTracker(), TIMEOUTS)
 
 
-def _with_silent_as_out(view: FleetView) -> FleetView:
+def _with_unresponsive_as_out(view: FleetView) -> FleetView:
     members = {
         name: replace(member, state=MemberState.OUT) if member.state is MemberState.SILENT else member
         for name, member in view.members.items()
@@ -83,30 +83,30 @@
     coordinator = state.coordinators[index]
     state = without_decision(state, index)
     checks_order = safeguards.checks_order
-    if not accepts(state, coordinator, move, checks_token=checks_order, checks_end=checks_order):
+    if not log_accepts(state, coordinator, move, checks_token=checks_order, checks_end=checks_order):
         return state
-    state = written(state, coordinator, move)
+    state = with_change_written(state, coordinator, move)
     view = view_of(state)
     out = node_drain.nodes_out(view, {})
     begins_drain = any(
         isinstance(record, Drain) and record.phase is DrainPhase.LEAVING for record in move.records
     )
     if begins_drain and len(out) > view.plans[PLAN_NAME].max_out:
-        return state._replace(violation=f"{sorted(out)} are out")
+        return state._replace(violation=f"{sorted(out)} are out of service, more than the plan allows")
     return state
 
 
 def _node_transitions(state: DrainState, view: FleetView) -> Transitions:
-    """Return the replacement of each drained node by a later start of it."""
+    """Return a restart of each drained node, which the endpoint list shows as a later start."""
     for index, node in enumerate(state.nodes):
         drain = view.drains.get(node.name)
         if drain is None or drain.phase is not DrainPhase.DRAINED or node.started != drain.node_started:
             continue
         nodes = replaced_at(state.nodes, index, replace(node, started=node.started + 1))
-        yield Transition(f"{node.name} is taken away and comes back", state._replace(nodes=nodes))
+        yield Transition(f"{node.name} restarts", state._replace(nodes=nodes))
 
 
-def _ranked(state: DrainState) -> DrainState:
+def _with_offset_ranks(state: DrainState) -> DrainState:
     known_drains = (offset for instance in state.instances for offset in instance.known_drains)
     ranks = OffsetRanks(state, known_drains)
     instances = tuple(
--- a/sabledyke/testbed/model_log.py
+++ b/sabledyke/testbed/model_log.py
@@ -1,4 +1,4 @@
-"""The log of a fleet model: records as the compacted log keeps them, and states of fleets that share it."""
+"""The log of a fleet model: the records that the compacted log retains, and the states that contain them."""
 
 from __future__ import annotations
 
@@ -17,22 +17,26 @@
 
 
 class Coordinator(NamedTuple):
-    """A process that believes to hold the coordinator's lease under this token."""
+    """A process that holds the coordinator's lease under a token, or has not noticed that it lost the lease.
+
+    Attributes:
+        token: The fencing token of the lease.
+        pending: The change that it has decided on and not written yet.
+    """
 
     token: int
     pending: Move | None = None
-    """Decided, and not written yet."""
 
 
 class LogContents(NamedTuple):
-    """The records that hold, in the order of their keys, and the next offset."""
+    """The latest record of each key, in the order of the keys, and the next offset."""
 
     records: tuple[Record, ...]
     next_offset: int
 
 
 class FleetState(Protocol):
-    """What the state of a fleet model has, a NamedTuple."""
+    """Common fields of the states of fleet models, which are NamedTuples."""
 
     @property
     def records(self) -> tuple[Record, ...]:
@@ -56,7 +60,7 @@
 
     @property
     def budget(self) -> Any:
-        """How often each fault may still come, a NamedTuple."""
+        """The remaining number of each fault, a NamedTuple."""
 
     def __hash__(self) -> int: ...
 
@@ -80,7 +84,7 @@
 
 
 def view_of(state: FleetState) -> FleetView:
-    """Return the view of all records, which is shared and not to be changed."""
+    """Return the view of all records. It is cached and shared: callers must not change it."""
     return _view_of(state.records, state.next_offset)
 
 
@@ -100,12 +104,12 @@
 
 
 def with_instance(state: F, index: int, instance: object) -> F:
-    """Return the state with this instance at the index."""
+    """Return the state with the instance at this index replaced."""
     changed: F = state._replace(instances=replaced_at(state.instances, index, instance))
     return changed
 
 
 def with_coordinator(state: F, index: int, coordinator: Coordinator) -> F:
-    """Return the state with this coordinator at the index."""
+    """Return the state with the coordinator at this index replaced."""
     changed: F = state._replace(coordinators=replaced_at(state.coordinators, index, coordinator))
     return changed
--- a/sabledyke/testbed/offset_ranks.py
+++ b/sabledyke/testbed/offset_ranks.py
@@ -1,4 +1,4 @@
-"""Ranks of offsets in a fleet model: only whether two are the same, or which is later, matters."""
+"""Ranks of offsets in a fleet model: only the order of offsets has an effect, not their values."""
 
 from __future__ import annotations
 
@@ -12,14 +12,19 @@
 from sabledyke.testbed.state_updates import ranks
 
 NO_OFFSET = 0
-"""Offset of a key that holds nothing."""
+"""Offset of a key without a record."""
 
 
 class OffsetRanks:
-    """Puts ranks in place of the offsets that a state mentions."""
+    """Replaces the offsets in a state by their ranks."""
 
     def __init__(self, state: FleetState, other_offsets: Iterable[int] = ()) -> None:
-        """Rank the offsets of the log and of all pending moves, and those that instances remember."""
+        """Rank the offsets of the log, of all pending changes, and of others.
+
+        Args:
+            state: State of the fleet.
+            other_offsets: Offsets that the instances store outside their pending changes.
+        """
         offsets = {NO_OFFSET, state.next_offset, *other_offsets}
         for record in mentioned_records(state):
             offsets.update(_record_offsets(record))
@@ -29,11 +34,11 @@
         self.offsets = ranks(offsets)
 
     def record(self, record: Record) -> Record:
-        """Return the record with ranks."""
+        """Return the record with ranks as offsets."""
         return replace(record, **self.ranked_fields(record))
 
     def ranked_fields(self, record: Record) -> dict[str, Any]:
-        """Return the fields of a record that ranks stand in."""
+        """Return the fields of a record that contain offsets, with ranks in their place."""
         fields: dict[str, Any] = {"offset": self.offsets[record.offset]}
         if isinstance(record, Drain):
             fields["begun_offset"] = self.offsets[record.begun_offset]
@@ -42,7 +47,7 @@
         return fields
 
     def move(self, move: Move | None) -> Move | None:
-        """Return the move with ranks."""
+        """Return the change with ranks as offsets."""
         if move is None:
             return None
         return replace(
@@ -53,7 +58,7 @@
         )
 
     def state(self, state: F, instances: tuple[object, ...]) -> F:
-        """Return the state with ranks, and with these instances, which have ranks already."""
+        """Return the state with ranks as offsets, and with these instances, which contain ranks already."""
         ranked: F = state._replace(
             records=tuple(self.record(record) for record in state.records),
             next_offset=self.offsets[state.next_offset],
@@ -67,7 +72,7 @@
 
 
 def mentioned_records(state: FleetState) -> Iterator[Record]:
-    """Return the records of the log and of all pending moves."""
+    """Return the records of the log and of all pending changes."""
     yield from state.records
     for move in _pending_moves(state):
         yield from move.records
--- a/sabledyke/testbed/parallel_search.py
+++ b/sabledyke/testbed/parallel_search.py
@@ -1,7 +1,7 @@
-"""An explicit-state search on all cores: the layers of a breadth-first search, each spread over processes.
+"""An explicit-state search on all cores: each layer of a breadth-first search is distributed over processes.
 
-It keeps a fingerprint of 16 bytes and the number of a predecessor for each state. Two states with the same
-fingerprint (chance below 1e-24 at 10 million states) would be taken for one.
+The search stores a fingerprint of 16 bytes and the number of a predecessor for each state. It would treat two
+states with the same fingerprint as one; the probability is below 1e-24 at 10 million states.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 S = TypeVar("S", bound=Hashable)
 CHUNK_STATES = 200
-"""States that a process expands at once."""
+"""Number of states in one task of a process."""
 FINGERPRINT_BYTES = 16
 NO_PREDECESSOR = -1
 
@@ -30,8 +30,8 @@
     pickled: bytes
 
 
-class _Discovery(NamedTuple):
-    """A state that a process came upon; others may have found it before."""
+class _FoundState(NamedTuple):
+    """A state that a process has found, and that the search may have found before."""
 
     predecessor: int
     fingerprint: bytes
@@ -40,19 +40,19 @@
 
 
 class _Expansion(NamedTuple):
-    """What follows the states of one chunk."""
+    """The successors of the states of one chunk."""
 
-    discoveries: list[_Discovery]
+    found_states: list[_FoundState]
     transition_count: int
 
 
 def explore_parallel(model: StateModel[S], max_states: int) -> SearchResult[S]:
-    """Explore a model on all cores, layer by layer, so that a trace is as short as that of ``explore``."""
+    """Explore a model on all cores, layer by layer, so that a trace is as short as one of ``explore``."""
     return _ParallelSearch(model, max_states).run()
 
 
 def fingerprint(state: Hashable) -> bytes:
-    """Return a digest of the state's text, which says all of it."""
+    """Return a digest of the state's ``repr``, which contains every field of the state."""
     return blake2b(repr(state).encode(), digest_size=FINGERPRINT_BYTES).digest()
 
 
@@ -87,11 +87,11 @@
         return self._result(is_complete=True)
 
     def _collect(self, expansions: Iterable[_Expansion]) -> SearchResult[S] | None:
-        """Take in what the processes found; return a result where the search ends there."""
+        """Add the states that the processes found; return a result if the search ends, otherwise None."""
         for expansion in expansions:
             self._transition_count += expansion.transition_count
-            for predecessor, print_, pickled, violation in expansion.discoveries:
-                if not self._add(predecessor, print_, pickled):
+            for predecessor, digest, pickled, violation in expansion.found_states:
+                if not self._add(predecessor, digest, pickled):
                     continue
                 if violation:
                     return self._result(is_complete=False, violation=violation, trace=self._trace())
@@ -99,13 +99,13 @@
                     return self._result(is_complete=False)
         return None
 
-    def _add(self, predecessor: int, print_: bytes, pickled: bytes) -> bool:
-        """Queue a state for the next layer; return whether it is new."""
-        if print_ in self._seen:
+    def _add(self, predecessor: int, digest: bytes, pickled: bytes) -> bool:
+        """Add a state to the next layer if it is new, and return whether it is."""
+        if digest in self._seen:
             return False
-        self._seen.add(print_)
+        self._seen.add(digest)
         self._next_layer.append(_PackedState(len(self._fingerprints), pickled))
-        self._fingerprints.append(print_)
+        self._fingerprints.append(digest)
         self._predecessors.append(predecessor)
         return True
 
@@ -115,27 +115,27 @@
         return SearchResult(len(self._fingerprints), self._transition_count, is_complete, violation, trace)
 
     def _trace(self) -> tuple[Transition[S], ...]:
-        """Return the path to the newest state, by following its fingerprints through the model again."""
+        """Return the path to the newest state, by replaying the model along the path's fingerprints."""
         first, *others = self._path()
         state = next(state for state in self._model.initial_states if fingerprint(state) == first)
         trace = [Transition(INITIAL_ACTION, state)]
-        for print_ in others:
+        for digest in others:
             successors = self._model.successors(trace[-1].successor)
-            trace.append(next(step for step in successors if fingerprint(step.successor) == print_))
+            trace.append(next(step for step in successors if fingerprint(step.successor) == digest))
         return tuple(trace)
 
     def _path(self) -> list[bytes]:
         """Return the fingerprints of the states on the path to the newest one."""
-        backwards: list[bytes] = []
+        reversed_path: list[bytes] = []
         number = len(self._fingerprints) - 1
         while number != NO_PREDECESSOR:
-            backwards.append(self._fingerprints[number])
+            reversed_path.append(self._fingerprints[number])
             number = self._predecessors[number]
-        return backwards[::-1]
+        return reversed_path[::-1]
 
 
 _worker_model: StateModel[Any]
-"""The model that a process of the pool expands states of."""
+"""The model whose states a process of the pool expands."""
 
 
 def _set_worker_model(model: StateModel[Any]) -> None:
@@ -144,17 +144,17 @@
 
 
 def _expand(chunk: list[_PackedState]) -> _Expansion:
-    """Return what follows these states, each successor once. Runs in a process of the pool."""
-    discoveries: list[_Discovery] = []
-    known: set[bytes] = set()
+    """Return the successors of these states, each once. Runs in a process of the pool."""
+    found_states: list[_FoundState] = []
+    found_digests: set[bytes] = set()
     transition_count = 0
     for number, pickled in chunk:
         for _, successor in _worker_model.successors(pickle.loads(pickled)):
             transition_count += 1
-            print_ = fingerprint(successor)
-            if print_ in known:
+            digest = fingerprint(successor)
+            if digest in found_digests:
                 continue
-            known.add(print_)
+            found_digests.add(digest)
             violation = _worker_model.violation(successor)
-            discoveries.append(_Discovery(number, print_, pickle.dumps(successor), violation))
-    return _Expansion(discoveries, transition_count)
+            found_states.append(_FoundState(number, digest, pickle.dumps(successor), violation))
+    return _Expansion(found_states, transition_count)
--- a/sabledyke/testbed/quota_model.py
+++ b/sabledyke/testbed/quota_model.py
@@ -1,10 +1,12 @@
-"""Quota sharing in virtual time: members, their registers, and random faults between them.
+"""Simulation of quota sharing in virtual time: members, their registers, and random faults.
 
-The members are ``quota_sharing.allocation`` itself. Polls and writes take time; a write takes effect at any
-moment until its answer, or long after its timeout, or never, but only over the publication that it replaces;
-answers get lost; members are paused, or die and come back as new incarnations; clocks run fast or slow within
-the bound. Demands jump. What must hold at every moment: what all processes together take of a volume beyond
-their floors is at most all of it. Deterministic from its seed; no clock, socket or file.
+The simulation runs the code of ``quota_sharing.allocation`` itself. Polls and writes take time. A write takes
+effect at any time before its answer, long after its timeout, or never, and only if its register still has
+the publication that it replaces. Answers may be lost. Members may be paused, or crash and restart as new
+incarnations. Clocks run fast or slow within the bound on clock drift. Demands change suddenly.
+
+Invariant: at any time, the shares of a volume that all processes together take beyond their floors are at
+most the whole volume. A run depends only on its seed, and uses no clock, socket or file.
 """
 
 from __future__ import annotations
@@ -32,7 +34,7 @@
 MAX_FIRST_FAULT_MS = 4000
 MEAN_FAULT_INTERVAL_MS = 12_000.0
 PAUSE_PROBABILITY = 0.5
-"""Else a fault is a death."""
+"""Probability that a fault is a pause; any other fault is a crash."""
 PAUSES_MS = (300.0, 1500.0, 2600.0, 5000.0)
 RESTARTS_MS = (50.0, 300.0, 3000.0)
 
@@ -43,7 +45,7 @@
 SLOW_POLL_MS = 150.0
 VERY_SLOW_POLL_MS = 500.0
 SLOW_POLL_PROBABILITY = 0.9
-"""Else the slowest polls are very slow."""
+"""Probability that the slowest poll time is ``SLOW_POLL_MS``, and not ``VERY_SLOW_POLL_MS``."""
 POLLS_PER_MAX_GAP = 3
 
 WRITE_TIMES_MS = (1.0, 5.0, 60.0)
@@ -51,19 +53,19 @@
 WRITE_TIMEOUT_MS = 1000.0
 ANSWERED_PROBABILITY = 0.8
 APPLIED_PROBABILITY = 0.95
-"""Of a write that it is answered, or takes effect without an answer."""
+"""Cumulative probability that a write is answered, or takes effect without an answer."""
 
 
 @dataclass(slots=True, frozen=True)
 class SimulationResult:
-    """The sum of the shares of all members beyond their floors, of 1: its maximum and its mean."""
+    """Maximum and mean of the sum of all members' shares beyond their floors, as a fraction of the volume."""
 
     max_share_sum: float
     mean_share_sum: float
 
 
 class QuotaSimulation:
-    """One run of a fleet that shares the limit of one volume."""
+    """One simulation run of a fleet that shares the limit of one volume."""
 
     def __init__(
         self,
@@ -75,10 +77,10 @@
         """Prepare a run.
 
         Args:
-            seed: Seed of all that is random.
-            member_count: Members of the fleet.
-            safeguards: What the members keep to.
-            fault_rate: How often faults come, relative to ``MEAN_FAULT_INTERVAL_MS``.
+            seed: Seed of the random numbers.
+            member_count: Number of members of the fleet.
+            safeguards: Safeguards of the protocol that are in force.
+            fault_rate: Frequency of faults, relative to one per ``MEAN_FAULT_INTERVAL_MS``.
         """
         self._random = Random(seed)
         self._safeguards = safeguards
@@ -104,7 +106,7 @@
             self._events.schedule(first_fault_ms, partial(self._inject_fault, member))
 
     def run(self, duration_ms: float) -> SimulationResult:
-        """Run for so long, and sample the sum of all shares at regular times."""
+        """Run for this duration, and sample the sum of all shares at regular intervals."""
         samples: list[float] = []
         sample_at_ms = 0.0
         while sample_at_ms < duration_ms:
@@ -128,13 +130,13 @@
     def _clock_ms(self, member: Member) -> float:
         return self._events.now_ms * member.clock_rate
 
-    def _run_awake(self, member: Member, incarnation: int, action: Action) -> None:
-        """Run an action of an incarnation at the end of its pause, and not at all once it has died."""
+    def _run_when_resumed(self, member: Member, incarnation: int, action: Action) -> None:
+        """Run an action of an incarnation, at the end of its pause if any; drop it if it has crashed."""
         if member.incarnation != incarnation:
             return
         if self._events.now_ms < member.paused_until_ms:
             remaining_ms = member.paused_until_ms - self._events.now_ms
-            self._events.schedule(remaining_ms, partial(self._run_awake, member, incarnation, action))
+            self._events.schedule(remaining_ms, partial(self._run_when_resumed, member, incarnation, action))
             return
         action()
 
@@ -144,7 +146,7 @@
         self._events.schedule(delay_ms, partial(self._change_demand, member))
 
     def _inject_fault(self, member: Member) -> None:
-        """Pause the member for a while, or have it die and come back."""
+        """Pause the member, or crash it and schedule its restart."""
         if self._random.random() < PAUSE_PROBABILITY:
             member.paused_until_ms = self._events.now_ms + self._random.choice(PAUSES_MS)
         else:
@@ -160,27 +162,30 @@
         if member.incarnation != incarnation:
             return
         register = self._registers[member.name]
-        register.incarnation = incarnation  # nothing of a former incarnation is written any more
+        # The register rejects later writes of former incarnations.
+        register.incarnation = incarnation
         member.allocator = self._new_allocator()
         member.is_up = True
         member.known_number = 0
         member.known_at_ms = self._clock_ms(member)
         member.last_number = register.number
-        self._run_awake(member, incarnation, partial(self._begin_poll, member))
+        self._run_when_resumed(member, incarnation, partial(self._begin_poll, member))
 
     def _schedule_poll(self, member: Member, delay_ms: float) -> None:
         poll = partial(self._begin_poll, member)
-        self._events.schedule(delay_ms, partial(self._run_awake, member, member.incarnation, poll))
+        self._events.schedule(delay_ms, partial(self._run_when_resumed, member, member.incarnation, poll))
 
     def _begin_poll(self, member: Member) -> None:
-        """Read all registers, each at some moment of the poll."""
+        """Read all registers, each at a random time during the poll."""
         slow_ms = SLOW_POLL_MS if self._random.random() < SLOW_POLL_PROBABILITY else VERY_SLOW_POLL_MS
         duration_ms = self._random.choice((*POLL_TIMES_MS, slow_ms))
         found: dict[str, tuple[int, Demands]] = {}
         for name in self._registers:
             self._events.schedule(self._random.random() * duration_ms, partial(self._read, name, found))
         finish = partial(self._finish_poll, member, self._clock_ms(member), found)
-        self._events.schedule(duration_ms, partial(self._run_awake, member, member.incarnation, finish))
+        self._events.schedule(
+            duration_ms, partial(self._run_when_resumed, member, member.incarnation, finish)
+        )
 
     def _read(self, name: str, found: dict[str, tuple[int, Demands]]) -> None:
         register = self._registers[name]
@@ -189,7 +194,7 @@
     def _finish_poll(
         self, member: Member, started_at_ms: float, found: dict[str, tuple[int, Demands]]
     ) -> None:
-        """Pass on what was read, and write once it is time."""
+        """Pass the registers that were read to the allocator, and publish the demand if it is due."""
         now_ms = self._clock_ms(member)
         own_number, _ = found.pop(member.name)
         if own_number >= member.known_number and own_number:
@@ -208,13 +213,13 @@
         demands = {VOLUME: member.demand}
         write = Write(member, member.incarnation, member.last_number, demands, member.known_number)
         member.allocator.on_publishing(write.number, demands, self._clock_ms(member), write.replaces)
-        fate = self._random.random()
+        draw = self._random.random()
         duration_ms = self._random.choice(WRITE_TIMES_MS)
-        if fate < ANSWERED_PROBABILITY:
+        if draw < ANSWERED_PROBABILITY:
             self._events.schedule(duration_ms * self._random.random(), partial(self._apply, write))
             self._events.schedule(duration_ms, partial(self._answer, write))
             return
-        if fate < APPLIED_PROBABILITY:
+        if draw < APPLIED_PROBABILITY:
             delay_ms = self._random.choice((duration_ms, *LATE_WRITES_MS))
             self._events.schedule(delay_ms, partial(self._apply, write))
         self._events.schedule(WRITE_TIMEOUT_MS, partial(self._time_out, write))
--- a/sabledyke/testbed/state_search.py
+++ b/sabledyke/testbed/state_search.py
@@ -1,8 +1,8 @@
 """An explicit-state search: visits every reachable state of a model once, in breadth-first order.
 
-It gets the model's initial states, its successor function and its invariants, and knows nothing of what is
-modelled. ``explore`` keeps every state in memory, with its predecessor and the action between them;
-``parallel_search`` does the same on all cores and keeps fingerprints only.
+The search takes a model's initial states, its successor function and its invariants, and does not depend on
+the modelled system. ``explore`` stores every state in memory, with its predecessor and the action between
+them; ``parallel_search`` runs the same search on all cores and stores only fingerprints of states.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 S = TypeVar("S", bound=Hashable)
 
 INITIAL_ACTION = "start"
-"""``Transition.action`` of the initial state that a trace begins with."""
+"""``Transition.action`` of the initial state at the start of a trace."""
 
 
 class Transition(NamedTuple, Generic[S]):
-    """A named action, and the state that it leads to."""
+    """A named action and the state to which it leads."""
 
     action: str
     successor: S
@@ -27,12 +27,14 @@
 
 @dataclass(slots=True, frozen=True)
 class StateModel(Generic[S]):
-    """What is explored. ``parallel_search`` pickles it: its functions are a module's, or partials of those.
+    """The model that a search explores.
+
+    ``parallel_search`` pickles it, so its functions must be module-level functions or partials of those.
 
     Attributes:
-        initial_states: Where the search begins.
+        initial_states: The states from which the search starts.
         successors: Returns the transitions that a state allows.
-        violation: Returns which invariant a state violates, "" for none.
+        violation: Returns the invariant that a state violates, "" for none.
     """
 
     initial_states: tuple[S, ...]
@@ -42,12 +44,12 @@
 
 @dataclass(slots=True, frozen=True)
 class SearchResult(Generic[S]):
-    """How a search ended: complete, at its bound, or at a state that violates an invariant.
+    """Result of a search, which ends complete, at its bound, or at a state that violates an invariant.
 
     Attributes:
-        state_count: States that were found.
-        transition_count: Transitions that were followed.
-        is_complete: All reachable states were visited, and none violates an invariant.
+        state_count: Number of states that were found.
+        transition_count: Number of transitions that were followed.
+        is_complete: True if all reachable states were visited and none violates an invariant.
         violation: The violated invariant, "" for none.
         trace: A shortest path to the violation.
     """
@@ -60,7 +62,7 @@
 
 
 def explore(model: StateModel[S], max_states: int) -> SearchResult[S]:
-    """Explore a model in this process, breadth first, so that no trace is shorter than the one returned."""
+    """Explore a model in this process, breadth first, so that the returned trace is a shortest one."""
     return _Search(model, max_states).run()
 
 
@@ -90,7 +92,7 @@
         return self._result(is_complete=True)
 
     def _expand(self, state: S) -> SearchResult[S] | None:
-        """Follow the transitions of a state; return a result where the search ends there."""
+        """Follow the transitions of a state; return a result if the search ends there, otherwise None."""
         for action, successor in self._model.successors(state):
             self._transition_count += 1
             if successor in self._predecessors:
@@ -113,10 +115,10 @@
         return SearchResult(len(self._predecessors), self._transition_count, is_complete, violation, trace)
 
     def _trace_to(self, last: S) -> tuple[Transition[S], ...]:
-        backwards: list[Transition[S]] = []
+        reversed_trace: list[Transition[S]] = []
         state: S | None = last
         while state is not None:
             predecessor, action = self._predecessors[state]
-            backwards.append(Transition(action, state))
+            reversed_trace.append(Transition(action, state))
             state = predecessor
-        return tuple(reversed(backwards))
+        return tuple(reversed(reversed_trace))
--- a/sabledyke/testbed/state_updates.py
+++ b/sabledyke/testbed/state_updates.py
@@ -1,4 +1,4 @@
-"""Small steps by which models derive a state from another one, and keep the number of states finite."""
+"""Helpers with which the models derive one state from another and keep the number of states finite."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class BudgetedState(Protocol):
-    """A state, a NamedTuple, that says how often each fault may still come."""
+    """A state, a NamedTuple, with a budget of faults."""
 
     @property
     def budget(self) -> Any:
-        """A NamedTuple of counts by the fault's name."""
+        """The remaining number of each fault, a NamedTuple with one field per fault."""
 
     def _replace(self, *args: Any, **kwargs: Any) -> Any: ...
 
@@ -22,7 +22,7 @@
 
 
 def spend(state: B, fault: str) -> B:
-    """Return the state with this fault to come once less."""
+    """Return the state with the remaining number of a fault reduced by one."""
     budget = state.budget
     budget = budget._replace(**{fault: getattr(budget, fault) - 1})
     spent: B = state._replace(budget=budget)
@@ -30,10 +30,10 @@
 
 
 def replaced_at(items: tuple[T, ...], index: int, item: T) -> tuple[T, ...]:
-    """Return the items with another one at this index."""
+    """Return the items with the one at this index replaced."""
     return (*items[:index], item, *items[index + 1 :])
 
 
 def ranks(numbers: AbstractSet[int], first: int = 0) -> dict[int, int]:
-    """Return the rank of each number, where only the order of the numbers matters."""
+    """Return the rank of each number in ascending order, starting at ``first``."""
     return {number: rank for rank, number in enumerate(sorted(numbers), first)}
--- a/sabledyke/testbed/ticket_model/__init__.py
+++ b/sabledyke/testbed/ticket_model/__init__.py
@@ -1,12 +1,13 @@
-"""Tickets as a model: every order in which coordinators, members, an operator and the log can meet.
+"""Model of tickets, checked for every order of steps of coordinators, members, an operator and the log.
 
-Coordinators and members are ``rollout.planner`` and ``rollout.participant`` themselves. Each reads, decides,
-and writes later, with anything in between: the log's conditions are all that keeps them apart. A second
-coordinator may take over at any time while the first one is paused or goes on; members die without notice,
-and are noticed late; an operator halts the plan, or rolls it back. Budgets bound the faults, which makes the
-states finite; offsets are kept by rank.
+The model runs the code of ``rollout.planner`` and ``rollout.participant`` itself. Each process reads, decides
+and writes in separate steps, and any other step may happen between them: only the conditions that the log
+checks at a write protect against conflicts. A second coordinator may start at any time while the first one
+is paused or still runs. Members may crash at any time, and their crashes may be detected late. An operator
+may halt the plan or roll it back. A budget limits the faults, so that the number of states is finite; offsets
+are replaced by their ranks.
 
-What must hold, at every write: a member goes out under a plan that runs, with fewer than the budget out by a
-ticket; a ticket is granted only while all that the log knows to be out leaves capacity for it; and the plan
-never stays under way with nothing that could happen.
+Invariants, checked at every write: a member goes out of service only under an active plan, with fewer members
+than the disruption budget out of service by ticket; a ticket is granted only if the members that the log
+records as out of service leave capacity for it. An active plan always has a possible next transition.
 """
--- a/sabledyke/testbed/ticket_model/canonical.py
+++ b/sabledyke/testbed/ticket_model/canonical.py
@@ -1,4 +1,4 @@
-"""The canonical form of a state of the ticket model: offsets, incarnations and request numbers by rank."""
+"""The canonical form of a ticket model state: ranks replace offsets, incarnations and request numbers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def canonical(state: TicketState) -> TicketState:
-    """Return the state that stands for all in which the same numbers are equal, or later than others."""
+    """Return the state that represents all states in which these numbers have the same order."""
     state_ranks = _TicketRanks(state)
     instances = tuple(
         state_ranks.instance(f"n{index}", instance) for index, instance in enumerate(state.instances)
@@ -47,7 +47,7 @@
         return fields
 
     def instance(self, name: str, instance: Instance) -> Instance:
-        """Return the instance with ranks."""
+        """Return the instance with ranks in place of its numbers."""
         request_numbers = self._request_numbers[name]
         return instance._replace(
             incarnation=self._incarnations[name][instance.incarnation],
--- a/sabledyke/testbed/ticket_model/checker.py
+++ b/sabledyke/testbed/ticket_model/checker.py
@@ -1,4 +1,4 @@
-"""The check of the ticket model: the search for a violation."""
+"""The check of the ticket model: the search for a violated invariant."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
     safeguards: Safeguards = ALL_SAFEGUARDS,
     max_states: int = MAX_STATES,
 ) -> SearchResult[TicketState]:
-    """Explore all reachable states of a fleet that is restarted by a plan.
+    """Explore all reachable states of a fleet whose members a plan restarts.
 
     Args:
-        member_count: Members of the fleet.
-        max_out: Members that the plan lets be out at once.
-        budget: Faults that may come.
-        safeguards: What the protocol keeps to.
-        max_states: Bound of the search.
+        member_count: Number of members of the fleet.
+        max_out: Number of members that the plan allows to be out of service at the same time.
+        budget: Faults that may occur.
+        safeguards: Safeguards of the protocol that are in force.
+        max_states: Number of states at which the search stops.
     """
     start = initial_state(member_count, max_out, budget)
     return explore(StateModel((start,), partial(successors, safeguards), violation), max_states)
 
 
 def violation(state: TicketState) -> str:
-    """Return which invariant the last write violated, "" for none."""
+    """Return the invariant that the last write violated, "" for none."""
     return state.violation
--- a/sabledyke/testbed/ticket_model/member_transitions.py
+++ b/sabledyke/testbed/ticket_model/member_transitions.py
@@ -1,4 +1,4 @@
-"""Transitions of one member of the ticket model: it requests and uses tickets, dies, and comes back."""
+"""Transitions of one member of the ticket model: requests and uses of tickets, crashes and restarts."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 REQUEST_VALIDITY_MS = 1.0
 REQUESTED_AT_MS = 0.0
 EXPIRED_AT_MS = 9.0
-"""When a request made at ``REQUESTED_AT_MS`` is too old."""
+"""A time at which a request made at ``REQUESTED_AT_MS`` has expired."""
 
 
 def member_transitions(
     safeguards: Safeguards, state: TicketState, index: int, view: FleetView
 ) -> Transitions:
-    """Return what a member can do."""
+    """Return the transitions of a member."""
     name = f"n{index}"
     instance = state.instances[index]
     if not instance.is_up:
@@ -34,7 +34,7 @@
         return
     if state.budget.deaths:
         died = with_instance(spend(state, "deaths"), index, instance._replace(is_up=False, pending=None))
-        yield Transition(f"{name} dies", died)
+        yield Transition(f"{name} crashes", died)
     if instance.pending is not None:
         action = f"{name} writes: {instance.pending.description}"
         yield Transition(action, _write(safeguards, state, index, instance.pending, view))
@@ -47,17 +47,17 @@
 def _transitions_while_down(state: TicketState, index: int, view: FleetView) -> Transitions:
     name = f"n{index}"
     instance = state.instances[index]
-    reborn = Instance(instance.incarnation + 1)
-    ready = Member(name, reborn.incarnation, state=MemberState.READY)
-    yield Transition(f"{name} is back", with_append(with_instance(state, index, reborn), (ready,)))
-    known = view.members[name]
-    if known.state is MemberState.READY and known.incarnation == instance.incarnation:
-        silent = replace(known, state=MemberState.SILENT)
-        yield Transition(f"{name} is noticed to be out", with_append(state, (silent,)))
+    restarted = Instance(instance.incarnation + 1)
+    ready = Member(name, restarted.incarnation, state=MemberState.READY)
+    yield Transition(f"{name} restarts", with_append(with_instance(state, index, restarted), (ready,)))
+    registered = view.members[name]
+    if registered.state is MemberState.READY and registered.incarnation == instance.incarnation:
+        unresponsive = replace(registered, state=MemberState.SILENT)
+        yield Transition(f"{name} is recorded as unresponsive", with_append(state, (unresponsive,)))
 
 
 def _decisions(state: TicketState, index: int, view: FleetView, now_ms: float) -> Transitions:
-    """Return what the member decides at this time on its clock."""
+    """Return the decision of the member at this time of its clock, if any."""
     name = f"n{index}"
     instance = state.instances[index]
     participant = _participant(name, instance)
@@ -73,7 +73,7 @@
     if move.expected_offsets:
         yield Transition(f"{name} decides: {move.description}", with_instance(state, index, decided))
         return
-    # A request has no conditions: when it is written makes no difference.
+    # A ticket request has no write conditions, so that the time of its write makes no difference.
     requested = with_instance(state, index, decided._replace(pending=None))
     yield Transition(f"{name} {move.description}", with_append(requested, move.records))
 
@@ -97,17 +97,17 @@
     if is_stale and safeguards.checks_expected_offsets:
         return with_instance(state, index, instance)
     if move.description == GOES_OUT:
-        violation = _violation_of_going_out(state, index, view)
+        violation = _departure_violation(state, index, view)
         instance = instance._replace(is_up=False, is_out_by_ticket=True)
         state = state._replace(violation=violation)
     return with_append(with_instance(state, index, instance), move.records, move.deleted_keys)
 
 
-def _violation_of_going_out(state: TicketState, index: int, view: FleetView) -> str:
+def _departure_violation(state: TicketState, index: int, view: FleetView) -> str:
     plan = view.plans[PLAN_NAME]
     out_by_ticket = sum(instance.is_out_by_ticket for instance in state.instances) + 1
     if out_by_ticket > plan.max_out:
-        return f"{out_by_ticket} are out by a ticket"
+        return f"{out_by_ticket} are out of service by ticket, more than the plan allows"
     if plan.stage not in ACTIVE_STAGES:
         return f"n{index} goes out while the plan is {plan.stage.value}"
     return ""
--- a/sabledyke/testbed/ticket_model/state.py
+++ b/sabledyke/testbed/ticket_model/state.py
@@ -15,14 +15,14 @@
 
 
 class FaultBudget(NamedTuple):
-    """How often each fault may still come.
+    """Remaining number of times that each fault may occur.
 
     Attributes:
-        deaths: Members that die without notice.
-        takeovers: Coordinators that start while another one may go on.
-        halts: Times that an operator halts the plan, or rolls it back.
-        expired_requests: Times that a member finds its request too old.
-        turn_timeouts: Times that a coordinator has waited long enough for the members whose turn it is.
+        deaths: Crashes of members.
+        takeovers: Starts of a coordinator while another one may still run.
+        halts: Halts and rollbacks of the plan by an operator.
+        expired_requests: Expiries of a member's ticket request.
+        turn_timeouts: Timeouts of a coordinator's wait for the members whose turn it is.
     """
 
     deaths: int = 0
@@ -34,13 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Safeguards:
-    """What the log and the planner check; each may be left out, to show that it is needed.
+    """Checks of the log and the planner; a test may turn each off to show that it is needed.
 
     Attributes:
-        checks_token: A writer under an older token is rejected.
-        checks_end: A coordinator's move needs the end of the log as it was read.
-        checks_expected_offsets: A member's move needs its ticket, plan and epoch as they were read.
-        counts_unplanned: A member that is out without a ticket counts.
+        checks_token: The log rejects a writer under an older token.
+        checks_end: The log rejects a coordinator's change if its end has moved since the coordinator's read.
+        checks_expected_offsets: The log rejects a member's change if the ticket, plan or epoch has changed
+            since the member read it.
+        counts_unplanned: The planner counts members that are out of service without a ticket.
     """
 
     checks_token: bool = True
@@ -53,12 +54,12 @@
     """A member's process.
 
     Attributes:
-        incarnation: Its incarnation.
-        is_up: It runs.
-        is_out_by_ticket: It is down because it used its ticket.
-        request_number: Number of the request that waits for its answer, or ``NO_REQUEST``.
+        incarnation: Number of its incarnation.
+        is_up: True while it runs.
+        is_out_by_ticket: True while it is out of service because it used its ticket.
+        request_number: Number of the unanswered request, or ``NO_REQUEST``.
         last_request_number: Number of the last request of this incarnation, or ``NO_REQUEST``.
-        pending: A move that it decided on and has not written yet.
+        pending: The change that it has decided on and not written yet.
     """
 
     incarnation: int = 1
@@ -78,8 +79,8 @@
         highest_token: The highest token under which a coordinator has written.
         instances: The members' processes.
         coordinators: The coordinators.
-        budget: Faults that may still come.
-        violation: What did not hold at the last write, "" for nothing.
+        budget: Faults that may still occur.
+        violation: The invariant that the last write violated, "" for none.
     """
 
     records: tuple[Record, ...]
@@ -92,7 +93,7 @@
 
 
 def initial_state(member_count: int, max_out: int, budget: FaultBudget) -> TicketState:
-    """Return a fleet at rest, and a plan to restart all of it."""
+    """Return a fleet whose members are all ready, and a plan to restart all of them."""
     members = tuple(
         Member(f"n{i}", 1, state=MemberState.READY, offset=offset)
         for i, offset in enumerate(range(1, member_count + 1))
--- a/sabledyke/testbed/ticket_model/transitions.py
+++ b/sabledyke/testbed/ticket_model/transitions.py
@@ -1,4 +1,4 @@
-"""Transitions of the ticket model: of coordinators and an operator."""
+"""Transitions of the ticket model: coordinators and an operator."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from sabledyke.testbed.fleet_transitions import (
     PLAN_NAME,
     TIMEOUTS,
-    accepts,
+    log_accepts,
     operator_transitions,
     takeover_transitions,
+    with_change_written,
     with_decision,
     without_decision,
-    written,
 )
 from sabledyke.testbed.model_log import view_of
 from sabledyke.testbed.state_search import Transition
@@ -32,23 +32,23 @@
 TURN_PREFIX = "turn/"
 
 
-class _TurnsTimedOut(ChangeTracker):
-    """Turns have stood still for ever, and all else has just changed."""
+class _ExpiredTurnTracker(ChangeTracker):
+    """Reports turns as unchanged for an infinite time, and all other values as just changed."""
 
     def unchanged_ms(self, _now_ms: float, name: str) -> float:
         return inf if name.startswith(TURN_PREFIX) else 0.0
 
 
 def successors(safeguards: Safeguards, state: TicketState) -> Transitions:
-    """Return what can happen next; a plan that is under way with nothing to happen is a violation."""
+    """Return the transitions that a state allows; it is a violation if an active plan has none."""
     is_stuck = True
     for action, successor in _transitions(safeguards, state):
         is_stuck = False
         yield Transition(action, canonical(successor))
     stage = view_of(state).plans[PLAN_NAME].stage
     if is_stuck and stage in ACTIVE_STAGES:
-        stuck = state._replace(violation=f"the plan stays {stage.value} for good")
-        yield Transition("nobody can do anything", stuck)
+        stuck = state._replace(violation=f"the plan stays {stage.value} permanently")
+        yield Transition("no transition is possible", stuck)
 
 
 def _transitions(safeguards: Safeguards, state: TicketState) -> Transitions:
@@ -70,17 +70,17 @@
         action = f"{name} writes: {coordinator.pending.description}"
         yield Transition(action, _write(safeguards, state, index, coordinator.pending))
         return
-    known = view if safeguards.counts_unplanned else _with_all_ready(view)
-    move = planner.decide(known, name, coordinator.token, 0.0, ChangeTracker(), TIMEOUTS)
+    observed_view = view if safeguards.counts_unplanned else _with_all_ready(view)
+    move = planner.decide(observed_view, name, coordinator.token, 0.0, ChangeTracker(), TIMEOUTS)
     if move is not None:
         yield Transition(f"{name} decides: {move.description}", with_decision(state, index, move))
         return
     if not state.budget.turn_timeouts:
         return
-    move = planner.decide(known, name, coordinator.token, 0.0, _TurnsTimedOut(), TIMEOUTS)
+    move = planner.decide(observed_view, name, coordinator.token, 0.0, _ExpiredTurnTracker(), TIMEOUTS)
     if move is not None:
         decided = with_decision(spend(state, "turn_timeouts"), index, move)
-        yield Transition(f"{name} has waited: {move.description}", decided)
+        yield Transition(f"{name} decides after a turn timeout: {move.description}", decided)
 
 
 def _with_all_ready(view: FleetView) -> FleetView:
@@ -91,7 +91,7 @@
 def _write(safeguards: Safeguards, state: TicketState, index: int, move: Move) -> TicketState:
     coordinator = state.coordinators[index]
     state = without_decision(state, index)
-    is_accepted = accepts(
+    is_accepted = log_accepts(
         state,
         coordinator,
         move,
@@ -100,7 +100,7 @@
     )
     if not is_accepted:
         return state
-    state = written(state, coordinator, move)
+    state = with_change_written(state, coordinator, move)
     if not any(isinstance(record, Ticket) for record in move.records):
         return state
     view = view_of(state)
--- a/sabledyke/testbed/virtual_time.py
+++ b/sabledyke/testbed/virtual_time.py
@@ -1,4 +1,4 @@
-"""Events in virtual time: a simulation schedules actions, and runs them in the order of their times."""
+"""Events in virtual time: a simulation schedules actions and runs them in the order of their times."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EventQueue:
-    """A clock that moves from event to event; those of one time run in the order they were scheduled in."""
+    """A clock that advances from event to event; events of one time run in the order of their scheduling."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
@@ -18,11 +18,11 @@
         self._numbers = count()
 
     def schedule(self, delay_ms: float, action: Action) -> None:
-        """Have an action run after this delay."""
+        """Schedule an action to run after this delay."""
         heappush(self._events, (self.now_ms + delay_ms, next(self._numbers), action))
 
     def run_until(self, end_ms: float) -> None:
-        """Run all that is due by then, including what that schedules."""
+        """Run all events that are due by ``end_ms``, including events that these schedule."""
         while self._events and self._events[0][0] <= end_ms:
             self.now_ms, _, action = heappop(self._events)
             action()
