--- a/tests/lease/test_model.py
+++ b/tests/lease/test_model.py
@@ -10,10 +10,10 @@
 from sabledyke.testbed.lease_model import checker
 from sabledyke.testbed.lease_model.state import (
     FAST,
-    GIVING_UP,
-    PAIRS,
+    RELEASE_CONFIGS,
     SLOW,
     TIMES_WITHOUT_DRIFT,
+    TWO_INSTANCE_CONFIGS,
     FaultBudget,
     ModelConfig,
 )
@@ -26,15 +26,17 @@
 
     ``lab check-leases`` explores the other configurations.
     """
-    configs = [config for config in PAIRS if not config.budget.deaths and not config.budget.late]
-    configs += [config for config in GIVING_UP if config.budget == RECALL]
+    configs = [
+        config for config in TWO_INSTANCE_CONFIGS if not config.budget.deaths and not config.budget.late
+    ]
+    configs += [config for config in RELEASE_CONFIGS if config.budget == RECALL]
     with ProcessPoolExecutor() as pool:
         for config, result in zip(configs, pool.map(checker.check, configs), strict=True):
             assert result.is_complete, config
             assert not result.violation, (config, checker.describe(result))
 
 
-@pytest.mark.parametrize("config", GIVING_UP)
+@pytest.mark.parametrize("config", RELEASE_CONFIGS)
 def test_a_release_with_an_operation_in_flight_is_found(
     config: ModelConfig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
