--- a/sabledyke/testbed/model_log.py
+++ b/sabledyke/testbed/model_log.py
@@ -17,7 +17,7 @@
 
 
 class Coordinator(NamedTuple):
-    """A process that holds the coordinator's lease under a token, or has not noticed that it lost the lease."""
+    """A process that holds the coordinator's lease under a token, or has not noticed its loss."""
 
     token: int
     pending: StateChange | None = None
--- a/tests/application/test_shutdown.py
+++ b/tests/application/test_shutdown.py
@@ -67,7 +67,7 @@
     return asyncio.create_task(rig.server.finish())
 
 
-async def send_request(writer: Writer, n: object) -> None:
+async def write_request(writer: Writer, n: object) -> None:
     writer.write(REQUEST.replace("i{}", f"i{n}").encode())
 
 
@@ -109,7 +109,7 @@
         async def client(connection: tuple[Reader, Writer], k: int) -> ServedClient:
             seen = ServedClient()
             for n in range(10_000):
-                await send_request(connection[1], f"{k}-{n}")
+                await write_request(connection[1], f"{k}-{n}")
                 try:
                     first, headers, _ = await read_http(connection[0])
                 except (asyncio.IncompleteReadError, ConnectionError):
@@ -172,7 +172,7 @@
                 if kind == "a byte at a time":
                     writer.write(REQUEST.encode()[k : k + 1])
                 else:
-                    await send_request(writer, f"bad{k}")
+                    await write_request(writer, f"bad{k}")
                 if kind == "sends after the last":
                     first = (await read_http(bad))[0]
                     assert first.split()[1] in ("200", "503")
@@ -180,7 +180,7 @@
 
         other = asyncio.create_task(misbehave())
         while not end.done():
-            await send_request(good[1], f"good{n}")
+            await write_request(good[1], f"good{n}")
             n += 1
             try:
                 first, headers, _ = await read_http(good[0])
@@ -204,7 +204,7 @@
 def test_operator_calls_and_signals_during_a_shutdown(what: str) -> None:
     async def scenario(rig: Rig, lag: LoopLag) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
-        await send_request(writer, 0)
+        await write_request(writer, 0)
         assert (await read_http(reader))[0].split()[1] == "200"
         if what == "quiesced before":
             rig.server.quiesce()
@@ -235,7 +235,7 @@
             assert not rig.server.listeners
         elif what == "resumed meanwhile":
             rig.server.resume()
-        await send_request(writer, 1)
+        await write_request(writer, 1)
         first, headers, _ = await read_http(reader)
         assert first.split()[1] == "200"  # connected clients are served in every case
         assert (headers.get("connection") == "close") >= (what == "quiesced before")
