--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of what parts cost, each a ratio of two things in one run."""
+"""Benchmarks of single components; their main figures are ratios of two measurements within one run."""
--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,12 +1,12 @@
-"""What the compacted log and a release cost.
+"""Benchmark of the compacted log and of releases.
 
-A late reader, compaction, a decision, a member at rest, the time of a release, and what it and the retirement
-of a site cost in service.
+Measures a late reader, compaction, a decision of the coordinator, an idle member, the duration of a release,
+and the effect of a release and of the retirement of a site on service to clients.
 
     python -m benchmarks.agreement [MESSAGES] [SIZE ...]
 
-Ratios are of two things in one run. The etcd is the testbed's stand-in, in this process. Bounded: about six
-minutes with 1,000,000 messages and fleets of 5 and 12.
+Ratios compare two measurements within one run. The etcd is the testbed's stand-in, in this process. A run
+takes about six minutes with 1,000,000 messages and fleets of 5 and 12.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run with the numbers that the command line names."""
+    """Run with the number of messages and the fleet sizes from the command line."""
     numbers = [int(argument) for argument in arguments]
     message_count = numbers[0] if numbers else DEFAULT_MESSAGE_COUNT
     asyncio.run(run(message_count, numbers[1:] or DEFAULT_FLEET_SIZES))
--- a/benchmarks/compacted_log.py
+++ b/benchmarks/compacted_log.py
@@ -1,4 +1,4 @@
-"""What compaction of a log gives a late reader, and what it costs appends beside it."""
+"""Benchmark of compaction: its effect on a late reader and its cost for concurrent appends."""
 
 from __future__ import annotations
 
@@ -30,26 +30,26 @@
 TOPIC = "t"
 OTHER_TOPIC = "other"
 KEY_COUNT = 10_000
-KEY_STRIDE = 7919  # a prime: spreads consecutive messages over the keys
+KEY_STRIDE = 7919  # a prime that spreads consecutive messages over the keys
 VALUE = b"x" * 100
 POLL_MESSAGES = 2000
 BUSY_TIMEOUT_S = 30.0
-LONE_APPENDS = 200
+BASELINE_APPENDS = 200
 POLICY = CompactionPolicy(
     min_lag_messages=1000, tombstone_retention_ms=1e12, min_dirty_ratio=0.5, max_bytes_per_s=1e12
 )
 INSERT = "INSERT INTO board VALUES (?, 1, ?)"
 
 
-class Placed(NamedTuple):
-    """Where the last message of a key is, and how large it is."""
+class MessagePosition(NamedTuple):
+    """Offset and size of the last message of a key."""
 
     offset: int
     size_bytes: int
 
 
 class CompactionResult(NamedTuple):
-    """One compaction with appends beside it."""
+    """Durations of one compaction and of the appends that ran concurrently."""
 
     wall_s: float
     cpu_s: float
@@ -57,7 +57,7 @@
 
 
 async def measure_log(message_count: int) -> None:
-    """Print the times of a late reader before and after compaction, and what compaction costs."""
+    """Print the catch-up time of a late reader before and after compaction, and the cost of compaction."""
     with tempfile.TemporaryDirectory() as folder:
         path = str(Path(folder) / "board.sqlite3")
         backend = SqliteBackend(path, BUSY_TIMEOUT_S)
@@ -67,7 +67,7 @@
         join_s = await measure_join(log)
         other = CompactedLog(SqliteBackend(path, BUSY_TIMEOUT_S))
         writer = await other.claim_writer(OTHER_TOPIC, "w")
-        lone_append_s = [await time_s(append(writer, number)) for number in range(LONE_APPENDS)]
+        baseline_append_s = [await time_s(append(writer, number)) for number in range(BASELINE_APPENDS)]
         size_bytes = (await log.head(TOPIC)).size_bytes
         compaction = await measure_compaction(log, writer)
         compacted_join_s = await measure_join(log)
@@ -81,7 +81,7 @@
         )
         print(f"a reader keeps {await reader_bytes_per_key(log):.0f} bytes a key of {len(VALUE)} bytes")
         print(
-            f"an append's p99: {p99(lone_append_s) * 1000:.1f} ms alone,"
+            f"an append's p99: {p99(baseline_append_s) * 1000:.1f} ms alone,"
             f" {p99(compaction.append_s) * 1000:.1f} ms beside cleaning ({len(compaction.append_s)} appends)"
         )
         await backend.close()
@@ -89,11 +89,11 @@
 
 
 def fill(path: str, message_count: int) -> None:
-    """Write a topic of so many messages over ``KEY_COUNT`` keys straight to the file.
+    """Write a topic of ``message_count`` messages over ``KEY_COUNT`` keys directly to the file.
 
-    Appending them would take longer than all that is measured.
+    Appending them through the log would take longer than all measurements.
     """
-    last: dict[str, Placed] = {}
+    positions: dict[str, MessagePosition] = {}
     size_bytes = 0
     dirty_bytes = 0
     database = sqlite3.connect(path)
@@ -102,21 +102,21 @@
             key = f"article-{offset * KEY_STRIDE % KEY_COUNT}"
             message = Message(offset, key, VALUE, "w", 1, offset)
             database.execute(INSERT, (message_key(TOPIC, offset), encode_message(message)))
-            if key in last:
-                dirty_bytes += last[key].size_bytes
-            last[key] = Placed(offset, message.size_bytes)
+            if key in positions:
+                dirty_bytes += positions[key].size_bytes
+            positions[key] = MessagePosition(offset, message.size_bytes)
             size_bytes += message.size_bytes
-        for key, placed in last.items():
+        for key, position in positions.items():
             is_tombstone = False
-            position = encode_fields(placed.offset, placed.size_bytes, is_tombstone)
-            database.execute(INSERT, (position_key(TOPIC, key), position))
+            fields = encode_fields(position.offset, position.size_bytes, is_tombstone)
+            database.execute(INSERT, (position_key(TOPIC, key), fields))
         head = encode_fields(message_count + 1, 0, size_bytes, dirty_bytes, 0)
         database.execute(INSERT, (head_key(TOPIC), head))
     database.close()
 
 
 async def measure_join(log: CompactedLog) -> float:
-    """Return the seconds that a new reader takes to catch up."""
+    """Return the catch-up time of a new reader in seconds."""
     began_s = time.perf_counter()
     reader = await read_all(log)
     assert len(reader.latest) == KEY_COUNT
@@ -124,7 +124,7 @@
 
 
 async def reader_bytes_per_key(log: CompactedLog) -> float:
-    """Return the bytes that a reader which has caught up retains for each key."""
+    """Return the memory in bytes per key that a caught-up reader retains."""
     tracemalloc.start()
     reader = await read_all(log)
     retained_bytes, _ = tracemalloc.get_traced_memory()
@@ -133,7 +133,7 @@
 
 
 async def read_all(log: CompactedLog) -> LogReader:
-    """Return a reader that has caught up."""
+    """Poll the topic until a new reader has caught up; return the reader."""
     reader = LogReader()
     while not reader.caught_up:
         await log.poll(TOPIC, reader, POLL_MESSAGES)
@@ -141,7 +141,7 @@
 
 
 async def measure_compaction(log: CompactedLog, writer: LogWriter) -> CompactionResult:
-    """Compact the topic, and append to another one meanwhile."""
+    """Compact the topic, and append to another topic at the same time."""
     task = asyncio.create_task(compact(log))
     append_s: list[float] = []
     wall_before_s = time.perf_counter()
@@ -153,7 +153,7 @@
 
 
 async def compact(log: CompactedLog) -> None:
-    """Compact until there is nothing left to do; what a lock prevents is retried, as in service."""
+    """Compact the topic; as in service, retry if the database is locked."""
     while True:
         try:
             await log.compact(TOPIC, POLICY, lambda: 1, boottime_ms)
@@ -168,12 +168,12 @@
 
 
 async def time_s(call: Awaitable[object]) -> float:
-    """Return the seconds that a call takes."""
+    """Return the duration of a call in seconds."""
     began_s = time.perf_counter()
     await call
     return time.perf_counter() - began_s
 
 
 def p99(values: list[float]) -> float:
-    """Return the 99th percentile."""
+    """Return the 99th percentile of the values."""
     return sorted(values)[len(values) * 99 // 100]
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment of benchmarks that run the complete program: two request classes, one plan."""
+"""Settings for benchmarks that run the complete program, with two request classes and one plan."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def settings() -> dict[str, Any]:
-    """Return the platform's settings."""
+    """Return the settings of the platform's configuration file."""
     values = platform_settings()
     base_class = values["profiles"][0]
     values["profiles"] = [base_class | READ_CLASS, base_class | WRITE_CLASS]
--- a/benchmarks/fleet_service.py
+++ b/benchmarks/fleet_service.py
@@ -1,4 +1,4 @@
-"""What plans cost a fleet in service, how long a release takes, and what a member costs at rest."""
+"""Benchmark of a fleet: service during a plan, duration of a release, and CPU of an idle member."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 SITE_COUNT = 3
 SERVICE_FLEET_SIZE = 6
 IDLE_FLEET_SIZE = 3
-MIN_PLACEMENTS = 20  # before anything is measured
-WARM_UP_S = 15.0  # in which schedulers learn of the nodes
-STEADY_S = 30.0  # in which service is counted before the plan begins
+MIN_PLACEMENTS = 20  # number of placed volumes before the measurement starts
+WARM_UP_S = 15.0  # time for schedulers to discover the nodes
+STEADY_S = 30.0  # length of the baseline before the plan starts
 IDLE_S = 10.0
 PLAN_TIMEOUT_S = 600
-MAX_RESTARTS_BY_HAND = 5
+MAX_SINGLE_RESTARTS = 5
 OUTAGE_POLL_S = 0.005
 
 
 class ServicePeriod(NamedTuple):
-    """Service to clients in a period of time.
+    """Service to clients during a period of time.
 
     Attributes:
-        duration_s: How long it took.
-        served_fraction: The share of requests that were served.
-        p99_s: The 99th percentile of their latency.
+        duration_s: Length of the period in seconds.
+        served_fraction: Fraction of the requests that were served.
+        p99_s: The 99th percentile of the latency in seconds.
     """
 
     duration_s: float
@@ -46,7 +46,7 @@
 
 
 async def measure_service(*, retires_site: bool) -> None:
-    """Print service during a release, or while a site retires, against a steady period before it."""
+    """Print service during a release or the retirement of a site, compared with a steady period before it."""
     plan = plan_for_all(PLAN_NAME, SERVICE_FLEET_SIZE)
     if retires_site:
         members = tuple(f"n{number}" for number in range(0, SERVICE_FLEET_SIZE, SITE_COUNT))
@@ -85,16 +85,16 @@
 
 
 async def measure_release_time(size: int) -> None:
-    """Print the time of a rolling restart over the least, which is members times one member's cycle.
+    """Print the duration of a rolling restart, divided by the minimum of members times one restart cycle.
 
-    A cycle is measured by hand in the same fleet, from SIGTERM until the member's listener is open again.
+    A cycle is measured by single restarts in the same fleet, from SIGTERM until the listener is open again.
     """
     cycles_s: list[float] = []
     release_s = 0.0
 
     async def scenario(fleet: Fleet) -> None:
         nonlocal release_s
-        for number in range(min(size, MAX_RESTARTS_BY_HAND)):
+        for number in range(min(size, MAX_SINGLE_RESTARTS)):
             cycles_s.append(await time_s(_restart(fleet, number)))
             await fleet.wait_until(lambda view: not disruption_budget.members_out(view))
         began_s = time.monotonic()
@@ -111,13 +111,13 @@
 
 
 async def measure_idle_member() -> None:
-    """Print the least and the most CPU that a member uses at rest."""
+    """Print the minimum and maximum CPU use of idle members."""
 
     async def scenario(fleet: Fleet) -> None:
         instances = fleet.cluster.instances
         pids = [instance.process.pid for instance in instances if instance.process is not None]
         cpu_before_s = [cpu_s(pid) for pid in pids]
-        fleet.stop_watching()  # no probes meanwhile
+        fleet.stop_watching()  # stops probes, which would use CPU of the members
         await asyncio.sleep(IDLE_S)
         usage = [(cpu_s(pid) - before) / IDLE_S for pid, before in zip(pids, cpu_before_s, strict=True)]
         print(f"a member at rest, looking every 200 ms: {min(usage):.2%} to {max(usage):.2%} of a core")
@@ -130,16 +130,16 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Return the CPU time of a process's threads so far.
+    """Return the CPU time of all threads of a process in seconds.
 
-    A clock tick of 10 ms would be a tenth of what is measured; ``schedstat`` counts nanoseconds.
+    ``schedstat`` counts nanoseconds; a clock tick of 10 ms would be a tenth of the measured value.
     """
     threads = Path(f"/proc/{pid}/task").glob("*/schedstat")
     return sum(int(thread.read_text().split()[0]) for thread in threads) / 1e9
 
 
 async def _observe(fleet: Fleet, period: Awaitable[object]) -> ServicePeriod:
-    """Return the service to clients until a period is over."""
+    """Return the service to clients until the awaitable completes."""
     metrics = fleet.metrics
     served_before = metrics.outcomes["served"]
     requests_before = metrics.request_count
@@ -150,7 +150,7 @@
 
 
 async def _restart(fleet: Fleet, number: int) -> None:
-    """Have a member shut down, and wait until it is back."""
+    """Send SIGTERM to a member, and wait until its outage is over."""
     outage_count = len(fleet.availability[number].outages)
     fleet.cluster.send_signal(number, signal.SIGTERM)
     while len(fleet.availability[number].outages) == outage_count:
@@ -158,7 +158,7 @@
 
 
 def _moves_per_volume(fleet: Fleet) -> float:
-    """Return how often volumes moved, over the moves that the retirement of the site needs."""
+    """Return the number of volume moves, divided by the moves that the site's retirement requires."""
     placements = fleet.placements().values()
     needed = sum(placement.origin_site == RETIRING_SITE for placement in placements)
     return sum(placement.move_count for placement in placements) / needed
--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -1,9 +1,9 @@
-"""What leases cost: requests a second, bytes a lease, CPU of a renewal, time to a new holder.
+"""Benchmark of leases: request rates, bytes per lease, CPU of a renewal, time until a new holder operates.
 
     python -m benchmarks.lease [SEEDS]
 
-The etcd is the testbed's stand-in, in this process: its figures bound what this side costs, and say
-nothing of a real server. Bounded: about a minute with three seeds.
+The etcd is the testbed's stand-in, in this process: its figures are an upper bound of the client's cost and
+do not describe a real server. A run takes about a minute with three seeds.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 
 async def measure_authority(name: str, authority: Authority) -> None:
-    """Print grants and renewals a second, and what a lease manager costs the event loop."""
+    """Print grants and renewals per second, and the CPU that a lease manager uses in the event loop."""
     await authority.open()
     grants_per_s = await calls_per_s(
         GRANTS, lambda number: authority.request(f"grant{number}", HOLDER, Acquire(UNACQUIRED))
@@ -72,7 +72,7 @@
 
 
 async def measure_manager(authority: Authority) -> None:
-    """Print the CPU of the event loop's thread for a request of a lease manager."""
+    """Print the CPU time of the event loop's thread per request of a lease manager."""
     manager = LeaseManager("kept", HOLDER, authority, MANAGER_TIMES, 1)
     cpu_before_s = time.thread_time()
     wall_before_s = time.perf_counter()
@@ -90,7 +90,7 @@
 
 
 async def calls_per_s(count: int, call: Callable[[int], Awaitable[object]]) -> float:
-    """Return how many calls a second complete, one after the other."""
+    """Return the rate of sequential calls per second."""
     began_s = time.perf_counter()
     for number in range(count):
         await call(number)
@@ -98,7 +98,7 @@
 
 
 async def measure_lease_size(folder: Path) -> None:
-    """Print the bytes of a lease, by the growth of the file."""
+    """Print the bytes per lease, calculated from the growth of the file."""
     path = folder / "many.sqlite3"
     authority = SqlAuthority(Target(path=str(path)), 3000)
     await authority.open()
@@ -106,7 +106,7 @@
     for first in (0, LEASES_PER_FILE_GROWTH):
         for number in range(first, first + LEASES_PER_FILE_GROWTH):
             await authority.request(f"duty-{number}", "n0.0123456789ab", Acquire(UNACQUIRED))
-        await authority.close()  # the last connection moves the log into the file
+        await authority.close()  # closing the last connection checkpoints the WAL into the file
         await asyncio.sleep(CHECKPOINT_WAIT_S)
         file_bytes.append(path.stat().st_size)
     growth_bytes = file_bytes[1] - file_bytes[0]
@@ -114,7 +114,7 @@
 
 
 async def measure_takeover(backend: str, folder: Path, seed_count: int, faults: tuple[Fault, ...]) -> None:
-    """Print the time from a fault of the holder until another acts, over lease plus renew interval."""
+    """Print the time from a holder's fault until a new holder operates, over TTL plus renew interval."""
     kind = faults[0].kind.value
     experiment = Experiment(
         "",
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""Clients' load on a program: at a steady rate, and as much as it answers."""
+"""Load generator for the program: requests at a steady rate, or as many as it can serve."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 VOLUME_COUNT = 50
 BODY_BYTES = 64
 DEADLINE_S = 5
-CONNECTION_LOST = 0  # in place of a status
+CONNECTION_LOST = 0  # returned instead of an HTTP status
 OK = 200
-P99 = 98  # index of the 99th percentile among the cuts of statistics.quantiles(n=100)
+P99 = 98  # index of the 99th percentile in the result of statistics.quantiles(n=100)
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class Client:
-    """Persistent connections, with one request at a time on each.
+    """A client with persistent connections, each with at most one request in flight.
 
     Args:
-        port: Where the program listens.
-        seed: Seed of the pieces of data that are requested.
+        port: The port on which the program listens.
+        seed: Random seed for the selection of data keys.
     """
 
     def __init__(self, port: int, seed: int) -> None:
         self._port = port
         self._random = random.Random(seed)
-        self._name = secrets.token_hex(6)  # no key of one run is a repeat of another's
+        self._name = secrets.token_hex(6)  # makes idempotency keys unique across runs
         self._idle: list[Connection] = []
         self._request_count = 0
 
@@ -71,14 +71,14 @@
     def _message(self, *, write: bool) -> bytes:
         self._request_count += 1
         request_id = f"{self._name}-{self._request_count}"
-        piece = self._random.randrange(1 << 40)
+        data_key = self._random.randrange(1 << 40)
         lines = [
-            f"{'PUT' if write else 'GET'} /api/{piece % VOLUME_COUNT:x}/{piece:x} HTTP/1.1",
+            f"{'PUT' if write else 'GET'} /api/{data_key % VOLUME_COUNT:x}/{data_key:x} HTTP/1.1",
             f"Req-Id: {request_id}",
             f"Req-Kind: {'write' if write else 'read'}",
             f"Tier: {PLAN_NAME}",
             f"Req-Deadline: {DEADLINE_S}",
-            f"IO-Info: units=1,shard={piece % NODE_COUNT},hosts=1",
+            f"IO-Info: units=1,shard={data_key % NODE_COUNT},hosts=1",
         ]
         body = ""
         if write:
@@ -88,7 +88,7 @@
 
 
 class SteadyResult(NamedTuple):
-    """What requests at a steady rate cost."""
+    """CPU and latency of requests at a steady rate."""
 
     cpu_us_per_request: float
     median_ms: float
@@ -96,12 +96,12 @@
 
 
 async def run_steady(program: Program, seconds: float, rate: float = STEADY_RATE) -> SteadyResult:
-    """Send requests at a steady mean rate, whether or not earlier ones are answered.
+    """Send requests at a steady mean rate, independent of answers to earlier ones (open loop).
 
     Args:
-        program: The program.
-        seconds: For how long.
-        rate: Requests per second.
+        program: The program under measurement.
+        seconds: Duration of the load.
+        rate: Mean number of requests per second.
     """
     chance = random.Random(1)
     client = Client(program.port, 2)
@@ -129,7 +129,7 @@
 
 
 async def run_flat_out(program: Program, seconds: float) -> float:
-    """Return the requests per second that concurrent clients get served, each sending the next at once."""
+    """Return the requests per second that concurrent clients are served in a closed loop without pauses."""
     client = Client(program.port, 3)
     chance = random.Random(4)
     until_s = time.monotonic() + seconds
@@ -147,5 +147,5 @@
 
 
 def is_keyed_write(chance: random.Random) -> bool:
-    """Draw whether the next request is a keyed write, or else a read."""
+    """Draw the kind of the next request: True for a keyed write, False for a read."""
     return chance.random() < KEYED_WRITE_FRACTION
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -1,4 +1,4 @@
-"""Storage nodes and discovery for benchmarks, in a process of their own.
+"""Stand-ins for storage nodes and discovery in a separate process, for benchmarks.
 
 python -m benchmarks.nodes
 """
@@ -37,7 +37,7 @@
 
 
 async def serve_nodes(make_node: Callable[[], Service] = SlowNode) -> None:
-    """Serve nodes and discovery until the process is ended; print discovery's port and list first."""
+    """Print discovery's port and endpoint list, then serve until the process is terminated."""
     discovery = Discovery()
     await discovery.open()
     for number in range(NODE_COUNT):
@@ -50,12 +50,12 @@
 
 
 class NodeProcess(NamedTuple):
-    """A process that serves nodes.
+    """A process that serves stand-ins for storage nodes and discovery.
 
     Attributes:
-        process: The process.
-        discovery_port: Where its discovery listens.
-        listing: The endpoint list.
+        process: The started process.
+        discovery_port: The port of the discovery stand-in.
+        listing: The complete endpoint list.
     """
 
     process: asyncio.subprocess.Process
@@ -64,7 +64,7 @@
 
     @classmethod
     async def start(cls, *arguments: str) -> NodeProcess:
-        """Start it: ``python -m`` with these arguments, by default this module."""
+        """Start ``python -m`` with these arguments, by default with this module."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -77,7 +77,7 @@
         return cls(process, discovery_port, listing)
 
     async def close(self) -> None:
-        """End the process."""
+        """Terminate the process and wait for its end."""
         self.process.terminate()
         await self.process.wait()
 
--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -1,4 +1,4 @@
-"""The complete program under measurement, in a process of its own."""
+"""The complete program in a separate process, for measurements."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from benchmarks.nodes import NodeProcess
 
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-USER_TICKS_FIELD = 11  # of /proc/PID/stat, counted after the name
+USER_TICKS_FIELD = 11  # index among the fields of /proc/PID/stat after the process name
 SYSTEM_TICKS_FIELD = 12
 
 
@@ -27,10 +27,10 @@
     """One scheduler under measurement.
 
     Attributes:
-        process: Its process.
-        port: Where it listens.
-        startup_s: From its start to the line that says that it serves.
-        lines: What it has logged so far.
+        process: The process of the program.
+        port: The port of its HTTP frontend.
+        startup_s: Time in seconds from the start of the process until it logs that it serves.
+        lines: The log lines so far.
     """
 
     process: asyncio.subprocess.Process
@@ -39,19 +39,19 @@
     lines: list[str] = field(default_factory=list)
 
     def cpu_s(self) -> float:
-        """Return the CPU time of all its threads so far."""
+        """Return the CPU time of all its threads in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])) / CLOCK_TICKS_PER_S
 
     def memory_mb(self) -> float:
-        """Return the resident memory now."""
+        """Return the current resident memory in MB."""
         text = Path(f"/proc/{self.process.pid}/status").read_text()
         found = re.search(r"VmRSS:\s+(\d+) kB", text)
         assert found is not None
         return int(found.group(1)) / 1024
 
     async def stop(self) -> str:
-        """Have it shut down, and return what its last line says of broken invariants."""
+        """Shut the program down; return the broken invariants that it logs last, or ``?``."""
         self.process.terminate()
         await self.process.wait()
         texts = [line.rpartition("invariants broken: ")[2] for line in self.lines if "invariants" in line]
@@ -59,13 +59,13 @@
 
 
 async def start_program(tree: Path, folder: Path, nodes: NodeProcess, operator_file: str = "") -> Program:
-    """Start the program of a checkout before these nodes.
+    """Start the program from a checkout, with these storage nodes.
 
     Args:
-        tree: The checkout.
-        folder: Where its files are written.
-        nodes: The storage nodes.
-        operator_file: The text of its operator's file; empty for none.
+        tree: Path of the checkout.
+        folder: Folder for the program's files.
+        nodes: The process of storage nodes and discovery.
+        operator_file: Text of the operator's file; empty for none.
     """
     arguments = _write_files(folder, nodes, operator_file)
     environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
@@ -91,14 +91,14 @@
 
 
 def free_port() -> int:
-    """Return a port that nobody listens at."""
+    """Return a TCP port that is currently unused."""
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         return int(unused.getsockname()[1])
 
 
 def _write_files(folder: Path, nodes: NodeProcess, operator_file: str) -> list[str]:
-    """Write the program's files, and return the arguments that name them."""
+    """Write the program's files; return the command-line arguments that name them."""
     config = {
         "name": "n0",
         "listen": f"127.0.0.1:{free_port()}",
@@ -117,10 +117,10 @@
 
 
 async def _read_port(stream: asyncio.StreamReader, lines: list[str]) -> int:
-    """Read what the program logs until it says that it serves, and return its port."""
+    """Read log lines until the program reports that it serves; return its port."""
     line = await stream.readline()
     while b"serves at" not in line:
-        assert line, f"it did not start: {lines}"
+        assert line, f"the program did not start: {lines}"
         lines.append(line.decode())
         line = await stream.readline()
     return int(line.rpartition(b":")[2])
@@ -130,7 +130,7 @@
 
 
 def _collect_lines(stream: asyncio.StreamReader, lines: list[str]) -> None:
-    """Go on reading what the program logs, so that it never waits for its reader."""
+    """Read the program's log in the background, so that a full pipe never blocks the program."""
 
     async def collect() -> None:
         async for line in stream:
--- a/benchmarks/rollout_decisions.py
+++ b/benchmarks/rollout_decisions.py
@@ -1,4 +1,4 @@
-"""What one decision of the coordinator costs, over many members and over many storage nodes."""
+"""Benchmark of a single decision of the coordinator, for many members and for many storage nodes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def measure_ticket_decision(member_count: int) -> None:
-    """Print the time of a decision where some of a plan are released and all others request tickets."""
+    """Print the time of a decision in a plan with some members released and all others requesting tickets."""
     view = FleetView(VIEW_OFFSET, epoch=Epoch(COORDINATOR, TOKEN, 1))
     for number in range(member_count):
         _add_member(view, number, f"s{number % SITE_COUNT}")
@@ -46,14 +46,14 @@
     view.plans[PLAN] = Plan(PLAN, names, max_out=5, max_out_per_site=1, released=released, offset=PLAN_OFFSET)
 
     def decide() -> None:
-        move = planner.decide(view, COORDINATOR, TOKEN, 0.0, ChangeTracker(), Timeouts())
-        assert move is not None
+        change = planner.decide(view, COORDINATOR, TOKEN, 0.0, ChangeTracker(), Timeouts())
+        assert change is not None
 
     print(f"a decision over {member_count} members: {_time_us(decide, TICKET_ROUNDS):.0f} us")
 
 
 def measure_drain_decision(member_count: int, node_count: int) -> None:
-    """Print the time of a decision on nodes, a tenth of which are draining, with nothing to do."""
+    """Print the time of a decision that changes nothing, with a tenth of the nodes draining."""
     view = FleetView(VIEW_OFFSET, epoch=Epoch(COORDINATOR, TOKEN, 1))
     for number in range(member_count):
         _add_member(view, number, "")
@@ -67,8 +67,8 @@
     node_by_name = {node.name: node for node in nodes}
 
     def decide() -> None:
-        move = node_drain.decide(view, TOKEN, 0.0, ChangeTracker(), Timeouts(), node_by_name)
-        assert move is None
+        change = node_drain.decide(view, TOKEN, 0.0, ChangeTracker(), Timeouts(), node_by_name)
+        assert change is None
 
     print(
         f"a decision over {node_count} boxes, {len(draining)} of them drained, and {member_count} members:"
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,8 +1,8 @@
-"""What sharing limits out by demand costs: a request's quota, a poll of all members, the published demands.
+"""Benchmark of quota sharing: the quota of a request, a poll of all members, and the published demands.
 
     python -m benchmarks.shares [MEMBERS] [VOLUMES]
 
-Pure parts alone, in this process; bounded: some seconds.
+Measures only the code without I/O, in this process; a run takes some seconds.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 DEFAULT_MEMBER_COUNT = 100
 DEFAULT_VOLUME_COUNT = 64
 ROUNDS = 2000
-SLOW_ROUNDS = 200  # of what takes longer
-BEATS = 19
-POLLS_PER_BEAT = 4
+SLOW_ROUNDS = 200  # rounds of the slower operations
+PUBLICATIONS = 19
+POLLS_PER_PUBLICATION = 4
 
 Demands = dict[int, float]
 
 
 class SharedQuotas:
-    """A member's allocator after some beats, at a time when all members know of each other.
+    """A member's allocator after several publications, when all members have polled each other's demands.
 
     Attributes:
-        now_ms: The time.
-        allocator: The allocator.
+        now_ms: The current time of the simulated clock.
+        allocator: The allocator under measurement.
     """
 
     def __init__(self, member_count: int, demands: Demands) -> None:
@@ -42,25 +42,25 @@
         self.allocator = QuotaAllocator(QuotaPolicy(member_count), timing)
         self._others = [f"n{member}" for member in range(member_count - 1)]
         self._demands = demands
-        for number in range(1, BEATS + 1):
+        for number in range(1, PUBLICATIONS + 1):
             self.allocator.on_publishing(number, demands, self.now_ms, number - 1)
             self.allocator.on_published(number, self.now_ms)
-            for _ in range(POLLS_PER_BEAT):
-                self.now_ms += timing.beat_ms / POLLS_PER_BEAT
+            for _ in range(POLLS_PER_PUBLICATION):
+                self.now_ms += timing.beat_ms / POLLS_PER_PUBLICATION
                 self.poll(self.published(number))
         assert self.allocator.is_fresh(self.now_ms)
 
     def published(self, number: int) -> Mapping[str, tuple[int, Demands]]:
-        """Return what the other members have published in this beat."""
+        """Return the publications with this number of all other members."""
         return {name: (number, self._demands) for name in self._others}
 
     def poll(self, found: Mapping[str, tuple[int, Demands]]) -> None:
-        """Have the allocator learn of what was found."""
+        """Pass the result of a poll to the allocator."""
         self.allocator.on_poll(self.now_ms - 1, self.now_ms, found)
 
 
 def run(member_count: int, volume_count: int) -> None:
-    """Measure all of it and print a line for each."""
+    """Run all measurements and print one line for each."""
     demands = {volume: 10.0 + volume for volume in range(volume_count)}
     quotas = SharedQuotas(member_count, demands)
     measure_quota(quotas, member_count, volume_count)
@@ -71,15 +71,15 @@
 
 
 def measure_quota(quotas: SharedQuotas, member_count: int, volume_count: int) -> None:
-    """Print what a request's quota costs, at the first request for a volume after a poll and at others."""
+    """Print the time to determine a quota, for a volume's first request after a poll and for later ones."""
 
     def quota_of(number: int) -> None:
         quotas.allocator.share_of(number % volume_count, quotas.now_ms)
 
-    found = quotas.published(BEATS)
+    found = quotas.published(PUBLICATIONS)
     first_us: list[float] = []
     for _ in range(ROUNDS // volume_count + 1):
-        quotas.poll(found)  # drops what was calculated before
+        quotas.poll(found)  # invalidates the cached quotas
         first_us.append(time_us(quota_of, volume_count))
     mean_first_us = sum(first_us) / len(first_us)
     cached_us = time_us(quota_of)
@@ -90,7 +90,7 @@
 
 
 def measure_demands(now_ms: float, volume_count: int, cell: Cell) -> None:
-    """Print what counting a request costs, and what a publication of the demands does."""
+    """Print the time to count a request and to prepare a publication of the demands."""
     meter = DemandMeter(now_ms)
     count_us = time_us(lambda number: meter.add(now_ms, number % volume_count, 1.0, 100.0))
     print(f"a request's count: {count_us:.2f} us")
@@ -99,18 +99,18 @@
 
 
 def measure_poll(quotas: SharedQuotas, member_count: int, volume_count: int, cell: Cell) -> None:
-    """Print what a poll of all members costs: to decode what they have published, and to learn of it."""
-    found = quotas.published(BEATS + 1)
-    learn_us = time_us(lambda _: quotas.poll(found), SLOW_ROUNDS)
+    """Print the time of a poll of all members: to decode their demands and to pass them to the allocator."""
+    found = quotas.published(PUBLICATIONS + 1)
+    apply_us = time_us(lambda _: quotas.poll(found), SLOW_ROUNDS)
     decode_us = time_us(lambda _: decode_demands(cell), SLOW_ROUNDS) * (member_count - 1)
     print(
         f"a look at {member_count} members, {volume_count} volumes each: {decode_us:.0f} us to read,"
-        f" {learn_us:.0f} to take"
+        f" {apply_us:.0f} to take"
     )
 
 
 def time_us(call: Callable[[int], object], rounds: int = ROUNDS) -> float:
-    """Return the mean time of a call, which is given the number of its round."""
+    """Return the mean time of a call in microseconds; the call gets the number of its round."""
     began_s = time.perf_counter()
     for number in range(rounds):
         call(number)
@@ -118,7 +118,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run with the sizes that the command line names."""
+    """Run with the numbers of members and volumes from the command line."""
     sizes = [int(argument) for argument in arguments]
     member_count = sizes[0] if sizes else DEFAULT_MEMBER_COUNT
     volume_count = sizes[1] if len(sizes) > 1 else DEFAULT_VOLUME_COUNT
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,13 +1,13 @@
-"""What the store of record costs and how it stands a stall; figures for docs/design/store.md.
+"""Benchmark of the store of record: cost, stalls and start-up; figures for docs/design/store.md.
 
     python benchmarks/store.py [--before DIR] [--seconds N] [--quick]
 
-Runs the real program on loopback before stand-in nodes: without a store, with SQLite, with PostgreSQL (a
-stand-in server in a process of its own), and, where a checkout of the version before is named, that one with
-its store and without. The variants take turns, several rounds of each; the figures are ratios of medians
-within this one run, since machines are shared. Then the stall: the SQLite file is held by another
-connection's BEGIN EXCLUSIVE for 8 s under 100 requests/s, 35% keyed writes. Last, starts on files of a
-million rows and on empty ones.
+Runs the real program on loopback with stand-in nodes: without a store, with SQLite, with PostgreSQL (a
+stand-in server in a separate process) and, if --before names a checkout of the previous version, that version
+with and without its store. The variants alternate over several rounds; the figures are ratios of medians
+within one run, since machines are shared. Then a stall: another connection locks the SQLite file with BEGIN
+EXCLUSIVE for 8 s, under 100 requests/s with 35% keyed writes. Last, starts on files of a million rows and on
+empty files.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-sys.path.insert(0, str(Path(__file__).resolve().parent.parent))  # where this file is started by its path
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))  # allows starting this file by its path
 
 from benchmarks.nodes import ROOT, NodeProcess
 from benchmarks.store_commits import measure_commits
@@ -37,7 +37,7 @@
 
 
 async def main() -> None:
-    """Run the parts that the command line names."""
+    """Run the parts that are selected on the command line."""
     arguments = parse_arguments()
     trees = {"now": ROOT}
     if arguments.before is not None:
@@ -62,7 +62,7 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return what the command line asks for."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--before", type=Path)
     parser.add_argument("--seconds", type=float, default=8.0)
@@ -74,7 +74,7 @@
 
 @contextlib.asynccontextmanager
 async def postgresql_server(folder: Path) -> AsyncIterator[int]:
-    """Run the stand-in for PostgreSQL; yields its port."""
+    """Run the stand-in for PostgreSQL in a separate process, and yield its port."""
     server = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -92,7 +92,7 @@
 
 
 async def measure_starts(nodes: NodeProcess, trees: dict[str, Path], folder: Path, row_count: int) -> None:
-    """Print what starts cost on empty files and on full ones."""
+    """Print start-up time and memory for empty files and for files of ``row_count`` rows."""
     print("starts: rows, s until it serves, MB then, MB after 3 s of load")
     for label, tree in trees.items():
         tree_folder = folder / label
--- a/benchmarks/store_commits.py
+++ b/benchmarks/store_commits.py
@@ -1,4 +1,4 @@
-"""Writes per second through the record's own batches, by their size, without the program around them."""
+"""Benchmark of the store's batches by size: writes per second, without the rest of the program."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def measure_commits(folder: Path) -> None:
-    """Print a row for each size of a batch."""
+    """Print one row for each batch size."""
     print("the record's batches on SQLite (WAL, FULL): size, commits/s, writes/s, CPU us a write")
     for batch_size in BATCH_SIZES:
         session = await connect(Target(path=str(folder / f"batch-{batch_size}.sqlite3")))
@@ -39,7 +39,7 @@
 
 
 async def _write(session: Session, batch_size: int, write_count: int) -> int:
-    """Write completed writes in batches, and return how many batches there were."""
+    """Store completed writes in batches; return the number of batches."""
     intents = IntentManager("n0", StoreLimits(batch=batch_size), 1, RETENTION_MS)
     intents.on_opened(await startup.begin_incarnation(session, "n0"), [], 0)
     batch_count = 0
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -1,4 +1,4 @@
-"""What the store of record costs the program: CPU, latency and throughput of variants in turn."""
+"""Benchmark of the program with and without the store of record: CPU, latency and throughput."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 @dataclass
 class Variant:
-    """A version and configuration of the program, and what each round measured of it.
+    """A version and configuration of the program, with the results of its rounds.
 
     Attributes:
-        name: Its name in the table.
-        tree: The checkout that is run.
-        operator_file: The text of its operator's file; empty for none.
-        steady_cpu_us: CPU of a request at ``STEADY_RATE``.
-        high_cpu_us: CPU of a request at ``HIGH_RATE``.
+        name: Name of the variant in the table.
+        tree: Path of the checkout to run.
+        operator_file: Text of the operator's file; empty for none.
+        steady_cpu_us: CPU time per request at ``STEADY_RATE``.
+        high_cpu_us: CPU time per request at ``HIGH_RATE``.
         median_ms: Median latency at ``STEADY_RATE``.
-        flat_out_rate: Requests per second that it can serve.
+        flat_out_rate: Served requests per second under maximum load.
     """
 
     name: str
@@ -57,13 +57,13 @@
 
 
 def make_variants(folder: Path, postgresql_port: int, before: Path | None, current: Path) -> list[Variant]:
-    """Return the variants to compare, the one without a store first.
+    """Return the variants to compare, starting with the baseline without a store.
 
     Args:
-        folder: Where stores are written.
-        postgresql_port: Where a PostgreSQL server listens.
-        before: A checkout of an earlier version, if any.
-        current: The checkout of this version.
+        folder: Folder for the SQLite stores.
+        postgresql_port: Port of the PostgreSQL server.
+        before: Checkout of an earlier version; None to leave it out.
+        current: Checkout of the current version.
     """
     sqlite = f'[store]\npath = "{folder}/new.sqlite3"\n'
     postgresql = f'[store]\nurl = "postgresql://sabledyke@127.0.0.1:{postgresql_port}/record"\n'
@@ -82,7 +82,7 @@
 async def measure_cost(
     variants: list[Variant], nodes: NodeProcess, folder: Path, rounds: int, seconds: float
 ) -> None:
-    """Measure all variants in turn, and print the table."""
+    """Measure the variants alternately, and print the table."""
     for _ in range(rounds):
         for variant in variants:
             await variant.measure(nodes, folder, seconds)
--- a/benchmarks/store_libraries.py
+++ b/benchmarks/store_libraries.py
@@ -1,9 +1,9 @@
-"""What the candidates for the store's libraries cost; figures for docs/design/store.md.
+"""Benchmark of candidate database libraries for the store; figures for docs/design/store.md.
 
     python benchmarks/store_libraries.py
 
-Each candidate is measured where it is installed and left out, with a note, where it is not. All figures of
-one call come from one machine at one time: compare within a call, not between calls.
+Candidates that are not installed are reported as such and skipped. Figures depend on the machine and its
+load: compare them within one run, not between runs.
 """
 
 from __future__ import annotations
@@ -31,18 +31,18 @@
 
 Row = tuple[str, float, int, int]
 WriteRows = Callable[[str, int], None]
-"""Writes ``ROW_COUNT`` rows to a new file at this path, so many in a transaction."""
+"""Writes ``ROW_COUNT`` rows to a new file at this path, in transactions of this many rows."""
 
 
 class WriteCost(NamedTuple):
-    """What writing all rows cost."""
+    """Commit rate and CPU time of writing all rows."""
 
     commits_per_s: float
     cpu_us_per_row: float
 
 
 def main() -> None:
-    """Print both tables."""
+    """Print the table of import costs and the table of write costs."""
     print("import, beyond asyncio and ssl:")
     for module in MODULES:
         best = min(import_cost(module) for _ in range(IMPORT_ROUNDS))
@@ -54,7 +54,7 @@
 
 
 def import_cost(module: str) -> str:
-    """Return the milliseconds and MB of resident memory that a fresh interpreter needs for an import."""
+    """Return the time in ms and the resident memory in MB of an import in a new interpreter."""
     program = (
         "import time,resource,asyncio,ssl;a=resource.getrusage(0).ru_maxrss;t=time.perf_counter();"
         f"import {module};print(f'{{(time.perf_counter()-t)*1e3:.0f}} ms, "
@@ -65,7 +65,7 @@
 
 
 def measure(write_rows: WriteRows, batch_size: int) -> WriteCost:
-    """Measure a candidate that is installed, once it has written to another file."""
+    """Measure an installed candidate after a warm-up on another file."""
     with tempfile.TemporaryDirectory(dir=os.environ.get("BENCH_DIR")) as folder:
         write_rows(str(Path(folder) / "warm.db"), WARM_UP_BATCH_SIZE)
         wall_before_s = time.perf_counter()
@@ -84,13 +84,13 @@
 
 
 def make_batches(batch_size: int) -> list[list[Row]]:
-    """Return all rows in batches."""
+    """Return all rows, split into batches of this size."""
     rows = [(f"1/{number:x}/{number:032x}", float(number), 1, 0) for number in range(ROW_COUNT)]
     return [rows[first : first + batch_size] for first in range(0, ROW_COUNT, batch_size)]
 
 
 def write_with_sqlite3(path: str, batch_size: int) -> None:
-    """See ``WriteRows``."""
+    """Write all rows with the standard library's sqlite3."""
     import sqlite3
 
     database = sqlite3.connect(path, isolation_level=None)
@@ -99,7 +99,7 @@
 
 
 def write_with_apsw(path: str, batch_size: int) -> None:
-    """See ``WriteRows``."""
+    """Write all rows with APSW."""
     import apsw
 
     database = apsw.Connection(path)
@@ -108,7 +108,7 @@
 
 
 def _write_batches(database: Any, batch_size: int) -> None:
-    """Write all rows through a connection whose transactions are begun by hand."""
+    """Write all rows through a connection with explicit transactions."""
     for statement in (*PRAGMAS, TABLE):
         database.execute(statement)
     for batch in make_batches(batch_size):
@@ -118,7 +118,7 @@
 
 
 def write_with_aiosqlite(path: str, batch_size: int) -> None:
-    """See ``WriteRows``."""
+    """Write all rows with aiosqlite."""
     import aiosqlite
 
     async def write() -> None:
@@ -134,7 +134,7 @@
 
 
 def write_with_sqlalchemy(path: str, batch_size: int) -> None:
-    """See ``WriteRows``."""
+    """Write all rows with SQLAlchemy Core."""
     import sqlalchemy as sa
     from sqlalchemy.dialects.sqlite import insert
 
--- a/benchmarks/store_stall.py
+++ b/benchmarks/store_stall.py
@@ -1,4 +1,4 @@
-"""How the program stands a stall of its store: another connection holds the SQLite file exclusively."""
+"""Benchmark of a stall of the store: another connection locks the SQLite file exclusively."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def measure_stall(nodes: NodeProcess, tree: Path, folder: Path, lock_s: float, label: str) -> None:
-    """Hold the file for so long under load, and print what became of the requests."""
+    """Lock the file for ``lock_s`` seconds under load, and print statuses and latencies of the requests."""
     path = folder / "stall.sqlite3"
     program = await start_program(tree, folder, nodes, f'[store]\npath = "{path}"\n')
     load = StallLoad(program.port)
@@ -34,12 +34,12 @@
     broken_invariants = await program.stop()
     path.unlink()
     print(f"file held for {lock_s:.0f} s, {label}; invariants broken: {broken_invariants}")
-    for what, count in sorted(load.table().items()):
-        print(f"  {what:45s} {count}")
+    for label_text, count in sorted(load.table().items()):
+        print(f"  {label_text:45s} {count}")
 
 
 class StallLoad:
-    """Requests at a steady rate, counted by the phase that they were sent in."""
+    """Requests at a steady rate, with statistics by the phase in which they were sent."""
 
     def __init__(self, port: int) -> None:
         self._client = Client(port, 5)
@@ -49,7 +49,7 @@
         self._slowest_ms: dict[str, int] = {}
 
     async def run(self, seconds: float, phase: str) -> None:
-        """Send requests for so long; they may still be answered afterwards."""
+        """Send requests for this many seconds, without waiting for their answers."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + seconds
         while loop.time() < end_s:
@@ -63,8 +63,8 @@
         self._client.close()
 
     def table(self) -> dict[str, int]:
-        """Return the counts of statuses, and the slowest request in milliseconds, of each phase."""
-        slowest = {f"{what}: slowest ms": slowest_ms for what, slowest_ms in self._slowest_ms.items()}
+        """Return request counts by phase, kind and status, and maximum latencies in ms by phase and kind."""
+        slowest = {f"{group}: slowest ms": slowest_ms for group, slowest_ms in self._slowest_ms.items()}
         return {**self._statuses, **slowest}
 
     async def _send(self, phase: str, *, write: bool) -> None:
@@ -72,6 +72,6 @@
         began_s = loop.time()
         status = await self._client.request(write=write)
         latency_ms = int((loop.time() - began_s) * 1000)
-        what = f"{phase}, {'keyed write' if write else 'read'}"
-        self._statuses[f"{what}: {status}"] += 1
-        self._slowest_ms[what] = max(self._slowest_ms.get(what, 0), latency_ms)
+        group = f"{phase}, {'keyed write' if write else 'read'}"
+        self._statuses[f"{group}: {status}"] += 1
+        self._slowest_ms[group] = max(self._slowest_ms.get(group, 0), latency_ms)
--- a/benchmarks/store_starts.py
+++ b/benchmarks/store_starts.py
@@ -1,4 +1,4 @@
-"""What starts cost on a store of many rows and on an empty one."""
+"""Benchmark of program starts on a store with many rows and on an empty one."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from benchmarks.program import start_program
 
 LOAD_S = 3
-RECORD_AGE_MS = 3.4e6  # of its oldest row, a bit less than the retention
+OLDEST_ROW_AGE_MS = 3.4e6  # slightly less than the retention
 
 
 class StartResult(NamedTuple):
-    """What one start cost."""
+    """Time and memory of one start."""
 
     startup_s: float
     memory_mb: float
@@ -24,10 +24,10 @@
 
 
 async def measure_start(nodes: NodeProcess, tree: Path, folder: Path, row_count: int) -> StartResult:
-    """Start the program on a file of so many rows."""
+    """Start the program on a file of ``row_count`` rows; return the time and memory of the start."""
     path = folder / f"rows-{row_count}.sqlite3"
     operator_file = f'[store]\npath = "{path}"\n'
-    program = await start_program(tree, folder, nodes, operator_file)  # writes the schema
+    program = await start_program(tree, folder, nodes, operator_file)  # the first start creates the schema
     await program.stop()
     if row_count:
         fill(path, row_count)
@@ -40,7 +40,7 @@
 
 
 def fill(path: Path, row_count: int) -> None:
-    """Write a record of its last hour, and a journal of as many entries where the version has one."""
+    """Insert writes of the last hour, and as many journal entries if the program's version has a journal."""
     now_ms = time.time() * 1000
     with sqlite3.connect(path) as database:
         tables = {name for (name,) in database.execute("SELECT name FROM sqlite_master WHERE type = 'table'")}
@@ -48,7 +48,7 @@
         journal_columns = ", 'n0', 1" if has_journal else ""
         database.executemany(
             f"INSERT INTO writes VALUES (?, ?, 1, 0, 'served'{journal_columns})",
-            ((f"1/1/{row:032x}", now_ms - RECORD_AGE_MS * row / row_count) for row in range(row_count)),
+            ((f"1/1/{row:032x}", now_ms - OLDEST_ROW_AGE_MS * row / row_count) for row in range(row_count)),
         )
         if has_journal:
             database.executemany(
--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -1,12 +1,12 @@
-"""What TLS towards storage nodes costs; figures for docs/design/tls.md.
+"""Benchmark of TLS to storage nodes; figures for docs/design/tls.md.
 
     python benchmarks/tls.py [--seconds N]
 
-Handshakes: CPU of the client's side, full and resumed, through the program's layer against the bare library,
-both on memory buffers, in turn. Resumption: the share of reconnections through the program that resume.
-Persistent connections: requests a second and p99 with TLS against plain, over the same links in one process,
-in turn. The returning node: in simulated time, 20 schedulers with 40 attempts each come to a node that has
-just started, with admission and without.
+Handshakes: CPU of the client side for full and resumed handshakes, through the program's layer and through
+the standard library alone, alternating on memory buffers. Resumption: the fraction of the program's
+reconnections that resume a session. Persistent connections: requests per second and p99 with TLS and without,
+alternating over the same links in one process. Returning node: in simulated time, 20 schedulers with 40
+attempts each reconnect to a node that has just started, with and without handshake admission.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 import tempfile
 from pathlib import Path
 
-sys.path.insert(0, str(Path(__file__).resolve().parent.parent))  # where this file is started by its path
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))  # allows starting this file by its path
 
 from benchmarks.nodes import serve_nodes
 from benchmarks.tls_handshakes import BareClient, ProgramClient, handshake_cpu_us
@@ -34,7 +34,7 @@
 async def main() -> None:
     """Run all measurements and print them."""
     arguments = parse_arguments()
-    if arguments.nodes is not None:  # the process of the nodes, which says whom to trust
+    if arguments.nodes is not None:  # in the process of the nodes; the file passes its root to the parent
         arguments.nodes.write_bytes(AUTHORITY.root)
         await serve_nodes(SlowTlsNode)
         return
@@ -46,7 +46,7 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return what the command line asks for."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seconds", type=float, default=4.0)
     parser.add_argument("--count", type=int, default=300)
@@ -55,7 +55,7 @@
 
 
 def measure_handshakes(count: int) -> None:
-    """Print what full and resumed handshakes cost, with the program's layer and without."""
+    """Print the CPU of full and resumed handshakes, with the program's layer and with the library alone."""
     print("CPU us of the client's side of a handshake and one answer: the program's layer, the bare library")
     for resume in (False, True):
         program_us: list[float] = []
@@ -70,7 +70,7 @@
 
 
 def measure_returning_node() -> None:
-    """Print how 20 schedulers reconnect to a node that has just started."""
+    """Print the simulated reconnection of 20 schedulers to a node that has just started."""
     print("a box back cold, 20 schedulers with 40 attempts each (simulated): handshakes in the")
     print("busiest second, most load of 100 ms over what the box can do then, s until all are in")
     for admitted in (True, False):
--- a/benchmarks/tls_handshakes.py
+++ b/benchmarks/tls_handshakes.py
@@ -1,4 +1,4 @@
-"""CPU of a client's side of TLS handshakes, through the program's layer and through the bare library."""
+"""Benchmark of the client side of TLS handshakes, in the program's layer and in the bare library."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 
 class HandshakeClient(Protocol):
-    """The client's side of one connection, on memory buffers."""
+    """The client side of one connection on memory buffers."""
 
     def start(self) -> bytes:
         """Return the first bytes to send."""
 
     def feed(self, data: bytes) -> bytes:
-        """Process received bytes, and return those to send."""
+        """Process received bytes; return the bytes to send."""
 
     def session(self) -> ssl.SSLSession | None:
-        """Return the newest session ticket."""
+        """Return the latest session ticket, or None."""
 
 
 MakeClient = Callable[[ssl.SSLContext, ssl.SSLSession | None], HandshakeClient]
 
 
 class BareClient:
-    """The library alone; see ``HandshakeClient``."""
+    """A ``HandshakeClient`` that uses the standard library directly."""
 
     def __init__(self, context: ssl.SSLContext, session: ssl.SSLSession | None) -> None:
         self._incoming = ssl.MemoryBIO()
@@ -46,11 +46,11 @@
         )
 
     def start(self) -> bytes:
-        """See ``HandshakeClient``."""
+        """Start the handshake; return the ClientHello."""
         return self.feed(b"")
 
     def feed(self, data: bytes) -> bytes:
-        """See ``HandshakeClient``."""
+        """Continue the handshake, and read once it is complete."""
         self._incoming.write(data)
         with contextlib.suppress(ssl.SSLWantReadError):
             self._tls.do_handshake()
@@ -58,32 +58,32 @@
         return self._outgoing.read()
 
     def session(self) -> ssl.SSLSession | None:
-        """See ``HandshakeClient``."""
+        """Return the session of the SSL object."""
         return self._tls.session
 
 
 class ProgramClient:
-    """The program's layer; see ``HandshakeClient``."""
+    """A ``HandshakeClient`` that uses the program's TLS layer."""
 
     def __init__(self, context: ssl.SSLContext, session: ssl.SSLSession | None) -> None:
         self._machine = TlsMachine(context, name=NODE_NAME, session=session)
 
     def start(self) -> bytes:
-        """See ``HandshakeClient``."""
+        """Return the ClientHello, which the layer has already created."""
         return self._machine.output
 
     def feed(self, data: bytes) -> bytes:
-        """See ``HandshakeClient``."""
+        """Pass the bytes to the layer; return its output."""
         self._machine.feed(data)
         return self._machine.output
 
     def session(self) -> ssl.SSLSession | None:
-        """See ``HandshakeClient``."""
+        """Return the latest ticket that the layer received."""
         return self._machine.ticket
 
 
 def handshake_cpu_us(make_client: MakeClient, count: int, *, resume: bool) -> float:
-    """Return the mean CPU of the client's side of a handshake and one answer."""
+    """Return the mean CPU time in us of the client side of a handshake and one answer."""
     context = contexts.client_context(make_keyring().generation)
     session: ssl.SSLSession | None = None
     cpu_s = 0.0
--- a/benchmarks/tls_keys.py
+++ b/benchmarks/tls_keys.py
@@ -1,4 +1,4 @@
-"""Keys of the benchmarks of TLS: one authority, one server, and a keyring that trusts them."""
+"""Key material for the TLS benchmarks: an authority, a server certificate, and a keyring that trusts it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def make_keyring() -> Keyring:
-    """Return a keyring with the authority's root."""
+    """Return a keyring that contains the authority's root."""
     keyring = Keyring(0)
     keyring.offer(time.time() * 1000, KeyFiles(roots=AUTHORITY.root))
     return keyring
--- a/benchmarks/tls_persistent.py
+++ b/benchmarks/tls_persistent.py
@@ -1,4 +1,4 @@
-"""What TLS costs the complete program on persistent connections, against plain ones."""
+"""Benchmark of the complete program on persistent connections, with TLS and without."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Round(NamedTuple):
-    """What one round measured."""
+    """Results of one round."""
 
     cpu_us_per_request: float
     median_ms: float
@@ -62,7 +62,7 @@
 
 
 async def measure_persistent_connections(folder: Path, seconds: float, rounds: int) -> None:
-    """Measure both variants in turn, and print the table."""
+    """Measure both variants alternately, and print the table."""
     roots = folder / "roots.pem"
     plain = Variant("plain", await NodeProcess.start(), "")
     tls_nodes = await NodeProcess.start("benchmarks.tls", "--nodes", str(roots))
--- a/benchmarks/tls_resumption.py
+++ b/benchmarks/tls_resumption.py
@@ -1,4 +1,4 @@
-"""The share of reconnections through the program's connector that resume a TLS session."""
+"""Benchmark of session resumption: the fraction of reconnections of the program's connector that resume."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def resumed_fraction(count: int) -> float:
-    """Connect once, then so many times again."""
+    """Connect once, then reconnect ``count`` times; return the fraction of resumed handshakes."""
     node = TlsNode(SERVER_CONTEXT)
     await node.open()
     connector = TlsConnector(TlsSection(KeyPaths(), name_template=NODE_NAME), UNLIMITED, 1)
@@ -30,7 +30,7 @@
 
 
 async def _exchange(connector: TlsConnector, port: int) -> None:
-    """Connect, and send one request."""
+    """Connect, send one request and read its response."""
     stream = await connector.connect(NODE, ("127.0.0.1", port), TIMEOUT_MS, TIMEOUT_MS)
     await stream.write(b"GET / HTTP/1.1\r\n\r\n")
     await stream.read_bytes(100)
--- a/benchmarks/tls_returning_node.py
+++ b/benchmarks/tls_returning_node.py
@@ -1,4 +1,4 @@
-"""Simulated: many schedulers reconnect by TLS to a storage node that has just started."""
+"""Simulation of many schedulers that reconnect with TLS to a storage node that has just started."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 class ReturnResult(NamedTuple):
-    """How the schedulers reconnected.
+    """Load of the reconnections on the node, and their duration.
 
     Attributes:
         max_handshakes_per_s: Handshakes in the busiest second.
-        max_load: The highest load of 100 ms, as a multiple of what the node can do then.
-        duration_s: When the last handshake began.
+        max_load: Maximum handshake load in a window of 100 ms, relative to the node's capacity at that time.
+        duration_s: Start time of the last handshake.
     """
 
     max_handshakes_per_s: int
@@ -41,7 +41,7 @@
 
 
 class WaitingAttempt(NamedTuple):
-    """An attempt that has no connection, and when it is tried again."""
+    """An attempt without a connection, and the time of its next try."""
 
     number: int
     retry_at_ms: float
@@ -49,7 +49,7 @@
 
 @dataclass
 class SimulatedScheduler:
-    """One scheduler, whose attempts all want a connection at the start."""
+    """One scheduler, whose attempts all request a connection at the start."""
 
     admission: HandshakeAdmission
     waiting: list[WaitingAttempt] = field(
@@ -57,7 +57,7 @@
     )
 
     def run(self, now_ms: int) -> int:
-        """Run one millisecond, and return how many handshakes began."""
+        """Simulate one millisecond; return the number of started handshakes."""
         admitted, expired = self.admission.pop_due(now_ms, NODE)
         for _ in admitted:
             self.admission.on_handshake_completed(now_ms, NODE, good=True)
@@ -83,7 +83,7 @@
 
 
 def simulate(*, admitted: bool) -> ReturnResult:
-    """Run the simulation, with admission of handshakes or practically without."""
+    """Run the simulation; with ``admitted`` False the admission has practically no limit."""
     budget = BUDGET if admitted else replace(BUDGET, handshake_share=UNLIMITED_SHARE)
     schedulers = [SimulatedScheduler(HandshakeAdmission(budget, seed)) for seed in range(SCHEDULER_COUNT)]
     begun_ms: list[int] = []
--- a/tests/application/test_console.py
+++ b/tests/application/test_console.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from sabledyke.net.console import MAX_CONNECTIONS
-from tests.standins import ask, http, read_http
+from tests.standins import http, read_http, send_request
 from tests.support.console_calls import call, stats
 from tests.support.server_rig import GET, INFO, PUT, Rig, hold_answers, play
 
@@ -77,7 +77,7 @@
 
         setattr(rig.server, "metrics", read)  # noqa: B010
         asks = [GET.format(1, f"i{n}", INFO) for n in range(100)]
-        waiting = [asyncio.create_task(ask(rig.port, text)) for text in asks]
+        waiting = [asyncio.create_task(send_request(rig.port, text)) for text in asks]
         await arrived.wait()
         while rig.server.core.unanswered + rig.server.core.metrics.answer_totals[0] < 40:
             await asyncio.sleep(0.01)
@@ -103,7 +103,7 @@
         asks = [("read", GET)] * 7 + [(k, PUT) for k in ("ok", "no", "bad") * 3]
         for n, (kind, text) in enumerate(asks):
             headers = INFO + f"Idempotency-Key: k{n}\nContent-Length: 0\n" if text is PUT else INFO
-            status, _, _ = await ask(rig.port, text.format(1, f"{kind}-{n}", headers))
+            status, _, _ = await send_request(rig.port, text.format(1, f"{kind}-{n}", headers))
             verdict = {200: "success", 503: "overload", 500: "error"}[status]
             seen[f"svc.{verdict}.{'read' if kind == 'read' else 'write'}"] += 1
         metrics = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
@@ -139,7 +139,7 @@
             await asyncio.sleep(0.01)
         assert (await call(rig.server.console_port, "POST", "/admin/quiesce"))[0] == 200
         assert await idle_reader.read() == b""  # closed at once
-        assert (await ask(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 503
+        assert (await send_request(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 503
         release.set()
         first, headers, _ = await read_http(busy_reader)
         assert first.startswith("HTTP/1.1 200")
@@ -151,7 +151,7 @@
         assert rig.server.listeners  # the process goes on
         assert not rig.server.takes_clients
         assert (await call(rig.server.console_port, "POST", "/admin/resume"))[0] == 200
-        status, headers, _ = await ask(rig.port, "GET /_health HTTP/1.1\n\n")
+        status, headers, _ = await send_request(rig.port, "GET /_health HTTP/1.1\n\n")
         assert status == 200
         assert "connection" not in headers
         for writer in (idle, busy, piped):
--- a/tests/application/test_reload.py
+++ b/tests/application/test_reload.py
@@ -11,7 +11,7 @@
 
 from sabledyke.config import Config, ConfigError
 from sabledyke.settings import MAX_CLASSES, SettingsError, merge
-from tests.standins import Discovery, ask
+from tests.standins import Discovery, send_request
 from tests.support.console_calls import call, stats
 from tests.support.server_rig import DEPLOYMENT, GET, INFO, Rig, hold_answers, play
 from tests.support.settings import HELD
@@ -28,7 +28,7 @@
 
         run = asyncio.create_task(rig.server.run())
         arrived, release = hold_answers(rig)
-        one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        one = asyncio.create_task(send_request(rig.port, GET.format(1, "i", INFO)))
         await arrived.wait()
         old, new = rig.config, Discovery()
         await new.open()
@@ -81,7 +81,7 @@
     async def scenario(rig: Rig) -> None:
         read, write = DEPLOYMENT.classes
         arrived, release = hold_answers(rig)
-        open_read = asyncio.create_task(ask(rig.port, GET.format(1, "before", INFO)))
+        open_read = asyncio.create_task(send_request(rig.port, GET.format(1, "before", INFO)))
         await arrived.wait()
         rig.config = replace(
             rig.config,
@@ -92,12 +92,14 @@
         rig.server.reload()
         rig.http.answer = None
         named = GET.format(1, "{}", INFO).replace("Req-Kind: read", "Req-Kind: fresh")
-        assert (await ask(rig.port, named.format("new-1")))[0] == 200
+        assert (await send_request(rig.port, named.format("new-1")))[0] == 200
         fewer = replace(DEPLOYMENT, classes=(write, replace(read, name="fresh")))
         rig.config = replace(rig.config, settings=fewer)
         rig.server.reload()
-        assert (await ask(rig.port, GET.format(1, "gone", INFO)))[0] == 400  # "read" takes no new request
-        assert (await ask(rig.port, named.format("new-2")))[0] == 200
+        assert (await send_request(rig.port, GET.format(1, "gone", INFO)))[
+            0
+        ] == 400  # "read" takes no new request
+        assert (await send_request(rig.port, named.format("new-2")))[0] == 200
         release.set()
         assert (await open_read)[0] == 200  # it kept its class through both
         metrics = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
--- a/tests/application/test_shutdown.py
+++ b/tests/application/test_shutdown.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sabledyke.core import Answer, ClientRequest
-from tests.standins import Reader, Writer, ask, http, read_http
+from tests.standins import Reader, Writer, http, read_http, send_request
 from tests.support.loop_lag import LoopLag, loop_lag
 from tests.support.server_rig import GET, INFO, PUT, SHORT_SHUTDOWN, Rig, hold_answers, play
 
@@ -18,13 +18,13 @@
 def test_a_shutdown_waits_for_accepted_requests() -> None:
     async def scenario(rig: Rig) -> None:
         arrived, release = hold_answers(rig)
-        one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        one = asyncio.create_task(send_request(rig.port, GET.format(1, "i", INFO)))
         await arrived.wait()
         rig.server.leave()
         end = asyncio.create_task(rig.server.finish())
         while not rig.server.fronts[0].shutting_down:
             await asyncio.sleep(0)
-        two = await ask(rig.port, "GET /_health HTTP/1.1\n\n")  # still let in
+        two = await send_request(rig.port, "GET /_health HTTP/1.1\n\n")  # still let in
         waiting = socket.create_connection(("127.0.0.1", rig.port))  # the machine has accepted it: taken
         waiting.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
         rig.server.listeners[0].close()
@@ -38,7 +38,7 @@
         assert (status, "connection" in headers, body) == (200, False, b"late")
         await end
         with pytest.raises(ConnectionRefusedError):
-            await ask(rig.port, "GET /_health HTTP/1.1\n\n")
+            await send_request(rig.port, "GET /_health HTTP/1.1\n\n")
 
     play(scenario)
 
@@ -130,7 +130,7 @@
         assert all(seen.served_after_close for seen in clients)
         assert len(read_ids) >= sum(len(seen.statuses) for seen in clients)
         assert not read_ids & {seen.unanswered_id for seen in clients}
-        if lag.allowed_for:
+        if lag.is_within_limit:
             assert all(seen.told_last for seen in clients)
             assert sum(status == 200 for seen in clients for status in seen.statuses) > 8 * 10
         with pytest.raises(ConnectionRefusedError):
@@ -143,7 +143,7 @@
     async def scenario(rig: Rig) -> None:
         arrived, _ = hold_answers(rig)  # never let go
         texts = [GET.format(1, "r", INFO), PUT.format(1, "w", INFO + "Content-Length: 0\n")]
-        owed = [asyncio.create_task(ask(rig.port, text)) for text in texts]
+        owed = [asyncio.create_task(send_request(rig.port, text)) for text in texts]
         await arrived.wait()
         while rig.server.core.unanswered < 2:
             await asyncio.sleep(0.01)
--- a/tests/application/test_shutdown_soak.py
+++ b/tests/application/test_shutdown_soak.py
@@ -34,7 +34,8 @@
     assert not report.lost, report.describe()
     # on a busy machine the kill may come first, with nothing left to answer
     assert report.exit_status in (0, -signal.SIGKILL), report.describe()
-    if not report.plan.crowd:  # a crowded front end closes connections with their answers at any time
+    # A crowded frontend may close connections after an answer at any time.
+    if not report.plan.has_idle_connections:
         assert report.first_close_s >= MIN_SERVICE_S, report.describe()
 
 
@@ -64,4 +65,4 @@
     numbers = [[timed.number for timed in plan.signals] for plan in plans]
     assert sum(sent.count(signal.SIGTERM) > 1 for sent in numbers) >= len(plans) / 4
     assert sum(signal.SIGHUP in sent for sent in numbers) >= len(plans) / 2
-    assert sum(plan.crowd for plan in plans) >= len(plans) / 3
+    assert sum(plan.has_idle_connections for plan in plans) >= len(plans) / 3
--- a/tests/application/test_start.py
+++ b/tests/application/test_start.py
@@ -12,7 +12,7 @@
 from sabledyke.application.extensions import Extension
 from sabledyke.application.server import Server
 from sabledyke.config import Config
-from tests.standins import Discovery, ask
+from tests.standins import Discovery, send_request
 from tests.support.server_rig import DEPLOYMENT, GET, INFO, SHORT_SHUTDOWN, Rig, play
 from tests.support.settings import FAST_SHUTDOWN
 
@@ -32,10 +32,10 @@
         ending = asyncio.create_task(rig.server.finish())
         answers = []
         for n in range(60):  # before, during and after the old one's listener closes
-            answers.append((await ask(rig.port, GET.format(1, f"i{n}", INFO)))[0])
+            answers.append((await send_request(rig.port, GET.format(1, f"i{n}", INFO)))[0])
             await asyncio.sleep(0.005)
         await ending
-        answers += [(await ask(rig.port, GET.format(1, f"late{n}", INFO)))[0] for n in range(5)]
+        answers += [(await send_request(rig.port, GET.format(1, f"late{n}", INFO)))[0] for n in range(5)]
         assert answers == [200] * 65, answers  # none refused, closed or left unread
         new.leave()
         await new.finish()
--- a/tests/net/test_attempt_recheck.py
+++ b/tests/net/test_attempt_recheck.py
@@ -16,12 +16,12 @@
 from sabledyke.protocol import discovery
 from sabledyke.protocol.discovery import Address
 from tests.support.core_bench import CoreBench, no_actions
-from tests.support.endpoint_lists import DRAINS, GONE, HOST, change
-from tests.support.request_steps import Line, request, until
-from tests.support.server_rig import DEPLOYMENT, KEYED, Rig, play
+from tests.support.endpoint_lists import DRAINING, HOST, REMOVED, delta_list
+from tests.support.request_steps import SteppedConnection, request, until
+from tests.support.server_rig import DEPLOYMENT, KEYED_WRITE, Rig, play
 from tests.support.settings import READ, SETTINGS
 
-Act = Callable[[Rig, Line], None]
+Act = Callable[[Rig, SteppedConnection], None]
 
 
 class LateDial:
@@ -40,32 +40,32 @@
         return link
 
 
-def leaves(_rig: Rig, line: Line) -> None:
+def leaves(_rig: Rig, line: SteppedConnection) -> None:
     line.close()
 
 
-def drains(rig: Rig, _line: Line) -> None:
+def drains(rig: Rig, _line: SteppedConnection) -> None:
     rig.server.core.settings = replace(rig.server.core.settings, drain_grace_ms=0.0)
     rig.server.assembly.on_endpoint_list(
-        discovery.read_listing(DRAINS | {"hosts": [HOST | {"health": "draining"}]}, DEPLOYMENT)
+        discovery.read_listing(DRAINING | {"hosts": [HOST | {"health": "draining"}]}, DEPLOYMENT)
     )
 
 
-def is_gone(rig: Rig, _line: Line) -> None:
+def is_gone(rig: Rig, _line: SteppedConnection) -> None:
     rig.server.core.settings = replace(rig.server.core.settings, drain_grace_ms=0.0)
-    rig.server.assembly.on_endpoint_list(discovery.read_listing(GONE, DEPLOYMENT))
+    rig.server.assembly.on_endpoint_list(discovery.read_listing(REMOVED, DEPLOYMENT))
 
 
-def starts_anew(rig: Rig, _line: Line) -> None:
-    rig.server.assembly.on_endpoint_list(discovery.read_listing(change(HOST, 2, born_ms=5.0), DEPLOYMENT))
+def starts_anew(rig: Rig, _line: SteppedConnection) -> None:
+    rig.server.assembly.on_endpoint_list(discovery.read_listing(delta_list(HOST, 2, born_ms=5.0), DEPLOYMENT))
 
 
-def has_no_time(rig: Rig, _line: Line) -> None:
+def has_no_time(rig: Rig, _line: SteppedConnection) -> None:
     for open_request in rig.server.core.open_requests:
         open_request.deadline_ms -= 3600_000
 
 
-def is_late(rig: Rig, _line: Line) -> None:
+def is_late(rig: Rig, _line: SteppedConnection) -> None:
     for flight in rig.server.pool._attempts.values():
         flight.expires_at_s -= 0.5
 
@@ -85,7 +85,7 @@
     """A connection to a storage node comes up late: what was decided then may not hold any more."""
 
     async def scenario(rig: Rig) -> None:
-        line = await Line.open(rig)
+        line = await SteppedConnection.open(rig)
         dial, ends = LateDial(rig), list[AttemptResult]()
         rig.server.core.metrics.count_attempt = lambda *_, **__: None  # type: ignore[method-assign]
         report = rig.server.pool.report
@@ -116,7 +116,7 @@
 
 def test_a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_written() -> None:
     """Lodi, short days, seed 2: a keyed write was sent again outside its window."""
-    once = replace(KEYED, deduplication_window_ms=500)
+    once = replace(KEYED_WRITE, deduplication_window_ms=500)
     bench = CoreBench(no_actions)
     bench.core.settings = replace(SETTINGS, classes=(READ, once))
     request_id = bench.submit(class_index=1, write=True)
@@ -137,7 +137,7 @@
 def test_a_request_in_work_keeps_the_window_that_it_came_with() -> None:
     """A new configuration takes its class's window away: what is decided and what is checked agree."""
     bench = CoreBench(no_actions)
-    keyed = replace(KEYED, deduplication_window_ms=2000)
+    keyed = replace(KEYED_WRITE, deduplication_window_ms=2000)
     bench.core.settings = replace(SETTINGS, classes=(READ, keyed))
     request_id = bench.submit(class_index=1, write=True)
     bench.start_attempt(request_id)
@@ -165,7 +165,7 @@
 
         rig.server.core.on_attempt_completed = note  # type: ignore[method-assign]
         for left in (0.001, 0.029, 0.031, 0.059):
-            line = await Line.open(rig)
+            line = await SteppedConnection.open(rig)
             attempts.clear()
             rig.server.core.scheduler.nodes[b"plain"].latency_ms = 1.0  # it could be served so soon
             line.release.set()
--- a/tests/net/test_client_limits.py
+++ b/tests/net/test_client_limits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sabledyke.net import frontend, http_frontend, listener, nvme_frontend
-from tests.standins import ask
+from tests.standins import send_request
 from tests.support.server_rig import GET, INFO, Rig, play
 
 
@@ -21,7 +21,7 @@
             writer.write(said)
             while not clients or bool(said) is next(iter(clients)).idle:
                 await asyncio.sleep(0)
-            assert (await ask(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 200
+            assert (await send_request(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 200
             assert await reader.read() == b""  # the one that was owed nothing made room
             writer.close()
             while clients:
@@ -63,7 +63,7 @@
         await asyncio.sleep(3 * frontend.SWEEP_INTERVAL_S)
         assert len(http_front.clients) == 1  # it may rest while there is room
         http_front.crowded_above = 0
-        status, headers, _ = await ask(rig.port, GET.format(1, "b", INFO))
+        status, headers, _ = await send_request(rig.port, GET.format(1, "b", INFO))
         assert (status, headers["connection"]) == (200, "close")
         assert await stays.read() == b""
         one.close()
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -8,7 +8,7 @@
 from sabledyke.net import streams
 from sabledyke.net.nvme_extension import NvmeExtension
 from sabledyke.protocol import discovery
-from tests.standins import ask, http
+from tests.standins import http, send_request
 from tests.support.server_rig import DEPLOYMENT, GET, INFO, PUT, Rig, play
 
 
@@ -33,7 +33,7 @@
         rig.server.pool.max_connections = 1
         for n, shard in enumerate((0, 1, 0, 1)):
             text = PUT.format(1, n, INFO.replace("shard=0", f"shard={shard}") + "Content-Length: 0\n")
-            assert (await ask(rig.port, text.replace("/1/", f"/{shard + 1}/")))[0] == 200
+            assert (await send_request(rig.port, text.replace("/1/", f"/{shard + 1}/")))[0] == 200
             assert rig.server.pool.open_connections == 1
 
     play(scenario)
@@ -52,7 +52,7 @@
 
         rig.http.answer = twice
         for n in range(3):
-            assert (await ask(rig.port, GET.format(1, n, INFO)))[::2] == (200, b"right")
+            assert (await send_request(rig.port, GET.format(1, n, INFO)))[::2] == (200, b"right")
             writer = links[-1]
             assert isinstance(writer, asyncio.StreamWriter)
             stream = rig.server.pool._idle[b"plain"][0].link.stream  # type: ignore[attr-defined]
@@ -68,7 +68,7 @@
     async def scenario(rig: Rig) -> None:
         host = await rig.host()
         assert await host.write(2, 0, bytes(512)) == 0
-        assert (await ask(rig.port, GET.format(1, "i", INFO)))[0] == 200
+        assert (await send_request(rig.port, GET.format(1, "i", INFO)))[0] == 200
         server = rig.server
         nvme = server.parts[-1]
         assert isinstance(nvme, NvmeExtension)
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -17,7 +17,7 @@
 from sabledyke.protocol import discovery
 from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout
 from tests.standins import Discovery
-from tests.support.endpoint_lists import DRAINS, GONE, HOST, change, complete_list
+from tests.support.endpoint_lists import DRAINING, HOST, REMOVED, complete_list, delta_list
 from tests.support.request_steps import until
 from tests.support.scheduler_rig import SchedulerRig, actions_of
 from tests.support.server_rig import DEPLOYMENT
@@ -93,7 +93,7 @@
         await until(lambda: len(seen) > 1)
         assert seen[1] is not None
 
-    play_watch(scenario, [DRAINS], polls_endpoint_list=asks)
+    play_watch(scenario, [DRAINING], polls_endpoint_list=asks)
     assert "a fault of ours" in capfd.readouterr().err
     invariants.violations.clear()
 
@@ -163,30 +163,35 @@
 @pytest.mark.parametrize(
     ("pushed", "script", "states"),
     [
-        (True, [DRAINS, None, GONE], ["READY", "DRAINING", None, "GONE"]),  # taken up where it was cut
-        (False, [DRAINS, None, GONE], []),
-        (True, [DRAINS, DRAINS, GONE], ["READY", "DRAINING", "GONE"]),  # repeated: set aside, and said once
+        (True, [DRAINING, None, REMOVED], ["READY", "DRAINING", None, "GONE"]),  # taken up where it was cut
+        (False, [DRAINING, None, REMOVED], []),
+        # repeated: set aside, and said once
+        (True, [DRAINING, DRAINING, REMOVED], ["READY", "DRAINING", "GONE"]),
         # Silent from the first byte on, after a change, in the middle of an answer: asked anew, and no more.
-        (True, [bytearray(), DRAINS, bytearray(), GONE], ["READY", "DRAINING", "GONE"]),
+        (True, [bytearray(), DRAINING, bytearray(), REMOVED], ["READY", "DRAINING", "GONE"]),
         (
             True,
-            [DRAINS, bytearray(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"), GONE],
+            [DRAINING, bytearray(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"), REMOVED],
             ["READY", "DRAINING", "GONE"],
         ),
-        (True, [DRAINS, b'{"seq": 3, "whole": false, "hosts": [', GONE], ["READY", "DRAINING", None, "GONE"]),
+        (
+            True,
+            [DRAINING, b'{"seq": 3, "whole": false, "hosts": [', REMOVED],
+            ["READY", "DRAINING", None, "GONE"],
+        ),
         # Older than what is held, or out of order: set aside, and the whole list is asked for.
-        (True, [GONE, DRAINS, complete_list(HOST, 4)], ["READY", "GONE", None, "READY"]),
+        (True, [REMOVED, DRAINING, complete_list(HOST, 4)], ["READY", "GONE", None, "READY"]),
         # An older whole list is taken once a second call brings one too: it counts from the start.
-        (True, [GONE, complete_list(HOST, 1), complete_list(HOST, 1)], ["READY", "GONE", None, "READY"]),
+        (True, [REMOVED, complete_list(HOST, 1), complete_list(HOST, 1)], ["READY", "GONE", None, "READY"]),
         (
             True,
-            [change(HOST, 2, born_ms=5.0), change(HOST, 3, born_ms="nan"), GONE],
+            [delta_list(HOST, 2, born_ms=5.0), delta_list(HOST, 3, born_ms="nan"), REMOVED],
             ["READY", "READY", None, "GONE"],
         ),
         # One garbled entry hides no drain beside it, and nobody is taken for gone.
         (
             True,
-            [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINS["hosts"][0]]}, complete_list(HOST, 2)],
+            [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINING["hosts"][0]]}, complete_list(HOST, 2)],
             ["READY", "DRAINING", None, "READY"],
         ),
     ],
--- a/tests/net/test_http_messages.py
+++ b/tests/net/test_http_messages.py
@@ -12,7 +12,7 @@
 
 from sabledyke.net import http_frontend
 from sabledyke.protocol.http import HttpError, HttpParser
-from tests.standins import ask, read_http
+from tests.standins import read_http, send_request
 from tests.support.server_rig import GET, INFO, PUT, Rig, play
 
 
@@ -67,7 +67,7 @@
             return b""
 
         rig.http.answer = closes
-        assert (await ask(rig.port, GET.format(1, "c", INFO)))[::2] == (200, b"until the end")
+        assert (await send_request(rig.port, GET.format(1, "c", INFO)))[::2] == (200, b"until the end")
 
         async def resets(writer: asyncio.StreamWriter) -> bytes | None:
             writer.write(b"HTTP/1.1 200 OK\r\n\r\ncut")
@@ -78,7 +78,7 @@
             return b""
 
         rig.http.answer = resets
-        assert (await ask(rig.port, GET.format(1, "r", INFO)))[0] in (500, 503)
+        assert (await send_request(rig.port, GET.format(1, "r", INFO)))[0] in (500, 503)
 
     play(scenario)
 
--- a/tests/net/test_node_connections.py
+++ b/tests/net/test_node_connections.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.standins import Writer, ask, http
+from tests.standins import Writer, http, send_request
 from tests.support.server_rig import GET, INFO, PUT, Rig, play
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -85,13 +85,13 @@
         served = ANSWERS[answer]  # type: ignore[index]
         rig.http.answer = answer  # type: ignore[assignment]
         text = PUT.format(1, "spoilt", INFO + "Idempotency-Key: k\nContent-Length: 0\n") if keyed else ""
-        status, _, body = await ask(rig.port, text or GET.format(1, "spoilt", INFO))
+        status, _, body = await send_request(rig.port, text or GET.format(1, "spoilt", INFO))
         assert (status, body) == (200, served) if served is not None else status in (500, 503)
         sent = sum(headers["req-id"] == "spoilt" for _, headers, _ in rig.http.seen)
         assert 1 <= sent <= rig.server.core.settings.max_attempts
         rig.http.answer = None
         rig.server.core.scheduler.nodes[b"plain"].unresponsive_since_ms = float("inf")
-        assert (await ask(rig.port, GET.format(2, "next", INFO)))[0] == 200
+        assert (await send_request(rig.port, GET.format(2, "next", INFO)))[0] == 200
         assert not rig.server.core.unanswered
 
     play(scenario)
@@ -109,7 +109,7 @@
             return http(200, b"good")
 
         rig.http.answer = note
-        assert (await ask(rig.port, GET.format(1, "first", INFO)))[0] == 200
+        assert (await send_request(rig.port, GET.format(1, "first", INFO)))[0] == 200
         pool = rig.server.pool
         (slot,) = pool._idle[b"plain"]
         raw = writers[0].transport.get_extra_info("socket")
@@ -122,7 +122,7 @@
             await asyncio.sleep(0)  # the transport closes its socket in the next turn
         assert pool._reuse(b"plain") is None
         assert slot.link.closed
-        status, _, body = await ask(rig.port, GET.format(2, "second", INFO))
+        status, _, body = await send_request(rig.port, GET.format(2, "second", INFO))
         assert (status, body) == (200, b"good")
         assert writers[1] is not writers[0]
         assert len(rig.http.seen) == 2
--- a/tests/net/test_nvme.py
+++ b/tests/net/test_nvme.py
@@ -9,7 +9,7 @@
 from sabledyke.net.nvme_extension import NvmeExtension
 from sabledyke.net.nvme_frontend import NvmeClientConnection
 from sabledyke.protocol import discovery
-from tests.standins import NQN, NvmeNode, ask, http
+from tests.standins import NQN, NvmeNode, http, send_request
 from tests.support.server_rig import DEPLOYMENT, INFO, PUT, Rig, play
 
 
@@ -103,7 +103,7 @@
             box.write_bytes_until_fault, box.dies_at_fault = 1000, deadly
         info = INFO.replace("shard=0", "shard=-1") + "Idempotency-Key: k\nContent-Length: 3000\n"
         text = PUT.format(1, "i", info)
-        status, _, _ = await ask(rig.port, text, bytes(3000))
+        status, _, _ = await send_request(rig.port, text, bytes(3000))
         assert sorted((rig.nvme.started_writes, spare.started_writes)) == [0, 1 if deadly else 2]
         assert len(rig.nvme.writes + spare.writes) == (0 if deadly else 1)
         assert status == (500 if deadly else 200)
@@ -120,7 +120,7 @@
             info = INFO.replace("shard=0", f"shard={shard}") + f"Idempotency-Key: {volume}-{n}\n"
             info += "Content-Length: 4\n"
             text = PUT.format(n, f"{volume}-{n}", info).replace("/1/", f"/{volume}/").replace("gold", tier)
-            return (await ask(rig.port, text, b"data"))[0] == 200
+            return (await send_request(rig.port, text, b"data"))[0] == 200
 
         async def by_nvme(volume: int, n: int) -> int:
             host = await rig.host()
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -15,28 +15,28 @@
 from sabledyke.policy.events import Outcome
 from sabledyke.protocol.http import MAX_INPUT_BYTES
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
-from tests.standins import ask
-from tests.support.request_steps import Line, Step, request, until
+from tests.standins import send_request
+from tests.support.request_steps import Step, SteppedConnection, request, until
 from tests.support.server_rig import GET, INFO, Rig, hold_answers, play
 
-Act = Callable[[Rig, Line], None]
+Act = Callable[[Rig, SteppedConnection], None]
 
 
-def sweep(rig: Rig, line: Line) -> None:
+def sweep(rig: Rig, line: SteppedConnection) -> None:
     line.client.last_activity_s -= 3600  # it has rested for an hour
     rig.server.fronts[0]._close_overdue()
 
 
-def shed(rig: Rig, _line: Line) -> None:
+def shed(rig: Rig, _line: SteppedConnection) -> None:
     rig.server.fronts[0].close_idle(asyncio.get_running_loop().time())
 
 
-def crowd(rig: Rig, _line: Line) -> None:
+def crowd(rig: Rig, _line: SteppedConnection) -> None:
     rig.server.fronts[0].max_clients = 1
     rig.server.fronts[0]._ensure_capacity()
 
 
-def quiesce(rig: Rig, _line: Line) -> None:
+def quiesce(rig: Rig, _line: SteppedConnection) -> None:
     rig.server.quiesce()
 
 
@@ -46,7 +46,7 @@
     """Whatever ends connections at rest, a request that has come in gets its whole answer."""
 
     async def scenario(rig: Rig) -> None:
-        line = await Line.open(rig)
+        line = await SteppedConnection.open(rig)
         await line.reach(step)
         act(rig, line)
         line.release.set()
@@ -90,7 +90,7 @@
     async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(lifecycle, "GracefulShutdown", Scripted)
         Scripted.current = begins
-        line = await Line.open(rig)
+        line = await SteppedConnection.open(rig)
         rig.server.leave()
         end = asyncio.create_task(rig.server.finish())
         await until(lambda: rig.server.fronts[0].shutting_down)
@@ -120,7 +120,7 @@
     """Guards against ending a connection, because of what comes behind it, under a request in work."""
 
     async def scenario(rig: Rig) -> None:
-        line = await Line.open(rig)
+        line = await SteppedConnection.open(rig)
         if crowded:
             rig.server.fronts[0].crowded_above = 0
         whole = b"".join(request(f"{n}-" + "x" * 1900) for n in range(many))
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("behind", [0, 1, 110])
 def test_a_client_that_goes_is_seen_also_behind_much_that_it_sent(behind: int) -> None:
     async def scenario(rig: Rig) -> None:
-        line, outcomes = await Line.open(rig), list[Outcome]()
+        line, outcomes = await SteppedConnection.open(rig), list[Outcome]()
         report = rig.server.pool.report
 
         def note(request_id: int, number: int, ended: AttemptResult) -> None:
@@ -174,7 +174,7 @@
     """It stays unread; or the stream had read it when the last byte of a slow answer was written."""
 
     async def scenario(rig: Rig) -> None:
-        line = await Line.open(rig)
+        line = await SteppedConnection.open(rig)
         closing = request("last").replace(b"Req-Kind", b"Connection: close\r\nReq-Kind")
         line.socket.sendall(closing)
         await line.arrived.wait()
@@ -205,7 +205,7 @@
     async def scenario(rig: Rig) -> None:
         arrived, _ = hold_answers(rig)
         began_s = time.monotonic()
-        asked = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        asked = asyncio.create_task(send_request(rig.port, GET.format(1, "i", INFO)))
         await arrived.wait()
         await asyncio.sleep(began_s + 0.9 - time.monotonic())
         time.sleep(began_s + 0.985 - time.monotonic())
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -9,15 +9,15 @@
 
 from sabledyke.core import AttemptResult
 from sabledyke.policy.events import Outcome
-from tests.standins import ask, http
+from tests.standins import http, send_request
 from tests.support.server_rig import GET, INFO, PUT, Rig, hold_answers, play
 
 
 def test_requests_pass_unchanged_and_answers_come_back() -> None:
     async def scenario(rig: Rig) -> None:
-        assert (await ask(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 200
+        assert (await send_request(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 200
         text = PUT.format("ab", "id-1", INFO + "Idempotency-Key: k1\nContent-Length: 5\n")
-        assert (await ask(rig.port, text, b"hello"))[::2] == (200, b"hello")
+        assert (await send_request(rig.port, text, b"hello"))[::2] == (200, b"hello")
         first, headers, body = rig.http.seen[-1]
         assert first == "PUT /api/1/ab?q=1 HTTP/1.1"
         assert body == b"hello"
@@ -36,11 +36,11 @@
             (PUT.format(1, "i", "Content-Length: 99999\n"), 413),
             ("GET / HTTP/1.1\nX: " + "x" * 20000 + "\n\n", 431),
         ):
-            assert (await ask(rig.port, text))[0] == status
+            assert (await send_request(rig.port, text))[0] == status
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.nvme_port)
         writer.write(bytes([77]) * 200)
         assert (await reader.read())[0] == 3  # C2HTermReq, then the end
-        assert (await ask(rig.port, GET.format(1, "i", INFO)))[0] == 200
+        assert (await send_request(rig.port, GET.format(1, "i", INFO)))[0] == 200
 
     play(scenario)
 
@@ -61,7 +61,7 @@
 
         rig.http.answer = say
         text = PUT.format(1, "i", INFO + "Idempotency-Key: k\nContent-Length: 0\n")
-        assert (await ask(rig.port, text))[0] == status
+        assert (await send_request(rig.port, text))[0] == status
         assert 1 <= len(rig.http.seen) <= tries
         assert {s[1]["req-id"] for s in rig.http.seen} == {"i"}
 
@@ -102,7 +102,7 @@
 
         rig.http.answer = never
         text = GET.format(1, "i", INFO)
-        status, _, _ = await ask(rig.port, text)
+        status, _, _ = await send_request(rig.port, text)
         assert status in (500, 503)
 
     play(scenario)
@@ -111,9 +111,9 @@
 def test_an_id_in_use_is_not_accepted_again() -> None:
     async def scenario(rig: Rig) -> None:
         arrived, release = hold_answers(rig)
-        one = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        one = asyncio.create_task(send_request(rig.port, GET.format(1, "i", INFO)))
         await arrived.wait()
-        assert (await ask(rig.port, GET.format(1, "i", INFO)))[0] == 409
+        assert (await send_request(rig.port, GET.format(1, "i", INFO)))[0] == 409
         release.set()
         assert (await one)[::2] == (200, b"late")
         assert len(rig.http.seen) == 1
@@ -133,7 +133,7 @@
             rig.server.assembly.response_memory.used_bytes = (
                 rig.server.assembly.response_memory.limit_bytes + 1 if full else 0
             )
-            got, _, body = await ask(rig.port, GET.format(n, n, INFO))
+            got, _, body = await send_request(rig.port, GET.format(n, n, INFO))
             assert got == status
             assert got != 200 or body == b"x" * size
         rig.server.assembly.response_memory.used_bytes = 0
@@ -151,8 +151,10 @@
         rig.server.reload()
         shorter = GET.replace("Deadline: 1.0", "Deadline: 0.9")
         longer = GET.replace("Deadline: 1.0", "Deadline: 60")
-        assert (await ask(rig.port, longer.format(1, "long", INFO)))[0] == 200
-        statuses = [(await ask(rig.port, shorter.format(1, f"short-{i}", INFO)))[0] for i in range(20)]
+        assert (await send_request(rig.port, longer.format(1, "long", INFO)))[0] == 200
+        statuses = [
+            (await send_request(rig.port, shorter.format(1, f"short-{i}", INFO)))[0] for i in range(20)
+        ]
         assert statuses == [200] * 20
 
     play(scenario)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -6,7 +6,7 @@
 
 from sabledyke.policy.admission import SAFETY_MARGIN
 from sabledyke.policy.context import LOOKBACK_MS
-from tests.support.scheduler_rig import SchedulerRig, rig_with_small_budget, strain
+from tests.support.scheduler_rig import SchedulerRig, mark_strained, rig_with_small_budget
 
 RESERVED_PLAN = 1  # an index into SETTINGS.plans
 
@@ -51,5 +51,5 @@
         rig = rig_with_small_budget(scheduler_count)
         request_ids = [rig.submit() for _ in range(6)]
         assert sum(rig.attempt_count(request_id) for request_id in request_ids) == 4
-        strain(rig, volume=99)
+        mark_strained(rig, volume=99)
         assert rig.answers(rig.submit(volume=99))
--- a/tests/policy/test_reject_reasons.py
+++ b/tests/policy/test_reject_reasons.py
@@ -10,7 +10,7 @@
 from sabledyke.policy.actions import Fail, Reject, RejectReason
 from sabledyke.policy.events import Outcome
 from tests.support.nodes import endpoint_change, node_entry
-from tests.support.scheduler_rig import SchedulerRig, rig_with_small_budget, strain
+from tests.support.scheduler_rig import SchedulerRig, mark_strained, rig_with_small_budget
 
 CAPPED_PLAN = 2  # indices into SETTINGS
 WRITE_CLASS = 1
@@ -27,7 +27,7 @@
     rig = rig_with_small_budget(scheduler_count=3)
     for _ in range(6):
         rig.submit()
-    strain(rig, volume=99)
+    mark_strained(rig, volume=99)
     rig.submit(volume=99)
     return rig
 
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,10 +1,10 @@
-"""Stand-ins on loopback: storage nodes that speak HTTP or NVMe/TCP, discovery, and an NVMe host.
+"""Test doubles on loopback: storage nodes for HTTP and NVMe/TCP, discovery, and an NVMe host.
 
-Written from the public specifications and PROTOCOL's tables, with nothing of the code that they test.
+They are implemented from the public specifications and PROTOCOL's tables, independent of the code under test.
 """
 
 from tests.standins.discovery import Discovery
-from tests.standins.http_messages import ask, http, read_http
+from tests.standins.http_messages import http, read_http, send_request
 from tests.standins.http_node import HttpNode
 from tests.standins.nvme_host import NvmeHost
 from tests.standins.nvme_node import NQN, NvmeNode
@@ -20,9 +20,9 @@
     "Reader",
     "Service",
     "Writer",
-    "ask",
     "http",
     "pdu",
     "read_http",
     "read_pdu",
+    "send_request",
 ]
--- a/tests/standins/discovery.py
+++ b/tests/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery, which serves the endpoint list."""
+"""A stand-in for discovery, which serves the endpoint list."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class Discovery(Service):
-    """Answers the first call with the complete list, the next as ``script`` says, and the rest not at all.
+    """Answers the first call with the complete list, then calls from ``script``, and no further calls.
 
     Attributes:
-        hosts: The complete list.
-        calls: First lines of the calls.
-        script: One entry for each call after the first: a list or bytes to answer with, None to cut the
-            connection, a bytearray to write as it is before the call remains silent.
-        indent: The indentation of lists, where they come indented.
-        on_silence: Called when a scripted call has fallen silent.
+        hosts: The entries of the complete list.
+        calls: Request lines of all calls.
+        script: One entry for each call after the first: a list or bytes to answer with, None to abort the
+            connection, a bytearray to write unchanged and then leave the call unanswered.
+        indent: The JSON indentation of scripted lists; None for compact JSON.
+        on_silence: Called when a scripted call stays unanswered after its bytearray.
     """
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
         """Return the complete list as it is served."""
         return {"seq": 1, "whole": True, "hosts": self.hosts}
 
-    async def talk(self, reader: Reader, writer: Writer) -> None:
+    async def serve_connection(self, reader: Reader, writer: Writer) -> None:
         while True:
             first_line, _, _ = await read_http(reader)
             self.calls.append(first_line)
--- a/tests/standins/http_messages.py
+++ b/tests/standins/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as clients and storage nodes write them."""
+"""HTTP/1.1 messages of clients and storage nodes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 async def read_http(reader: Reader) -> tuple[str, dict[str, str], bytes]:
-    """Return the first line, the headers and the body of a message that states its length."""
+    """Read a message whose body has a Content-Length; return its first line, headers and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first_line, *lines = head.strip().split("\r\n")
     headers = {}
@@ -19,13 +19,13 @@
 
 
 def http(status: int, body: bytes = b"", *headers: str) -> bytes:
-    """Return a response with its length and further header lines."""
+    """Return a response with a Content-Length and further header lines."""
     lines = [f"HTTP/1.1 {status} Whatever", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-async def ask(port: int, text: str, body: bytes = b"") -> tuple[int, dict[str, str], bytes]:
-    """Send one request on a connection of its own; return status, headers and body."""
+async def send_request(port: int, text: str, body: bytes = b"") -> tuple[int, dict[str, str], bytes]:
+    """Send one request on a new connection; return status, headers and body."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(text.replace("\n", "\r\n").encode() + body)
     first_line, headers, answer = await read_http(reader)
--- a/tests/standins/http_node.py
+++ b/tests/standins/http_node.py
@@ -1,4 +1,4 @@
-"""A storage node that speaks HTTP."""
+"""A stand-in for a storage node with HTTP."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class HttpNode(Service):
-    """Answers each request with its own body, or as ``answer`` says.
+    """Echoes the body of each request, or responds with the result of ``answer``.
 
     Attributes:
-        seen: First line, headers and body of each request.
-        answer: Returns the response; None ends the connection without one.
+        seen: First line, headers and body of each received request.
+        answer: Returns the response, or None to close the connection without a response.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self.seen: list[tuple[str, dict[str, str], bytes]] = []
         self.answer: Callable[[Writer], Awaitable[bytes | None]] | None = None
 
-    async def talk(self, reader: Reader, writer: Writer) -> None:
+    async def serve_connection(self, reader: Reader, writer: Writer) -> None:
         while True:
             first_line, headers, body = await read_http(reader)
             self.seen.append((first_line, headers, body))
--- a/tests/standins/keys.py
+++ b/tests/standins/keys.py
@@ -1,4 +1,4 @@
-"""Certificates for tests, created at run time and never stored: authorities, what they sign and revoke."""
+"""Authorities, certificates and revocation lists for tests, created at run time and never stored."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Authority:
-    """Signs certificates and revocation lists."""
+    """A certificate authority with a self-signed root."""
 
     def __init__(self, name: str = "root", days: float = 365) -> None:
         self._key = ec.generate_private_key(ec.SECP256R1())
@@ -49,7 +49,7 @@
         self._certificate = certificate
 
     def issue(self, *names: str, days: float = 90, begin: float = -1) -> tuple[bytes, bytes]:
-        """Return a certificate for these names and its key, both PEM; times are in days from now."""
+        """Return a PEM certificate for these names and its PEM key; validity is in days relative to now."""
         key = ec.generate_private_key(ec.SECP256R1())
         now = datetime.now(UTC)
         alternative: list[x509.GeneralName] = []
@@ -80,7 +80,7 @@
         return certificate.public_bytes(Encoding.PEM), pem
 
     def revoke(self, *chains: bytes, days: float = 7) -> bytes:
-        """Return a revocation list with these certificates."""
+        """Return a PEM revocation list that contains these certificates."""
         now = datetime.now(UTC)
         builder = x509.CertificateRevocationListBuilder().issuer_name(self._name)
         builder = builder.last_update(now - DAY).next_update(now + timedelta(days=days))
--- a/tests/standins/nvme_commands.py
+++ b/tests/standins/nvme_commands.py
@@ -1,4 +1,4 @@
-"""Numbers of NVMe's and NVMe/TCP's specifications that the stand-ins on both sides use."""
+"""Constants of the NVMe and NVMe/TCP specifications, shared by the stand-ins for host and storage node."""
 
 from __future__ import annotations
 
--- a/tests/standins/nvme_host.py
+++ b/tests/standins/nvme_host.py
@@ -1,4 +1,4 @@
-"""A host that sends commands by NVMe/TCP."""
+"""A stand-in for an NVMe/TCP host."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 
 class NvmeHost:
-    """A host with one I/O queue and one command at a time.
+    """A host with one I/O queue and at most one command in flight.
 
     Attributes:
         result: Dword 0 and 1 of the last completion.
-        cntlid: The controller's identifier.
-        io: The I/O queue.
+        cntlid: The controller identifier that Connect returned.
+        io: Reader and writer of the I/O queue's connection.
     """
 
     def __init__(self, port: int, nqn: str) -> None:
@@ -59,22 +59,22 @@
         assert status == 0
         self.io = await self._connect_queue(1, self.cntlid)
 
-    async def identify(self, what: int, nsid: int = 0) -> tuple[int, bytes]:
-        """Return the status and the data of Identify."""
-        return await self.command(self._admin, OPCODE_IDENTIFY, nsid, size=4096, words=(what,))
+    async def identify(self, cns: int, nsid: int = 0) -> tuple[int, bytes]:
+        """Send Identify with this CNS value; return its status and data."""
+        return await self.command(self._admin, OPCODE_IDENTIFY, nsid, size=4096, words=(cns,))
 
     async def admin(self, opcode: int, words: tuple[int, ...] = ()) -> int:
-        """Return the status of an admin command."""
+        """Send an admin command; return its status."""
         status, _ = await self.command(self._admin, opcode, words=words)
         return status
 
     async def read(self, nsid: int, slba: int, count: int) -> tuple[int, bytes]:
-        """Return the status and the data of a read."""
+        """Read blocks; return the status and the data."""
         words = (slba, 0, count - 1)
         return await self.command(self.io, OPCODE_READ, nsid, size=count * BLOCK_SIZE, words=words)
 
     async def write(self, nsid: int, slba: int, data: bytes, key: int = 0) -> int:
-        """Return the status of a write."""
+        """Write blocks; return the status."""
         words = (slba, 0, len(data) // BLOCK_SIZE - 1)
         status, _ = await self.command(
             self.io, OPCODE_WRITE, nsid, key=key, payload=data, size=len(data), words=words
@@ -89,27 +89,27 @@
         *,
         key: int = 0,
         payload: bytes = b"",
-        inside: bytes = b"",
+        in_capsule_data: bytes = b"",
         size: int = 0,
         words: tuple[int, ...] = (),
     ) -> tuple[int, bytes]:
-        """Send a command; return its status field without the phase bit, and what was read.
+        """Send a command; return its status field without the phase bit, and the data of a read.
 
         Args:
-            queue: The queue on which it is sent.
-            opcode: Its opcode.
-            nsid: Its namespace, or the type of a fabrics command.
-            key: Its idempotency key.
-            payload: Data that the controller requests.
-            inside: Data inside the capsule.
-            size: The size of the data that is transferred outside the capsule.
-            words: Command Dwords from 10 on.
+            queue: The queue on which the command is sent.
+            opcode: The opcode of the command.
+            nsid: The namespace identifier, or the type of a fabrics command.
+            key: The idempotency key of a write; 0 for none.
+            payload: Data that is sent when the controller requests it (R2T).
+            in_capsule_data: Data inside the command capsule.
+            size: Size in bytes of the data that is transferred outside the capsule.
+            words: Command Dwords, starting with Dword 10.
         """
         reader, writer = queue
         self._command_id += 1
-        sgl = (len(inside), SGL_IN_CAPSULE) if inside else (size, SGL_BY_TRANSPORT)
+        sgl = (len(in_capsule_data), SGL_IN_CAPSULE) if in_capsule_data else (size, SGL_BY_TRANSPORT)
         entry = struct.pack("<BBHIQQQI3xB", opcode, SGL_TRANSFER, self._command_id, nsid, key, 0, 0, *sgl)
-        writer.write(pdu(Pdu.COMMAND, entry + struct.pack(f"<{len(words)}I", *words), inside))
+        writer.write(pdu(Pdu.COMMAND, entry + struct.pack(f"<{len(words)}I", *words), in_capsule_data))
         data = b""
         while True:
             kind, header, part = await read_pdu(reader)
@@ -138,7 +138,7 @@
         words = (number << 16, QUEUE_SIZE_MINUS_ONE)
         queue = reader, writer
         status, _ = await self.command(
-            queue, OPCODE_FABRICS, FABRICS_CONNECT, inside=bytes(data), words=words
+            queue, OPCODE_FABRICS, FABRICS_CONNECT, in_capsule_data=bytes(data), words=words
         )
         assert status == 0, hex(status)
         return queue
--- a/tests/standins/nvme_node.py
+++ b/tests/standins/nvme_node.py
@@ -1,4 +1,4 @@
-"""A storage node that speaks NVMe/TCP."""
+"""A stand-in for a storage node with NVMe/TCP."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 MAX_DATA_SIZE = 4096
 NO_FAULT_BYTES = 1 << 40
 
-QUEUE_COUNTS = 0x00030003  # four of each kind, counted from zero
-PROPERTY_VALUES = {PROPERTY_CAPABILITIES: 1 << 37, PROPERTY_STATUS: 1}  # status: ready
+QUEUE_COUNTS = 0x00030003  # four submission and four completion queues, as zero-based counts
+PROPERTY_VALUES = {PROPERTY_CAPABILITIES: 1 << 37, PROPERTY_STATUS: 1}  # CSTS.RDY is set
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,7 +35,7 @@
     """A submission queue entry.
 
     Attributes:
-        key: The idempotency key.
+        key: The idempotency key of a write.
         words: Command Dwords 10 to 15.
     """
 
@@ -60,17 +60,17 @@
 
 
 class NvmeNode(Service):
-    """A controller that stores blocks by namespace.
+    """A controller that stores blocks in memory, with faults that a test configures.
 
     Attributes:
-        blocks: Contents by namespace and block number.
-        writes: Namespace, first block and key of each write that was received completely.
-        started_writes: How many writes it requested data for.
-        write_bytes_until_fault: Once a write has received more than this, the fault happens.
-        dies_at_fault: The node dies then; otherwise only the connection is cut.
-        status: The status of reads and writes; 0 carries them out.
-        stalled: It accepts reads and writes and does not respond.
-        keys: Idempotency keys of writes that were carried out.
+        blocks: Block contents by namespace and block number.
+        writes: Namespace, first block and key of each completely received write.
+        started_writes: Number of writes whose data the node requested.
+        write_bytes_until_fault: Number of bytes of a write after which the fault occurs.
+        dies_at_fault: True if the node stops at the fault; otherwise only the connection is aborted.
+        status: Status of reads and writes; with 0 they are executed.
+        stalled: True if reads and writes are received and never answered.
+        keys: Idempotency keys of executed writes.
     """
 
     def __init__(self) -> None:
@@ -84,7 +84,7 @@
         self.stalled = False
         self.keys: set[int] = set()
 
-    async def talk(self, reader: Reader, writer: Writer) -> None:
+    async def serve_connection(self, reader: Reader, writer: Writer) -> None:
         kind, _, _ = await read_pdu(reader)
         assert kind == Pdu.INITIALIZE_REQUEST
         writer.write(pdu(Pdu.INITIALIZE_RESPONSE, struct.pack("<HBBI", 0, 0, 0, MAX_DATA_SIZE)))
@@ -104,7 +104,7 @@
             writer.write(pdu(Pdu.RESPONSE, response))
 
     def _fabrics_result(self, command: Command, data: bytes) -> int:
-        kind = command.namespace & 0xFF  # the fabrics command type has the namespace's place
+        kind = command.namespace & 0xFF  # the type of a fabrics command is in the namespace field
         if kind == FABRICS_CONNECT:
             assert len(data) == 1024
             assert data[256:].startswith(NQN.encode())
@@ -112,7 +112,7 @@
         return PROPERTY_VALUES[command.words[1]] if kind == FABRICS_PROPERTY_GET else 0
 
     async def _carry_out(self, reader: Reader, writer: Writer, command: Command) -> int:
-        """Carry out a read or a write; return its status."""
+        """Execute a read or a write; return its status."""
         if command.opcode == OPCODE_READ:
             self._read(writer, command)
         else:
--- a/tests/standins/nvme_pdus.py
+++ b/tests/standins/nvme_pdus.py
@@ -1,4 +1,4 @@
-"""PDUs of NVMe/TCP."""
+"""Encoding and decoding of NVMe/TCP PDUs."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 COMMON_HEADER = "<BBBBI"
 COMMON_HEADER_SIZE = 8
-LAST_PDU = 4  # the flag of a command's last data
+LAST_PDU = 4  # flag of the last data PDU of a command
 
 
 class Pdu(IntEnum):
-    """Types of PDUs."""
+    """PDU types of NVMe/TCP."""
 
     INITIALIZE_REQUEST = 0
     INITIALIZE_RESPONSE = 1
@@ -29,14 +29,14 @@
 
 
 def pdu(kind: int, header: bytes, data: bytes = b"", flags: int = 0) -> bytes:
-    """Return a PDU of a type; ``header`` is what follows the common part."""
+    """Return a PDU; ``header`` is the type-specific header after the common header."""
     size = HEADER_SIZES.get(kind, OTHER_HEADER_SIZE)
     start = struct.pack(COMMON_HEADER, kind, flags, size, size if data else 0, size + len(data))
     return (start + header).ljust(size, b"\0") + data
 
 
 async def read_pdu(reader: Reader) -> tuple[int, bytes, bytes]:
-    """Return a PDU's type, its header after the common part, and its data."""
+    """Read a PDU; return its type, its type-specific header and its data."""
     kind, _, header_size, _, total_size = struct.unpack(
         COMMON_HEADER, await reader.readexactly(COMMON_HEADER_SIZE)
     )
--- a/tests/standins/postgres.py
+++ b/tests/standins/postgres.py
@@ -1,17 +1,18 @@
-"""A PostgreSQL server for tests, on loopback: protocol 3.0 as far as a client library uses it, and faults.
+"""A PostgreSQL server for tests on loopback: the parts of protocol 3.0 that clients use, with faults.
 
-Written from chapter 55 of PostgreSQL's manual (messages), RFC 5802 and 7677 (SCRAM-SHA-256) and appendix A
-(SQLSTATEs), with nothing of the code that it tests. Start-up, SCRAM, simple and extended query, transactions,
-errors and cancel are spoken; COPY, cursors, notices and types beyond text, bigint, double precision and bytea
-are not. Underneath is one SQLite file with a connection a session, so transactions are real: what a session
-writes is seen by others after its COMMIT, and is gone with its ROLLBACK.
+It is implemented from chapter 55 of PostgreSQL's manual (messages), RFC 5802 and 7677 (SCRAM-SHA-256) and
+appendix A (SQLSTATEs), independent of the code under test. It supports start-up, SCRAM, simple and extended
+query, transactions, errors and cancel; it does not support COPY, cursors, notices and types other than text,
+bigint, double precision and bytea. The data are in one SQLite file with one connection per session, so that
+transactions are real: other sessions see the writes of a session after its COMMIT, and a ROLLBACK discards
+them.
 
-What is simpler than the real one: a writing transaction locks the whole database, not rows, so that another
-writer waits for it; SQL is SQLite's, after value casts and FOR UPDATE are removed; types of result columns
-are those that CREATE TABLE gave them.
+Simplifications: a writing transaction locks the whole database instead of rows, so that another writer waits
+for it; the SQL dialect is SQLite's, after value casts and FOR UPDATE are removed; the types of result columns
+are the declared types of CREATE TABLE.
 
-As the real one, it goes on with a COMMIT that it has received although its client has gone. Run as a program,
-it is a process of its own, for measurements, and prints its port.
+Like the real server, it completes a received COMMIT even if the client has disconnected. Run as a program, it
+serves measurements from a separate process and prints its port.
 """
 
 from __future__ import annotations
@@ -28,19 +29,19 @@
 
 @dataclass(slots=True)
 class Postgres:
-    """The server; a ``script`` raises ConnectionCutError or PostgresError, or sleeps.
+    """The server; its ``script`` injects faults: it raises ConnectionCutError or PostgresError, or sleeps.
 
     Attributes:
-        path: Its file.
-        user: The one role.
-        password: Its password.
-        script: Acts at each point of each session.
-        sessions: How many sessions have sent a StartupMessage.
-        sessions_messages: How many messages each has received.
-        cancelled: Sessions for which a CancelRequest came.
-        statements: All that was executed, in order.
-        types: Types of columns, by table and name.
-        port: Where it listens.
+        path: Path of the SQLite file.
+        user: Name of the only role.
+        password: Password of the role.
+        script: Called at each fault point of each session.
+        sessions: Number of sessions that have sent a StartupMessage.
+        message_counts: Number of received messages by session number.
+        cancelled: Session numbers of the received CancelRequests.
+        statements: All executed statements, in order.
+        types: Column types by table and column name.
+        port: The port on which it listens.
     """
 
     path: str
@@ -48,7 +49,7 @@
     password: str = "secret"
     script: Script = no_fault
     sessions: int = 0
-    sessions_messages: dict[int, int] = field(default_factory=dict)
+    message_counts: dict[int, int] = field(default_factory=dict)
     cancelled: list[int] = field(default_factory=list)
     statements: list[str] = field(default_factory=list)
     types: dict[tuple[str, str], int] = field(default_factory=dict)
@@ -59,37 +60,37 @@
 
     @property
     def connected(self) -> bool:
-        """Whether any client is connected."""
+        """True if any client is connected."""
         return bool(self._writers)
 
     async def open(self, port: int = 0) -> None:
-        """Listen."""
+        """Listen on this port, or on a free one for 0."""
         self._server = await asyncio.start_server(self._on_client, "127.0.0.1", port)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     def cut_connections(self) -> None:
-        """Reset what is open; what was received goes on."""
+        """Reset open connections; statements that were already received continue."""
         for writer in self._writers:
             writer.transport.abort()
 
     def die(self) -> None:
-        """Reset what is open, and reject new connections."""
+        """Reset open connections, and refuse new ones."""
         assert self._server is not None
         self._server.close()
         self.cut_connections()
 
     async def end(self) -> None:
-        """Die, and wait for transactions that still go on."""
+        """Stop the server, cancel running transactions and wait for their tasks."""
         self.die()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def begin_session(self) -> int:
-        """Return the number of a session whose StartupMessage has come.
+        """Count a session whose StartupMessage was received; return its number.
 
-        A connection without one is no session: a CancelRequest, or another program's attempt to reach
-        a service that had this port before.
+        Connections without a StartupMessage are not counted: they are a CancelRequest, or another program's
+        attempt to reach a service that had this port before.
         """
         self.sessions += 1
         return self.sessions
@@ -111,7 +112,7 @@
             writer.transport.abort()
 
 
-async def _serve_alone(path: str) -> None:
+async def _serve_standalone(path: str) -> None:
     server = Postgres(path)
     await server.open()
     print(server.port, flush=True)
@@ -119,4 +120,4 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(_serve_alone(sys.argv[1]))
+    asyncio.run(_serve_standalone(sys.argv[1]))
--- a/tests/standins/postgres_backend.py
+++ b/tests/standins/postgres_backend.py
@@ -1,4 +1,4 @@
-"""The backend of a session with the stand-in for PostgreSQL: statements and transactions on SQLite."""
+"""The backend of a PostgreSQL stand-in session, which executes statements and transactions on SQLite."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
     from tests.standins.postgres import Postgres
 
 LOCK_RETRY_S = 0.002
-IDLE = "I"  # states of the transaction, as ReadyForQuery sends them
+IDLE = "I"  # IDLE, IN_TRANSACTION and FAILED are the transaction states of ReadyForQuery
 IN_TRANSACTION = "T"
 FAILED = "E"
 Row = tuple[Any, ...]
 
 
 class Backend:
-    """One connection to the database.
+    """One session's connection to the SQLite database.
 
     Attributes:
-        status: The state of the transaction.
+        status: The transaction state, one of ``IDLE``, ``IN_TRANSACTION`` and ``FAILED``.
     """
 
     def __init__(self, server: Postgres) -> None:
         self._server = server
         self._database = sqlite3.connect(server.path, isolation_level=None, timeout=0)
         self._database.execute("PRAGMA journal_mode = WAL")
-        # Its commits need not survive the machine, and a disk that is slow to sync would look like a stall.
+        # Commits need not survive a crash, and a slow sync of the disk would look like a stall of the server.
         self._database.execute("PRAGMA synchronous = OFF")
         self.status = IDLE
 
     async def run(self, sql: str, values: list[Any]) -> tuple[list[Row], str]:
-        """Run a statement; return its rows and its command tag."""
+        """Execute a statement; return its rows and its command tag."""
         command = sql.split(None, 1)[0].rstrip(";").upper()
         self._server.statements.append(sql)
         if command == "BEGIN":
@@ -48,12 +48,12 @@
         writes = command != "SELECT" or sql.endswith("FOR UPDATE")
         cursor, rows = await self._run_locked(sql, values, writes=writes)
         if command in ("CREATE", "ALTER"):
-            self._note_types(sql)
+            self._record_types(sql)
         count = len(rows) if rows or command == "SELECT" else max(0, cursor.rowcount)
         return rows, f"INSERT 0 {count}" if command == "INSERT" else f"{command} {count}"
 
     def column_names(self, text: str, parameter_count: int) -> list[str]:
-        """Return the names of a statement's columns; ``text`` is the statement as SQLite reads it."""
+        """Return the names of a statement's result columns; ``text`` is the statement in SQLite's dialect."""
         if " RETURNING " in text:
             names = text.rpartition(" RETURNING ")[2].split(",")
             return [name.strip().rpartition(".")[2] for name in names]
@@ -67,16 +67,16 @@
         return [column[0] for column in cursor.description]
 
     def column_type(self, table: str, column: str, default: int) -> int:
-        """Return the type that CREATE TABLE gave a column."""
+        """Return the type that CREATE TABLE declared for a column, or ``default``."""
         return self._server.types.get((table, column), default)
 
     def fail_transaction(self) -> None:
-        """Note an error, after which a transaction can only be rolled back."""
+        """Mark an open transaction as failed, so that it can only be rolled back."""
         if self.status == IN_TRANSACTION:
             self.status = FAILED
 
     def close(self) -> None:
-        """Close the connection; what it has not committed is lost."""
+        """Close the connection, which discards uncommitted changes."""
         self._database.close()
 
     def _begin(self, sql: str) -> None:
@@ -95,7 +95,7 @@
     async def _run_locked(
         self, sql: str, values: list[Any], *, writes: bool
     ) -> tuple[sqlite3.Cursor, list[Row]]:
-        """Run a statement once the lock is free."""
+        """Execute a statement, retrying while the database is locked."""
         while True:
             try:
                 return self._run_once(sql, values, writes=writes)
@@ -113,7 +113,7 @@
         cursor = self._database.execute(to_sqlite(sql), named)
         return cursor, cursor.fetchall()
 
-    def _note_types(self, sql: str) -> None:
+    def _record_types(self, sql: str) -> None:
         table = TABLE.search(sql)
         if table is None:
             return
--- a/tests/standins/postgres_faults.py
+++ b/tests/standins/postgres_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the stand-in for PostgreSQL: errors, cuts, and scripts that say when they happen."""
+"""Faults of the PostgreSQL stand-in: errors, aborted connections, and scripts that inject them."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-LAG_S = 0.05
+SLOW_STATEMENT_S = 0.05
 
 
 class PostgresError(Exception):
-    """What a client gets as ErrorResponse."""
+    """An error that is sent to the client as ErrorResponse."""
 
     def __init__(self, sqlstate: str, text: str) -> None:
         super().__init__(text)
@@ -18,48 +18,55 @@
 
 
 class ConnectionCutError(Exception):
-    """The connection ends here, without a message."""
+    """The server closes the connection without a message."""
 
 
 @dataclass(slots=True, frozen=True)
-class Point:
-    """Where a script may act: before a message is acted upon, or after, before it is answered."""
+class FaultPoint:
+    """A point at which a script may inject a fault: before a message is processed, or before its response.
+
+    Attributes:
+        session: Number of the session.
+        number: Number of the message in its session, from 1.
+        stage: ``before`` the message is processed, or ``after`` that and before the response.
+        label: The statement, or the type of the message.
+    """
 
     session: int
-    number: int  # of the message in its session, from 1
-    stage: str  # "before" or "after"
-    what: str  # the statement, or the message's type
+    number: int
+    stage: str
+    label: str
 
 
-Script = Callable[[Point], Awaitable[None]]
+Script = Callable[[FaultPoint], Awaitable[None]]
 
 
-async def no_fault(_: Point) -> None:
-    """Act as the script of a server that is well."""
+async def no_fault(_: FaultPoint) -> None:
+    """Inject no fault."""
 
 
 def fault_at(session: int, message: int, fault: str) -> Script:
-    """Return a script that acts once, at this message of a session.
+    """Return a script that injects one fault, at this message of a session.
 
     Args:
         session: The number of the session.
-        message: The number of the message in it.
-        fault: ``cut before`` or ``cut after`` it, ``slow``, or the SQLSTATE of an error.
+        message: The number of the message in the session.
+        fault: ``cut before`` or ``cut after`` the message, ``slow``, or the SQLSTATE of an error.
     """
-    hit: list[Point] = []
+    hit: list[FaultPoint] = []
 
-    async def script(point: Point) -> None:
+    async def script(point: FaultPoint) -> None:
         if hit or (point.session, point.number) != (session, message):
             return
         if fault.startswith("cut"):
-            if fault.endswith(point.stage) or point.what == "Sync":
+            if fault.endswith(point.stage) or point.label == "Sync":
                 hit.append(point)
                 raise ConnectionCutError
         elif point.stage == "before":
             hit.append(point)
             if fault == "slow":
-                await asyncio.sleep(LAG_S)
+                await asyncio.sleep(SLOW_STATEMENT_S)
             else:
-                raise PostgresError(fault, "as the script says")
+                raise PostgresError(fault, "error injected by the test")
 
     return script
--- a/tests/standins/postgres_messages.py
+++ b/tests/standins/postgres_messages.py
@@ -1,4 +1,4 @@
-"""Messages of PostgreSQL's protocol 3.0 on a connection, as the server reads and writes them."""
+"""The server's side of message framing in PostgreSQL's protocol 3.0."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MessageStream:
-    """A connection; messages are collected until they are flushed."""
+    """A connection whose outgoing messages are buffered until they are flushed."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
@@ -27,12 +27,12 @@
         await self._writer.drain()
 
     async def _receive(self) -> tuple[bytes, bytes]:
-        """Return a message's type and its body."""
+        """Read a message; return its type and its body."""
         kind = await self._reader.readexactly(1)
         return kind, await self._receive_body()
 
     async def _receive_startup(self) -> tuple[int, bytes]:
-        """Return the code and the rest of the first message; SSL is rejected before it."""
+        """Read the first message after rejecting SSLRequests; return its code and the rest of its body."""
         while True:
             body = await self._receive_body()
             (code,) = struct.unpack_from("!I", body)
--- a/tests/standins/postgres_scram.py
+++ b/tests/standins/postgres_scram.py
@@ -1,4 +1,4 @@
-"""SCRAM-SHA-256 on the server's side, as RFC 5802 and 7677 have it, without channel binding."""
+"""The server's side of SCRAM-SHA-256 without channel binding, as specified in RFC 5802 and RFC 7677."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ScramServer:
-    """One authentication of a client that has the password."""
+    """One authentication exchange with a client."""
 
     def __init__(self, password: str) -> None:
         self._password = password.encode()
@@ -23,7 +23,7 @@
         self._server_first = ""
 
     def first_message(self, client_message: bytes) -> bytes:
-        """Return the server's first message for the client's."""
+        """Return the server's first message in response to the client's first message."""
         self._client_first = client_message.decode().split(",", 2)[2]
         client_nonce = dict(pair.split("=", 1) for pair in self._client_first.split(","))["r"]
         self._nonce = client_nonce + secrets.token_urlsafe(NONCE_BYTES)
@@ -32,7 +32,7 @@
         return self._server_first.encode()
 
     def final_message(self, client_message: bytes) -> bytes | None:
-        """Return the server's final message for the client's; None where the password is not the same."""
+        """Return the server's final message in response to the client's; None if the password is wrong."""
         client_final, proof = client_message.decode().rsplit(",p=", 1)
         signed = f"{self._client_first},{self._server_first},{client_final}".encode()
         expected_proof, server_signature = self._signatures(signed)
--- a/tests/standins/postgres_session.py
+++ b/tests/standins/postgres_session.py
@@ -1,4 +1,4 @@
-"""One session of the stand-in for PostgreSQL: start-up, authentication, simple and extended query."""
+"""One session of the PostgreSQL stand-in: start-up, authentication, simple and extended query."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from tests.standins.postgres_backend import Backend
-from tests.standins.postgres_faults import Point, PostgresError
+from tests.standins.postgres_faults import FaultPoint, PostgresError
 from tests.standins.postgres_messages import CANCEL_REQUEST, MessageStream
 from tests.standins.postgres_scram import ScramServer
 from tests.standins.postgres_statements import Statements, data_row
@@ -22,27 +22,27 @@
     "standard_conforming_strings": "on",
     "TimeZone": "UTC",
 }
-AUTHENTICATION_OK = 0  # the codes of Authentication messages
+AUTHENTICATION_OK = 0  # codes of the Authentication messages
 AUTHENTICATION_SASL = 10
 AUTHENTICATION_SASL_CONTINUE = 11
 AUTHENTICATION_SASL_FINAL = 12
 
 
 class PostgresSession(MessageStream):
-    """One connection and its backend."""
+    """One client connection with its backend."""
 
     def __init__(self, server: Postgres, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         super().__init__(reader, writer)
         self.server = server
-        self.number = 0  # until its StartupMessage has come
+        self.number = 0  # 0 until the StartupMessage is received
         self._backend = Backend(server)
         self._statements = Statements(self._backend)
         self._secret = secrets.randbits(31)
         self._messages = 0
-        self._skipping = False  # after an error, until Sync
+        self._skipping = False  # after an error, messages are skipped until Sync
 
     async def serve(self) -> None:
-        """Serve until the client ends the session."""
+        """Process messages until the client ends the session."""
         if not await self._start_up():
             return
         while True:
@@ -54,7 +54,7 @@
                 await self._on_message(kind, body)
             except PostgresError as error:
                 self._send_error(error)
-                if error.sqlstate.startswith("57P"):  # the session ends with it
+                if error.sqlstate.startswith("57P"):  # errors of this class end the session
                     await self._flush()
                     return
                 self._skipping = kind not in b"QS"
@@ -64,7 +64,7 @@
                 await self._flush()
 
     def end(self) -> None:
-        """End the backend; what it has not committed is gone."""
+        """Close the backend, which discards uncommitted changes."""
         self._backend.close()
 
     async def _on_message(self, kind: bytes, body: bytes) -> None:
@@ -87,16 +87,16 @@
 
     def _count_message(self) -> None:
         self._messages += 1
-        self.server.sessions_messages[self.number] = self._messages
+        self.server.message_counts[self.number] = self._messages
 
-    async def _reach(self, stage: str, what: str) -> None:
-        """Let the script act."""
-        await self.server.script(Point(self.number, self._messages, stage, what))
+    async def _reach(self, stage: str, label: str) -> None:
+        """Call the script, which may inject a fault at this point."""
+        await self.server.script(FaultPoint(self.number, self._messages, stage, label))
 
     # Start-up.
 
     async def _start_up(self) -> bool:
-        """Start the session; return whether it goes on, as it does not after a CancelRequest."""
+        """Start the session; return False if it ends at once, after a CancelRequest or an error."""
         code, body = await self._receive_startup()
         if code == CANCEL_REQUEST:
             self.server.cancelled.append(struct.unpack_from("!I", body)[0])
@@ -126,7 +126,7 @@
         _, body = await self._receive()
         mechanism, message = body.split(b"\0", 1)
         assert mechanism == b"SCRAM-SHA-256"
-        client_first = message[4:]  # after its length
+        client_first = message[4:]  # without the length field
         self._send_authentication(AUTHENTICATION_SASL_CONTINUE, scram.first_message(client_first))
         await self._flush()
         _, client_final = await self._receive()
@@ -145,7 +145,7 @@
         try:
             await self._reach("before", sql)
         except PostgresError:
-            if sql == "COMMIT":  # a commit that fails ends its transaction
+            if sql == "COMMIT":  # a failed commit rolls the transaction back
                 await self._backend.run("ROLLBACK", [])
             raise
         _, tag = await self._backend.run(sql, [])
@@ -175,7 +175,7 @@
             case b"H":
                 pass
             case _:
-                raise PostgresError("08P01", f"message {kind!r} is not spoken here")
+                raise PostgresError("08P01", f"message type {kind!r} is not supported")
 
     async def _execute(self, name: str) -> None:
         portal = self._statements.portals[name]
--- a/tests/standins/postgres_statements.py
+++ b/tests/standins/postgres_statements.py
@@ -1,4 +1,4 @@
-"""Prepared statements and portals of a session with the stand-in for PostgreSQL."""
+"""Prepared statements and portals of a PostgreSQL stand-in session."""
 
 from __future__ import annotations
 
@@ -29,8 +29,9 @@
     """A prepared statement.
 
     Attributes:
-        oids: Types of its parameters.
-        columns: Names and types of its columns.
+        sql: The text of the statement.
+        oids: Type OIDs of its parameters.
+        columns: Names and type OIDs of its result columns.
     """
 
     sql: str
@@ -40,17 +41,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Portal:
-    """A prepared statement with its values."""
+    """A prepared statement with its bound values."""
 
     prepared: Prepared
     values: list[Any]
 
 
 class Statements:
-    """What a session has prepared and bound.
+    """The prepared statements and portals of one session.
 
     Attributes:
-        portals: The portals by name.
+        portals: Portals by name.
     """
 
     def __init__(self, backend: Backend) -> None:
@@ -59,7 +60,7 @@
         self.portals: dict[str, Portal] = {}
 
     def prepare(self, name: str, sql: str) -> None:
-        """Prepare a statement."""
+        """Prepare a statement under this name."""
         oids = parameter_types(sql)
         table = TABLE.search(sql)
         table_name = table.group(1) if table else ""
@@ -70,7 +71,7 @@
         self._prepared[name] = Prepared(sql, oids, columns)
 
     def describe(self, body: bytes) -> list[Message]:
-        """Return the descriptions that a Describe message requests, as types and bodies of messages."""
+        """Return the types and bodies of the messages that answer a Describe message."""
         is_statement = body[:1] == b"S"
         name = body[1:-1].decode()
         prepared = self._prepared[name] if is_statement else self.portals[name].prepared
@@ -88,19 +89,19 @@
         self.portals[portal.decode()] = Portal(prepared, BoundValues(values).read(prepared))
 
     def close(self, name: str) -> None:
-        """Forget a prepared statement."""
+        """Remove a prepared statement, if it exists."""
         self._prepared.pop(name, None)
 
 
 class BoundValues:
-    """The formats and values of a Bind message."""
+    """Decoder for the formats and values of a Bind message."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
         self._offset = 0
 
     def read(self, prepared: Prepared) -> list[Any]:
-        """Return the values for a statement."""
+        """Return the decoded parameter values for a statement."""
         formats = [self._unpack("!H") for _ in range(self._unpack("!H"))]
         values: list[Any] = []
         for index in range(self._unpack("!H")):
@@ -112,7 +113,7 @@
             self._offset += size
             is_binary = formats and formats[index if len(formats) > 1 else 0] == BINARY
             oid = prepared.oids[index]
-            assert is_binary or oid == TEXT, "values come in binary"
+            assert is_binary or oid == TEXT, "values other than text must be in binary format"
             values.append(decode(raw, oid))
         return values
 
@@ -123,7 +124,7 @@
 
 
 def row_description(prepared: Prepared) -> Message:
-    """Return RowDescription, or NoData for a statement without columns."""
+    """Return a RowDescription message, or NoData for a statement without columns."""
     if not prepared.columns:
         return b"n", b""
     description = struct.pack("!H", len(prepared.columns))
@@ -134,6 +135,6 @@
 
 
 def data_row(row: Row, prepared: Prepared) -> Message:
-    """Return DataRow."""
+    """Return a DataRow message with the values in binary format."""
     cells = [encode(value, oid) for value, (_, oid) in zip(row, prepared.columns, strict=True)]
     return b"D", struct.pack("!H", len(cells)) + b"".join(cells)
--- a/tests/standins/postgres_values.py
+++ b/tests/standins/postgres_values.py
@@ -1,4 +1,4 @@
-"""Values, types and statements of the stand-in for PostgreSQL: binary values, and SQL as SQLite reads it."""
+"""Conversions of the PostgreSQL stand-in: types, binary values, SQL statements and errors."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from tests.standins.postgres_faults import PostgresError
 
-TEXT = 25  # object identifiers of types
+TEXT = 25  # TEXT, BIGINT, FLOAT and BYTEA are type OIDs of PostgreSQL
 BIGINT = 20
 FLOAT = 701
 BYTEA = 17
@@ -18,7 +18,7 @@
 COLUMN = re.compile(r"(\w+) (TEXT|BIGINT|DOUBLE PRECISION|BYTEA)")
 TABLE = re.compile(r"\b(?:FROM|INTO|UPDATE|TABLE(?: IF NOT EXISTS)?) (\w+)")
 UNKNOWN_ERROR = "XX000"
-SQLSTATES = {  # by what SQLite's error texts contain
+SQLSTATES = {  # SQLSTATE by a fragment of SQLite's error message
     "no such table": "42P01",
     "no such column": "42703",
     "UNIQUE": "23505",
@@ -30,14 +30,14 @@
 
 
 def to_sqlite(sql: str) -> str:
-    """Return a statement as SQLite reads it."""
+    """Translate a statement to SQLite's dialect."""
     if "pg_catalog.pg_tables" in sql:
         return "SELECT name AS tablename FROM sqlite_master WHERE type = 'table'"
     return VALUE.sub(r":\1", sql).removesuffix(" FOR UPDATE")
 
 
 def from_sqlite(error: sqlite3.Error) -> PostgresError:
-    """Return SQLite's error with the SQLSTATE of the real server's."""
+    """Convert an SQLite error to a PostgresError with the SQLSTATE that a real server would send."""
     text = str(error)
     for fragment, sqlstate in SQLSTATES.items():
         if fragment in text:
@@ -46,7 +46,11 @@
 
 
 def parameter_types(sql: str) -> list[int]:
-    """Return the types of a statement's parameters, all of which must be cast."""
+    """Return the type OIDs of a statement's parameters; each parameter must have a cast.
+
+    Raises:
+        PostgresError: If a parameter has no cast.
+    """
     oids = {int(number): OIDS[cast] for number, _, cast in VALUE.findall(sql) if cast}
     if set(oids) != set(range(1, len(oids) + 1)):
         raise PostgresError("42P18", f"could not determine data type of parameter: {sql}")
@@ -54,7 +58,7 @@
 
 
 def decode(raw: bytes, oid: int) -> Any:
-    """Return a binary value."""
+    """Decode a value in binary format."""
     if oid == BIGINT:
         return struct.unpack("!q", raw)[0]
     if oid == FLOAT:
@@ -63,7 +67,7 @@
 
 
 def encode(value: Any, oid: int) -> bytes:
-    """Return a value in binary, with its length."""
+    """Encode a value in binary format, preceded by its length."""
     if value is None:
         return struct.pack("!i", -1)
     if oid == BIGINT:
--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in that listens on a port of its own."""
+"""The base class of stand-ins that listen on a TCP port."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 Reader: TypeAlias = asyncio.StreamReader
 Writer: TypeAlias = asyncio.StreamWriter
-FOREVER_S = 3600  # longer than any test takes
+FOREVER_S = 3600  # longer than any test runs
 
 
 class Service:
-    """Serves each connection with ``talk``."""
+    """A TCP server on loopback that handles each connection with ``serve_connection``."""
 
     def __init__(self) -> None:
         self._writers: set[Writer] = set()
@@ -22,12 +22,12 @@
         self._server = await asyncio.start_server(self._client, "127.0.0.1", 0)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
-    async def talk(self, reader: Reader, writer: Writer) -> None:
-        """Serve a connection until it ends."""
+    async def serve_connection(self, reader: Reader, writer: Writer) -> None:
+        """Handle a connection until it ends; subclasses implement this."""
         raise NotImplementedError
 
     def die(self) -> None:
-        """Reset open connections, and reject new ones."""
+        """Reset open connections, and refuse new ones."""
         self._server.close()
         for writer in self._writers:
             writer.transport.abort()
@@ -36,7 +36,7 @@
         self._writers.add(writer)
         try:
             with contextlib.suppress(asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
-                await self.talk(reader, writer)
+                await self.serve_connection(reader, writer)
         finally:
             self._writers.discard(writer)
             writer.close()
--- a/tests/standins/tls.py
+++ b/tests/standins/tls.py
@@ -1,4 +1,4 @@
-"""Stand-ins for storage nodes that speak TLS or break it, on loopback and the standard library's TLS."""
+"""Stand-ins for storage nodes with TLS, and for peers that violate TLS, on the standard library's TLS."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def server_context(
     chain: bytes, key: bytes, roots: bytes = b"", version: ssl.TLSVersion = ssl.TLSVersion.TLSv1_3
 ) -> ssl.SSLContext:
-    """Return a server's context; with roots it requires a certificate of its clients."""
+    """Return a server context; with ``roots`` it requires client certificates signed by them."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = min(version, ssl.TLSVersion.TLSv1_2)
     context.maximum_version = version
@@ -32,7 +32,7 @@
 
 
 class TlsNode(HttpNode):
-    """An HTTP storage node behind TLS; it counts handshakes, and accepts a new context in service."""
+    """An HTTP storage node with TLS, which counts handshakes and can change its certificate while running."""
 
     def __init__(self, context: ssl.SSLContext) -> None:
         super().__init__()
@@ -44,13 +44,13 @@
         self._server = await asyncio.start_server(self._client, "127.0.0.1", port, ssl=self.context)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
-    async def talk(self, reader: Reader, writer: Writer) -> None:
+    async def serve_connection(self, reader: Reader, writer: Writer) -> None:
         self.handshakes += 1
         self.resumed += bool(writer.get_extra_info("ssl_object").session_reused)
-        await super().talk(reader, writer)
+        await super().serve_connection(reader, writer)
 
     async def renew(self, context: ssl.SSLContext, *, reset: bool = False) -> None:
-        """Present a new certificate at the same port; open connections remain unless they are reset."""
+        """Replace the certificate on the same port; open connections remain unless ``reset`` is True."""
         self._server.close()
         if reset:
             for writer in list(self._writers):
@@ -60,48 +60,48 @@
 
 
 class FixedResponseNode(Service):
-    """Reads what comes, sends some bytes, and then closes, stalls, or resets.
+    """Reads once, sends fixed bytes, and then closes, stalls or resets the connection.
 
     Attributes:
-        data: What it sends.
-        then: ``stall``, ``reset``, or anything else to close.
-        connections: How many connections it has accepted.
+        data: The bytes that the node sends.
+        ending: ``stall``, ``reset``, or any other text to close the connection.
+        connections: Number of accepted connections.
     """
 
-    def __init__(self, data: bytes, then: str) -> None:
+    def __init__(self, data: bytes, ending: str) -> None:
         super().__init__()
         self.data = data
-        self.then = then
+        self.ending = ending
         self.connections = 0
 
-    async def talk(self, reader: Reader, writer: Writer) -> None:
+    async def serve_connection(self, reader: Reader, writer: Writer) -> None:
         self.connections += 1
         await reader.read(READ_SIZE)
         writer.write(self.data)
         await writer.drain()
-        if self.then == "stall":
+        if self.ending == "stall":
             await asyncio.sleep(FOREVER_S)
-        elif self.then == "reset":
+        elif self.ending == "reset":
             writer.transport.abort()
 
 
 class CuttingProxy(Service):
-    """Forwards bytes to a storage node; after so many bytes of its responses it cuts or stalls.
+    """A proxy to a storage node that interrupts the responses after a number of bytes.
 
     Attributes:
-        after: That number of bytes.
-        how: ``stall``, ``reset``, or anything else to close.
-        connections: How many connections it has accepted.
+        max_response_bytes: Number of response bytes that are forwarded.
+        ending: ``stall``, ``reset``, or any other text to close the connection.
+        connections: Number of accepted connections.
     """
 
-    def __init__(self, port: int, after: int, how: str) -> None:
+    def __init__(self, port: int, max_response_bytes: int, ending: str) -> None:
         super().__init__()
         self._port = port
-        self.after = after
-        self.how = how
+        self.max_response_bytes = max_response_bytes
+        self.ending = ending
         self.connections = 0
 
-    async def talk(self, reader: Reader, writer: Writer) -> None:
+    async def serve_connection(self, reader: Reader, writer: Writer) -> None:
         self.connections += 1
         node_reader, node_writer = await asyncio.open_connection("127.0.0.1", self._port)
         self._writers.add(node_writer)
@@ -121,7 +121,7 @@
             node_writer.write(data)
 
     async def _forward_responses(self, node_reader: Reader, writer: Writer) -> None:
-        remaining = self.after
+        remaining = self.max_response_bytes
         while remaining > 0:
             data = await node_reader.read(min(READ_SIZE, remaining))
             if not data:
@@ -129,7 +129,7 @@
             remaining -= len(data)
             writer.write(data)
             await writer.drain()
-        if self.how == "stall":
+        if self.ending == "stall":
             await asyncio.sleep(FOREVER_S)
-        elif self.how == "reset":
+        elif self.ending == "reset":
             writer.transport.abort()
--- a/tests/store/record_deployment.py
+++ b/tests/store/record_deployment.py
@@ -19,7 +19,7 @@
 from sabledyke.store.database_errors import StoreError
 from sabledyke.store.extension import RecordExtension
 from sabledyke.store.recording_transport import RecordingTransport
-from tests.standins import Discovery, Service, ask, http, read_http
+from tests.standins import Discovery, Service, http, read_http, send_request
 from tests.standins.postgres import Postgres
 from tests.standins.postgres_faults import no_fault
 from tests.support.server_rig import DEPLOYMENT, GET, PUT
@@ -42,7 +42,7 @@
         self.holding = asyncio.Event()
         self.release = asyncio.Event()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             first, headers, body = await read_http(reader)
             method, target = first.split()[:2]
@@ -171,7 +171,7 @@
         more = f"IO-Info: units=1,shard={shard},hosts=1\nIdempotency-Key: {key}\n"
         more += f"Content-Length: {len(body)}\n"
         text = PUT.format(f"{piece:x}", f"w{self.ids}", more).replace("Deadline: 1.0", f"Deadline: {wait}")
-        return await ask(self.server.listeners[0].port, text, body)
+        return await send_request(self.server.listeners[0].port, text, body)
 
     async def put_until_served(self, key: str, piece: int) -> None:
         """Write until the write is served, for a bounded time."""
@@ -183,7 +183,7 @@
         """A read."""
         self.ids += 1
         text = GET.format(f"{piece:x}", f"r{self.ids}", f"IO-Info: units=1,shard={shard},hosts=1\n")
-        status, _, body = await ask(self.server.listeners[0].port, text)
+        status, _, body = await send_request(self.server.listeners[0].port, text)
         return status, body
 
     def rows(self, sql: str) -> list[tuple[Any, ...]]:
--- a/tests/store/sql_node_deployment.py
+++ b/tests/store/sql_node_deployment.py
@@ -13,7 +13,7 @@
 from sabledyke.config import Config
 from sabledyke.protocol import discovery
 from sabledyke.store.section import SqlNode, StoreSection, Target
-from tests.standins import Discovery, ask
+from tests.standins import Discovery, send_request
 from tests.standins.postgres import Postgres
 from tests.standins.postgres_faults import no_fault
 from tests.support.server_rig import DEPLOYMENT, GET, PUT
@@ -61,7 +61,7 @@
         self.ids += 1
         more = f"{INFO}Idempotency-Key: {key}\nContent-Length: {len(body)}\n"
         text = PUT.format(f"{piece:x}", f"w{self.ids}", more)
-        status, _, answer = await ask(self.server.listeners[0].port, text, body)
+        status, _, answer = await send_request(self.server.listeners[0].port, text, body)
         return status, answer
 
     async def warm_up(self) -> None:
@@ -73,7 +73,7 @@
     async def get(self, piece: int = 1) -> tuple[int, bytes]:
         self.ids += 1
         text = GET.format(f"{piece:x}", f"r{self.ids}", INFO)
-        status, _, body = await ask(self.server.listeners[0].port, text)
+        status, _, body = await send_request(self.server.listeners[0].port, text)
         return status, body
 
     def rows(self, sql: str) -> list[tuple[object, ...]]:
--- a/tests/store/test_record.py
+++ b/tests/store/test_record.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sabledyke.store import maintenance
-from tests.standins.postgres_faults import Point
+from tests.standins.postgres_faults import FaultPoint
 from tests.store.record_deployment import (
     BACKENDS,
     RecordDeployment,
@@ -65,8 +65,8 @@
         await deployment.nodes[0].holding.wait()
         end = asyncio.Event()
 
-        async def script(point: Point) -> None:
-            if point.what == "COMMIT":
+        async def script(point: FaultPoint) -> None:
+            if point.label == "COMMIT":
                 await end.wait()
 
         deployment.postgres.script = script
--- a/tests/store/test_record_faults.py
+++ b/tests/store/test_record_faults.py
@@ -11,7 +11,7 @@
 import pytest
 
 from sabledyke.store.session import SqliteSession
-from tests.standins.postgres_faults import ConnectionCutError, Point, fault_at
+from tests.standins.postgres_faults import ConnectionCutError, FaultPoint, fault_at
 from tests.store.record_deployment import (
     BACKENDS,
     RecordDeployment,
@@ -29,8 +29,8 @@
         assert (await deployment.put("before"))[0] == 200
         stalled, end = asyncio.Event(), asyncio.Event()
 
-        async def script(point: Point) -> None:
-            if point.what == "COMMIT" and not end.is_set():
+        async def script(point: FaultPoint) -> None:
+            if point.label == "COMMIT" and not end.is_set():
                 stalled.set()
                 await end.wait()
 
@@ -66,7 +66,7 @@
 
     async def scenario(deployment: RecordDeployment) -> None:
         first = deployment.postgres.sessions
-        start = deployment.postgres.sessions_messages[first]
+        start = deployment.postgres.message_counts[first]
         deployment.postgres.script = fault_at(first, start + message, fault)
         answers = [await deployment.put(f"k{n}", f"{n}".encode(), n) for n in range(4)]
         await deployment.put_until_served("last", piece=9)
@@ -89,7 +89,7 @@
             writer.close()
             await writer.wait_closed()
         assert deployment.postgres.sessions == 1
-        assert deployment.postgres.sessions_messages.keys() == {1}
+        assert deployment.postgres.message_counts.keys() == {1}
         assert (await deployment.put("k"))[0] == 200
 
     run_scenario(tmp_path, "postgresql", scenario)
@@ -103,11 +103,11 @@
         self._deployment = deployment
         self._chance = chance
 
-    async def script(self, point: Point) -> None:
+    async def script(self, point: FaultPoint) -> None:
         """Cut some connections, and stall some commits."""
         if self._chance.random() < 0.01:
             raise ConnectionCutError
-        if point.what == "COMMIT" and self._chance.random() < 0.03:
+        if point.label == "COMMIT" and self._chance.random() < 0.03:
             await asyncio.sleep(0.3)
 
     async def run_incarnation(self, incarnation: int) -> None:
--- a/tests/store/test_record_startup.py
+++ b/tests/store/test_record_startup.py
@@ -12,7 +12,7 @@
 from sabledyke.store import maintenance
 from sabledyke.store.database_errors import StoreError
 from sabledyke.store.section import Target
-from tests.standins.postgres_faults import Point
+from tests.standins.postgres_faults import FaultPoint
 from tests.store.record_deployment import (
     RecordDeployment,
     run_scenario,
@@ -36,7 +36,7 @@
         await deployment.shut_down()
         sessions = deployment.postgres.sessions
 
-        async def script(point: Point) -> None:
+        async def script(point: FaultPoint) -> None:
             await asyncio.sleep(0.5 * (point.session == sessions + 1 and point.number == 1))
 
         deployment.postgres.script = script
--- a/tests/store/test_sql_link.py
+++ b/tests/store/test_sql_link.py
@@ -11,28 +11,30 @@
 import pytest
 
 from sabledyke.protocol import discovery
-from tests.standins.postgres_faults import ConnectionCutError, Point, fault_at
+from tests.standins.postgres_faults import ConnectionCutError, FaultPoint, fault_at
 from tests.store.record_deployment import BACKENDS
 from tests.store.sql_node_deployment import SqlNodeDeployment, run_scenario
 from tests.support.server_rig import DEPLOYMENT
 
 
-def first_commit(fault: Callable[[Point], Awaitable[None]], stage: str) -> Callable[[Point], Awaitable[None]]:
+def first_commit(
+    fault: Callable[[FaultPoint], Awaitable[None]], stage: str
+) -> Callable[[FaultPoint], Awaitable[None]]:
     """A script that acts at the first COMMIT after a key was claimed."""
-    seen: list[Point] = []
+    seen: list[FaultPoint] = []
     claimed: set[int] = set()
 
-    async def script(point: Point) -> None:
-        if point.what.startswith("INSERT INTO keys"):
+    async def script(point: FaultPoint) -> None:
+        if point.label.startswith("INSERT INTO keys"):
             claimed.add(point.session)
-        if point.what == "COMMIT" and point.session in claimed and point.stage == stage and not seen:
+        if point.label == "COMMIT" and point.session in claimed and point.stage == stage and not seen:
             seen.append(point)
             await fault(point)
 
     return script
 
 
-async def cut(_: Point) -> None:
+async def cut(_: FaultPoint) -> None:
     raise ConnectionCutError
 
 
@@ -88,7 +90,7 @@
     async def scenario(deployment: SqlNodeDeployment) -> None:
         await deployment.warm_up()
 
-        async def late(_: Point) -> None:
+        async def late(_: FaultPoint) -> None:
             deployment.postgres.cut_connections()
             await asyncio.sleep(0.15)  # the server goes on with what it has received
 
@@ -107,7 +109,7 @@
 
         over = []
 
-        async def stall(_: Point) -> None:
+        async def stall(_: FaultPoint) -> None:
             await asyncio.sleep(5)
             over.append(True)
 
@@ -128,7 +130,7 @@
 ) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
         await deployment.warm_up()
-        first, start = max(deployment.postgres.sessions_messages.items())
+        first, start = max(deployment.postgres.message_counts.items())
         deployment.postgres.script = fault_at(first, start + message, fault)
         status, _ = await deployment.put("k", b"one")
         assert status in (200, 500, 503)
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Fixtures that tests of several packages share."""
+"""Fixtures and test harnesses that tests of several packages share."""
--- a/tests/support/core_bench.py
+++ b/tests/support/core_bench.py
@@ -1,4 +1,4 @@
-"""The core between a made-up frontend, transport and clock."""
+"""A test harness that runs the core with a fake frontend, transport, discovery and clock."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def no_actions(_now_ms: float, _events: list[Event]) -> list[Action]:
-    """Decide nothing, as a policy that remains silent."""
+    """Decide nothing, as a stub of the policy."""
     return []
 
 
 @dataclass(slots=True, frozen=True)
 class StartedAttempt:
-    """An attempt that the transport was given."""
+    """An attempt that the core passed to the transport."""
 
     request_id: int
     number: int
@@ -33,26 +33,26 @@
 
 
 class ExposedCore(Core):
-    """A core that carries out single actions for a test."""
+    """A core with a public method that executes a single action."""
 
     def carry_out(self, now_ms: float, action: Action) -> None:
-        """Carry out an action as if the policy had decided it."""
+        """Execute an action as if the policy had decided it."""
         self._carry_out(now_ms, action)
 
 
 class CoreBench:
-    """A core, and what it requested of its transport.
+    """A core with fakes around it, which record what it requests.
 
     Attributes:
-        core: The core, before storage node 1.
-        started: The attempts that it started.
-        cancelled: Request and number of each attempt that it cancelled.
+        core: The core, whose endpoint list contains storage node 1 only.
+        started: The attempts that the core started.
+        cancelled: Request identifier and attempt number of each cancelled attempt.
         answers: The answers to clients.
-        now_ms: The clock.
+        now_ms: The current time of the fake clock.
     """
 
     def __init__(self, decide: Decide | None = None) -> None:
-        """Start a core; ``decide`` takes the place of its policy."""
+        """Start a core; ``decide``, if given, replaces its policy."""
         self.started: list[StartedAttempt] = []
         self.cancelled: list[tuple[int, int]] = []
         self.answers: list[Answer] = []
@@ -64,7 +64,7 @@
         self.core.run_batch(self.now_ms)
 
     def submit(self, **changes: Any) -> int:
-        """Submit a request, changed so, and run a batch; return its identifier."""
+        """Submit a request with these fields changed, and run a batch; return its identifier."""
         request = ClientRequest(
             class_index=0,
             plan_index=0,
@@ -83,7 +83,7 @@
         return request_id
 
     def advance(self, duration_ms: float) -> None:
-        """Let time pass, and run the batches that fall due."""
+        """Advance the clock, and run each batch when it is due."""
         end_ms = self.now_ms + duration_ms
         due_ms = self.core.next_batch_due()
         while due_ms is not None and due_ms <= end_ms:
@@ -96,29 +96,29 @@
         """Have the core start an attempt as if the policy had decided it."""
         self.core.carry_out(self.now_ms, StartAttempt(request_id, node_id(node_number)))
 
-    # The transport.
+    # Methods of the transport.
 
     def start(
         self, request_id: int, number: int, node: NodeId, _request: ClientRequest, timeout: float
     ) -> None:
-        """Note an attempt."""
+        """Record a started attempt."""
         self.started.append(StartedAttempt(request_id, number, node, timeout))
 
     def cancel(self, request_id: int, number: int) -> None:
-        """Cancel an attempt at once."""
+        """Record a cancelled attempt, and report its outcome immediately."""
         self.cancelled.append((request_id, number))
         result = AttemptResult(Outcome.CANCELLED, may_have_run=True)
         self.core.on_attempt_completed(self.now_ms, request_id, number, result)
 
     def close_idle(self, _node: NodeId) -> None:
-        """Fail: no test has idle connections."""
-        raise AssertionError("not requested here")
+        """Raise AssertionError, since no test has idle connections."""
+        raise AssertionError("unexpected call: the core should not request this here")
 
-    # Discovery.
+    # Methods of discovery.
 
     def watch(self, *, on: bool) -> None:
-        """Accept: endpoint lists are pushed here."""
+        """Do nothing, since tests pass endpoint lists to the core directly."""
 
     def fetch(self) -> None:
-        """Fail: endpoint lists are pushed here."""
-        raise AssertionError("not requested here")
+        """Raise AssertionError, since tests pass endpoint lists to the core directly."""
+        raise AssertionError("unexpected call: the core should not request this here")
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as discovery states them: one node, its drain and its removal."""
+"""Endpoint lists in discovery's JSON format: one node, its drain and its removal."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 }
 
 
-def change(host: dict[str, Any], version: int, **changes: Any) -> dict[str, Any]:
-    """Return a list that states one node, changed so, and leaves the others as they are."""
+def delta_list(host: dict[str, Any], version: int, **changes: Any) -> dict[str, Any]:
+    """Return a delta that updates one node with these fields changed, and leaves all others unchanged."""
     return {"seq": version, "whole": False, "hosts": [host | changes]}
 
 
 def complete_list(host: dict[str, Any], version: int) -> dict[str, Any]:
-    """Return a list of one node and no others."""
+    """Return a complete list that contains only this node."""
     return {"seq": version, "whole": True, "hosts": [host]}
 
 
-DRAINS = change(HOST, 2, health="draining")
-GONE = change(HOST, 3, health="gone")
+DRAINING = delta_list(HOST, 2, health="draining")
+REMOVED = delta_list(HOST, 3, health="gone")
--- a/tests/support/generated_bytes.py
+++ b/tests/support/generated_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes for property tests of parsers: valid ones in pieces, and damaged ones."""
+"""Input for property tests of parsers: valid bytes split into pieces, and corrupted bytes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def pieces(data: bytes, sizes: list[int]) -> list[bytes]:
-    """Return the data in pieces of these sizes, and the remainder."""
+    """Split the data into pieces of these sizes and the remainder; empty pieces are left out."""
     cut = []
     for size in sizes:
         cut.append(data[:size])
@@ -20,7 +20,7 @@
 
 @st.composite
 def damaged(draw: st.DrawFn, data: bytes) -> bytes:
-    """Draw valid bytes of which some are overwritten, left out or cut off; or random bytes altogether."""
+    """Draw a corrupted copy of valid bytes (overwritten, removed or truncated), or entirely random bytes."""
     if draw(st.integers(0, 4)) == 0:
         return draw(st.binary(max_size=400))
     changed = bytearray(data)
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,7 +1,7 @@
-"""A plugin of pytest that passes over exactly the tests that KNOWN-RED.txt lists.
+"""A pytest plugin that skips exactly the tests that KNOWN-RED.txt lists.
 
-``.ci/run`` loads it with ``-p tests.support.known_red``. A listed test is skipped, not deselected: syrupy
-takes the approved snapshot of a deselected case for an unused one, and fails the run for that.
+``.ci/run`` loads it with ``-p tests.support.known_red``. Listed tests are skipped and not deselected, because
+syrupy would report the approved snapshots of deselected tests as unused and fail the run.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Skip the listed tests.
+    """Mark the listed tests as skipped.
 
     Raises:
-        pytest.UsageError: Where an entry names no test that was collected.
+        pytest.UsageError: If an entry names a test that was not collected.
     """
     reasons = read_entries(config.rootpath / LIST_NAME)
     for item in items:
@@ -30,7 +30,7 @@
 
 
 def read_entries(path: Path) -> dict[str, str]:
-    """Return what is said of each listed test, by its id; none without such a file."""
+    """Return the reason text of each listed test by its node id; empty if the file does not exist."""
     if not path.exists():
         return {}
     entries = {}
--- a/tests/support/loop_lag.py
+++ b/tests/support/loop_lag.py
@@ -1,4 +1,4 @@
-"""How long the event loop of a test stood still."""
+"""Measurement of how long the event loop of a test was blocked."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
 
-MAX_HELD_UP_S = 0.15  # for which the protocol has a scheduler allow
+MAX_LOOP_LAG_S = 0.15  # the delay of the event loop that the protocol requires a scheduler to tolerate
 POLL_S = 0.01
 
 
 @dataclass(slots=True)
 class LoopLag:
-    """The longest time by which the loop was late.
+    """The longest delay of the event loop so far.
 
     Attributes:
-        longest_s: That time.
+        longest_s: The delay, in seconds, by which the loop ran its most delayed timer.
     """
 
     longest_s: float = 0.0
 
     @property
-    def allowed_for(self) -> bool:
-        """Whether the loop was never held up for longer than a scheduler has to allow for."""
-        return self.longest_s <= MAX_HELD_UP_S
+    def is_within_limit(self) -> bool:
+        """True if no delay exceeded the one that a scheduler has to tolerate."""
+        return self.longest_s <= MAX_LOOP_LAG_S
 
 
 @contextlib.asynccontextmanager
 async def loop_lag() -> AsyncIterator[LoopLag]:
-    """Watch the running loop; a client, a server and a busy machine share it in many tests."""
+    """Measure delays of the running loop, which tests often share between clients and server."""
     lag = LoopLag()
     loop = asyncio.get_running_loop()
 
--- a/tests/support/nodes.py
+++ b/tests/support/nodes.py
@@ -1,4 +1,4 @@
-"""Storage nodes and endpoint lists, as the scheduler receives them."""
+"""Factories for storage nodes and endpoint lists in the form that the scheduler receives."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     zone: int = 0,
     state: NodeState = NodeState.READY,
 ) -> NodeEntry:
-    """Return a storage node; unless told otherwise it holds the shard of its own number."""
+    """Return a storage node; its shard defaults to its own number."""
     return NodeEntry(node_id(number), number if shard is None else shard, zone, 0, started_ms, 1, state)
 
 
@@ -22,10 +22,10 @@
 
 
 def endpoint_list(*entries: NodeEntry, kind: ListKind = ListKind.FULL) -> EndpointList:
-    """Return a list of these storage nodes."""
+    """Return an endpoint list of these storage nodes, by default a full one."""
     return EndpointList(kind, 1, entries)
 
 
 def endpoint_change(*entries: NodeEntry) -> EndpointList:
-    """Return a list that changes these storage nodes and leaves the others as they are."""
+    """Return a delta that updates these storage nodes and leaves all others unchanged."""
     return endpoint_list(*entries, kind=ListKind.DELTA)
--- a/tests/support/platform_config.py
+++ b/tests/support/platform_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file, as tests of the program give it."""
+"""The platform's configuration file for tests that run the complete program."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def platform_settings() -> dict[str, Any]:
-    """Return the wire tests' settings as the platform's JSON has them."""
+    """Return the settings of the wire tests in the structure of the platform's JSON file."""
     settings: dict[str, Any] = {}
     for line in CONF.splitlines():
         path, value = line.split("=")
@@ -33,7 +33,7 @@
 
 
 def write_config(folder: Path, **changes: Any) -> dict[str, str]:
-    """Write a configuration, changed so; return the environment that names it."""
+    """Write a configuration with these keys changed; return the environment variables that point to it."""
     config = {
         "name": "n3",
         "listen": "127.0.0.1:8080",
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -1,7 +1,7 @@
-"""A client's connection, moved on step by step, so that a test can act between two of them.
+"""A client connection that a test advances step by step, to act between two steps of a request.
 
-The program runs in the test's own event loop: between two of the test's iterations it stands still. Nothing
-here waits for a time; what is not reached fails by the limit of ``play``.
+The program runs in the test's own event loop, so it makes no progress while the test's code runs. Nothing
+here waits for a fixed time; a step that is never reached fails by the timeout of ``play``.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from tests.support.server_rig import GET, INFO, Rig, hold_answers
 
 READ_SIZE = 65536
-HALF_SIZE = 20  # bytes of a request
+HALF_SIZE = 20  # bytes of an incomplete request
 
 
 class Step(Enum):
-    """How far a request has come."""
+    """A stage in the processing of a request."""
 
     CONNECTED = "the connection is accepted, nothing is read"
     HALF = "half of the request is read and parsed"
@@ -33,27 +33,27 @@
 _numbers = itertools.count()
 
 
-async def until(holds: Callable[[], object]) -> None:
-    """Let the program run, one iteration of the loop at a time, until it holds."""
-    while not holds():
+async def until(condition: Callable[[], object]) -> None:
+    """Run the event loop, one iteration at a time, until the condition holds."""
+    while not condition():
         await asyncio.sleep(0)
 
 
 def request(number: object = 1) -> bytes:
-    """Return a read as a client sends it."""
+    """Return the bytes of a client's read request."""
     return GET.format(1, f"id-{number}", INFO).replace("\n", "\r\n").encode()
 
 
-class Line:
-    """A client's connection.
+class SteppedConnection:
+    """A client connection to the server under test.
 
     Attributes:
-        rig: The server.
+        rig: The server under test.
         socket: The client's socket.
-        client: What the program has for the connection.
-        number: The connection's own number, for request identifiers.
-        asked: Set once the storage node has the request.
-        go: To be set to have the storage node answer.
+        client: The program's object for this connection.
+        number: A unique number of the connection, used in request identifiers.
+        arrived: Set once the storage node has received the request.
+        release: Set by the test to have the storage node respond.
     """
 
     def __init__(self, rig: Rig, sock: socket.socket, client: ClientConnection) -> None:
@@ -64,8 +64,8 @@
         self.arrived, self.release = hold_answers(rig)
 
     @classmethod
-    async def open(cls, rig: Rig) -> Line:
-        """Connect, and have one request answered, so that the connection is idle between requests."""
+    async def open(cls, rig: Rig) -> SteppedConnection:
+        """Connect and complete one request, so that the connection is idle between requests."""
         clients = rig.server.fronts[0].clients
         known = set(clients)
         sock = socket.create_connection(("127.0.0.1", rig.port))
@@ -80,7 +80,7 @@
         return line
 
     async def reach(self, step: Step) -> None:
-        """Send a request, and let the program run until it has come so far."""
+        """Send a request, and run the program until the request has reached this step."""
         if step is Step.CONNECTED:
             return
         data = request(f"{self.number}-second")
@@ -88,7 +88,7 @@
         if step is Step.HALF:
             await until(lambda: not self.client.idle)
         elif step is Step.READ:
-            # The stream's read ends in the iteration before ``serve`` goes on; this task wakes ahead of it.
+            # The stream's read completes one iteration before ``serve`` resumes; this task wakes in between.
             await until(lambda: self.client.has_unprocessed)
         elif step in (Step.IN_WORK, Step.ANSWERED):
             await self.arrived.wait()
@@ -97,7 +97,7 @@
             await until(lambda: not self.client.busy)
 
     async def answer(self) -> bytes:
-        """Return what the client gets: an answer, or nothing where the connection ends before one."""
+        """Return the bytes that the client receives; empty if the connection ends before an answer."""
         loop = asyncio.get_running_loop()
         received = b""
         while not received.endswith((b"\r\n\r\n", b"late")):
--- a/tests/support/scheduler_rig.py
+++ b/tests/support/scheduler_rig.py
@@ -1,4 +1,4 @@
-"""A scheduler with its clock and timers, driven by a test's events."""
+"""A test harness for the scheduler, with a simulated clock and timers."""
 
 from __future__ import annotations
 
@@ -37,20 +37,20 @@
 
 
 class SchedulerRig:
-    """One scheduler, its clock, its timers and the outcomes that a test reports.
+    """One scheduler with a simulated clock and timers; the test reports outcomes of attempts.
 
     Attributes:
         scheduler: The scheduler.
-        now_ms: The clock.
+        now_ms: The current time of the simulated clock.
         last_request_id: The identifier of the request that was submitted last.
-        timers: When each timer is due, and its token.
-        sent: The attempts, in the order in which they were started.
-        attempt_counts: How many attempts each request that had any has had.
+        timers: Due time in ms and token of each pending timer.
+        sent: All attempts in the order of their starts.
+        attempt_counts: Number of attempts by request identifier; requests without attempts are absent.
         actions: All actions so far.
     """
 
     def __init__(self, *entries: NodeEntry, **changes: Any) -> None:
-        """Start a scheduler before these storage nodes, with the settings changed so."""
+        """Create a scheduler for these storage nodes, with these settings changed."""
         self.scheduler = Scheduler(replace(SETTINGS, **changes), SEED)
         self.now_ms = START_MS
         self.last_request_id = 0
@@ -61,7 +61,7 @@
         self.handle(endpoint_list(*(entries or (node_entry(1),)), kind=ListKind.CACHED))
 
     def handle(self, *events: Event) -> list[Action]:
-        """Have the scheduler decide a batch of events; return its actions."""
+        """Pass a batch of events to the scheduler; return its actions."""
         actions = self.scheduler.handle(self.now_ms, list(events))
         for action in actions:
             if isinstance(action, SetTimer):
@@ -74,7 +74,7 @@
         return actions
 
     def advance(self, duration_ms: float) -> list[Action]:
-        """Let time pass, and timers fire; return the actions."""
+        """Advance the clock and fire the timers that are due; return the resulting actions."""
         end_ms = self.now_ms + duration_ms
         start = len(self.actions)
         while self.timers and min(self.timers)[0] <= end_ms:
@@ -144,19 +144,19 @@
         )
 
     def node(self, number: int = 1) -> NodeRecord:
-        """Return what the scheduler knows of a storage node."""
+        """Return the scheduler's record of a storage node."""
         return self.scheduler.nodes[node_id(number)]
 
     def attempt_count(self, request_id: int) -> int:
-        """Return how many attempts a request has had."""
+        """Return the number of attempts of a request."""
         return self.attempt_counts.get(request_id, 0)
 
     def was_sent(self, request_id: int) -> bool:
-        """Return whether a request has had an attempt."""
+        """Return True if an attempt was started for the request."""
         return request_id in self.attempt_counts
 
     def answers(self, request_id: int) -> list[Action]:
-        """Return a request's final answers, of which there should be one at most."""
+        """Return the rejections and failures of a request; there should be at most one."""
         return [
             action
             for action in self.actions
@@ -165,7 +165,7 @@
 
 
 def rig_with_small_budget(scheduler_count: int) -> SchedulerRig:
-    """A rig at the begin of a period whose node has a budget of 8 units and room for more in flight."""
+    """Return a rig at a period's start, whose node has a budget of 8 units and a larger in-flight window."""
     rig = SchedulerRig(scheduler_count=scheduler_count)
     period_ms = rig.scheduler.context.period_ms
     rig.now_ms = (rig.now_ms // period_ms + 1) * period_ms
@@ -176,8 +176,8 @@
     return rig
 
 
-def strain(rig: SchedulerRig, volume: int) -> None:
-    """Have the node count as strained, and the volume's session there as closed."""
+def mark_strained(rig: SchedulerRig, volume: int) -> None:
+    """Mark the node as strained, and make the volume's session at it expire."""
     node = rig.node()
     node.strained = True
     node.sessions[volume] = rig.now_ms - rig.scheduler.context.period_ms * (SESSION_IDLE_PERIODS + 0.5)
@@ -240,5 +240,5 @@
 
 
 def actions_of(actions: Iterable[Action], kind: type[ActionType]) -> list[ActionType]:
-    """Return those of the actions that are of a type."""
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/support/selected_tests.py
+++ b/tests/support/selected_tests.py
@@ -1,6 +1,6 @@
-"""Which cases of a module are selected, so that a fixture for all of them plays no others.
+"""The selected tests of a module, so that a fixture shared by the module prepares only what they need.
 
-A test that is run alone then takes the time of its own play, not that of the whole module.
+Running a single test then takes only the time of its own scenario and not that of the whole module.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def selected_parameters(request: pytest.FixtureRequest) -> Iterator[Mapping[str, object]]:
-    """Yield the parameters of each test of the requesting module that is to run, {} for none."""
+    """Yield the parameters of each selected, unskipped test of the requesting module; {} if it has none."""
     for item in request.session.items:
         if not isinstance(item, pytest.Function) or item.path != request.path:
             continue
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -1,4 +1,4 @@
-"""A server on loopback before stand-ins of storage nodes, hosts and discovery."""
+"""A server on loopback with stand-ins for storage nodes, NVMe hosts and discovery."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.standins import NQN, Discovery, HttpNode, NvmeHost, NvmeNode, http
 from tests.support.settings import FAST_SHUTDOWN, HELD, READ, SETTINGS, WRITE
 
-KEYED = replace(
+KEYED_WRITE = replace(
     WRITE,
     latency_objective_ms=900,
     repeat_safety=RepeatSafety.DEDUPLICATED,
@@ -24,7 +24,7 @@
 
 DEPLOYMENT = replace(
     SETTINGS,
-    classes=(replace(READ, latency_objective_ms=900), KEYED),
+    classes=(replace(READ, latency_objective_ms=900), KEYED_WRITE),
     plans=(replace(HELD, name="gold"), HELD),
     polls_endpoint_list=True,
     scheduler_count=1,
@@ -56,20 +56,20 @@
 
 PUT = "PUT /api/1/{}?q=1 HTTP/1.1\nReq-Id: {}\nReq-Kind: write\nTier: gold\nReq-Deadline: 1.0\n{}\n"
 PLAY_TIMEOUT_S = 30
-SHORT_SHUTDOWN = replace(FAST_SHUTDOWN, max_deadline_s=1.2)  # completed 1.5 s after it was requested
+SHORT_SHUTDOWN = replace(FAST_SHUTDOWN, max_deadline_s=1.2)  # completes 1.5 s after the request
 
 
 class Rig:
-    """A server with an HTTP node (shard 0) and an NVMe node (shard 1), both frontends open.
+    """A server with an HTTP node (shard 0), an NVMe node (shard 1) and both frontends.
 
     Attributes:
-        http: The HTTP node.
-        nvme: The NVMe node.
-        discovery: The discovery stand-in, which lists both.
-        config: The configuration; what a reload reads.
-        server: The server.
-        port: Where it listens for HTTP.
-        nvme_port: Where it listens for NVMe/TCP.
+        http: The stand-in for the HTTP node.
+        nvme: The stand-in for the NVMe node.
+        discovery: The stand-in for discovery, which lists both nodes.
+        config: The configuration, which a reload reads again.
+        server: The server under test.
+        port: Port of the HTTP frontend.
+        nvme_port: Port of the NVMe/TCP frontend.
     """
 
     def __init__(self, store: str = "", console: tuple[str, int] | None = None) -> None:
@@ -103,11 +103,11 @@
         assert not invariants.violations
 
     def reread(self, _: Config) -> Config:
-        """Return the configuration that a reload reads."""
+        """Return the current configuration, as the function that a reload calls."""
         return self.config
 
     async def host(self) -> NvmeHost:
-        """Return an NVMe host that has connected to the server."""
+        """Connect an NVMe host to the server and return it."""
         host = NvmeHost(self.nvme_port, "nqn.2026-12.example:front")
         await host.open()
         return host
@@ -125,7 +125,7 @@
 
 
 def play(scenario: Callable[[Rig], Awaitable[None]], store: str = "", *, console: bool = False) -> None:
-    """Play a scenario on a server, with a path for its store, and with the operators' console or without."""
+    """Run a scenario on a server with a store at this path, optionally with the operators' console."""
     console_address = ("127.0.0.1", 0) if console else None
 
     async def run() -> None:
@@ -136,7 +136,7 @@
 
 
 def hold_answers(rig: Rig) -> tuple[asyncio.Event, asyncio.Event]:
-    """Have the HTTP node answer ``late`` once the second event is set; the first is set by its request."""
+    """Have the HTTP node delay its response ``late``; return the events for request received and release."""
     requested = asyncio.Event()
     released = asyncio.Event()
 
--- a/tests/support/settings.py
+++ b/tests/support/settings.py
@@ -1,4 +1,4 @@
-"""Settings of schedulers under test; every figure here is made up for the tests."""
+"""Settings of schedulers under test; all values are specific to the tests."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     meter_period_ms=0,
     report_fields=(),
 )
-FAST_SHUTDOWN = ShutdownTimes(  # completed 0.9 s after it was requested
+FAST_SHUTDOWN = ShutdownTimes(  # completes 0.9 s after the request
     listener_open_s=0.1,
     max_deadline_s=0.6,
     kill_grace_s=0.4,
@@ -71,5 +71,5 @@
     final_answers_s=0.1,
     draining_s=0.2,
     hastened_s=0.2,
-    max_lateness_s=0.0,  # client, nodes and program share one loop, whose lateness is the test's own
+    max_lateness_s=0.0,  # clients and nodes share the program's event loop and delay it themselves
 )
