--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Formats of stored data: what earlier versions wrote has to be read, and written again to the same bytes."""
+"""Tests of stored formats: data of earlier versions is read completely and written to the same bytes."""
--- a/tests/compatibility/files.py
+++ b/tests/compatibility/files.py
@@ -1,4 +1,4 @@
-"""SQLite files as readable SQL: how fixtures are kept, and how what is written is compared."""
+"""SQLite files as SQL text, the format of the fixtures and of comparisons with written files."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def load(name: str, path: Path) -> str:
-    """Make a SQLite file of a fixture; its path as the program takes it."""
+    """Create a SQLite file from a fixture; return its path as a string."""
     with closing(sqlite3.connect(path)) as database:
         database.executescript((DATA / name).read_text())
     return str(path)
 
 
 def dump(path: str) -> str:
-    """Schema and rows of a SQLite file, in a fixed order."""
+    """Return schema and rows of a SQLite file as SQL, in a fixed order."""
     with closing(sqlite3.connect(path)) as database:
         schema = database.execute(
             "SELECT name, type, sql FROM sqlite_master WHERE sql IS NOT NULL ORDER BY type DESC, name"
--- a/tests/compatibility/program/__init__.py
+++ b/tests/compatibility/program/__init__.py
@@ -1,4 +1,5 @@
-"""The only place of these tests that names parts of the program: a rename there is an edit here alone.
+"""The adapter between the compatibility tests and the program: only it refers to the program's identifiers.
 
-Expected data stand in the tests and in ``data/``, and must not be edited for a rename.
+A rename in the program requires edits in this package only. The expected data, in the tests and in ``data/``,
+must not be edited for a rename.
 """
--- a/tests/compatibility/program/log.py
+++ b/tests/compatibility/program/log.py
@@ -1,4 +1,4 @@
-"""The compacted log as the program reads and writes it, with the records that stand there."""
+"""Adapter for the compacted log and its records."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from sabledyke.application.extensions import ServerContext
 from sabledyke.compacted_log import append, compaction, registers
-from sabledyke.compacted_log import records as board_terms
-from sabledyke.compacted_log import section as board_section
+from sabledyke.compacted_log import records as log_records
+from sabledyke.compacted_log import section as log_section
 from sabledyke.compacted_log.client import CompactedLog, LogWriter
 from sabledyke.compacted_log.compaction import CompactionPolicy
 from sabledyke.compacted_log.etcd_backend import EtcdBackend
@@ -21,129 +21,133 @@
 from sabledyke.placement import evacuation
 from sabledyke.placement import section as sites_section
 from sabledyke.quota_sharing import allocation, publisher
-from sabledyke.quota_sharing import extension as fleet_part
-from sabledyke.quota_sharing import section as fleet_section
-from sabledyke.rollout import extension as rollout_part
+from sabledyke.quota_sharing import extension as quota_extension
+from sabledyke.quota_sharing import section as quota_section
+from sabledyke.rollout import extension as rollout_extension
 from sabledyke.rollout import heartbeats, record_codec
-from sabledyke.rollout import records as rollout_terms
+from sabledyke.rollout import records as rollout_records
 from sabledyke.rollout import section as rollout_section
 from tests.compatibility.program.values import values
 
-Shelf = Backend
-TableShelf = SqliteBackend
-EtcdShelf = EtcdBackend
+LogBackend = Backend
+SqliteLogBackend = SqliteBackend
+EtcdLogBackend = EtcdBackend
 
 
-FLEET_TOPIC, BEATS_TOPIC = rollout_terms.FLEET_TOPIC, rollout_terms.HEARTBEATS_TOPIC
-HOMES_TOPIC, SHARES_TOPIC = evacuation.PLACEMENTS_TOPIC, allocation.SHARES_TOPIC
+FLEET_TOPIC, HEARTBEATS_TOPIC = rollout_records.FLEET_TOPIC, rollout_records.HEARTBEATS_TOPIC
+PLACEMENTS_TOPIC, SHARES_TOPIC = evacuation.PLACEMENTS_TOPIC, allocation.SHARES_TOPIC
 LOAD_PREFIX = heartbeats.LOAD_KEY_PREFIX
-INCOMPLETE = TypeError  # what a reader raises where a field is missing that it insists on
-STATES, STAGES, PHASES = rollout_terms.MemberState, rollout_terms.PlanStage, rollout_terms.DrainPhase
+MISSING_FIELD_ERROR = TypeError  # raised by a reader when a required field is missing
+MEMBER_STATES, PLAN_STAGES, DRAIN_PHASES = (
+    rollout_records.MemberState,
+    rollout_records.PlanStage,
+    rollout_records.DrainPhase,
+)
 
 
 def message(key: str, value: bytes, offset: int) -> Message:
-    """A message of the log as a reader has it."""
+    """Return a message of the log as a reader receives it."""
     return Message(offset, key, value, "writer", 1, 1)
 
 
 def read_record(key: str, value: bytes, offset: int = 77) -> Any:
-    """A record of the fleet's topic, from its key and its stored value."""
+    """Decode a record of the fleet's topic from its key and its stored value."""
     return record_codec.decode(message(key, value, offset))
 
 
 def write_record(record: Any) -> tuple[str, bytes]:
-    """The key and the value that a record is stored by."""
+    """Encode a record; return its key and its stored value."""
     return record_codec.key_of(record), record_codec.encode(record)
 
 
-def read_homes(stored: Mapping[str, bytes]) -> Mapping[str, Any]:
-    """Homes by volume, from their stored values."""
+def read_placements(stored: Mapping[str, bytes]) -> Mapping[str, Any]:
+    """Decode stored placements; return them by volume."""
     return evacuation.decode_placements({key: message(key, value, 77) for key, value in stored.items()})
 
 
-def write_home(home: Any) -> bytes:
-    """A home as it is stored."""
-    return evacuation.encode(home)
+def write_placement(placement: Any) -> bytes:
+    """Encode a placement as its stored value."""
+    return evacuation.encode(placement)
 
 
-def read_beats(registers: Mapping[str, bytes]) -> Mapping[str, tuple[int, ...]]:
-    """Signs of life by member, from the registers."""
-    return {name: beat.values for name, beat in heartbeats.decode_heartbeats(registers).items()}
+def read_heartbeats(registers: Mapping[str, bytes]) -> Mapping[str, tuple[int, ...]]:
+    """Decode the heartbeats among the registers; return their values by member."""
+    return {name: heartbeat.values for name, heartbeat in heartbeats.decode_heartbeats(registers).items()}
 
 
 def read_demands(value: bytes) -> tuple[int, Mapping[int, float]]:
-    """The number and the demands of a member, from its register."""
-    return publisher.decode_demands(board_terms.Cell(1, value))
+    """Decode a member's published demands; return the publication's number and units per second by volume."""
+    return publisher.decode_demands(log_records.Cell(1, value))
 
 
 async def append_messages(
-    shelf: Backend, topic: str, writer: tuple[str, int, str], *drafts: tuple[str, bytes | None]
+    backend: Backend, topic: str, writer: tuple[str, int, str], *entries: tuple[str, bytes | None]
 ) -> Any:
-    """Append to a topic by a new connection of this writer: its name, its life, and what tells it apart."""
-    key = board_terms.writer_key(topic, writer[0])
-    before = board_terms.decode_writer_state((await shelf.get([key])).get(key))
-    sequence = before.sequence if before is not None and before.incarnation == writer[1] else 0
-    pen = LogWriter(CompactedLog(shelf), topic, WriterIdentity(*writer), sequence)
-    return await pen.append([Draft(key, value) for key, value in drafts])
-
-
-async def claim(shelf: Backend, topic: str, name: str, nonce: str) -> tuple[str, int, str]:
-    """Begin the next life of a writer."""
-    key = board_terms.writer_key(topic, name)
-    writer, commit = append.plan_claim(topic, (await shelf.get([key])).get(key), name, nonce)
-    assert await shelf.commit(commit.checks, commit.puts)
+    """Append to a topic with a new ``LogWriter`` for this writer: its name, incarnation and nonce."""
+    key = log_records.writer_key(topic, writer[0])
+    state = log_records.decode_writer_state((await backend.get([key])).get(key))
+    sequence = state.sequence if state is not None and state.incarnation == writer[1] else 0
+    log_writer = LogWriter(CompactedLog(backend), topic, WriterIdentity(*writer), sequence)
+    return await log_writer.append([Draft(key, value) for key, value in entries])
+
+
+async def claim_writer(backend: Backend, topic: str, name: str, nonce: str) -> tuple[str, int, str]:
+    """Begin the next incarnation of a writer; return its name, incarnation and nonce."""
+    key = log_records.writer_key(topic, name)
+    writer, commit = append.plan_claim(topic, (await backend.get([key])).get(key), name, nonce)
+    assert await backend.commit(commit.checks, commit.puts)
     return writer.name, writer.incarnation, writer.nonce
 
 
 async def put_registers(
-    shelf: Backend, topic: str, writer: tuple[str, int, str], words: Mapping[str, bytes]
+    backend: Backend, topic: str, writer: tuple[str, int, str], register_values: Mapping[str, bytes]
 ) -> None:
-    """Write registers of this writer."""
-    await registers.RegisterWriter(shelf, topic, WriterIdentity(*writer)).put(words)
+    """Write registers as this writer."""
+    await registers.RegisterWriter(backend, topic, WriterIdentity(*writer)).put(register_values)
 
 
-async def read_registers(shelf: Backend, topic: str) -> dict[str, bytes]:
-    """All registers of a topic."""
-    return await registers.read_values(shelf, topic)
+async def read_registers(backend: Backend, topic: str) -> dict[str, bytes]:
+    """Return the values of all registers of a topic."""
+    return await registers.read_values(backend, topic)
 
 
-async def read_topic(shelf: Backend, topic: str) -> tuple[dict[str, bytes | None], dict[str, int]]:
-    """Values and offsets by key, as a reader that joins now has them."""
+async def read_topic(backend: Backend, topic: str) -> tuple[dict[str, bytes | None], dict[str, int]]:
+    """Return values and offsets by key, as a new reader gets them."""
     reader = LogReader()
-    await CompactedLog(shelf).catch_up(topic, reader)
+    await CompactedLog(backend).catch_up(topic, reader)
     state = reader.latest
     return {key: m.value for key, m in state.items()}, {key: m.offset for key, m in state.items()}
 
 
-async def clean(shelf: Backend, topic: str, token: int, now_ms: float) -> None:
-    """Compact a topic: all but the two newest messages, and tombstones once they are 50 ms old."""
+async def compact(backend: Backend, topic: str, token: int, now_ms: float) -> None:
+    """Compact all but the two latest messages of a topic, removing tombstones after 50 ms."""
     policy = CompactionPolicy(
         min_lag_messages=2, tombstone_retention_ms=50, min_dirty_ratio=0.01, max_bytes_per_s=1e12
     )
-    await CompactedLog(shelf).compact(topic, policy, lambda: token, lambda: now_ms)
+    await CompactedLog(backend).compact(topic, policy, lambda: token, lambda: now_ms)
 
 
-def rewritten(key: str, data: bytes) -> bytes:
-    """A stored cell of the log, decoded and encoded again, by the kind that its key says."""
-    cell = board_terms.Cell(1, data)
+def reencode(key: str, data: bytes) -> bytes:
+    """Decode a stored cell of the log and encode it again, according to the kind in its key."""
+    cell = log_records.Cell(1, data)
     match key.split("/")[1]:
         case "h":
-            return board_terms.encode_fields(*values(board_terms.decode_head(cell)))
+            return log_records.encode_fields(*values(log_records.decode_head(cell)))
         case "k":
-            return board_terms.encode_fields(*values(board_terms.decode_position(cell)))
+            return log_records.encode_fields(*values(log_records.decode_position(cell)))
         case "w":
-            said = board_terms.decode_writer_state(cell)
-            assert said is not None
-            return board_terms.encode_writer_state(said)
+            writer_state = log_records.decode_writer_state(cell)
+            assert writer_state is not None
+            return log_records.encode_writer_state(writer_state)
         case "c":
             return compaction.encode_progress(compaction.decode_progress(cell))
         case "m":
-            return board_terms.encode_message(board_terms.decode_message(key, cell))
+            return log_records.encode_message(log_records.decode_message(key, cell))
     raise AssertionError(f"unknown kind of cell: {key}")
 
 
-class _Host:
-    """What parts of the program ask of the server around them."""
+class _ServerContextStub:
+    """A stub of the server, as extensions of the program use it."""
 
     config = SimpleNamespace(
         name="n1", seed=1, settings=SimpleNamespace(plans=(), drain_grace_ms=0.0, warm_up_ms=0.0)
@@ -153,43 +157,50 @@
         return 120, 3
 
 
-def _ignored(answer: object) -> None:
+def _ignore_answer(answer: object) -> None:
     pass
 
 
-def _not_forwarded(_work: object, _done: object) -> int:
+def _do_not_forward(_request: object, _done: object) -> int:
     return 0
 
 
-async def member_writes(path: str, loads: Mapping[str, float]) -> None:
-    """A member of the fleet joins, and writes its sign of life and its clients' loads (units by volume)."""
-    place, lease = board_section.read({"path": path}), lease_section.read({"path": path + ".lease"}, None)
+async def write_as_member(path: str, loads: Mapping[str, float]) -> None:
+    """Join the fleet as a member; write its heartbeat and the load of its clients, in units by volume."""
+    log_settings, lease = (
+        log_section.read({"path": path}),
+        lease_section.read({"path": path + ".lease"}, None),
+    )
     section = rollout_section.read({"site": "lodi", "version": "1.4"})
     sites = sites_section.read({"room": {"lodi": 400.0}})
-    assert place is not None
+    assert log_settings is not None
     assert lease is not None
     assert section is not None
-    part = rollout_part.RolloutExtension(cast(ServerContext, _Host()), section, place, lease, sites)
-    assert await part.member.join() is not None
+    extension = rollout_extension.RolloutExtension(
+        cast(ServerContext, _ServerContextStub()), section, log_settings, lease, sites
+    )
+    assert await extension.member.join() is not None
     for volume, units in loads.items():
-        part.submit(
+        extension.submit(
             cast(ClientRequest, SimpleNamespace(volume=int(volume, 16), units=units)),
-            _ignored,
-            _not_forwarded,
+            _ignore_answer,
+            _do_not_forward,
         )
-    await part.member.send_heartbeat()
-    await part.board.backend.close()
+    await extension.member.send_heartbeat()
+    await extension.board.backend.close()
 
 
-async def sharer_writes(path: str, volume: int) -> None:
-    """A member that shares limits writes a demand of 3 units of this volume within the last 2 seconds."""
-    place, section = board_section.read({"path": path}), fleet_section.read({"members": 4})
-    assert place is not None
+async def write_as_quota_member(path: str, volume: int) -> None:
+    """Publish, as a member with quota sharing, a demand of 3 units for this volume in the last 2 s."""
+    log_settings, section = log_section.read({"path": path}), quota_section.read({"members": 4})
+    assert log_settings is not None
     assert section is not None
     now = [0.0]
-    part = fleet_part.QuotaExtension(cast(ServerContext, _Host()), section, place, lambda: now[0])
-    await part.publisher.begin()
-    part.meter.add(now[0], volume, 3.0, 1000.0)
+    extension = quota_extension.QuotaExtension(
+        cast(ServerContext, _ServerContextStub()), section, log_settings, lambda: now[0]
+    )
+    await extension.publisher.begin()
+    extension.meter.add(now[0], volume, 3.0, 1000.0)
     now[0] = 2000.0
-    await part.publisher.publish()
-    await part.close()
+    await extension.publisher.publish()
+    await extension.close()
--- a/tests/compatibility/program/record.py
+++ b/tests/compatibility/program/record.py
@@ -1,4 +1,4 @@
-"""The store of record as the program reads and writes it."""
+"""Adapter for the store of record."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 async def write_schema_1(path: str) -> None:
-    """A record as it was before there were versions: one table of writes."""
+    """Write a store of schema 1, which has no version: one table of writes."""
     session = await connect(Target(path=path))
     put = "INSERT INTO writes (name, at, shard, zone, state) VALUES ($1, $2, $3, $4, $5)"
     rows = [
@@ -39,14 +39,17 @@
 
 
 async def open_record(path: str) -> Session:
-    """The store of record in this file, its schema up to date."""
+    """Open the store of record in this file and migrate its schema."""
     session = await connect(Target(path=path))
     await startup.migrate(session)
     return session
 
 
-async def begin_life(session: Session, instance: str) -> list[Any]:
-    """Begin the next life of an instance: its number, its batches, the journal's last entry and its hash."""
+async def begin_incarnation(session: Session, instance: str) -> list[Any]:
+    """Begin the next incarnation of an instance; return its journal position.
+
+    The position is the incarnation, the number of batches, and the number and hash of the last journal entry.
+    """
     return values(await startup.begin_incarnation(session, instance))
 
 
@@ -58,44 +61,47 @@
     entries: Sequence[Sequence[Any]] = (),
     drifts: Sequence[Sequence[Any]] = (),
 ) -> None:
-    """Write one batch, all of whose values are given in the order of their columns."""
-    before, made = await startup.read_position(session, instance), [JournalEntry(*entry) for entry in entries]
-    after, hashes = audit_journal.extend_chain(before, instance, made)
+    """Write one batch; all values are in the order of their columns."""
+    before, journal = (
+        await startup.read_position(session, instance),
+        [JournalEntry(*entry) for entry in entries],
+    )
+    after, hashes = audit_journal.extend_chain(before, instance, journal)
     sends = [Intent(name, SendRecord(*sent)) for name, sent in intents]
     states = [Settlement(name, WriteState(state)) for name, state in settled]
     batch = RecordBatch(
-        before, after, sends, made, hashes, states, [DriftFinding(*drift) for drift in drifts]
+        before, after, sends, journal, hashes, states, [DriftFinding(*drift) for drift in drifts]
     )
     results = await session.transact(statements.batch_steps(batch, instance))
     assert statements.accepted_intents(batch, results) == {name for name, _ in intents}
 
 
 async def look_up(session: Session, name: str) -> Any:
-    """A recorded write: when and where it was sent, and its state."""
+    """Return a recorded write: the values of its first send, and its state."""
     (row,) = await session.query(statements.SELECT_WRITE, name)
     sent, state = (statements.recorded_write(row).first_send, statements.recorded_write(row).state)
     return [values(sent), state]
 
 
 async def recent(session: Session) -> list[tuple[str, Any]]:
-    """Writes that a start reads, newest first."""
+    """Return the writes that the program reads at its start, latest first."""
     return await startup.recent_writes(session, 0.0)
 
 
 async def migrate(path: str) -> str:
-    """What ``store migrate`` says last."""
-    said: list[str] = []
-    assert await maintenance.migrate(Target(path=path), said.append)
-    return said[-1]
+    """Return the last output line of ``store migrate``."""
+    output: list[str] = []
+    assert await maintenance.migrate(Target(path=path), output.append)
+    return output[-1]
 
 
 async def audit(path: str) -> bool:
-    """Does the journal pass its audit?"""
+    """Return True if the journal passes its audit."""
     return await maintenance.audit(Target(path=path), lambda _: None)
 
 
 async def export(path: str) -> bytes:
-    """The journal as JSON lines."""
+    """Return the journal as JSON lines."""
     file = BytesIO()
     await maintenance.export(Target(path=path), file, 0, lambda _: None)
     return file.getvalue()
--- a/tests/compatibility/program/values.py
+++ b/tests/compatibility/program/values.py
@@ -1,4 +1,4 @@
-"""Values of the program's records, whatever the names of their fields."""
+"""Values of the program's records, independent of field names."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def values(record: object) -> list[Any]:
-    """Values of a record in the order of its fields, whatever their names; enumerations by their values."""
+    """Return the values of a record in the order of its fields; enumeration members by their values."""
     fields = (
         msgspec.structs.astuple(record) if isinstance(record, msgspec.Struct) else astuple(cast(Any, record))
     )
@@ -19,7 +19,7 @@
 
 
 def leaves(value: object) -> Iterator[object]:
-    """All plain values inside a nested one, whatever the names and the nesting on the way."""
+    """Yield all scalar values inside a nested value, independent of field names and nesting."""
     if isinstance(value, msgspec.Struct):
         value = msgspec.structs.astuple(value)
     elif is_dataclass(value) and not isinstance(value, type):
--- a/tests/compatibility/test_config.py
+++ b/tests/compatibility/test_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file: each key of it, and where its value arrives."""
+"""Compatibility of the platform's configuration file: every key and the value that is read from it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 STORED = orjson.loads((DATA / "config.json").read_bytes())
 NEXT = {"idempotent": "at_most_once", "deduplicated": "idempotent", "zone": "all", "cell": "all"}
 NEXT |= {"ready": "draining", "draining": "ready", "on_request": "push"}
-UNREAD = {"limits.cores", "known.whole"}  # nothing is decided by them
+UNREAD = {"limits.cores", "known.whole"}  # keys whose values have no effect
 REQUIRED = set(
     """
     name listen discovery known.whole known.seq known.hosts.*.host known.hosts.*.block known.hosts.*.born_ms
@@ -33,22 +33,22 @@
 
 
 def _paths(value: Any, path: str = "") -> Iterator[str]:
-    """Where plain values stand."""
+    """Yield the dotted paths of all scalar values."""
     inner = (
         enumerate(value) if isinstance(value, list) else value.items() if isinstance(value, dict) else None
     )
     if inner is None:
         yield path
         return
-    for key, found in inner:
-        yield from _paths(found, f"{path}.{key}" if path else str(key))
+    for key, child in inner:
+        yield from _paths(child, f"{path}.{key}" if path else str(key))
 
 
 def _at(data: Any, path: str) -> tuple[Any, Any]:
-    """What holds the value at a path, and by which key."""
-    *steps, last = [int(step) if step.isdigit() else step for step in path.split(".")]
-    for step in steps:
-        data = data[step]
+    """Return the container of the value at a path, and its key there."""
+    *parents, last = [int(step) if step.isdigit() else step for step in path.split(".")]
+    for parent in parents:
+        data = data[parent]
     return data, last
 
 
@@ -66,12 +66,12 @@
     return settings.read_config({"GW_CONFIG": str(path)} | environ)
 
 
-def test_every_value_arrives(tmp_path: Path) -> None:
+def test_every_stored_value_is_read(tmp_path: Path) -> None:
     assert _read(STORED, tmp_path) == orjson.loads((DATA / "config_values.json").read_bytes())
 
 
 @pytest.mark.parametrize("path", _paths(STORED))
-def test_another_value_arrives_as_well(path: str, tmp_path: Path) -> None:
+def test_a_changed_value_is_read(path: str, tmp_path: Path) -> None:
     data = copy.deepcopy(STORED)
     holder, key = _at(data, path)
     holder[key] = _changed(holder[key])
@@ -79,16 +79,16 @@
 
 
 @pytest.mark.parametrize("path", [p for p in _paths(STORED) if not p.rpartition(".")[2].isdigit()])
-def test_a_key_that_is_missing_is_refused_or_has_a_default(path: str, tmp_path: Path) -> None:
+def test_a_missing_key_is_rejected_or_has_a_default(path: str, tmp_path: Path) -> None:
     data, pattern = copy.deepcopy(STORED), re.sub(r"\.\d+\.", ".*.", path)
     holder, key = _at(data, path)
     stored = holder.pop(key)
     if pattern in REQUIRED:
-        with pytest.raises(settings.ConfigError, match=r"\A.*\Z"):  # one line
+        with pytest.raises(settings.ConfigError, match=r"\A.*\Z"):  # a message of one line
             _read(data, tmp_path)
         return
-    same = path in UNREAD or stored is False  # which is the default where there is one
-    assert (_read(data, tmp_path) == _read(STORED, tmp_path)) == same
+    is_default = path in UNREAD or stored is False  # optional flags have the default False
+    assert (_read(data, tmp_path) == _read(STORED, tmp_path)) == is_default
 
 
 @pytest.mark.parametrize(
@@ -100,12 +100,12 @@
         ("GW_CONSOLE", "127.0.0.9:9099"),
     ],
 )
-def test_a_variable_of_the_environment_wins_over_the_file(variable: str, value: str, tmp_path: Path) -> None:
-    in_force = _read(STORED, tmp_path, **{variable: value})
+def test_an_environment_variable_overrides_the_file(variable: str, value: str, tmp_path: Path) -> None:
+    effective = _read(STORED, tmp_path, **{variable: value})
     host, _, port = value.partition(":")
-    assert host in in_force
-    assert not port or int(port) in in_force
+    assert host in effective
+    assert not port or int(port) in effective
     key = variable.removeprefix("GW_").lower()
     stored = _read({**STORED, key: value}, tmp_path)
-    assert len(in_force) == len(stored)
-    assert sum(a != b for a, b in zip(in_force, stored, strict=True)) <= 1
+    assert len(effective) == len(stored)
+    assert sum(a != b for a, b in zip(effective, stored, strict=True)) <= 1
--- a/tests/compatibility/test_operator.py
+++ b/tests/compatibility/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file and the files of plans: each section and key, and where its value arrives."""
+"""Compatibility of the operator's file and of plan files: every section, key and value."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Where the password is that the file names; other passwords stand in the environment."""
+    """Return a folder with the password file of the operator's file; set the other passwords' variables."""
     (tmp_path / "password").write_text("keeper's secret\n")
     (tmp_path / "password").chmod(0o600)
     monkeypatch.setenv("SABLEDYKE_STORE_PASSWORD", "secret of the environment")
@@ -43,12 +43,12 @@
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_every_value_arrives(name: str, folder: Path) -> None:
+def test_every_stored_value_is_read(name: str, folder: Path) -> None:
     assert _read(name, _lines(name), folder) == VALUES[name]
 
 
 @pytest.mark.parametrize(("name", "number"), LINES)
-def test_a_name_that_is_misspelt_is_refused_in_one_line(name: str, number: int, folder: Path) -> None:
+def test_a_misspelt_name_is_rejected_with_a_message_of_one_line(name: str, number: int, folder: Path) -> None:
     lines = _lines(name)
     lines[number] = re.sub(r"\w+(?=\]| =)", r"\g<0>_x", lines[number], count=1)
     with pytest.raises(settings.OperatorError, match=r"\A.*_x.*\Z"):
@@ -59,19 +59,19 @@
 def test_each_key_has_an_effect(name: str, number: int, folder: Path) -> None:
     lines = _lines(name)
     del lines[number]
-    read: object = None
-    fault: Exception | None = None
+    result: object = None
+    rejection: Exception | None = None
     try:
-        read = _read(name, lines, folder)
+        result = _read(name, lines, folder)
     except settings.OperatorError as error:
-        fault = error
-    if fault is not None:
-        assert "\n" not in str(fault)
+        rejection = error
+    if rejection is not None:
+        assert "\n" not in str(rejection)
     else:
-        assert read != VALUES[name]
+        assert result != VALUES[name]
 
 
-def test_the_files_here_have_every_section_and_key() -> None:
+def test_the_stored_files_contain_every_section_and_key() -> None:
     found = {"file": set[str](), "plan": set[str]()}
     for name in FILES:
         kind, path = ("plan" if name.startswith("plan") else "file"), ""
--- a/tests/compatibility/test_store.py
+++ b/tests/compatibility/test_store.py
@@ -1,4 +1,4 @@
-"""The store of record, schema 1 and 2, and the tables of leases and fences: files, rows and their columns."""
+"""Compatibility of the store of record (schemas 1 and 2) and of the tables of leases and fences."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     for number, outcome in enumerate(("served", "refused", "failed", "departed", "unconfirmed"), 1)
 ]
 DRIFT = [1700000000600, "00000003b4d60021", "0000000000000007", "s-00000001", "ab" * 32, "cd" * 32]
-WRITES = [  # by name: when, shard, zone, state
+WRITES = [  # name, [time of the first send, shard, zone], state
     ("scontrino/3b4d60021/order-1", [1700000000100.5, 3, 1], "served"),
     ("scontrino/3b4d60021/order-2", [1700000000200.0, 4, 2], "unknown"),
     ("scontrino/3b4d60021/order-3", [1700000000300.0, 5, 0], "never"),
@@ -58,28 +58,28 @@
 
 
 async def write_schema_2(path: str) -> None:
-    """Two lives of an instance, with rows in every table, and a fence."""
+    """Write two incarnations of an instance, with rows in every table, and a fence."""
     session = await record.open_record(path)
-    life, *_ = await record.begin_life(session, "n1")
-    assert life == 1
+    incarnation, *_ = await record.begin_incarnation(session, "n1")
+    assert incarnation == 1
     await record.write_batch(session, "n1", intents=INTENTS)
     await record.write_batch(session, "n1", settled=SETTLED, entries=ENTRIES, drifts=[DRIFT])
-    assert (await record.begin_life(session, "n1"))[:3] == [2, 2, 5]
-    await lease.pass_fence(session, "nightly", 7)
+    assert (await record.begin_incarnation(session, "n1"))[:3] == [2, 2, 5]
+    await lease.check_token(session, "nightly", 7)
     await session.close()
 
 
 async def write_leases(path: str) -> None:
-    """A lease that is held and recalled, and one that was released and whose duty was done."""
+    """Write a lease that is held and recalled, and a released one whose leader task was completed."""
     authority = lease.table_authority(path)
     await authority.open()
-    assert values(await lease.take(authority, "coordinator", (0, 0))) == [1]
+    assert values(await lease.acquire(authority, "coordinator", (0, 0))) == [1]
     assert values(await lease.renew(authority, "coordinator", 1)) == [False]
     assert await authority.recall("coordinator", at_once=False)
-    assert values(await lease.take(authority, "nightly", (0, 0))) == [1]
+    assert values(await lease.acquire(authority, "nightly", (0, 0))) == [1]
     assert values(await lease.release(authority, "nightly", 1)) == [[1, 1], "", True, 3000.0]
-    assert values(await lease.take(authority, "nightly", (1, 1))) == [2]
-    assert await authority.done("nightly", 2, 1700000000123)
+    assert values(await lease.acquire(authority, "nightly", (1, 1))) == [2]
+    assert await authority.record_completion("nightly", 2, 1700000000123)
     await lease.release(authority, "nightly", 2)
     await authority.close()
 
@@ -98,7 +98,7 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(time, "time", lambda: 1700000000.25)  # noted in leases, and never decided by
+    monkeypatch.setattr(time, "time", lambda: 1700000000.25)  # stored in leases; no decision depends on it
     path = str(tmp_path / "store.sqlite3")
     _play(lambda: write(path))
     assert dump(path) == (DATA / name).read_text()
@@ -115,7 +115,9 @@
             assert await record.look_up(session, name) == [sent, state]
         recent = [name for name, *_ in reversed(WRITES) if not name.endswith("order-3")]
         assert [name for name, _ in await record.recent(session)] == recent
-        assert (await record.begin_life(session, "n1"))[:3] == ([1, 0, 0] if schema == 1 else [3, 2, 5])
+        assert (await record.begin_incarnation(session, "n1"))[:3] == (
+            [1, 0, 0] if schema == 1 else [3, 2, 5]
+        )
         await session.close()
 
     _play(scenario)
@@ -123,7 +125,7 @@
 
 
 def _schema(text: str) -> list[str]:
-    """Lines that make tables and columns; fences are made only when the first one is passed."""
+    """Return the CREATE statements except that of the fences, which the first token check creates."""
     return [line for line in text.splitlines() if line.startswith("CREATE") and " fences " not in line]
 
 
@@ -141,14 +143,14 @@
     _play(scenario)
 
 
-def test_a_stored_fence_refuses_an_older_token(tmp_path: Path) -> None:
+def test_a_stored_fence_rejects_an_older_token(tmp_path: Path) -> None:
     path = load("store_schema_2.sql", tmp_path / "store.sqlite3")
 
     async def scenario() -> None:
         session = await record.open_record(path)
-        await lease.pass_fence(session, "nightly", 7)
-        with pytest.raises(lease.StoreFault):
-            await lease.pass_fence(session, "nightly", 6)
+        await lease.check_token(session, "nightly", 7)
+        with pytest.raises(lease.DatabaseError):
+            await lease.check_token(session, "nightly", 6)
         await session.close()
 
     _play(scenario)
@@ -161,15 +163,15 @@
     async def scenario() -> None:
         authority = lease.table_authority(path)
         await authority.open()
-        assert [values(standing) for standing in await authority.standing()] == [
-            ["coordinator", lease.ME, 1, 2000.0, True, 0],
+        assert [values(summary) for summary in await authority.list_leases()] == [
+            ["coordinator", lease.HOLDER_ID, 1, 2000.0, True, 0],
             ["nightly", "", 2, 2000.0, False, 1700000000123],
         ]
-        seen = values(await lease.look(authority, "coordinator"))
-        assert seen == [[1, 1], lease.ME, False, 3000.0]
+        status = values(await lease.inspect(authority, "coordinator"))
+        assert status == [[1, 1], lease.HOLDER_ID, False, 3000.0]
         assert values(await lease.renew(authority, "coordinator", 1)) == [True]
-        assert await authority.last("nightly") == 1700000000123
-        assert values(await lease.take(authority, "nightly", (2, 1))) == [3]
+        assert await authority.last_completion("nightly") == 1700000000123
+        assert values(await lease.acquire(authority, "nightly", (2, 1))) == [3]
         await authority.close()
 
     _play(scenario)
