--- a/tests/application/test_reload.py
+++ b/tests/application/test_reload.py
@@ -96,9 +96,8 @@
         fewer = replace(DEPLOYMENT, classes=(write, replace(read, name="fresh")))
         rig.config = replace(rig.config, settings=fewer)
         rig.server.reload()
-        assert (await send_request(rig.port, GET.format(1, "gone", INFO)))[
-            0
-        ] == 400  # "read" takes no new request
+        # "read" takes no new request
+        assert (await send_request(rig.port, GET.format(1, "gone", INFO)))[0] == 400
         assert (await send_request(rig.port, named.format("new-2")))[0] == 200
         release.set()
         assert (await open_read)[0] == 200  # it kept its class through both
--- a/tests/compatibility/program/lease.py
+++ b/tests/compatibility/program/lease.py
@@ -14,7 +14,7 @@
 from sabledyke.store.types import Step
 from sabledyke.testbed.etcd_server import Etcd
 
-__all__ = ["Etcd", "DatabaseError"]
+__all__ = ["DatabaseError", "Etcd"]
 
 HOLDER_ID = "n1.aaaaaaaaaaaa"  # identifier of the holder in the stored data
 
--- a/tests/compatibility/program/record.py
+++ b/tests/compatibility/program/record.py
@@ -62,15 +62,12 @@
     drifts: Sequence[Sequence[Any]] = (),
 ) -> None:
     """Write one batch; all values are in the order of their columns."""
-    before, journal = (
-        await startup.read_position(session, instance),
-        [JournalEntry(*entry) for entry in entries],
-    )
-    after, hashes = audit_journal.extend_chain(before, instance, journal)
+    before, added = await startup.read_position(session, instance), [JournalEntry(*e) for e in entries]
+    after, hashes = audit_journal.extend_chain(before, instance, added)
     sends = [Intent(name, SendRecord(*sent)) for name, sent in intents]
     states = [Settlement(name, WriteState(state)) for name, state in settled]
     batch = RecordBatch(
-        before, after, sends, journal, hashes, states, [DriftFinding(*drift) for drift in drifts]
+        before, after, sends, added, hashes, states, [DriftFinding(*drift) for drift in drifts]
     )
     results = await session.transact(statements.batch_steps(batch, instance))
     assert statements.accepted_intents(batch, results) == {name for name, _ in intents}
--- a/tests/standins/nvme_node.py
+++ b/tests/standins/nvme_node.py
@@ -66,7 +66,7 @@
         blocks: Block contents by namespace and block number.
         writes: Namespace, first block and key of each completely received write.
         started_writes: Number of writes whose data the node requested.
-        write_bytes_until_fault: Number of bytes of a write after which the fault occurs.
+        write_bytes_until_fault: The fault occurs when a write has received more bytes than this.
         dies_at_fault: True if the node stops at the fault; otherwise only the connection is aborted.
         status: Status of reads and writes; with 0 they are executed.
         stalled: True if reads and writes are received and never answered.
--- a/tests/support/scheduler_rig.py
+++ b/tests/support/scheduler_rig.py
@@ -177,7 +177,7 @@
 
 
 def mark_strained(rig: SchedulerRig, volume: int) -> None:
-    """Mark the node as strained, and make the volume's session at it expire."""
+    """Mark the node as strained, with an expired session of the volume."""
     node = rig.node()
     node.strained = True
     node.sessions[volume] = rig.now_ms - rig.scheduler.context.period_ms * (SESSION_IDLE_PERIODS + 0.5)
--- a/tests/support/selected_tests.py
+++ b/tests/support/selected_tests.py
@@ -11,7 +11,7 @@
 
 
 def selected_parameters(request: pytest.FixtureRequest) -> Iterator[Mapping[str, object]]:
-    """Yield the parameters of each selected, unskipped test of the requesting module; {} if it has none."""
+    """Yield the parameters of each test of the module that will run; {} for a test without parameters."""
     for item in request.session.items:
         if not isinstance(item, pytest.Function) or item.path != request.path:
             continue
--- a/tests/support/shutdown_soak.py
+++ b/tests/support/shutdown_soak.py
@@ -43,7 +43,7 @@
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM)
 HALF_REQUEST = b"GET /api/1/2 HTTP/1.1\r\nReq-Id: half"
 RESET_TIMEOUT_S = 0.3
-TCP_STATE_CLOSED = 7  # a state in tcpi_state of TCP_INFO, see tcp(7)
+TCP_STATE_CLOSED = 7  # value of tcpi_state in TCP_INFO, see tcp(7)
 SENT_REQUEST_ID = re.compile(rb"(?i)req-id: *(\S+)")
 
 
