--- a/benchmarks/rollout_decisions.py
+++ b/benchmarks/rollout_decisions.py
@@ -1,4 +1,4 @@
-"""What one decision of the coordinator costs, over many members and over many storage nodes."""
+"""Benchmark of a single decision of the coordinator, for many members and for many storage nodes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def measure_ticket_decision(member_count: int) -> None:
-    """Print the time of a decision where some of a plan are released and all others request tickets."""
+    """Print the time of a decision in a plan with some members released and all others requesting tickets."""
     view = FleetView(VIEW_OFFSET, epoch=Epoch(COORDINATOR, TOKEN, 1))
     for number in range(member_count):
         _add_member(view, number, f"s{number % SITE_COUNT}")
@@ -53,7 +53,7 @@
 
 
 def measure_drain_decision(member_count: int, node_count: int) -> None:
-    """Print the time of a decision on nodes, a tenth of which are draining, with nothing to do."""
+    """Print the time of a decision that changes nothing, with a tenth of the nodes draining."""
     view = FleetView(VIEW_OFFSET, epoch=Epoch(COORDINATOR, TOKEN, 1))
     for number in range(member_count):
         _add_member(view, number, "")
--- a/tests/application/test_reload.py
+++ b/tests/application/test_reload.py
@@ -11,7 +11,7 @@
 
 from sabledyke.config import Config, ConfigError
 from sabledyke.settings import MAX_CLASSES, SettingsError, merge
-from tests.standins import Discovery, ask
+from tests.standins import Discovery, send_request
 from tests.support.console_calls import call, stats
 from tests.support.server_rig import DEPLOYMENT, GET, INFO, Rig, hold_answers, play
 from tests.support.settings import HELD
@@ -28,7 +28,7 @@
 
         run = asyncio.create_task(rig.server.run())
         arrived, release = hold_answers(rig)
-        response = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        response = asyncio.create_task(send_request(rig.port, GET.format(1, "i", INFO)))
         await arrived.wait()
         old, new = rig.config, Discovery()
         await new.open()
@@ -81,7 +81,7 @@
     async def scenario(rig: Rig) -> None:
         read, write = DEPLOYMENT.classes
         arrived, release = hold_answers(rig)
-        open_read = asyncio.create_task(ask(rig.port, GET.format(1, "before", INFO)))
+        open_read = asyncio.create_task(send_request(rig.port, GET.format(1, "before", INFO)))
         await arrived.wait()
         rig.config = replace(
             rig.config,
@@ -92,12 +92,14 @@
         rig.server.reload()
         rig.http.answer = None
         named = GET.format(1, "{}", INFO).replace("Req-Kind: read", "Req-Kind: fresh")
-        assert (await ask(rig.port, named.format("new-1")))[0] == 200
+        assert (await send_request(rig.port, named.format("new-1")))[0] == 200
         fewer = replace(DEPLOYMENT, classes=(write, replace(read, name="fresh")))
         rig.config = replace(rig.config, settings=fewer)
         rig.server.reload()
-        assert (await ask(rig.port, GET.format(1, "gone", INFO)))[0] == 400  # "read" accepts no new requests
-        assert (await ask(rig.port, named.format("new-2")))[0] == 200
+        assert (await send_request(rig.port, GET.format(1, "gone", INFO)))[
+            0
+        ] == 400  # "read" accepts no new requests
+        assert (await send_request(rig.port, named.format("new-2")))[0] == 200
         release.set()
         assert (await open_read)[0] == 200  # the open request kept its class through both reloads
         metrics = stats((await call(rig.server.console_port, "GET", "/admin/stats"))[1])
--- a/tests/application/test_shutdown_soak.py
+++ b/tests/application/test_shutdown_soak.py
@@ -34,7 +34,9 @@
     assert not report.lost, report.describe()
     # On a busy machine SIGKILL may come before the exit, after all requests were answered.
     assert report.exit_status in (0, -signal.SIGKILL), report.describe()
-    if not report.plan.crowd:  # A crowded front end closes connections after their answers at any time.
+    if (
+        not report.plan.has_idle_connections
+    ):  # A crowded front end closes connections after their answers at any time.
         assert report.first_close_s >= MIN_SERVICE_S, report.describe()
 
 
@@ -64,4 +66,4 @@
     numbers = [[timed.number for timed in plan.signals] for plan in plans]
     assert sum(signals_sent.count(signal.SIGTERM) > 1 for signals_sent in numbers) >= len(plans) / 4
     assert sum(signal.SIGHUP in signals_sent for signals_sent in numbers) >= len(plans) / 2
-    assert sum(plan.crowd for plan in plans) >= len(plans) / 3
+    assert sum(plan.has_idle_connections for plan in plans) >= len(plans) / 3
--- a/tests/net/test_client_limits.py
+++ b/tests/net/test_client_limits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sabledyke.net import frontend, http_frontend, listener, nvme_frontend
-from tests.standins import ask
+from tests.standins import send_request
 from tests.support.server_rig import GET, INFO, Rig, play
 
 
@@ -21,7 +21,7 @@
             writer.write(sent)
             while not clients or bool(sent) is next(iter(clients)).idle:
                 await asyncio.sleep(0)
-            assert (await ask(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 200
+            assert (await send_request(rig.port, "GET /_health HTTP/1.1\n\n"))[0] == 200
             assert await reader.read() == b""  # the connection without a complete request was evicted
             writer.close()
             while clients:
@@ -65,7 +65,7 @@
         await asyncio.sleep(3 * frontend.SWEEP_INTERVAL_S)
         assert len(http_front.clients) == 1  # idle connections stay open until the front end is crowded
         http_front.crowded_above = 0
-        status, headers, _ = await ask(rig.port, GET.format(1, "b", INFO))
+        status, headers, _ = await send_request(rig.port, GET.format(1, "b", INFO))
         assert (status, headers["connection"]) == (200, "close")
         assert await reader.read() == b""
         writer.close()
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -17,7 +17,7 @@
 from sabledyke.protocol import discovery
 from sabledyke.protocol.watch_timeout import LOCAL_AGENT, POLLED_DISCOVERY, WatchTimeout
 from tests.standins import Discovery
-from tests.support.endpoint_lists import DRAINS, GONE, HOST, change, complete_list
+from tests.support.endpoint_lists import DRAINING, HOST, REMOVED, complete_list, delta_list
 from tests.support.request_steps import until
 from tests.support.scheduler_rig import SchedulerRig, actions_of
 from tests.support.server_rig import DEPLOYMENT
@@ -95,7 +95,7 @@
         await until(lambda: len(reports) > 1)
         assert reports[1] is not None
 
-    play_watch(scenario, [DRAINS], polls_endpoint_list=polled)
+    play_watch(scenario, [DRAINING], polls_endpoint_list=polled)
     assert "injected fault in a report" in capfd.readouterr().err
     invariants.violations.clear()
 
@@ -174,32 +174,36 @@
     ("pushed", "script", "states"),
     [
         # A call is cut off: the watch resumes where it stopped.
-        (True, [DRAINS, None, GONE], ["READY", "DRAINING", None, "GONE"]),
-        (False, [DRAINS, None, GONE], []),
+        (True, [DRAINING, None, REMOVED], ["READY", "DRAINING", None, "GONE"]),
+        (False, [DRAINING, None, REMOVED], []),
         # A repeated update is ignored, and reported once.
-        (True, [DRAINS, DRAINS, GONE], ["READY", "DRAINING", "GONE"]),
+        (True, [DRAINING, DRAINING, REMOVED], ["READY", "DRAINING", "GONE"]),
         # Discovery is unresponsive before its first byte, or within an answer: the call is repeated, and
         # nothing is reported.
-        (True, [bytearray(), DRAINS, bytearray(), GONE], ["READY", "DRAINING", "GONE"]),
+        (True, [bytearray(), DRAINING, bytearray(), REMOVED], ["READY", "DRAINING", "GONE"]),
         (
             True,
-            [DRAINS, bytearray(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"), GONE],
+            [DRAINING, bytearray(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"), REMOVED],
             ["READY", "DRAINING", "GONE"],
         ),
-        (True, [DRAINS, b'{"seq": 3, "whole": false, "hosts": [', GONE], ["READY", "DRAINING", None, "GONE"]),
+        (
+            True,
+            [DRAINING, b'{"seq": 3, "whole": false, "hosts": [', REMOVED],
+            ["READY", "DRAINING", None, "GONE"],
+        ),
         # An older or out-of-order update is ignored, and the complete list is requested.
-        (True, [GONE, DRAINS, complete_list(HOST, 4)], ["READY", "GONE", None, "READY"]),
+        (True, [REMOVED, DRAINING, complete_list(HOST, 4)], ["READY", "GONE", None, "READY"]),
         # An older complete list is accepted once a second call returns one too: discovery was restarted.
-        (True, [GONE, complete_list(HOST, 1), complete_list(HOST, 1)], ["READY", "GONE", None, "READY"]),
+        (True, [REMOVED, complete_list(HOST, 1), complete_list(HOST, 1)], ["READY", "GONE", None, "READY"]),
         (
             True,
-            [change(HOST, 2, born_ms=5.0), change(HOST, 3, born_ms="nan"), GONE],
+            [delta_list(HOST, 2, born_ms=5.0), delta_list(HOST, 3, born_ms="nan"), REMOVED],
             ["READY", "READY", None, "GONE"],
         ),
         # An invalid entry does not hide a drain in the same list, and no node counts as removed.
         (
             True,
-            [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINS["hosts"][0]]}, complete_list(HOST, 2)],
+            [{"seq": 2, "whole": True, "hosts": [{"host": 5}, DRAINING["hosts"][0]]}, complete_list(HOST, 2)],
             ["READY", "DRAINING", None, "READY"],
         ),
     ],
--- a/tests/net/test_request_interruptions.py
+++ b/tests/net/test_request_interruptions.py
@@ -15,28 +15,28 @@
 from sabledyke.policy.events import Outcome
 from sabledyke.protocol.http import MAX_INPUT_BYTES
 from sabledyke.shutdown.graceful_shutdown import GracefulShutdown, ShutdownPhase
-from tests.standins import ask
-from tests.support.request_steps import Line, Step, request, until
+from tests.standins import send_request
+from tests.support.request_steps import Step, SteppedConnection, request, until
 from tests.support.server_rig import GET, INFO, Rig, hold_answers, play
 
-CloseIdle = Callable[[Rig, Line], None]
+CloseIdle = Callable[[Rig, SteppedConnection], None]
 
 
-def sweep(rig: Rig, line: Line) -> None:
+def sweep(rig: Rig, line: SteppedConnection) -> None:
     line.client.last_activity_s -= 3600  # idle for an hour
     rig.server.frontends[0]._close_overdue()
 
 
-def shed(rig: Rig, _line: Line) -> None:
+def shed(rig: Rig, _line: SteppedConnection) -> None:
     rig.server.frontends[0].close_idle(asyncio.get_running_loop().time())
 
 
-def crowd(rig: Rig, _line: Line) -> None:
+def crowd(rig: Rig, _line: SteppedConnection) -> None:
     rig.server.frontends[0].max_clients = 1
     rig.server.frontends[0]._ensure_capacity()
 
 
-def quiesce(rig: Rig, _line: Line) -> None:
+def quiesce(rig: Rig, _line: SteppedConnection) -> None:
     rig.server.quiesce()
 
 
@@ -46,7 +46,7 @@
     """Guards against each way of closing idle connections dropping a request that has arrived."""
 
     async def scenario(rig: Rig) -> None:
-        line = await Line.open(rig)
+        line = await SteppedConnection.open(rig)
         await line.reach(step)
         close_idle(rig, line)
         line.release.set()
@@ -90,7 +90,7 @@
     async def scenario(rig: Rig) -> None:
         monkeypatch.setattr(lifecycle, "GracefulShutdown", ScriptedShutdown)
         ScriptedShutdown.current = initial_phase
-        line = await Line.open(rig)
+        line = await SteppedConnection.open(rig)
         rig.server.begin_shutdown()
         end = asyncio.create_task(rig.server.finish())
         await until(lambda: rig.server.frontends[0].shutting_down)
@@ -120,7 +120,7 @@
     """Guards against closing a connection with a request in flight because of the input behind it."""
 
     async def scenario(rig: Rig) -> None:
-        line = await Line.open(rig)
+        line = await SteppedConnection.open(rig)
         if crowded:
             rig.server.frontends[0].crowded_above = 0
         requests = b"".join(request(f"{n}-" + "x" * 1900) for n in range(request_count))
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("pipelined_count", [0, 1, 110])
 def test_a_disconnect_is_detected_also_behind_pipelined_requests(pipelined_count: int) -> None:
     async def scenario(rig: Rig) -> None:
-        line, outcomes = await Line.open(rig), list[Outcome]()
+        line, outcomes = await SteppedConnection.open(rig), list[Outcome]()
         report = rig.server.pool.report
 
         def record_outcome(request_id: int, number: int, result: AttemptResult) -> None:
@@ -174,7 +174,7 @@
     """Covers a request that stays unread, and one that the stream reads before a slow answer is written."""
 
     async def scenario(rig: Rig) -> None:
-        line = await Line.open(rig)
+        line = await SteppedConnection.open(rig)
         closing = request("last").replace(b"Req-Kind", b"Connection: close\r\nReq-Kind")
         line.socket.sendall(closing)
         await line.arrived.wait()
@@ -206,7 +206,7 @@
     async def scenario(rig: Rig) -> None:
         arrived, _ = hold_answers(rig)
         started_at_s = time.monotonic()
-        answer = asyncio.create_task(ask(rig.port, GET.format(1, "i", INFO)))
+        answer = asyncio.create_task(send_request(rig.port, GET.format(1, "i", INFO)))
         await arrived.wait()
         await asyncio.sleep(started_at_s + 0.9 - time.monotonic())
         time.sleep(started_at_s + 0.985 - time.monotonic())
--- a/tests/store/test_sql_link.py
+++ b/tests/store/test_sql_link.py
@@ -11,30 +11,30 @@
 import pytest
 
 from sabledyke.protocol import discovery
-from tests.standins.postgres_faults import ConnectionCutError, Point, fault_at
+from tests.standins.postgres_faults import ConnectionCutError, FaultPoint, fault_at
 from tests.store.record_deployment import BACKENDS
 from tests.store.sql_node_deployment import SqlNodeDeployment, run_scenario
 from tests.support.server_rig import DEPLOYMENT
 
 
 def at_first_commit(
-    fault: Callable[[Point], Awaitable[None]], stage: str
-) -> Callable[[Point], Awaitable[None]]:
+    fault: Callable[[FaultPoint], Awaitable[None]], stage: str
+) -> Callable[[FaultPoint], Awaitable[None]]:
     """Return a script that applies a fault at the first COMMIT after a key was claimed."""
-    seen: list[Point] = []
+    seen: list[FaultPoint] = []
     claimed: set[int] = set()
 
-    async def script(point: Point) -> None:
-        if point.what.startswith("INSERT INTO keys"):
+    async def script(point: FaultPoint) -> None:
+        if point.label.startswith("INSERT INTO keys"):
             claimed.add(point.session)
-        if point.what == "COMMIT" and point.session in claimed and point.stage == stage and not seen:
+        if point.label == "COMMIT" and point.session in claimed and point.stage == stage and not seen:
             seen.append(point)
             await fault(point)
 
     return script
 
 
-async def cut(_: Point) -> None:
+async def cut(_: FaultPoint) -> None:
     raise ConnectionCutError
 
 
@@ -94,7 +94,7 @@
     async def scenario(deployment: SqlNodeDeployment) -> None:
         await deployment.warm_up()
 
-        async def commit_late(_: Point) -> None:
+        async def commit_late(_: FaultPoint) -> None:
             deployment.postgres.cut_connections()
             await asyncio.sleep(0.15)  # the server then continues with the COMMIT that it has received
 
@@ -114,7 +114,7 @@
 
         stall_ended = []
 
-        async def stall(_: Point) -> None:
+        async def stall(_: FaultPoint) -> None:
             await asyncio.sleep(5)
             stall_ended.append(True)
 
@@ -135,7 +135,7 @@
 ) -> None:
     async def scenario(deployment: SqlNodeDeployment) -> None:
         await deployment.warm_up()
-        first, start = max(deployment.postgres.sessions_messages.items())
+        first, start = max(deployment.postgres.message_counts.items())
         deployment.postgres.script = fault_at(first, start + message, fault)
         status, _ = await deployment.put("k", b"one")
         assert status in (200, 500, 503)
