--- a/sabledyke/__init__.py
+++ b/sabledyke/__init__.py
@@ -1,4 +1,4 @@
-"""sabledyke: an I/O scheduler for storage nodes; here, its decisions, for those who embed them."""
+"""sabledyke, an I/O scheduler for storage nodes: the public interface for embedding its decisions."""
 
 from sabledyke.policy.actions import (
     Action,
--- a/sabledyke/__main__.py
+++ b/sabledyke/__main__.py
@@ -76,7 +76,7 @@
 VERSION = "0.1.0"
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 SUBCOMMAND_GROUPS = ("tls", "lease", "fleet", "lab", "store")
-"""Sub-commands that have sub-commands of their own; each is the module of ``sabledyke.cli`` of that name."""
+"""Commands that have sub-commands; the ``sabledyke.cli`` module of the same name implements each."""
 
 
 def main(arguments: list[str]) -> int:
@@ -89,7 +89,7 @@
         The exit code: 0 for success, 2 for a configuration that cannot be used; a group of sub-commands may
         return others.
     """
-    if not arguments:  # a plain start spares the time that reading the command line takes
+    if not arguments:  # skips the import of docopt, for a quick plain start
         return _serve_command(None)
     from docopt import docopt
 
@@ -109,22 +109,22 @@
 def serve(
     deployment: config.Config, operator_config: OperatorConfig | None, operator_path: str | None = None
 ) -> None:
-    """Run one scheduler until it is told to end.
+    """Run one scheduler until a signal ends it.
 
     Args:
         deployment: The platform's configuration.
-        operator_config: What the operator's file says; None without one.
-        operator_path: The operator's file, which is read again on SIGHUP.
+        operator_config: The contents of the operator's file; None without one.
+        operator_path: Path of the operator's file, which SIGHUP reloads.
 
     Raises:
-        ConfigError: The start found that the configuration cannot be used.
-        OSError: An address cannot be listened at.
+        ConfigError: The configuration cannot be used, as found while starting.
+        OSError: A listener cannot be opened.
     """
     from sabledyke.application.server import Server
 
     reread_operator = None
     if operator_path is not None:
-        from sabledyke import operator_config as operator_file  # only here, so that a plain start is quick
+        from sabledyke import operator_config as operator_file  # imported here for a quick plain start
 
         reread_operator = functools.partial(operator_file.load, operator_path)
     if operator_config is not None and operator_config.json_log:
@@ -137,15 +137,15 @@
         try:
             await Server(deployment, operator_config, reread=reread, reread_operator=reread_operator).run()
         finally:
-            # Guards against a signal ending the process by its default action once the loop's handlers are
-            # gone: all that was accepted is answered, and the exit code has to say so.
+            # Blocks the signals once the loop has removed its handlers: the default action would kill the
+            # process although all accepted requests are answered, and the exit code must be 0 then.
             signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
     asyncio.run(run())
 
 
 def _serve_command(operator_path: str | None) -> int:
-    # Guards against a SIGHUP that comes before it is handled: its default action ends the process.
+    # Blocks SIGHUP until the server handles it: the default action ends the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
     try:
         deployment, operator_config = _load(operator_path)
@@ -153,7 +153,7 @@
         return _report(error)
     try:
         serve(deployment, operator_config, operator_path)
-    except (config.ConfigError, OSError) as error:  # no store, or an address that cannot be listened at
+    except (config.ConfigError, OSError) as error:  # the store or a listener cannot be opened
         return _report(error)
     return 0
 
@@ -170,7 +170,7 @@
 
 
 def _report(error: Exception) -> int:
-    """Print why the configuration cannot be used, and return the exit code for it."""
+    """Print why the configuration cannot be used, and return the exit code of that failure."""
     print(f"sabledyke: {error}", file=sys.stderr)
     return 2
 
@@ -180,13 +180,13 @@
     deployment = config.load(os.environ)
     if not operator_path:
         return deployment, None
-    from sabledyke import operator_config as operator_file  # only here, so that a plain start is quick
+    from sabledyke import operator_config as operator_file  # imported here for a quick plain start
 
     return deployment, operator_file.load(operator_path, deployment.settings)
 
 
 def command() -> None:
-    """Run the installed command, and end the process with its exit code."""
+    """Run the command line of the installed program, and exit with its exit code."""
     sys.exit(main(sys.argv[1:]))
 
 
--- a/sabledyke/cli/__init__.py
+++ b/sabledyke/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: a file for each group of sub-commands."""
+"""Sub-commands of the command line, one module for each group."""
--- a/sabledyke/cli/check_config.py
+++ b/sabledyke/cli/check_config.py
@@ -1,4 +1,4 @@
-"""``sabledyke check-config``: what the configuration and the operator's file hold, without serving."""
+"""``sabledyke check-config``: summarizes the configuration and the operator's file, without serving."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def describe(deployment: Config, operator_config: OperatorConfig | None) -> list[str]:
-    """Return a line for the configuration, and one for the operator's file where there is one."""
+    """Return a line for the configuration, and one for the operator's file if there is one."""
     lines = [_describe_deployment(deployment)]
     if operator_config is not None:
         lines.append(_describe_operator_config(operator_config))
--- a/sabledyke/cli/fleet.py
+++ b/sabledyke/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``sabledyke fleet ...``: who is in the fleet, how plans stand, and the commands that change them."""
+"""``sabledyke fleet ...``: shows the members and plans of a fleet, and changes them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from sabledyke.rollout.moves import Move
 from sabledyke.rollout.plan_file import load_plan
 from sabledyke.rollout.records import HEARTBEATS_TOPIC, Plan, PlanStage
-from sabledyke.toml_tables import section_from
+from sabledyke.toml_tables import load_section
 
 STAGE_OF_COMMAND = {
     "halt": PlanStage.HALTED,
@@ -30,13 +30,13 @@
 
 
 def main(arguments: Mapping[str, Any]) -> int:
-    """Run one of the commands.
+    """Run a sub-command of ``fleet``.
 
     Args:
         arguments: The command line, as docopt reads it.
 
     Returns:
-        The exit code: 0 where it was done, 2 where it could not be.
+        The exit code: 0 on success, 2 on failure.
     """
     try:
         asyncio.run(_run(arguments))
@@ -50,12 +50,12 @@
 
 
 def load_log_section(path: str) -> section.LogSection:
-    """Return the section ``[board]`` alone, from an operator's file.
+    """Load only the section ``[board]`` of an operator's file.
 
     Raises:
-        OperatorError: The file cannot be used, or has no such section.
+        OperatorError: The file cannot be used, or the section is missing.
     """
-    return section_from(path, "board", lambda tables: section.read(tables.get("board", {})))
+    return load_section(path, "board", lambda tables: section.read(tables.get("board", {})))
 
 
 async def _run(arguments: Mapping[str, Any]) -> None:
@@ -77,7 +77,7 @@
 
 
 def _decide(arguments: Mapping[str, Any], view: FleetView, new_plan: Plan | None) -> Move:
-    """Return the move that a command asks for, as the fleet stands now."""
+    """Return the state change that a command requests, in the current state of the fleet."""
     if arguments["forget"]:
         return plan_changes.forget_member(arguments["MEMBER"], view)
     if new_plan is not None:
@@ -89,7 +89,7 @@
 
 
 def _begin_plan(plan: Plan, view: FleetView) -> Plan:
-    if plan.retiring_site:  # all of its members that are there now
+    if plan.retiring_site:  # the plan is for all current members of the site
         names = sorted(member.name for member in view.members.values() if member.site == plan.retiring_site)
         plan = replace(plan, members=tuple(names))
     plan_changes.validate(plan, view)
@@ -104,6 +104,6 @@
 
 
 async def _delete_registers(log: CompactedLog, member: str) -> None:
-    """Delete what a member that is forgotten published of itself."""
+    """Delete the registers in which a forgotten member published its heartbeats, load and demand."""
     await registers.delete(log.backend, HEARTBEATS_TOPIC, [member, f"{LOAD_KEY_PREFIX}{member}"])
     await registers.delete(log.backend, SHARES_TOPIC, [member])
--- a/sabledyke/cli/fleet_status.py
+++ b/sabledyke/cli/fleet_status.py
@@ -1,4 +1,4 @@
-"""The lines of ``sabledyke fleet status``: members, drains and plans."""
+"""The output of ``sabledyke fleet status``: coordinator, members, drains and plans."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def describe(view: FleetView) -> list[str]:
-    """Return the coordinator, then members, drains and plans by name, a line each."""
+    """Return one line each for the coordinator and, sorted by name, for members, drains and plans."""
     lines = [_describe_coordinator(view)]
     for name, member in sorted(view.members.items()):
         lines.append(_describe_member(member, view.tickets.get(name)))
@@ -20,7 +20,7 @@
 
 
 def _describe_coordinator(view: FleetView) -> str:
-    coordinator = f"{view.epoch.name}, token {view.epoch.token}" if view.epoch else "nobody yet"
+    coordinator = f"{view.epoch.name}, token {view.epoch.token}" if view.epoch else "none yet"
     out_count = len(disruption_budget.members_out(view))
     return f"coordinator: {coordinator}; {out_count} of {len(view.members)} out or going"
 
@@ -45,8 +45,8 @@
     reason = f" ({plan.reason})" if plan.reason else ""
     if plan.retiring_site:
         reason += f", site {plan.retiring_site} retires, step {plan.step} of {EVACUATION_STEPS}"
-    silent = [name for name in release_order.remaining_members(plan) if name in plan.deferred]
-    if silent:
-        reason += f", no ask in their turn: {', '.join(silent)}"
+    deferred = [name for name in release_order.remaining_members(plan) if name in plan.deferred]
+    if deferred:
+        reason += f", no ask in their turn: {', '.join(deferred)}"
     progress = f"{len(plan.released)} of {len(plan.nodes or plan.members)} released, most {plan.max_out}"
     return f"plan {plan.name}: {plan.stage.value}{reason}, {progress}"
--- a/sabledyke/cli/lab.py
+++ b/sabledyke/cli/lab.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from sabledyke.config import ConfigError
-from sabledyke.toml_tables import from_file, parsed, wants
+from sabledyke.toml_tables import load_file, parse_toml, require_library
 
 EXPERIMENT_LIBRARIES = ("aiohttp", "hdrh", "structlog")  # the model checker needs none of them
 EXIT_HOLDS = 0
@@ -21,10 +21,10 @@
 
 
 def main(arguments: Mapping[str, Any]) -> int:
-    """Run a sub-command.
+    """Run a sub-command of ``lab``.
 
     Returns:
-        0 where everything holds, 1 where something does not, 2 where it could not be run.
+        The exit code: 0 if every check holds, 1 if one does not, 2 if the command could not run.
     """
     try:
         if arguments["check-leases"]:
@@ -38,18 +38,18 @@
 
 
 def _check_leases(*, exhaustive: bool) -> bool:
-    """Check each setup of the model, print its result, and return whether all hold."""
+    """Check each setup of the lease model, print the results, and return whether all setups hold."""
     from sabledyke.testbed.lease_model import checker
     from sabledyke.testbed.lease_model.state import GIVING_UP, GIVING_UP_WITH_FAULTS, PAIRS, THREES
 
     holds = True
     small_fleets = PAIRS + GIVING_UP
     with ProcessPoolExecutor() as pool:
-        pairs = [*zip(small_fleets, pool.map(checker.check, small_fleets), strict=True)]
+        small_results = [*zip(small_fleets, pool.map(checker.check, small_fleets), strict=True)]
     large_fleets = (GIVING_UP_WITH_FAULTS + THREES) * exhaustive
-    found_later = ((setup, checker.check(setup, parallel=True)) for setup in large_fleets)
-    for setup, found in chain(pairs, found_later):
-        authority = "counting authority" if setup.authority_tracks_expiry else "table"
+    large_results = ((setup, checker.check(setup, parallel=True)) for setup in large_fleets)
+    for setup, found in chain(small_results, large_results):
+        authority = "authority that tracks expiry" if setup.authority_tracks_expiry else "table"
         budget = setup.budget._asdict().items()
         faults = ", ".join(f"{count} {fault}" for fault, count in budget if count) or "no faults"
         result = found.violation or ("whole" if found.is_complete else "not whole")
@@ -64,12 +64,12 @@
 
 
 def _run_experiment(arguments: Mapping[str, Any]) -> bool:
-    """Run an experiment of whatever kind its file is, and return whether everything held."""
+    """Run the experiment of a file, of any kind, and return whether all of its checks hold."""
     for library in EXPERIMENT_LIBRARIES:
-        wants("lab run", library, "lab")
+        require_library("lab run", library, "lab")
     path = arguments["FILE"]
     seed = int(arguments["--seed"])
-    sections = from_file(path, lambda text: parsed(text).keys())
+    sections = load_file(path, lambda text: parse_toml(text).keys())
     with tempfile.TemporaryDirectory() as scratch:
         folder = Path(arguments["--keep"] or Path(scratch) / "run")
         folder.mkdir()
@@ -83,9 +83,9 @@
 def _run_release(path: str, folder: Path, seed: int) -> bool:
     from sabledyke.testbed import scenario, scenario_run
 
-    described = scenario.load(path)
-    report = asyncio.run(scenario_run.run(described, folder, seed))
-    return _print_report(described.name, seed, report.lines, report.wrong)
+    definition = scenario.load(path)
+    report = asyncio.run(scenario_run.run(definition, folder, seed))
+    return _print_report(definition.name, seed, report.lines, report.wrong)
 
 
 def _run_shared_limits(path: str, folder: Path, seed: int) -> bool:
@@ -97,7 +97,7 @@
 
 
 def _print_report(name: str, seed: int, lines: list[str], violations: list[str]) -> bool:
-    """Print the report of an experiment, and return whether everything held."""
+    """Print the report of an experiment, and return whether all of its checks hold."""
     print("\n".join([f"{name}, seed {seed}", *lines, *(f"WRONG: {violation}" for violation in violations)]))
     return not violations
 
@@ -105,9 +105,9 @@
 def _run_leases(path: str, folder: Path, seed: int) -> bool:
     from sabledyke.testbed import experiment, lease_run
 
-    described = experiment.load(path)
-    report = asyncio.run(lease_run.LeaseRun(described, folder, seed).play())
-    print("\n".join([f"{described.name}, seed {seed}", *report.lines()]))
+    definition = experiment.load(path)
+    report = asyncio.run(lease_run.LeaseRun(definition, folder, seed).play())
+    print("\n".join([f"{definition.name}, seed {seed}", *report.lines()]))
     evaluation = report.evaluation
     wrong = evaluation.overlap_count + evaluation.lease_overlap_count + evaluation.stale_count
     return bool(evaluation.act_count) and not (wrong or evaluation.out_at_release_count)
--- a/sabledyke/cli/lease.py
+++ b/sabledyke/cli/lease.py
@@ -1,4 +1,4 @@
-"""``sabledyke lease ...``: who holds which lease, and giving one up."""
+"""``sabledyke lease ...``: shows leases with their holders, and has a lease released."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from sabledyke.lease import extension, section
 from sabledyke.lease.types import Authority, LeaseSummary, LeaseTimes
 
-POLL_S = 0.05  # between two looks whether a recalled lease has been given up
-RECALL_RENEW_INTERVALS = 2.5  # in which a holder that is well has renewed, and has learned of a recall
+POLL_S = 0.05  # interval of the checks whether a recalled lease has been released
+RECALL_RENEW_INTERVALS = 2.5  # renewal intervals in which a live holder renews and learns of a recall
 
 
 def main(arguments: Mapping[str, Any]) -> int:
-    """Run one of the commands.
+    """Run a sub-command of ``lease``.
 
     Args:
         arguments: The command line, as docopt reads it.
 
     Returns:
-        The exit code: 0 where it was done, 1 where nobody holds the lease, 2 where it could not be done.
+        The exit code: 0 on success, 1 if the lease to release has no holder, 2 on failure.
     """
     try:
         return 0 if asyncio.run(_run(arguments)) else 1
@@ -47,7 +47,7 @@
 
 
 async def _release(authority: Authority, task_name: str, times: LeaseTimes, *, at_once: bool) -> bool:
-    """Have the holder of a lease give it up; return whether anybody holds it."""
+    """Request the release of a lease; return whether it has a holder."""
     held = await _find(authority, task_name)
     is_held = await authority.recall(task_name, at_once=at_once)
     effect = "freed" if at_once else "its holder gives it up when it next renews"
@@ -58,21 +58,21 @@
 
 
 async def _recall_outcome(authority: Authority, held: LeaseSummary, times: LeaseTimes) -> str:
-    """Return what became of a recall once its holder must have learned of it, and what it waits for."""
+    """Return the outcome of a recall, or why it is pending once a live holder has learned of it."""
     loop = asyncio.get_running_loop()
-    ends_s = loop.time() + RECALL_RENEW_INTERVALS * times.renew_interval_ms / 1000
+    deadline_s = loop.time() + RECALL_RENEW_INTERVALS * times.renew_interval_ms / 1000
     last = held
     was_renewed = False
-    while loop.time() < ends_s:
+    while loop.time() < deadline_s:
         await asyncio.sleep(POLL_S)
-        now = await _find(authority, held.task_name)
-        if now is None or (now.holder, now.token) != (held.holder, held.token):
+        current = await _find(authority, held.task_name)
+        if current is None or (current.holder, current.token) != (held.holder, held.token):
             return f"given up by {held.holder}"
-        was_renewed = was_renewed or now.remaining_ms > last.remaining_ms
-        last = now
+        was_renewed = was_renewed or current.remaining_ms > last.remaining_ms
+        last = current
     if was_renewed:
         return f"{held.holder} waits for the end of the act that is out, and gives it up then"
-    return f"{held.holder} has not renewed since; the lease runs out in {last.remaining_ms:.0f} ms"
+    return f"{held.holder} has not renewed the lease since; it expires in {last.remaining_ms:.0f} ms"
 
 
 async def _find(authority: Authority, task_name: str) -> LeaseSummary | None:
--- a/sabledyke/cli/store.py
+++ b/sabledyke/cli/store.py
@@ -1,4 +1,4 @@
-"""``sabledyke store ...``: the operators' commands on a record, in service or not."""
+"""``sabledyke store ...``: operators' commands on the record of writes, which may be in service."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def main(arguments: Mapping[str, Any]) -> int:
-    """Run one of the commands.
+    """Run a sub-command of ``store``.
 
     Args:
         arguments: The command line, as docopt reads it.
 
     Returns:
-        The exit code: 0 where all is well, 1 where something was found, 2 where it could not be done.
+        The exit code: 0 on success, 1 if the command finds a problem in the record, 2 on failure.
     """
     command = next(name for name in COMMANDS if arguments[name])
     try:
@@ -32,7 +32,7 @@
 
 
 async def _run(command: str, arguments: Mapping[str, Any]) -> bool:
-    target = section.load(arguments["--operator"]).record  # there is one: ``load`` checks it
+    target = section.load(arguments["--operator"]).record  # not None: ``load`` checks it
     assert target is not None
     try:
         return await _run_on(target, command, arguments)
@@ -66,5 +66,5 @@
     path = arguments["FILE"]
     if path == "-":
         return await maintenance.export(target, sys.stdout.buffer, since_ms, lambda _: None)
-    with open(path, "xb") as file:  # never over another file
+    with open(path, "xb") as file:  # fails if the file exists
         return await maintenance.export(target, file, since_ms, print)
--- a/sabledyke/compacted_log/section.py
+++ b/sabledyke/compacted_log/section.py
@@ -15,7 +15,7 @@
 from sabledyke.compacted_log.records import Backend
 from sabledyke.errors import OperatorError
 from sabledyke.protocol.discovery import parse_address
-from sabledyke.toml_tables import Table, convert, wants
+from sabledyke.toml_tables import Table, convert, require_library
 
 DEFAULT_POLICY = CompactionPolicy()
 DEFAULT_COMPACTION_INTERVAL_S = 5.0
@@ -92,7 +92,7 @@
     if bool(table.path) == bool(table.etcd):
         raise OperatorError("board names either path, a SQLite file, or etcd, a list of host:port")
     if table.etcd:
-        wants("board", "aiohttp", "etcd")
+        require_library("board", "aiohttp", "etcd")
     for endpoint in table.etcd:
         parse_address(endpoint)
     _check_topics(table.topics)
--- a/sabledyke/config.py
+++ b/sabledyke/config.py
@@ -1,4 +1,4 @@
-"""What a scheduler is configured with on the platform: its environment, and the JSON file named there."""
+"""The configuration of a scheduler on the platform: environment variables and the JSON file they name."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 ENVIRONMENT_PREFIX = "GW_"
 IDENTITY_KEYS = ("name", "listen", "discovery")
-"""Keys that are texts in the file, and that variables of the environment win over."""
+"""Keys of the file that environment variables override; their values are strings."""
 
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 64
@@ -24,25 +24,25 @@
 MAX_MEMORY_MB = 1 << 20
 BYTES_PER_MB = 1024 * 1024
 OPEN_REQUEST_SOCKET_DIVISOR = 3
-"""Clients with open requests hold at most one in so many of the descriptors."""
+"""Open requests are limited to the number of file descriptors divided by this."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """Everything that ``serve`` needs.
+    """The configuration that ``serve`` runs with.
 
     Attributes:
         name: The name of this scheduler.
-        listen: Where clients connect.
-        discovery: Where the endpoint list is requested.
+        listen: Host and port that clients connect to.
+        discovery: Host and port of discovery, which serves the endpoint list.
         seed: Seed of all random choices.
-        sockets: How many descriptors may be open.
-        memory_bytes: How much memory may be used.
-        known: An endpoint list to begin with.
+        sockets: Limit of open file descriptors.
+        memory_bytes: Limit of memory use, in bytes.
+        known: Endpoint list to start with; None without one.
         settings: The platform's settings.
-        console: Where operators call, if anywhere.
-        identity_in_file: The ``IDENTITY_KEYS`` as the file has them.
-        identity_in_force: The same as they are in force.
+        console: Host and port of the operators' console; None without one.
+        identity_in_file: Values of ``IDENTITY_KEYS`` in the file.
+        identity_in_force: Values of ``IDENTITY_KEYS`` in force.
     """
 
     name: str
@@ -58,23 +58,24 @@
     identity_in_force: Mapping[str, str] = field(default_factory=dict)
 
 
-def load(environ: Mapping[str, str], before: Config | None = None) -> Config:
-    """Load the configuration that the environment points to; its variables win over the file.
+def load(environ: Mapping[str, str], current: Config | None = None) -> Config:
+    """Load the configuration that the environment names; environment variables override the file.
 
     Args:
-        environ: The environment.
-        before: The configuration in force, where it is read again. What changed in the file since then wins:
-            the environment cannot change under a running program, and would hide a new address for good.
+        environ: The environment variables.
+        current: The configuration in force, in a reload. A value that has changed in the file since then
+            overrides the environment, which cannot change in a running process and would otherwise hide a new
+            address permanently.
 
     Raises:
-        ConfigError: It cannot be used; one line that names the file and the key.
+        ConfigError: The configuration cannot be used; one line that names the file and the key.
     """
     path = environ.get(f"{ENVIRONMENT_PREFIX}CONFIG")
     if not path:
         raise ConfigError(f"{ENVIRONMENT_PREFIX}CONFIG is not set: it names the JSON file with the settings")
     data = _read_object(path)
     try:
-        return _config(data, environ, before)
+        return _config(data, environ, current)
     except (SettingsError, ListError, ConfigError, ValueError, OverflowError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
@@ -91,19 +92,19 @@
     return data
 
 
-def _config(data: dict[str, Any], environ: Mapping[str, str], before: Config | None) -> Config:
+def _config(data: dict[str, Any], environ: Mapping[str, str], current: Config | None) -> Config:
     if not isinstance(data.get("settings"), dict):
         raise ConfigError("settings are missing from the file")
     seed = _seed(data)
     settings = build(dict(flatten(data["settings"])))
     limits = data.get("limits") or {}
     sockets = _sockets(limits)
-    # Guards against settings that count on more open requests than the descriptors allow.
+    # Limits open requests to what the file descriptors allow, whatever the settings ask for.
     open_requests = min(settings.max_open_requests, sockets / OPEN_REQUEST_SOCKET_DIVISOR)
     settings = replace(settings, max_open_requests=open_requests)
-    identity = {key: _identity(key, data, environ, before) for key in IDENTITY_KEYS}
-    # The console's listener stays where it was opened: a reload that moved it would leave operators nowhere.
-    console = before.console if before else _console(data, environ)
+    identity = {key: _identity(key, data, environ, current) for key in IDENTITY_KEYS}
+    # A reload keeps the console's address: operators would lose access if its listener moved.
+    console = current.console if current else _console(data, environ)
     memory_bytes = _memory_bytes(limits)
     known = data.get("known")
     return Config(
@@ -142,21 +143,21 @@
     return int(memory_mb * BYTES_PER_MB)
 
 
-def _identity(key: str, data: dict[str, Any], environ: Mapping[str, str], before: Config | None) -> str:
-    """Return what holds for one of the ``IDENTITY_KEYS``."""
+def _identity(key: str, data: dict[str, Any], environ: Mapping[str, str], current: Config | None) -> str:
+    """Return the value in force of one of the ``IDENTITY_KEYS``."""
     variable = ENVIRONMENT_PREFIX + key.upper()
     text = data.get(key)
-    if before is None:
+    if current is None:
         text = environ.get(variable) or text
-    elif text == before.identity_in_file[key]:
-        text = before.identity_in_force[key]
+    elif text == current.identity_in_file[key]:
+        text = current.identity_in_force[key]
     if not isinstance(text, str) or not text:
         raise ConfigError(f"{key} is missing: set {variable} or say it in the file")
     return text
 
 
 def _console(data: dict[str, Any], environ: Mapping[str, str]) -> tuple[str, int] | None:
-    """Return the console's address, where there is to be one."""
+    """Return the console's address, or None if none is configured."""
     address = environ.get(f"{ENVIRONMENT_PREFIX}CONSOLE") or data.get("console")
     if address is None:
         return None
--- a/sabledyke/errors.py
+++ b/sabledyke/errors.py
@@ -1,9 +1,9 @@
-"""The types of errors that are reported to people: a code, what happened, and what an operator can do.
+"""Errors that are reported to operators: each type has a code and a remedy.
 
-``str`` of one is what happened, in one plain line; ``line`` is the same with the code and the remedy, for the
-command line; ``fields`` are for structured logs. ``docs/ONCALL.md`` lists every code, and a test keeps the
-two in step. This module imports nothing of the program, so that every module may raise these errors; some
-packages derive their own from them.
+``str(error)`` is the message, in one line; ``line`` adds the code and the remedy, for the command line;
+``fields`` are for structured logs. ``docs/ONCALL.md`` lists every code, and a test keeps the two in step.
+This module imports no other module of the program, so that every module can raise these errors; some
+packages derive their own types from them.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 
 class SabledykeError(Exception):
-    """An error that is reported to people; the text says what happened.
+    """An error that is reported to operators; its text describes what happened.
 
     Attributes:
-        code: The type's code, which no other type has.
-        remedy: What an operator can do about it.
+        code: Unique code of the type.
+        remedy: The action that an operator can take.
     """
 
     code: ClassVar[str] = "fault"
@@ -25,17 +25,17 @@
 
     @property
     def line(self) -> str:
-        """What happened, the code and the remedy, in one line."""
+        """The message, the code and the remedy, in one line."""
         return f"{self} ({self.code}: {self.remedy})"
 
     @property
     def fields(self) -> dict[str, str]:
-        """The same for structured logs."""
+        """The code, the message and the remedy, as fields of a structured log line."""
         return {"code": self.code, "what": str(self), "remedy": self.remedy}
 
 
 def error_types(base: type[SabledykeError] = SabledykeError) -> Iterator[type[SabledykeError]]:
-    """Yield a type and all that derive from it, each once, as far as their modules are loaded."""
+    """Yield a type and all types derived from it in loaded modules, each once."""
     found: dict[type[SabledykeError], None] = {}
     unvisited = [base]
     while unvisited:
@@ -61,14 +61,14 @@
 
 
 class SettingsError(SabledykeError):
-    """A setting is missing or unreadable; the text names it."""
+    """A setting is missing or invalid; the text names it."""
 
     code = "settings"
     remedy = "correct that setting in the platform's file"
 
 
 class ListError(SabledykeError):
-    """The text is not an endpoint list, or not an address, of discovery's form."""
+    """A text is not a valid endpoint list, or not a valid address, in discovery's format."""
 
     code = "list"
     remedy = "look at discovery, or the agent; the last list stays in force"
@@ -82,84 +82,84 @@
 
 
 class AuthorityError(SabledykeError):
-    """The lease authority gave no usable answer; what was requested may have been done."""
+    """The lease authority gave no usable answer; it may have carried out the request."""
 
     code = "authority"
     remedy = "look at the authority (the table's disk, etcd) when it repeats; it is asked again"
 
 
 class LeaseLostError(SabledykeError):
-    """The lease is not held now: the step must not be done."""
+    """The lease is not held now: the step that it protects must not run."""
 
     code = "lease-lost"
     remedy = "nothing: another does it, or it is taken up again"
 
 
 class ActUnresolvedError(SabledykeError):
-    """It is not known whether an act under a lease has ended: it counts as running until the lease's end."""
+    """An operation under a lease has an unknown outcome: it counts as in flight until the lease expires."""
 
     code = "act-unresolved"
     remedy = "look at the called service; ttl_ms must be longer than its longest act"
 
 
 class FencedError(SabledykeError):
-    """The resource that was to be changed has seen a later fencing token."""
+    """The resource to be changed has already seen a later fencing token."""
 
     code = "fenced"
     remedy = "nothing once; when it repeats, the authority went back in time"
 
 
 class CompactedLogError(SabledykeError):
-    """The compacted log gave no usable answer; what was requested may have been done."""
+    """The compacted log gave no usable answer; it may have carried out the request."""
 
     code = "board"
     remedy = "look at the board's file or at etcd; drains and releases rest meanwhile"
 
 
 class WriteConflictError(CompactedLogError):
-    """A key is not at the offset that the writer expected: another wrote first."""
+    """A key is not at the offset that the writer expected, because another writer has written it."""
 
     code = "board-conflict"
     remedy = "look again, then ask again: another wrote first"
 
 
 class StaleWriterError(CompactedLogError):
-    """A later incarnation of this writer has written."""
+    """A later incarnation of this writer has already written to the compacted log."""
 
     code = "board-stale-writer"
     remedy = "end this process: another runs under its name, or holds its lease"
 
 
 class LogFullError(CompactedLogError):
-    """There are more keys, or larger ones, than the compacted log accepts."""
+    """A write would exceed the number or the size of keys that the compacted log accepts."""
 
     code = "board-full"
     remedy = "see who writes so many keys, or raise most_keys"
 
 
 class LogSchemaError(ConfigError):
-    """The compacted log's file was written by a newer version, or is not such a file."""
+    """The file of the compacted log was written by a newer version, or is no compacted log."""
 
     code = "board-schema"
     remedy = "start the version that wrote it, or name another file"
 
 
 class PlanError(SabledykeError):
-    """A plan is invalid: it names nobody, somebody twice, or budgets larger than the fleet."""
+    """A plan is invalid: it names no member, a member twice, or budgets larger than the fleet."""
 
     code = "plan"
     remedy = "correct the plan; nothing of it was begun"
 
 
 class WantedVersionError(SabledykeError):
-    """The file that says which version to start next cannot be written: the member does not restart."""
+    """The file that names the version to start next cannot be written: the member does not restart."""
 
     code = "wants"
     remedy = "see that the file's folder has room and rights; the member then asks by itself"
 
 
 class StaleTicketError(SabledykeError):
-    """A ticket is for an earlier request, under an older token, or expired: it is not used."""
+    """A ticket is unusable: it is for an earlier request, has an older token, or has expired."""
 
     code = "ticket-stale"
     remedy = "nothing: the member asks again"
--- a/sabledyke/invariants.py
+++ b/sabledyke/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold: asserted in debug runs, counted and logged under ``python -O``."""
+"""Checks of invariants: a violation raises in debug runs, and is counted and logged under ``python -O``."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from sabledyke import log
 
 violations: Counter[str] = Counter()
-"""How often each invariant was found not to hold since the start, by name."""
+"""Number of violations of each invariant since the start of the process, by its name."""
 
 
 def check(condition: object, name: str, detail: str = "") -> bool:
     """Check that an invariant holds.
 
     Args:
-        condition: What must be true.
+        condition: The condition that must be true.
         name: The invariant's name, for the log and the count of violations.
-        detail: What was found instead.
+        detail: The state that was found instead.
 
     Returns:
-        Whether it holds.
+        True if the invariant holds.
 
     Raises:
-        AssertionError: It does not, in a debug run.
+        AssertionError: The invariant does not hold, in a debug run.
     """
     if not condition:
         report_violation(name, detail)
@@ -34,10 +34,10 @@
 
     Args:
         name: The invariant's name, for the log and the count of violations.
-        detail: What was found instead.
+        detail: The state that was found instead.
 
     Raises:
-        AssertionError: In a debug run.
+        AssertionError: Always, in a debug run.
     """
     violations[name] += 1
     if __debug__:
--- a/sabledyke/lease/section.py
+++ b/sabledyke/lease/section.py
@@ -14,7 +14,7 @@
 from sabledyke.lease.types import LeaseTimes
 from sabledyke.protocol.discovery import parse_address
 from sabledyke.store.section import Target
-from sabledyke.toml_tables import NAME_RULE, Table, convert, name_like, section_from, wants
+from sabledyke.toml_tables import NAME_RULE, Table, convert, is_valid_name, load_section, require_library
 
 Milliseconds = Annotated[float, Meta(gt=0, le=3_600_000)]
 
@@ -109,7 +109,7 @@
         Raises:
             ValueError: They do not fit; ``convert`` makes it an OperatorError.
         """
-        if not self.name or not name_like(self.name):
+        if not self.name or not is_valid_name(self.name):
             raise ValueError(f"name {NAME_RULE}")
         if self.kind == "call" and not self.url.startswith(URL_SCHEME):
             raise ValueError("url must begin with http://")
@@ -191,14 +191,14 @@
         record = Target(path="any") if "store" in data else None  # what leader tasks work on is not opened
         return read(data.get("lease", {}), record)
 
-    return section_from(path, "lease", lease_of)
+    return load_section(path, "lease", lease_of)
 
 
 def _check_authority(table: LeaseTable) -> None:
     if bool(table.path) == bool(table.etcd):
         raise OperatorError("lease names either path, a SQLite file, or etcd, a list of host:port")
     if table.etcd:
-        wants("lease", "aiohttp", "etcd")
+        require_library("lease", "aiohttp", "etcd")
     for endpoint in table.etcd:
         parse_address(endpoint)
 
--- a/sabledyke/log.py
+++ b/sabledyke/log.py
@@ -1,7 +1,7 @@
-"""Lines for the on-call staff: printed to standard error, limited per kind of message.
+"""Log lines for on-call staff, on standard error, rate-limited by kind.
 
-Every line reads ``sabledyke KIND: TEXT``; ``docs/ONCALL.md`` lists the kinds. Where the operator's file asks
-for structured logs, ``structured_log`` writes each as an object instead, with the fields that come with it.
+Every line has the form ``sabledyke KIND: TEXT``; ``docs/ONCALL.md`` lists the kinds. If the operator's file
+enables structured logs, ``structured_log`` writes each line as a JSON object with additional fields instead.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 Field = str | int | float
 Writer = Callable[[str, str, dict[str, Field]], None]
-"""Writes one line: its kind, its text, and the fields that come with it."""
+"""Writes one line, given its kind, its text, and its fields for structured logs."""
 
 
 class Limiter:
-    """Lets so many lines of a kind through in each window, and counts those that it suppresses.
+    """Limits the number of lines of each kind in a time window, and counts the lines that it suppresses.
 
     Args:
         clock: Returns the time in seconds.
-        burst: How many lines of a kind are let through in a window.
+        burst: Number of lines of a kind that are written in a window.
         window: Length of a window in seconds.
     """
 
@@ -36,10 +36,10 @@
         self._clock = clock
         self._burst = burst
         self._window_s = window
-        self._windows: dict[str, tuple[float, int]] = {}  # by kind: when it began, lines requested in it
+        self._windows: dict[str, tuple[float, int]] = {}  # by kind: start of the window, lines in it
 
     def lines(self, kind: str, text: str) -> list[str]:
-        """Return what to write now for a message: nothing, it, or it after a count of suppressed ones."""
+        """Return the lines to write for a message: none, or any count of suppressed lines and the message."""
         now_s = self._clock()
         began_s, count = self._windows.get(kind, (now_s, 0))
         lines = []
@@ -55,29 +55,29 @@
 
 
 def emit(kind: str, text: str, **fields: Field) -> None:
-    """Write one line, unless there were too many of its kind lately; ``fields`` are for structured logs."""
+    """Write one line, unless its kind has reached the rate limit; ``fields`` are for structured logs."""
     for line in _limiter.lines(kind, text):
         _write(kind, line, fields)
 
 
 def emit_change(kind: str, change: str, text: str, **fields: Field) -> None:
-    """Write one line on a change of state, as ``emit`` does, but limited apart from other lines of its kind.
+    """Write one line about a change of state, rate-limited separately from other lines of its kind.
 
-    Guards against failures that repeat hiding what became of them: a lease that was released, say, behind
-    ten lines on an authority that does not answer.
+    Guards against repeated failures that hide their resolution: with one shared limit, ten lines about an
+    authority that does not answer would suppress the line about the release of the lease.
 
     Args:
         kind: The kind of the line.
-        change: What changed; one of a few words, as each is limited by itself.
-        text: The text.
-        fields: For structured logs.
+        change: The type of change, from a small set, as each has a rate limit of its own.
+        text: The text of the line.
+        fields: Fields for structured logs.
     """
     for line in _limiter.lines(f"{kind} {change}", text):
         _write(kind, line, fields)
 
 
 def set_writer(writer: Writer) -> None:
-    """Have this writer write all lines from now on."""
+    """Replace the function that writes all further lines."""
     global _write
     _write = writer
 
--- a/sabledyke/metrics.py
+++ b/sabledyke/metrics.py
@@ -1,8 +1,8 @@
-"""The one place where the scheduler's metrics are counted, and their line form.
+"""The scheduler's metrics: all counters, and their text format.
 
-The core reports each final answer and each completed attempt, the server each configuration that was read
-again; gauges are passed in when the metrics are requested. Nothing here knows a socket, a clock or the wire.
-Counts start at 0 when the process starts and only grow.
+The core reports each final answer and each completed attempt, and the server reports each reload; gauges are
+passed in when the metrics are requested. This module uses no socket, clock or wire format. Counters start at
+0 with the process and only increase.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from sabledyke.policy.state import NodeRecord
 
 METRIC_OF_STATUS = {"served": "success", "refused": "overload", "failed": "error"}
-"""What a final answer is counted as, by its status (``core.AnswerStatus``)."""
+"""Metric that counts final answers of a status (a value of ``core.AnswerStatus``)."""
 
 UNSENT_OUTCOMES = (Outcome.NO_CONNECTION, Outcome.EXPIRED)
-"""Outcomes of attempts that were never sent, or whose last byte certainly never reached the node."""
+"""Outcomes of attempts that were not sent, or whose last byte certainly did not reach the node."""
 
 
 class Metrics:
-    """Counts of one process.
+    """Counters of one process.
 
     Attributes:
         answers: Final answers by metric (a value of ``METRIC_OF_STATUS``) and name of the request class.
-        rejections: Requests that were answered rejected or failed, by reason.
+        rejections: Requests that were rejected or failed, by reason.
         dispatches: Attempts that were written completely to storage nodes.
-        successful_reloads: Configurations that were read again and are in force.
-        failed_reloads: Configurations that were read again and rejected.
+        successful_reloads: Reloads of the configuration that took effect.
+        failed_reloads: Reloads of the configuration that were rejected.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         self.answers[METRIC_OF_STATUS[status], class_name] += 1
 
     def count_attempt(self, outcome: Outcome, *, may_have_run: bool) -> None:
-        """Count an attempt's one outcome as a dispatch, where its last byte was written."""
+        """Count a completed attempt as a dispatch if its last byte was written."""
         if outcome in UNSENT_OUTCOMES:
             return
         if outcome is Outcome.CANCELLED and not may_have_run:
@@ -53,16 +53,16 @@
         self.dispatches += 1
 
     def count_successful_reload(self) -> None:
-        """Count a configuration that was read again and is in force."""
+        """Count a reload of the configuration that took effect."""
         self.successful_reloads += 1
 
     def count_failed_reload(self) -> None:
-        """Count a configuration that was read again and rejected as a whole."""
+        """Count a reload of the configuration that was rejected as a whole."""
         self.failed_reloads += 1
 
     @property
     def answer_totals(self) -> tuple[int, int]:
-        """Final answers, and how many of them were rejections or failures."""
+        """Number of final answers, and the number of rejections and failures among them."""
         total = self.answers.total()
         served = sum(
             count for (metric, _), count in self.answers.items() if metric == METRIC_OF_STATUS["served"]
@@ -76,14 +76,14 @@
         nodes: Iterable[NodeEntry],
         unresponsive_nodes: int,
     ) -> list[str]:
-        """Return all metrics as ``svc.NAME:VALUE|c`` (counts) and ``|g`` (gauges), one a line.
+        """Return all metrics as lines: ``svc.NAME:VALUE|c`` for a counter, ``svc.NAME:VALUE|g`` for a gauge.
 
         Args:
-            classes: Request classes in force, each shown from 0; a class that is no longer in force stays
-                shown once it has counts.
-            concurrent: Requests without a final answer.
+            classes: Names of the request classes in force, which are shown even with counts of 0. A retired
+                class is shown if it has counts.
+            concurrent: Number of requests without a final answer.
             nodes: The nodes of the endpoint list.
-            unresponsive_nodes: How many ready nodes do not respond.
+            unresponsive_nodes: Number of ready nodes that are unresponsive.
         """
         nodes_on_list = list(nodes)
         not_ready = sum(node.state is not NodeState.READY for node in nodes_on_list)
@@ -100,7 +100,7 @@
         ]
 
     def _rejection_lines(self) -> list[str]:
-        """Return a line for each reason that occurred, in the order in which they are defined."""
+        """Return a line for each reason that has occurred, in the order of their definition."""
         return [
             f"svc.rejections.{reason.value}:{self.rejections[reason]}|c"
             for reason in RejectReason
@@ -118,5 +118,5 @@
 
 
 def unresponsive_count(nodes: Iterable[NodeRecord]) -> int:
-    """Count the ready nodes that do not respond, which the scheduler sends single probes only."""
+    """Count the ready nodes that are unresponsive, to which the scheduler sends only single probes."""
     return sum(node.ready and node.unresponsive for node in nodes)
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -1,7 +1,7 @@
-"""The operator's file: what is off on the platform, such as NVMe over TCP, the store of record and leases.
+"""The operator's file: features that the platform turns off, such as NVMe over TCP, the store and leases.
 
-Each section is read in the package that it configures, which is loaded only where the file has the section.
-What is checked here concerns more than one section.
+Each section is read by the package that it configures, which is imported only if the file has the section.
+This module checks the rules that concern more than one section.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from sabledyke.policy.settings import Settings
 from sabledyke.store import section as store_section
 from sabledyke.store.section import StoreSection, Target
-from sabledyke.toml_tables import Table, convert, from_file, parsed
+from sabledyke.toml_tables import Table, convert, load_file, parse_toml
 
 if TYPE_CHECKING:
     from sabledyke.compacted_log.section import LogSection
@@ -31,10 +31,10 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorConfig:
-    """What the file says; without one, everything here is off.
+    """The contents of the operator's file; the defaults turn all of its features off.
 
-    Sections have their names of the file: ``board`` is the compacted log's, ``sites`` that of placement and
-    ``fleet`` that of quota sharing.
+    Sections have their names in the file: ``board`` configures the compacted log, ``sites`` placement and
+    ``fleet`` quota sharing.
     """
 
     nvme: NvmeSection = NvmeSection()
@@ -49,13 +49,13 @@
 
 
 class LogFormatTable(Table, frozen=True, kw_only=True):
-    """The table ``[log]``: how lines are written."""
+    """The table ``[log]``, which selects the format of log lines."""
 
     format: Literal["plain", "json"] = "plain"
 
 
 class OperatorFile(Table, frozen=True, kw_only=True):
-    """All sections by their names; those that are plain tables here are converted in their own packages."""
+    """All sections by name; the packages of the untyped sections convert these to typed tables."""
 
     nvme: NvmeTable = NvmeTable()
     log: LogFormatTable = LogFormatTable()
@@ -69,7 +69,7 @@
 
 
 class RolloutSections(NamedTuple):
-    """The sections that ``[rollout]`` depends on, or that depend on it."""
+    """The section ``[rollout]`` and those that depend on it or that it depends on, except ``[lease]``."""
 
     board: LogSection | None = None
     rollout: RolloutSection | None = None
@@ -77,22 +77,22 @@
 
 
 def load(path: str, settings: Settings) -> OperatorConfig:
-    """Read the file at a path, under the deployment's settings.
+    """Load the operator's file at a path, for the deployment's settings.
 
     Raises:
-        OperatorError: The file cannot be used; one line that names it and the key.
+        OperatorError: The file cannot be used; one line that names the file and the key.
     """
-    return from_file(path, lambda text: read(text, settings))
+    return load_file(path, lambda text: read(text, settings))
 
 
 def read(text: str, settings: Settings) -> OperatorConfig:
-    """Read the text of an operator's file, under the deployment's settings.
+    """Read the text of an operator's file, for the deployment's settings.
 
     Raises:
-        OperatorError: It cannot be used; one line that names the key.
-        ListError: An address in it cannot be read.
+        OperatorError: The text cannot be used; one line that names the key.
+        ListError: An address in the text is invalid.
     """
-    file = convert(parsed(text), OperatorFile, "file")
+    file = convert(parse_toml(text), OperatorFile, "file")
     store = store_section.read(file.store, os.environ)
     lease = _read_lease(file.lease, store.record if store is not None else None)
     board, rollout, sites = _read_rollout(file, lease)
@@ -116,7 +116,7 @@
 def _read_lease(data: dict[str, Any], record: Target | None) -> LeaseSection | None:
     if not data:
         return None
-    from sabledyke.lease import section  # loaded only where it is wanted
+    from sabledyke.lease import section  # imported only if the file has the section
 
     return section.read(data, record)
 
@@ -124,7 +124,7 @@
 def _read_rollout(file: OperatorFile, lease: LeaseSection | None) -> RolloutSections:
     if not (file.board or file.rollout or file.sites):
         return RolloutSections()
-    from sabledyke.compacted_log import section as log_section  # loaded only where they are wanted
+    from sabledyke.compacted_log import section as log_section  # imported only if the file has the sections
     from sabledyke.placement import section as placement_section
     from sabledyke.rollout import section as rollout_section
 
@@ -132,11 +132,11 @@
     rollout = rollout_section.read(file.rollout)
     sites = placement_section.read(file.sites)
     if board is not None and board.topics and rollout is None:
-        raise OperatorError("board.topics wants [rollout], whose members clean them")
+        raise OperatorError("board.topics requires [rollout], whose members compact them")
     if rollout is not None and (board is None or lease is None):
-        raise OperatorError("rollout wants [board], where its plans stand, and [lease], for its coordinator")
+        raise OperatorError("rollout requires [board], for its plans, and [lease], for its coordinator")
     if sites is not None and (rollout is None or rollout.site not in sites.capacity):
-        raise OperatorError("sites wants [rollout], whose site is one of sites.room")
+        raise OperatorError("sites requires [rollout], whose site must be one of sites.room")
     return RolloutSections(board, rollout, sites)
 
 
@@ -144,16 +144,16 @@
     if not data:
         return None
     try:
-        from sabledyke.tls import section  # its library is loaded only where it is wanted
+        from sabledyke.tls import section  # imported only if the file has the section
     except ImportError:
-        raise OperatorError("tls wants cryptography: pip install 'sabledyke[tls]'") from None
+        raise OperatorError("tls requires cryptography: pip install 'sabledyke[tls]'") from None
     return section.read(data)
 
 
 def _read_quota_sharing(data: dict[str, Any], board: LogSection | None) -> QuotaSharingSection | None:
     if not data:
         return None
-    from sabledyke.quota_sharing import section  # loaded only where it is wanted
+    from sabledyke.quota_sharing import section  # imported only if the file has the section
 
     if board is None:
         raise OperatorError("fleet wants [board], where its members tell their demands")
--- a/sabledyke/rollout/plan_file.py
+++ b/sabledyke/rollout/plan_file.py
@@ -7,7 +7,7 @@
 from sabledyke.errors import OperatorError, PlanError
 from sabledyke.rollout.records import Plan
 from sabledyke.rollout.section import check_names
-from sabledyke.toml_tables import Table, convert, from_file, parsed
+from sabledyke.toml_tables import Table, convert, load_file, parse_toml
 
 
 class BudgetTable(Table, frozen=True, kw_only=True):
@@ -43,7 +43,7 @@
         PlanError: It cannot be read; the message is one line.
     """
     try:
-        return from_file(path, lambda text: plan_of(parsed(text)))
+        return load_file(path, lambda text: plan_of(parse_toml(text)))
     except OperatorError as fault:
         raise PlanError(str(fault)) from None
 
--- a/sabledyke/rollout/section.py
+++ b/sabledyke/rollout/section.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from sabledyke.rollout.timeouts import Timeouts
-from sabledyke.toml_tables import NAME_RULE, Table, convert, name_like
+from sabledyke.toml_tables import NAME_RULE, Table, convert, is_valid_name
 
 UpToAMinuteMs = Annotated[float, Meta(gt=0, le=60_000)]
 UpToAnHourMs = Annotated[float, Meta(gt=0, le=3_600_000)]
@@ -76,7 +76,7 @@
         ValueError: One of them is not; the message names its key.
     """
     for key, value in values.items():
-        if not name_like(value):
+        if not is_valid_name(value):
             raise ValueError(f"{key} {NAME_RULE}")
 
 
--- a/sabledyke/settings.py
+++ b/sabledyke/settings.py
@@ -1,6 +1,6 @@
 """Builds the scheduler's settings from paths and values, for the simulator's text and the platform's JSON.
 
-The platform's names of settings are mapped to the field's terms here and nowhere else.
+Only this module maps the platform's names of settings to the names that the scheduler uses.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from sabledyke.errors import SettingsError as SettingsError
 from sabledyke.policy.settings import DeduplicationScope, Plan, RepeatSafety, RequestClass, Settings
 
-MAX_CLASSES = 64  # classes over the life of a process, retired ones included
+MAX_CLASSES = 64  # request classes over the life of a process, including retired ones
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
 
-# What the platform's messages call these two kinds of value.
+# The platform's names of RepeatSafety and DeduplicationScope, for error messages.
 _SEMANTICS_KIND = "Repeat"
 _GROUP_KIND = "Group"
 
@@ -26,9 +26,10 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Yields nested JSON as the paths and values of the simulator's text.
+    """Yields the values of nested JSON with their paths, as the simulator's text has them.
 
-    Lists of objects are counted and numbered, lists of plain values joined with commas.
+    A list of objects yields its length as ``count`` and each object under its index; the items of a list of
+    plain values are joined with commas.
     """
     if isinstance(value, dict):
         for name, inner in value.items():
@@ -56,7 +57,9 @@
     retained = tuple(added.pop(request_class.name, request_class) for request_class in old.classes)
     classes = retained + tuple(added.values())
     if len(classes) > MAX_CLASSES:
-        raise SettingsError(f"more than {MAX_CLASSES} classes since the start, which takes a restart")
+        raise SettingsError(
+            f"more than {MAX_CLASSES} request classes since the start; restart to discard retired ones"
+        )
     current = {request_class.name for request_class in new.classes}
     retired = frozenset(known.name for known in classes if known.name not in current)
     return replace(new, classes=classes, retired_classes=retired)
@@ -66,7 +69,7 @@
     """Builds the settings from the platform's paths and values.
 
     Raises:
-        SettingsError: A value is missing or unreadable; the text names its path.
+        SettingsError: A value is missing or invalid; the text names its path.
         ValueError: A value is outside its range.
     """
     return _Builder(values).settings()
@@ -77,7 +80,7 @@
 
 
 class _Builder:
-    """Reads typed values by their platform path."""
+    """Builds settings from texts by their paths on the platform."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self._values = values
@@ -195,7 +198,7 @@
 
 
 def _choice(choices: type[_Choice], text: str, kind: str) -> _Choice:
-    """Returns the member with this value; a ValueError in the platform's words where there is none."""
+    """Returns the enum member with this value; the ValueError without one names the platform's kind."""
     try:
         return choices(text)
     except ValueError:
--- a/sabledyke/simhost.py
+++ b/sabledyke/simhost.py
@@ -1,4 +1,4 @@
-"""Hosts many schedulers on the simulator's wire: standard input to standard output."""
+"""Runs the schedulers of a simulation, over the simulator's wire format on standard input and output."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Reply to frames until the input ends.
 
     Returns:
-        The exit code: 0, or 2 where the input is not as the wire wants it.
+        The exit code: 0, or 2 if the input violates the wire format.
     """
     host = SchedulerHost()
     try:
@@ -31,17 +31,17 @@
 
 
 class SchedulerHost:
-    """Keeps one Scheduler per live instance."""
+    """Runs one Scheduler for each live instance."""
 
     def __init__(self) -> None:
         self._decoder = wire.Decoder()
         self._schedulers: dict[int, Scheduler] = {}
 
     def reply_to(self, frame: bytes) -> bytes:
-        """Return the reply to one frame, whose events each instance handles as one batch.
+        """Return the reply to one frame; each instance handles its events of the frame as one batch.
 
         Raises:
-            WireError: The frame or the settings in it are not as they must be.
+            WireError: The frame or the settings in it are invalid.
         """
         now_ms, events = self._decoder.decode(frame)
         batches: dict[int, list[Event]] = {}
@@ -74,7 +74,7 @@
             bugs[instance] = _describe_bug(error)
 
     def _handle(self, instance: int, now_ms: float, batch: list[Event], bug: str | None) -> Iterator[bytes]:
-        """Yield the records of what an instance does, the last one of a bug where it has one."""
+        """Yield the records of an instance's actions, followed by the record of its bug if there is one."""
         if bug is None:
             try:
                 for action in self._schedulers[instance].handle(now_ms, batch):
@@ -86,10 +86,10 @@
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """Return the next complete frame, or None where the input ends between frames.
+    """Return the next complete frame, or None if the input ends between frames.
 
     Raises:
-        WireError: The input ends inside a frame, or the frame's length is impossible.
+        WireError: The input ends inside a frame, or the frame's length is out of range.
     """
     head = _read_up_to(stream, LENGTH_BYTES)
     if not head:
@@ -106,7 +106,7 @@
 
 
 def _read_up_to(stream: BinaryIO, size: int) -> bytes:
-    """Read so many bytes; fewer only where the input ends."""
+    """Read ``size`` bytes, or fewer if the input ends first."""
     chunks = []
     remaining = size
     while remaining > 0:
--- a/sabledyke/store/section.py
+++ b/sabledyke/store/section.py
@@ -18,7 +18,7 @@
 from sabledyke.errors import OperatorError
 from sabledyke.policy.nodes import NodeId
 from sabledyke.store.health import StoreLimits
-from sabledyke.toml_tables import Table, convert, from_file, parsed
+from sabledyke.toml_tables import Table, convert, load_file, parse_toml
 
 PASSWORD_VARIABLE = "SABLEDYKE_STORE_PASSWORD"  # the record's, where no file is named
 DEFAULT_RETENTION_S = 3600  # that a write is retained: far longer than any client repeats it
@@ -168,9 +168,9 @@
     """
 
     def read_section(text: str) -> StoreSection | None:
-        return read(parsed(text).get("store", {}), environ)
+        return read(parse_toml(text).get("store", {}), environ)
 
-    section = from_file(path, read_section)
+    section = load_file(path, read_section)
     if section is None or section.record is None:
         raise OperatorError(f"{path}: [store] names no record: set path or url")
     return section
--- a/sabledyke/structured_log.py
+++ b/sabledyke/structured_log.py
@@ -1,8 +1,9 @@
-"""Structured logs through structlog: a JSON object a line, for installations that collect them.
+"""Structured logs through structlog: one JSON object a line, for installations that collect logs.
 
-Loaded only where the operator's file has ``[log] format = "json"``. Each line has ``kind`` (as docs/ONCALL.md
-lists them), ``event`` (the text), ``instance`` (its name), ``life`` (its incarnation, a new one with each
-start), ``mono`` and ``wall`` (ms, monotonic and Unix), and the fields that come with the line.
+This module is imported only if the operator's file has ``[log] format = "json"``. Each line has ``kind``
+(docs/ONCALL.md lists the kinds), ``event`` (the text), ``instance`` (the scheduler's name), ``life`` (its
+incarnation, new with each start), ``mono`` and ``wall`` (monotonic and Unix time in ms), and the fields that
+are specific to the line.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 
 
 def set_up(instance: str) -> str:
-    """Write all lines so from now on.
+    """Write all further log lines as JSON objects.
 
     Args:
         instance: The name of this scheduler.
 
     Returns:
-        The incarnation that the lines carry.
+        The incarnation that every line contains.
     """
     incarnation = uuid4().hex[:INCARNATION_DIGITS]
     logger = structlog.wrap_logger(
--- a/sabledyke/testbed/experiment.py
+++ b/sabledyke/testbed/experiment.py
@@ -13,7 +13,7 @@
 from msgspec import Meta
 
 from sabledyke.testbed.cluster import MAX_PROCESSES
-from sabledyke.toml_tables import Table, convert, from_file, parsed
+from sabledyke.toml_tables import Table, convert, load_file, parse_toml
 
 MAX_LENGTH_S = 600.0
 HOLDER = "holder"  # in a file: the instance that acted last
@@ -100,7 +100,7 @@
     Raises:
         OperatorError: It cannot be used.
     """
-    return from_file(path, read)
+    return load_file(path, read)
 
 
 def read(text: str) -> Experiment:
@@ -109,7 +109,7 @@
     Raises:
         OperatorError: It cannot be used.
     """
-    table = convert(parsed(text), ExperimentTable, "file")
+    table = convert(parse_toml(text), ExperimentTable, "file")
     clock_offsets_ms = [0.0] * table.instances
     clock_rates = [1.0] * table.instances
     for row in table.clock:
--- a/sabledyke/testbed/scenario.py
+++ b/sabledyke/testbed/scenario.py
@@ -15,7 +15,7 @@
 from sabledyke.rollout.plan_file import plan_of
 from sabledyke.rollout.records import Plan
 from sabledyke.testbed.fleet_settings import FleetSettings
-from sabledyke.toml_tables import Table, convert, from_file, parsed
+from sabledyke.toml_tables import Table, convert, load_file, parse_toml
 
 
 class StepKind(StrEnum):
@@ -93,7 +93,7 @@
     Raises:
         OperatorError: It cannot be used.
     """
-    return from_file(path, lambda text: read(parsed(text)))
+    return load_file(path, lambda text: read(parse_toml(text)))
 
 
 def read(data: dict[str, Any]) -> Scenario:
--- a/sabledyke/testbed/shared_limits.py
+++ b/sabledyke/testbed/shared_limits.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta
 
-from sabledyke.toml_tables import Table, convert, from_file, parsed
+from sabledyke.toml_tables import Table, convert, load_file, parse_toml
 
 UNBOUNDED = 1e9
 
@@ -67,7 +67,7 @@
     Raises:
         OperatorError: It cannot be used; one line says why.
     """
-    return from_file(path, lambda text: read(parsed(text)))
+    return load_file(path, lambda text: read(parse_toml(text)))
 
 
 def read(data: dict[str, Any]) -> Experiment:
--- a/sabledyke/tls/section.py
+++ b/sabledyke/tls/section.py
@@ -11,7 +11,7 @@
 
 from sabledyke.errors import OperatorError
 from sabledyke.tls.key_material import MAX_FILE_BYTES, KeyFiles
-from sabledyke.toml_tables import Milliseconds, Table, convert, section_from
+from sabledyke.toml_tables import Milliseconds, Table, convert, load_section
 
 
 @dataclass(slots=True, frozen=True)
@@ -190,4 +190,4 @@
 
 def load(path: str) -> TlsSection:
     """Return the section alone from an operator's file, as ``sabledyke tls check`` needs it."""
-    return section_from(path, "tls", lambda data: read(data["tls"]) if "tls" in data else None)
+    return load_section(path, "tls", lambda data: read(data["tls"]) if "tls" in data else None)
--- a/sabledyke/toml_tables.py
+++ b/sabledyke/toml_tables.py
@@ -1,8 +1,8 @@
-"""Files of operators and experiments (TOML) as typed tables.
+"""Typed tables for the TOML files of operators and experiments.
 
-msgspec finds wrong types, values out of bounds, and missing and unknown keys; here each of its errors becomes
-one plain line that says where the error is and what may stand there. A plain start, which has no such file,
-never loads this module.
+msgspec detects wrong types, values out of bounds, and missing and unknown keys; this module turns each of its
+errors into one plain line with the place of the error and the expected value. A plain start, which reads no
+such file, does not import this module.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
     "array": "a list",
     "object": "a table",
 }
-"""What msgspec calls a type, and what a person does."""
+"""Names of types in error messages, by msgspec's names."""
 
 ANY_ELEMENT = "[...]"
-"""A step of msgspec's paths: an element of a list or a value of a table, it does not say which."""
+"""A step of msgspec's error paths: an unspecified element of a list or value of a table."""
 
 _PATH_STEP = re.compile(r"[^.\[\]`]+|\[\.\.\.\]")
 _FIELD_ERROR = re.compile(r"Object (missing required|contains unknown) field `(.*)`")
@@ -46,14 +46,14 @@
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A table of such a file, by its keys; a key that it does not know is an error.
+    """Base class of typed tables, whose fields are the keys of the table; an unknown key is an error.
 
     Each subclass must repeat ``frozen`` and ``kw_only``.
     """
 
 
-def from_file(path: str, read: Callable[[str], T]) -> T:
-    """Return what ``read`` makes of a file's text.
+def load_file(path: str, read: Callable[[str], T]) -> T:
+    """Return the result of ``read`` on the text of a file.
 
     Raises:
         OperatorError: The file cannot be read, or ``read`` rejects it; one line that names the file.
@@ -66,42 +66,42 @@
         raise OperatorError(f"{path}: {error}") from None
 
 
-def section_from(path: str, name: str, read: Callable[[dict[str, Any]], T | None]) -> T:
-    """Return one section alone, from an operator's file.
+def load_section(path: str, name: str, read: Callable[[dict[str, Any]], T | None]) -> T:
+    """Load a single section of an operator's file.
 
     Args:
-        path: The file.
-        name: The section's name, for the error.
-        read: Called with all tables of the file; returns None where the section is not there.
+        path: Path of the file.
+        name: Name of the section, for error messages.
+        read: Function that reads the section from all tables of the file; returns None if it is missing.
 
     Raises:
-        OperatorError: The file or the section cannot be used, or there is no such section.
+        OperatorError: The file or the section cannot be used, or the section is missing.
     """
 
     def read_section(text: str) -> T:
-        section = read(parsed(text))
+        section = read(parse_toml(text))
         if section is None:
             raise OperatorError(f"there is no [{name}]")
         return section
 
-    return from_file(path, read_section)
+    return load_file(path, read_section)
 
 
-def wants(section: str, library: str, extra: str) -> None:
-    """Check that a library which a section needs is installed, without loading it.
+def require_library(section: str, library: str, extra: str) -> None:
+    """Check that a library that a section requires is installed, without importing it.
 
     Raises:
-        OperatorError: It is not; the text names the extra to install.
+        OperatorError: The library is not installed; the text names the extra to install.
     """
     if find_spec(library) is None:
-        raise OperatorError(f"{section} wants {library}: pip install 'sabledyke[{extra}]'")
+        raise OperatorError(f"{section} requires {library}: pip install 'sabledyke[{extra}]'")
 
 
-def parsed(text: str) -> dict[str, Any]:
-    """Return the tables of a text.
+def parse_toml(text: str) -> dict[str, Any]:
+    """Parse a TOML text, and return its tables.
 
     Raises:
-        OperatorError: It is not TOML, or holds an infinite number or NaN.
+        OperatorError: The text is not TOML, or contains an infinite number or NaN.
     """
     try:
         return tomllib.loads(text, parse_float=_finite_float)
@@ -110,15 +110,15 @@
 
 
 def convert(data: object, kind: type[T], where: str) -> T:
-    """Return the data as a table of this kind.
+    """Convert data to a typed table.
 
     Args:
-        data: What the file holds there.
-        kind: The kind of table. A ValueError of its ``__post_init__`` is reported like every other error.
-        where: Where in the file it stands, for the error.
+        data: The data, as parsed from TOML.
+        kind: The type of the table. A ValueError of its ``__post_init__`` is reported like every other error.
+        where: Path of the data in the file, for error messages.
 
     Raises:
-        OperatorError: It is not such a table; one line that says where and why.
+        OperatorError: The data does not fit the type; one line with the place and the reason.
     """
     try:
         return msgspec.convert(data, kind)
@@ -128,8 +128,8 @@
     raise OperatorError(_plain_error(message, location))
 
 
-def name_like(text: str) -> bool:
-    """Return whether a text is a name as ``NAME_RULE`` says; an empty one is."""
+def is_valid_name(text: str) -> bool:
+    """Return whether a text satisfies ``NAME_RULE``; an empty text does."""
     return len(text) <= MAX_NAME_CHARS and all(char.isalnum() or char in "-_." for char in text)
 
 
@@ -141,7 +141,7 @@
 
 
 class _Location(NamedTuple):
-    """Where an error is: its place in the file, the type that is wanted there, and the value found."""
+    """The place of a value in the file, its expected type, and the value itself."""
 
     where: str
     kind: Any
@@ -149,7 +149,7 @@
 
 
 def _locate(data: Any, kind: Any, where: str, steps: list[str]) -> _Location:
-    """Follow a path of msgspec's to the value that it rejects."""
+    """Follow the path of a msgspec error to the rejected value."""
     location = _Location(where, _without_bounds(kind), data)
     for step in steps:
         if step == ANY_ELEMENT:
@@ -162,7 +162,7 @@
 
 
 def _first_invalid_element(container: _Location) -> _Location:
-    """Return the first element that msgspec rejects: it rejects the container for that one."""
+    """Return the first element that msgspec rejects, which is the one that its error is about."""
     values = container.value
     if isinstance(values, dict):
         kind = get_args(container.kind)[1]
@@ -178,7 +178,7 @@
 
 
 def _element_kind(container: _Location, index: int) -> Any:
-    """Return the type of an element: each position's own, or one for all (``tuple[X, ...]``, a list)."""
+    """Return the type of an element: by position, or one type for all (``tuple[X, ...]``, a list)."""
     kinds = get_args(container.kind)
     if get_origin(container.kind) is tuple and kinds[-1] is not Ellipsis:
         return kinds[index]
@@ -206,7 +206,7 @@
 
 
 def _plain_error(message: str, location: _Location) -> str:
-    """Return an error of msgspec's in plain words."""
+    """Return the message for an operator that corresponds to a msgspec error."""
     field_error = _FIELD_ERROR.match(message)
     if field_error:
         problem = "missing" if "missing" in field_error[1] else "not known"
@@ -222,7 +222,7 @@
 
 
 def _describe_value(value: object, message: str) -> str:
-    """Say what stands there instead; a container may be long, and hold what nobody should read."""
+    """Describe the value found, but not a container's contents, which may be long or confidential."""
     if not isinstance(value, list | dict):
         return f"not {value!r}"
     if " of length " in message:
--- a/sabledyke/wire.py
+++ b/sabledyke/wire.py
@@ -1,8 +1,8 @@
-"""The simulator's wire, inwards: its frames as events, and its text of settings; no policy is decided here.
+"""Decodes the simulator's wire format: frames into events, and the text of settings.
 
-A frame is a header and records, each a code and its fields. A record of the code ``INSTANCE`` says which
-instance the records after it concern; one of the code ``NODE_LIST`` defines a list of nodes under a number,
-which records of endpoint lists refer to. Replies are written by ``wire_replies``.
+A frame is a header followed by records; a record is a code followed by its fields. An ``INSTANCE`` record
+names the instance that the records after it concern; a ``NODE_LIST`` record defines a numbered list of nodes,
+to which ``ENDPOINT_LIST`` records refer. ``wire_replies`` encodes the replies. No policy is decided here.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 from sabledyke.wire_reader import WireError as WireError
 
 MAX_FRAME_BYTES = 1 << 30
-HEADER = struct.Struct(">IdI")  # bytes of the frame, time in ms, number of records
+HEADER = struct.Struct(">IdI")  # length of the frame in bytes, time in ms, number of records
 
 
 class RecordCode(IntEnum):
-    """What a record is."""
+    """Codes of the records in a frame."""
 
     PEER_MESSAGE = 16
     INSTANCE = 17
@@ -58,15 +58,15 @@
 LIST_KINDS = (ListKind.DELTA, ListKind.FULL, ListKind.CACHED, ListKind.FAILED)
 
 _U32 = struct.Struct(">I")
-_NODE_LIST = struct.Struct(">HI")  # number, nodes
-_NODE = struct.Struct(">BdBH6sfB")  # zone, start, kind, shard, node, weight, state
-_STARTED = struct.Struct(">QI")  # seed, bytes of settings
-_ENDPOINT_LIST = struct.Struct(">HQB")  # number, version, kind
+_NODE_LIST = struct.Struct(">HI")  # number of the list, number of nodes
+_NODE = struct.Struct(">BdBH6sfB")  # zone, start time in ms, kind, shard, node id, weight, state
+_STARTED = struct.Struct(">QI")  # seed, length of the settings in bytes
+_ENDPOINT_LIST = struct.Struct(">HQB")  # number of the node list, version, kind
 _REQUEST = struct.Struct(">IHHQdQfffB")
 _ATTEMPT_COMPLETED = struct.Struct(">IH6sHBHHdB")
 _PROBE_RESULT = struct.Struct(">6sHdB")
 _ANSWER_STARTED = struct.Struct(">I6sHd")
-_PEER_MESSAGE = struct.Struct(">IH")  # sender, bytes
+_PEER_MESSAGE = struct.Struct(">IH")  # sender, length of the message in bytes
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,7 +86,7 @@
 
 
 class Decoder:
-    """Turns frames into events of instances; keeps the numbered lists of nodes between frames."""
+    """Decodes frames into events of instances, and keeps the numbered lists of nodes between frames."""
 
     def __init__(self) -> None:
         self._node_lists: dict[int, tuple[NodeEntry, ...]] = {}
@@ -95,16 +95,16 @@
         """Decode one complete frame, header included.
 
         Returns:
-            The time in milliseconds, and the events with the number of the instance that each concerns.
+            The time in milliseconds, and the events, each with the number of its instance.
 
         Raises:
-            WireError: The frame is not as it must be.
+            WireError: The frame violates the wire format.
         """
         if len(frame) < HEADER.size:
             raise WireError(f"frame of {len(frame)} bytes is shorter than its header")
         length, now_ms, record_count = HEADER.unpack_from(frame)
         if length != len(frame):
-            raise WireError(f"frame says {length} bytes and has {len(frame)}")
+            raise WireError(f"header states a frame of {length} bytes, but the frame has {len(frame)}")
         try:
             events = list(self._events(RecordReader(frame, HEADER.size), record_count))
         except struct.error as error:
@@ -134,27 +134,27 @@
         number, node_count = reader.unpack(_NODE_LIST)
         size = node_count * _NODE.size
         if size > reader.remaining:
-            raise WireError(f"list of {node_count} entries runs past the end of its frame")
+            raise WireError(f"node list of {node_count} entries runs past the end of its frame")
         entries = _NODE.iter_unpack(reader.read_bytes(size))
         self._node_lists[number] = tuple(_node_entry(*fields) for fields in entries)
 
     def _endpoint_list(self, reader: RecordReader) -> EndpointList:
         number, version, kind_code = reader.unpack(_ENDPOINT_LIST)
         if kind_code >= len(LIST_KINDS):
-            raise WireError(f"unknown kind of list {kind_code}")
+            raise WireError(f"unknown list kind {kind_code}")
         kind = LIST_KINDS[kind_code]
         if kind is ListKind.FAILED:
             return EndpointList(kind, version, ())
         if number not in self._node_lists:
-            raise WireError(f"list {number} was never defined")
+            raise WireError(f"node list {number} is not defined")
         return EndpointList(kind, version, self._node_lists[number])
 
 
 def read_settings(text: str) -> Settings:
-    """Return the settings of a text of ``KEY=VALUE`` lines.
+    """Return the settings that a text of ``KEY=VALUE`` lines contains.
 
     Raises:
-        WireError: A setting is missing or unreadable; the text names it.
+        WireError: A setting is missing or invalid; the text names it.
     """
     try:
         return build(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
@@ -176,7 +176,7 @@
         flags,
     ) = reader.unpack(_REQUEST)
     if not isfinite(shard):
-        raise WireError(f"shard {shard} of request {request_id} is no number")
+        raise WireError(f"shard {shard} of request {request_id} is not a finite number")
     return Request(
         request_id,
         class_index,
@@ -258,5 +258,5 @@
     zone: int, started_ms: float, kind: int, shard: int, node_id: bytes, weight: float, state: int
 ) -> NodeEntry:
     if state not in NODE_STATES:
-        raise WireError(f"unknown state of a node {state}")
+        raise WireError(f"unknown node state {state}")
     return NodeEntry(node_id, shard, zone, kind, started_ms, weight, NODE_STATES[state])
--- a/sabledyke/wire_reader.py
+++ b/sabledyke/wire_reader.py
@@ -9,14 +9,14 @@
 
 
 class WireError(SabledykeError):
-    """The input is not a frame of this wire; the text says what is wrong."""
+    """The input violates the simulator's wire format; the text describes the violation."""
 
     code = "wire"
     remedy = "nothing in service: it is the simulator's"
 
 
 class RecordReader:
-    """Reads the fields of records one after the other."""
+    """Reads the fields of a frame's records in sequence."""
 
     __slots__ = ("_data", "_offset")
 
@@ -26,25 +26,25 @@
 
     @property
     def remaining(self) -> int:
-        """Bytes that have not been read."""
+        """Number of bytes that have not been read."""
         return len(self._data) - self._offset
 
     def code(self) -> int:
-        """Read the code that a record begins with."""
+        """Read the code at the start of a record."""
         if self._offset >= len(self._data):
-            raise WireError("fewer records than the header counts")
+            raise WireError("frame has fewer records than its header states")
         code = self._data[self._offset]
         self._offset += 1
         return code
 
     def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """Read the fields of a layout."""
+        """Read the fields of a struct layout."""
         fields = layout.unpack_from(self._data, self._offset)
         self._offset += layout.size
         return fields
 
     def read_bytes(self, size: int) -> bytes:
-        """Read so many bytes."""
+        """Read a field of ``size`` bytes."""
         if size > self.remaining:
             raise WireError(f"field of {size} bytes runs past the end of its frame")
         start = self._offset
@@ -52,5 +52,5 @@
         return self._data[start : self._offset]
 
     def floats(self, count: int) -> tuple[float, ...]:
-        """Read so many numbers."""
+        """Read ``count`` single-precision numbers."""
         return self.unpack(struct.Struct(f">{count}f"))
--- a/sabledyke/wire_replies.py
+++ b/sabledyke/wire_replies.py
@@ -1,4 +1,4 @@
-"""The simulator's wire, outwards: actions as the records of a reply."""
+"""Encodes the simulator's wire format: actions into the records of a reply."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ReplyCode(IntEnum):
-    """What a record of a reply is."""
+    """Codes of the records in a reply."""
 
     START_ATTEMPT = 16
     PROBE = 17
@@ -53,11 +53,11 @@
     FetchList: (ReplyCode.FETCH_LIST, struct.Struct(">B")),
     CloseIdle: (ReplyCode.CLOSE_IDLE, struct.Struct(">B6s")),
 }
-"""The actions whose record is their code and their fields in order."""
+"""Layouts of the records that consist of a code and the action's fields in order."""
 
 _INSTANCE = struct.Struct(">BI")
-_PEER_DATA = struct.Struct(">BHH")  # code, peer, bytes
-_TEXT = struct.Struct(">BH")  # code, bytes
+_PEER_DATA = struct.Struct(">BHH")  # code, peer, length of the data in bytes
+_TEXT = struct.Struct(">BH")  # code, length of the text in bytes
 _REPLY_LENGTH = struct.Struct(">I")
 
 
@@ -74,12 +74,12 @@
 
 
 def encode_instance(number: int) -> bytes:
-    """Return the record that says whose actions follow."""
+    """Return the record that names the instance whose actions follow."""
     return _INSTANCE.pack(ReplyCode.INSTANCE, number)
 
 
 def encode_bug(text: str) -> bytes:
-    """Return the record that ends the simulated day with a text."""
+    """Return the record that reports a bug, which ends the simulated day."""
     return _text(ReplyCode.BUG, text)
 
 
--- a/tests/application/test_shutdown_soak.py
+++ b/tests/application/test_shutdown_soak.py
@@ -10,7 +10,7 @@
 
 from tests.support.selected_tests import selected_parameters
 from tests.support.shutdown_soak import SoakReport, draw_plan, play_all
-from tests.transcripts.support import Deployment, play
+from tests.transcripts.support import Deployment, run_scenario
 
 SEEDS = range(1, 37)
 MIN_SERVICE_S = 3.0  # after the first SIGTERM, on connections that stay open
@@ -56,7 +56,7 @@
             deployment.terminate()
             assert await deployment.process.wait() == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_plays_repeat_signals_and_some_have_a_crowd() -> None:
--- a/tests/compatibility/program/settings.py
+++ b/tests/compatibility/program/settings.py
@@ -34,7 +34,7 @@
 
 def read_plan(text: str) -> list[object]:
     """All values of a plan's file."""
-    return list(leaves(plan_file.plan_of(toml_tables.parsed(text))))
+    return list(leaves(plan_file.plan_of(toml_tables.parse_toml(text))))
 
 
 def operator_keys() -> set[str]:
--- a/tests/support/platform_config.py
+++ b/tests/support/platform_config.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from tests.test_wire import CONF
+from tests.test_wire import SETTINGS_TEXT
 
 ROOT = Path(__file__).parent.parent.parent
 NO_NODES = {"seq": 41, "whole": True, "hosts": []}
@@ -16,7 +16,7 @@
 def platform_settings() -> dict[str, Any]:
     """Return the wire tests' settings as the platform's JSON has them."""
     settings: dict[str, Any] = {}
-    for line in CONF.splitlines():
+    for line in SETTINGS_TEXT.splitlines():
         path, value = line.split("=")
         *parents, last = path.split(".")
         table = settings
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,13 +11,15 @@
 
 from sabledyke import config, wire
 from tests.support.platform_config import platform_settings, write_config
-from tests.test_wire import CONF
+from tests.test_wire import SETTINGS_TEXT
 
 
 def test_the_json_and_the_wire_build_the_same_settings(tmp_path: Path) -> None:
     loaded = config.load(write_config(tmp_path))
     requests_of_clients = 1024 / 3  # what clients may have open
-    assert loaded.settings == replace(wire.read_settings(CONF), max_open_requests=requests_of_clients)
+    assert loaded.settings == replace(
+        wire.read_settings(SETTINGS_TEXT), max_open_requests=requests_of_clients
+    )
     assert loaded.listen == ("127.0.0.1", 9090)  # the environment takes precedence
     assert loaded.discovery == ("127.0.0.1", 8500)
     assert loaded.seed == 0x8C1F
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -42,7 +42,7 @@
 
 ROOT = Path(__file__).parent.parent
 A, B = b"\x0a\x01\x02\x03\x1f\x90", b"\x0a\x01\x02\x04\x1f\x90"
-CONF = """me=1
+SETTINGS_TEXT = """me=1
 siblings=2
 az=0
 zones=x,y
@@ -82,7 +82,7 @@
     return struct.pack(">BI", 17, number)
 
 
-def start(settings: str = CONF) -> bytes:
+def start(settings: str = SETTINGS_TEXT) -> bytes:
     return struct.pack(">BQI", 26, 5, len(settings)) + settings.encode()
 
 
@@ -187,7 +187,7 @@
 
 
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
-    settings = wire.read_settings(CONF)
+    settings = wire.read_settings(SETTINGS_TEXT)
     assert settings.polls_endpoint_list
     assert settings.classes[0].ordered
     assert settings.classes[0].writes
@@ -201,7 +201,7 @@
     "key", ["invariants.warm_up", "profiles.0.aim", "discovery", "family_info.usual_units"]
 )
 def test_missing_and_unreadable_settings_are_named(key: str) -> None:
-    lines = CONF.splitlines()
+    lines = SETTINGS_TEXT.splitlines()
     with pytest.raises(wire.WireError, match=f"{key} is missing"):
         wire.read_settings("\n".join(line for line in lines if not line.startswith(key)))
     if key != "discovery":
--- a/tests/transcripts/support.py
+++ b/tests/transcripts/support.py
@@ -20,7 +20,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 APPROVED = Path(__file__).parent / "approved"
-PATIENCE_S = 60.0  # for a whole test; only a fault uses it up
+TEST_TIMEOUT_S = 60.0  # for a whole test; only a fault uses it up
 Response: TypeAlias = bytes | None  # None: the connection is cut off without an answer
 Respond: TypeAlias = Callable[[int, bytes], Awaitable[Response]]
 
@@ -228,11 +228,11 @@
     return received
 
 
-def play(scenario: Coroutine[Any, Any, None]) -> None:
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
     """Run a scenario, with time enough for a busy machine."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await scenario
 
     asyncio.run(bounded())
--- a/tests/transcripts/test_console.py
+++ b/tests/transcripts/test_console.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-from tests.transcripts.support import Deployment, check_approved, echo, exchange, play, request
+from tests.transcripts.support import Deployment, check_approved, echo, exchange, request, run_scenario
 
 CALLS = {
     "health": b"GET /admin/health HTTP/1.1\r\nHost: c\r\n\r\n",
@@ -40,7 +40,7 @@
                 shown.append((f"{name}: {sent.splitlines()[0].decode('latin-1')!a}", received))
             check_approved("console-calls.txt", deployment.transcript(*shown))
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_figures_have_the_approved_names_types_and_order(tmp_path: Path) -> None:
@@ -59,4 +59,4 @@
             parts = (("at the start", first), ("after two reads and a write", later), ("by HEAD", by_head))
             check_approved("console-stats.txt", deployment.transcript(*parts))
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/transcripts/test_discovery_calls.py
+++ b/tests/transcripts/test_discovery_calls.py
@@ -7,7 +7,15 @@
 
 import pytest
 
-from tests.transcripts.support import Deployment, Response, check_approved, echo, play, response, settings
+from tests.transcripts.support import (
+    Deployment,
+    Response,
+    check_approved,
+    echo,
+    response,
+    run_scenario,
+    settings,
+)
 
 FAILURES: dict[str, Response] = {
     "cut-off": None,
@@ -51,4 +59,4 @@
 
     config = settings() | {"discovery": kind}
     deployment = Deployment(tmp_path, echo, known=known, discovery=respond, config=config)
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/transcripts/test_http_front.py
+++ b/tests/transcripts/test_http_front.py
@@ -13,9 +13,9 @@
     check_approved,
     echo,
     exchange,
-    play,
     request,
     response,
+    run_scenario,
     settings,
 )
 
@@ -79,7 +79,7 @@
             shown = await asyncio.gather(*(one(name, sent) for name, sent in EXCHANGES.items()))
             check_approved("front-exchanges.txt", "\n".join(shown))
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_write_is_continued_once_and_then_served(tmp_path: Path) -> None:
@@ -95,7 +95,7 @@
             parts = (("client", head), ("scheduler", interim), ("client", b"hi"), ("scheduler", final))
             check_approved("front-continue.txt", deployment.transcript(*parts))
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 NODE_ANSWERS: dict[str, Response] = {
@@ -127,7 +127,7 @@
             name = f"front-node-{node_answer}{'' if retry_after else '-no-retry-after'}.txt"
             check_approved(name, deployment.transcript(*parts))
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_drain_by_the_console_closes_connections_with_their_answers(tmp_path: Path) -> None:
@@ -141,7 +141,7 @@
             parts = (("health while draining", health), ("read while draining", served), ("resumed", resumed))
             check_approved("front-drain.txt", deployment.transcript(*parts))
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_request_in_flight_at_sigterm_is_answered_and_the_process_ends_in_order(tmp_path: Path) -> None:
@@ -162,4 +162,4 @@
             transcript = deployment.transcript(*parts) + f"== exit status\n{status}\n"
             check_approved("front-sigterm.txt", transcript)
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/transcripts/test_process_edge.py
+++ b/tests/transcripts/test_process_edge.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from tests.transcripts.support import APPROVED, PATIENCE_S, ROOT, settings
+from tests.transcripts.support import APPROVED, ROOT, TEST_TIMEOUT_S, settings
 
 CASES: list[dict[str, Any]] = tomllib.loads((APPROVED / "process-edge.toml").read_text())["case"]
 
@@ -57,7 +57,7 @@
         env=environment,
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=TEST_TIMEOUT_S,
     )
     return done.returncode, done.stdout, done.stderr
 
--- a/tests/transcripts/test_storage_node_requests.py
+++ b/tests/transcripts/test_storage_node_requests.py
@@ -13,9 +13,9 @@
     check_approved,
     echo,
     exchange,
-    play,
     request,
     response,
+    run_scenario,
     settings,
 )
 
@@ -46,7 +46,7 @@
             check_approved("node-requests.txt", deployment.transcript(*zip(titles, requests, strict=True)))
             assert all(0 < left <= 20 for left in deadlines(requests))
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def short_objective(**ceilings: Any) -> dict[str, Any]:
@@ -89,7 +89,7 @@
             assert all(0 < left <= 20 for left in deadlines(attempts))
             check_approved("node-retry.txt", shared + deployment.transcript(("client's answer", answer)))
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_hedged_request_has_the_bytes_of_the_first(tmp_path: Path) -> None:
@@ -118,4 +118,4 @@
             assert all(0 < left <= 20 for left in deadlines(attempts))
             check_approved("node-hedged.txt", shared + deployment.transcript(("client's answer", answer)))
 
-    play(scenario())
+    run_scenario(scenario())
