--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: the platform's file, the environment, and what a reload takes from each."""
+"""Loading of the configuration from the platform's file and the environment, at the start and at a reload."""
 
 from __future__ import annotations
 
@@ -16,10 +16,8 @@
 
 def test_the_json_and_the_wire_build_the_same_settings(tmp_path: Path) -> None:
     loaded = config.load(write_config(tmp_path))
-    requests_of_clients = 1024 / 3  # what clients may have open
-    assert loaded.settings == replace(
-        wire.read_settings(SETTINGS_TEXT), max_open_requests=requests_of_clients
-    )
+    max_open_requests = 1024 / 3  # a third of the default number of sockets
+    assert loaded.settings == replace(wire.read_settings(SETTINGS_TEXT), max_open_requests=max_open_requests)
     assert loaded.listen == ("127.0.0.1", 9090)  # the environment takes precedence
     assert loaded.discovery == ("127.0.0.1", 8500)
     assert loaded.seed == 0x8C1F
@@ -27,7 +25,7 @@
     assert loaded.known.update.version == 41
 
 
-def test_the_console_is_where_the_environment_or_the_file_says(tmp_path: Path) -> None:
+def test_the_console_address_is_from_the_environment_or_else_the_file(tmp_path: Path) -> None:
     assert config.load(write_config(tmp_path)).console is None
     environ = write_config(tmp_path, console="127.0.0.1:7000")
     assert config.load(environ).console == ("127.0.0.1", 7000)
@@ -35,13 +33,13 @@
     assert loaded.console == ("127.0.0.1", 7100)
     for changes in ({"console": "127.0.0.1:7200"}, {}):
         reloaded = config.load(write_config(tmp_path, **changes), loaded)
-        assert reloaded.console == ("127.0.0.1", 7100)  # a reload does not move it
+        assert reloaded.console == ("127.0.0.1", 7100)  # unchanged by a reload
 
 
 def test_at_a_reload_what_changed_in_the_file_takes_precedence(tmp_path: Path) -> None:
     environ = write_config(tmp_path) | {"GW_DISCOVERY": "127.0.0.1:8600"}
     loaded = config.load(environ)
-    # The environment's while the file is unchanged, then the file's new one, and that remains.
+    # The environment's address is in force until the file changes, and then the file's new address.
     for port_in_file, port in ((8500, 8600), (8700, 8700), (8700, 8700)):
         write_config(tmp_path, discovery=f"127.0.0.1:{port_in_file}")
         loaded = config.load(environ, loaded)
@@ -50,20 +48,20 @@
 
 
 def truncate(folder: Path, size: int) -> None:
-    """Cut the configuration file to a size, or by so many bytes where that is negative."""
+    """Truncate the configuration file to a size, or remove so many bytes if the size is negative."""
     path = folder / "config.json"
     path.write_bytes(path.read_bytes()[:size])
 
 
 def write_class_change(folder: Path, **changes: Any) -> None:
-    """Write a configuration whose first class of requests is changed so."""
+    """Write a configuration with changes to its first request class."""
     settings = platform_settings()
     settings["profiles"][0] |= changes
     write_config(folder, settings=settings)
 
 
 def write_limit_change(folder: Path, **changes: Any) -> None:
-    """Write a configuration whose limits are changed so."""
+    """Write a configuration with changes to its limits."""
     settings = platform_settings()
     settings["ceilings"] |= changes
     write_config(folder, settings=settings)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""CI passes over the tests that KNOWN-RED.txt lists, and over no others."""
+"""CI skips exactly the tests that KNOWN-RED.txt lists."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize("name", ["listed", "other"])
 def test_exchange(name, snapshot):
     assert "as approved" == snapshot
-    assert name == "other" or FAULT_IS_MENDED
+    assert name == "other" or FAULT_IS_FIXED
 """
 ENTRY = "test_sample.py::test_exchange[{}] | bash .ci/run | seen once | issue 1\n"
 RUN_TIMEOUT_S = 60
@@ -36,16 +36,16 @@
 
 @pytest.fixture
 def project(tmp_path: Path) -> Path:
-    """A project with two approved snapshots, whose first test fails."""
+    """Create a project with two approved snapshots, whose first test fails."""
     (tmp_path / "pytest.ini").write_text("[pytest]\n")
-    (tmp_path / "test_sample.py").write_text("FAULT_IS_MENDED = True\n" + TESTS)
+    (tmp_path / "test_sample.py").write_text("FAULT_IS_FIXED = True\n" + TESTS)
     assert run_pytest(tmp_path, "--snapshot-update").returncode == 0
-    (tmp_path / "test_sample.py").write_text("FAULT_IS_MENDED = False\n" + TESTS)
+    (tmp_path / "test_sample.py").write_text("FAULT_IS_FIXED = False\n" + TESTS)
     return tmp_path
 
 
 @pytest.mark.parametrize(
-    ("listed", "status", "says"),
+    ("listed", "status", "expected_text"),
     [
         (["listed"], 0, "1 passed, 1 skipped"),
         (["other"], 1, "1 failed, 1 skipped"),
@@ -58,9 +58,9 @@
     ],
 )
 def test_ci_passes_over_exactly_the_listed_tests(
-    project: Path, listed: list[str], status: int, says: str
+    project: Path, listed: list[str], status: int, expected_text: str
 ) -> None:
     (project / "KNOWN-RED.txt").write_text("".join(map(ENTRY.format, listed)))
-    ended = run_pytest(project, "-p", "tests.support.known_red")
-    assert ended.returncode == status, ended.stdout
-    assert says in ended.stdout + ended.stderr
+    completed = run_pytest(project, "-p", "tests.support.known_red")
+    assert completed.returncode == status, completed.stdout
+    assert expected_text in completed.stdout + completed.stderr
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -1,4 +1,4 @@
-"""The command line of the testbed: every kind of experiment begins, and what cannot be run says why."""
+"""The ``lab`` commands: each experiment file starts, and one that cannot run is reported in one line."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.test_program import PROGRAM
 
 EXPERIMENTS = sorted((ROOT / "experiments").glob("*.toml"))
-BEGIN_TIMEOUT_S = 120.0  # on a busy machine
+START_TIMEOUT_S = 120.0  # long enough for a busy machine
 POLL_S = 0.1
 
 
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("experiment", EXPERIMENTS, ids=[path.stem for path in EXPERIMENTS])
 def test_each_experiment_file_begins(experiment: Path, tmp_path: Path) -> None:
-    """Guards against a kind of experiment that ends before its first process serves."""
+    """Guards against experiments that end before their first process serves."""
     folder = tmp_path / "kept"
     errors = tmp_path / "errors"
     with errors.open("w") as stderr:
@@ -43,14 +43,14 @@
             start_new_session=True,
         )
     try:
-        until_s = time.monotonic() + BEGIN_TIMEOUT_S
-        while lab.poll() is None and time.monotonic() < until_s and not any_process_serves(folder):
+        deadline_s = time.monotonic() + START_TIMEOUT_S
+        while lab.poll() is None and time.monotonic() < deadline_s and not any_process_serves(folder):
             time.sleep(POLL_S)
         assert lab.poll() is None, errors.read_text()
         assert any_process_serves(folder)
         assert not errors.read_text()
     finally:
-        os.killpg(lab.pid, signal.SIGKILL)  # the processes of the experiment are in its group
+        os.killpg(lab.pid, signal.SIGKILL)  # ends the experiment's processes as well
         lab.wait()
 
 
@@ -68,7 +68,7 @@
         ('name = "a"\n', ("--seed", "x"), "'x'"),
     ],
 )
-def test_what_cannot_be_run_is_one_line_and_status_2(
+def test_an_experiment_that_cannot_run_ends_with_one_line_and_status_2(
     tmp_path: Path, text: str | None, arguments: tuple[str, ...], expected: str
 ) -> None:
     path = tmp_path / "experiment.toml"
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log's limit on lines of a kind."""
+"""The rate limit of log lines of a kind."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sabledyke.log import Limiter
 
 
-def test_lines_of_a_kind_that_come_too_often_are_counted_and_left_out() -> None:
+def test_lines_of_a_kind_above_the_limit_are_suppressed_and_counted() -> None:
     now_s = 0.0
     limiter = Limiter(lambda: now_s, burst=2, window=10)
     lines = [limiter.lines("a", str(number)) for number in range(5)]
@@ -19,7 +19,7 @@
 
 
 def test_failures_of_a_kind_hide_no_change(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a lease whose release nobody sees, as its authority did not answer often before."""
+    """Guards against failures of a lease authority that suppress the later line on the lease's release."""
     lines: list[str] = []
     monkeypatch.setattr(log, "_limiter", Limiter())
     monkeypatch.setattr(log, "_write", lambda _kind, text, _fields: lines.append(text))
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's file: the example, and what is rejected."""
+"""The operator's file: the example is valid, and invalid files are rejected with the place of the error."""
 
 from __future__ import annotations
 
--- a/tests/test_outside.py
+++ b/tests/test_outside.py
@@ -1,4 +1,4 @@
-"""The package as it is seen from outside: what a start loads, what it holds, and its error codes."""
+"""The package from outside: the modules that a start imports, the packages it contains, and error codes."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 )
 
 
-def test_a_plain_start_loads_nothing_that_processes_share() -> None:
-    """On the platform schedulers share nothing, and a start must be quick."""
+def test_a_plain_start_imports_no_optional_module() -> None:
+    """Schedulers share no state on the platform, and must start quickly."""
     code = "import sys, sabledyke.__main__, sabledyke.application.server; print(*sys.modules)"
     completed = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: its commands, its start and its end."""
+"""The program as a process: its commands, its start and its shutdown."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 def free_port() -> int:
-    """Return a port that is free now."""
+    """Return a port that is currently free."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port: int = probe.getsockname()[1]
@@ -93,7 +93,7 @@
     assert last_lines.endswith("invariants broken: none\n")
 
 
-def test_lab_run_plays_an_experiment_on_leases(tmp_path: Path) -> None:
+def test_lab_run_runs_an_experiment_on_leases(tmp_path: Path) -> None:
     experiment = tmp_path / "experiment.toml"
     experiment.write_text('name = "two"\ninstances = 2\nlength_s = 1\nauthority = "table"\n')
     completed = subprocess.run(
--- a/tests/test_toml_tables.py
+++ b/tests/test_toml_tables.py
@@ -1,4 +1,4 @@
-"""Tables of operators' files: every wrong value is one line that says where it is."""
+"""Typed tables: each invalid value is reported in one line with its place in the file."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     lists_by_name: dict[str, list[Port]] = {}
 
 
-# Where a port may stand: how it is reached, and how a person reads that.
+# Paths from the top table to each place that holds a port.
 INDEX = st.integers(0, 3)
 NAME = st.sampled_from(["a", "b-1", "7"])
 PLACES = st.one_of(
@@ -53,7 +53,7 @@
 
 
 def nest(place: tuple[Any, ...], value: object) -> Any:
-    """Return tables with this value at a place, and valid elements before it in each list."""
+    """Return tables that hold a value at a place, with valid elements before it in each list."""
     if not place:
         return value
     step, *rest = place
@@ -64,7 +64,7 @@
 
 
 def valid_like(rest: tuple[Any, ...], position: int) -> Any:
-    """Return a valid element beside one that a place leads through."""
+    """Return a valid sibling of an element on the path to a place."""
     if rest:
         return [] if isinstance(rest[0], int) else {}
     return position + 1
@@ -74,7 +74,7 @@
 def test_a_wrong_value_in_any_container_is_one_line_with_its_place(
     place: tuple[Any, ...], wrong: object
 ) -> None:
-    """Guards against a traceback where the program is to end with one line and status 2."""
+    """Guards against a traceback in place of one line and exit status 2."""
     data = nest(place, wrong)
     if place[0] in ("pair", "optional_pair"):
         data[place[0]][0] = "a"
@@ -87,7 +87,7 @@
 
 
 @given(place=PLACES)
-def test_the_same_with_a_right_value_is_accepted(place: tuple[Any, ...]) -> None:
+def test_a_valid_value_in_any_container_is_accepted(place: tuple[Any, ...]) -> None:
     data = nest(place, 7)
     if place[0] in ("pair", "optional_pair"):
         data[place[0]][0] = "a"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: round trips on frames made here, bad input, and restarts inside a batch."""
+"""The simulator's wire format: events and actions, invalid input, and restarts inside a batch."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from sabledyke.simhost import SchedulerHost, read_frame
 
 ROOT = Path(__file__).parent.parent
-A, B = b"\x0a\x01\x02\x03\x1f\x90", b"\x0a\x01\x02\x04\x1f\x90"
+NODE_A, NODE_B = b"\x0a\x01\x02\x03\x1f\x90", b"\x0a\x01\x02\x04\x1f\x90"
 SETTINGS_TEXT = """me=1
 siblings=2
 az=0
@@ -103,10 +103,10 @@
     return list(wire.Decoder().decode(data)[1])
 
 
-def test_every_event() -> None:
-    completed = struct.pack(">BIH6sHBHHdBff", 25, 9, 150, A, 3, 1, 4, 2, 12.5, 2, 0.5, 3.0)
-    probed = struct.pack(">B6sHdB", 27, A, 1, 2.5, 0)
-    answer_started = struct.pack(">BI6sHd", 21, 9, A, 0, 4.0)
+def test_every_event_is_decoded() -> None:
+    completed = struct.pack(">BIH6sHBHHdBff", 25, 9, 150, NODE_A, 3, 1, 4, 2, 12.5, 2, 0.5, 3.0)
+    probed = struct.pack(">B6sHdB", 27, NODE_A, 1, 2.5, 0)
+    answer_started = struct.pack(">BI6sHd", 21, 9, NODE_A, 0, 4.0)
     peer_message = struct.pack(">BIH", 16, 2, 2) + b"hi"
     timer_fired = struct.pack(">BI", 24, 6)
     disconnected = struct.pack(">BI", 19, 9)
@@ -128,7 +128,7 @@
             3,
             AttemptCompleted(
                 9,
-                A,
+                NODE_A,
                 2,
                 Outcome.REJECTED,
                 request_completed=True,
@@ -138,8 +138,8 @@
                 load_report=(0.5, 3.0),
             ),
         ),
-        (3, ProbeResult(A, Outcome.OK, 2.5, ())),
-        (3, AnswerStarted(9, A, 0, 4.0)),
+        (3, ProbeResult(NODE_A, Outcome.OK, 2.5, ())),
+        (3, AnswerStarted(9, NODE_A, 0, 4.0)),
         (3, PeerMessage(2, b"hi")),
         (3, TimerFired(6)),
         (3, ClientDisconnected(9)),
@@ -148,32 +148,32 @@
 
 
 def test_a_list_number_is_resolved_in_event_order_even_when_reused_in_the_batch() -> None:
-    got = decode(
+    events = decode(
         frame(
             1,
             instance(1),
-            node_list(4, A),
+            node_list(4, NODE_A),
             endpoint_list(4, 2),
             instance(2),
-            node_list(4, B),
+            node_list(4, NODE_B),
             endpoint_list(4, 1),
             endpoint_list(0, 3),
         )
     )
-    lists = [event for _, event in got if isinstance(event, EndpointList)]
-    assert [[entry.node_id for entry in update.entries] for update in lists] == [[A], [B], []]
+    lists = [event for _, event in events if isinstance(event, EndpointList)]
+    assert [[entry.node_id for entry in update.entries] for update in lists] == [[NODE_A], [NODE_B], []]
     assert [update.kind for update in lists] == [ListKind.CACHED, ListKind.FULL, ListKind.FAILED]
 
 
 @pytest.mark.parametrize(
     ("action", "size", "code"),
     [
-        (StartAttempt(1, A, 80.0), 19, 16),
+        (StartAttempt(1, NODE_A, 80.0), 19, 16),
         (WatchList(), 2, 25),
         (Reject(1, 20.0, reason=RejectReason.LIMIT), 13, 24),
-        (CloseIdle(A), 7, 27),
+        (CloseIdle(NODE_A), 7, 27),
         (SendToPeer(None, b"abc"), 8, 20),
-        (Probe(A), 7, 17),
+        (Probe(NODE_A), 7, 17),
         (CancelAttempt(1, 0), 7, 28),
         (Log("hello"), 8, 21),
         (FetchList(), 1, 26),
@@ -181,7 +181,7 @@
         (Fail(1, reason=RejectReason.ATTEMPTS), 5, 18),
     ],
 )
-def test_every_action(action: Action, size: int, code: int) -> None:
+def test_every_action_is_encoded_with_its_code_and_size(action: Action, size: int, code: int) -> None:
     record = wire_replies.encode(action)
     assert (len(record), record[0]) == (size, code)
 
@@ -209,14 +209,14 @@
             wire.read_settings("\n".join(f"{key}=soon" if line.startswith(key) else line for line in lines))
 
 
-def serve(data: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_simhost(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
         [sys.executable, "-m", "sabledyke.simhost"], cwd=ROOT, input=data, capture_output=True
     )
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "expected_text"),
     [
         (frame(1, instance(1))[:-2], "input ended inside a frame"),
         (b"\x00\x00", "input ended inside a frame's length"),
@@ -230,26 +230,30 @@
         (frame(1, instance(1), start("me=1\n")), "setting siblings is missing"),
     ],
 )
-def test_bad_input_ends_with_a_plain_message_and_a_status(data: bytes, says: str) -> None:
-    done = serve(data)
-    assert done.returncode != 0
-    assert b"Traceback" not in done.stderr
-    assert says.encode() in done.stderr
+def test_bad_input_ends_with_a_plain_message_and_a_status(data: bytes, expected_text: str) -> None:
+    completed = run_simhost(data)
+    assert completed.returncode != 0
+    assert b"Traceback" not in completed.stderr
+    assert expected_text.encode() in completed.stderr
 
 
 def test_end_of_input_between_frames_is_a_clean_end() -> None:
-    done = serve(frame(1.0) + frame(2.0))
-    assert (done.returncode, done.stdout, done.stderr) == (0, wire_replies.encode_reply(b"") * 2, b"")
+    completed = run_simhost(frame(1.0) + frame(2.0))
+    assert (completed.returncode, completed.stdout, completed.stderr) == (
+        0,
+        wire_replies.encode_reply(b"") * 2,
+        b"",
+    )
 
 
-def test_a_restart_inside_a_batch_starts_afresh_and_other_instances_are_untouched() -> None:
+def test_a_restart_inside_a_batch_discards_the_state_of_that_instance_alone() -> None:
     host = SchedulerHost()
     host.reply_to(
         frame(
             1,
             instance(1),
             start(),
-            node_list(0, A),
+            node_list(0, NODE_A),
             endpoint_list(0, 2),
             instance(2),
             start(),
@@ -269,33 +273,33 @@
             request(5),
         )
     )
-    assert wire_replies.encode(StartAttempt(6, A))[:-8] in reply
-    assert reply.count(wire_replies.encode(StartAttempt(5, A))[:-8]) == 1
+    assert wire_replies.encode(StartAttempt(6, NODE_A))[:-8] in reply
+    assert reply.count(wire_replies.encode(StartAttempt(5, NODE_A))[:-8]) == 1
 
 
-def test_an_exception_in_the_module_becomes_bug_with_its_text() -> None:
+def test_an_exception_of_a_scheduler_becomes_a_bug_record_with_its_text() -> None:
     host = SchedulerHost()
-    host.reply_to(frame(1, instance(1), start(), node_list(0, A), endpoint_list(0, 2)))
+    host.reply_to(frame(1, instance(1), start(), node_list(0, NODE_A), endpoint_list(0, 2)))
     reply = host.reply_to(frame(2, instance(1), request(5), request(5)))
     assert wire_replies.encode_bug("ValueError: request 5 was given twice") in reply
 
 
 def test_frames_are_read_completely_from_a_slow_stream() -> None:
-    class Slow(io.BytesIO):
+    class SlowStream(io.BytesIO):
         def read(self, n: int | None = -1) -> bytes:
             return super().read(min(n or 1, 3))
 
     sent = frame(1, instance(1))
-    stream = Slow(sent)
+    stream = SlowStream(sent)
     assert read_frame(stream) == sent
     assert read_frame(stream) is None
 
 
 @pytest.mark.parametrize("value", ["nan", "inf", "-inf"])
 def test_a_shard_that_is_no_number_is_rejected_as_a_bad_frame(value: str) -> None:
-    """Guards against a traceback where the program is to end with one line and status 2."""
+    """Guards against a traceback in place of one line and exit status 2."""
     record = struct.pack(">BIHHQdQfffB", 18, 1, 0, 0, 1, 100.0, 1, 1.0, float(value), 1.0, 0)
-    named = struct.pack(">BI", 17, 0)
-    frame = struct.pack(">IdI", 16 + len(named) + len(record), 0.0, 2) + named + record
+    instance_record = struct.pack(">BI", 17, 0)
+    frame = struct.pack(">IdI", 16 + len(instance_record) + len(record), 0.0, 2) + instance_record + record
     with pytest.raises(wire.WireError, match="shard"):
         wire.Decoder().decode(frame)
--- a/tests/transcripts/__init__.py
+++ b/tests/transcripts/__init__.py
@@ -1,1 +1,1 @@
-"""Approved transcripts of what goes over the sockets, and of the edge of the process."""
+"""Tests that compare bytes on sockets, and status and output of commands, with approved transcripts."""
--- a/tests/transcripts/support.py
+++ b/tests/transcripts/support.py
@@ -1,8 +1,8 @@
-"""The real program as a process, between scripted peers on loopback that record the bytes they get.
+"""Runs the program as a process, between scripted peers on loopback that record the bytes they receive.
 
-Nothing of the program is imported here, so that renames inside it cannot change what these tests see. A
+This module imports no part of the program, so that renames in the program cannot change the transcripts. Each
 transcript is compared with its file in ``approved/``. To approve a change of bytes, run the tests with
-``APPROVE_TRANSCRIPTS=1`` and read the difference before it is committed.
+``APPROVE_TRANSCRIPTS=1`` and review the difference before committing it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 APPROVED = Path(__file__).parent / "approved"
-TEST_TIMEOUT_S = 60.0  # for a whole test; only a fault uses it up
+TEST_TIMEOUT_S = 60.0  # limit of a whole test; reached only on a fault
 Response: TypeAlias = bytes | None  # None: the connection is cut off without an answer
 Respond: TypeAlias = Callable[[int, bytes], Awaitable[Response]]
 
@@ -33,27 +33,27 @@
     assert text == path.read_text(), f"{name} differs from its approved transcript"
 
 
-def readable(data: bytes) -> str:
-    """Bytes as text without loss: line feeds break lines, other control bytes are escaped."""
+def escape(data: bytes) -> str:
+    """Return bytes as text without loss: a line feed ends a line, other control bytes are escaped."""
     text = data.decode("latin-1").encode("unicode_escape").decode().replace("\\n", "\\n\n")
     return text if not text or text.endswith("\n") else text + "\n"
 
 
 def settings(**ceilings: Any) -> dict[str, Any]:
-    """The platform's settings of a small deployment, with deadlines that a busy machine meets."""
+    """Return the platform's settings of a small deployment, with deadlines that a busy machine meets."""
     loaded: dict[str, Any] = json.loads((APPROVED.parent / "settings.json").read_text())
     loaded["ceilings"].update(ceilings)
     return loaded
 
 
 def response(status: int, body: bytes = b"", *headers: str) -> bytes:
-    """A peer's response, with its length."""
+    """Return a peer's response, with its Content-Length header."""
     lines = [f"HTTP/1.1 {status} Whatever", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
 class Peer:
-    """A scripted HTTP peer: keeps each request as it came, and answers with what ``respond`` returns."""
+    """A scripted HTTP peer: records the bytes of each request, and answers with the result of ``respond``."""
 
     def __init__(self, name: str, respond: Respond) -> None:
         self.name, self.respond, self.port = name, respond, 0
@@ -62,7 +62,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> None:
-        """Listen on a port of its own."""
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
@@ -88,32 +88,32 @@
             writer.transport.abort()
 
     async def wait_for(self, count: int) -> None:
-        """Until so many requests have come in."""
+        """Wait until ``count`` requests have arrived."""
         async with self.arrived:
             await self.arrived.wait_for(lambda: len(self.requests) >= count)
 
     def close(self) -> None:
-        """Listen no more, and cut off what is open."""
+        """Stop listening, and abort the open connections."""
         self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
 
 def reserved_port() -> tuple[socket.socket, int]:
-    """A port that the program can listen on while nobody else is given it, as long as the socket is open."""
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    held.bind(("127.0.0.1", 0))
-    return held, int(held.getsockname()[1])
+    """Return a port that is reserved for the program as long as the returned socket is open."""
+    reservation = socket.socket()
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    reservation.bind(("127.0.0.1", 0))
+    return reservation, int(reservation.getsockname()[1])
 
 
 async def echo(_number: int, request: bytes) -> Response:
-    """Serve a request with its own body."""
+    """Answer a request with the request's body."""
     return response(200, request.partition(b"\r\n\r\n")[2])
 
 
 class Deployment:
-    """One scheduler process, discovery, and storage nodes that hold shard 0 and up, one each."""
+    """One scheduler process, with scripted discovery and storage nodes; node N holds shard N."""
 
     def __init__(
         self,
@@ -130,10 +130,10 @@
         self.nodes = [Peer(f"node{number}", respond) for number, respond in enumerate(nodes or (echo,))]
         self.discovery = Peer("discovery", discovery or self._listing_once)
         self.front = self.console = 0
-        self._held: list[socket.socket] = []
+        self._reservations: list[socket.socket] = []
 
     def listing(self, sequence: int = 1) -> dict[str, Any]:
-        """The whole endpoint list as discovery sends it."""
+        """Return the complete endpoint list in discovery's format."""
         common = {"site": "a", "class": "m", "health": "ready", "share": 1.0, "born_ms": 0}
         hosts = [
             {"host": node.name, "dial": f"127.0.0.1:{node.port}", "block": number, **common}
@@ -142,7 +142,7 @@
         return {"seq": sequence, "whole": True, "hosts": hosts}
 
     def listing_response(self, sequence: int = 1) -> bytes:
-        """Discovery's answer with the whole endpoint list."""
+        """Return discovery's response with the complete endpoint list."""
         return response(200, json.dumps(self.listing(sequence)).encode())
 
     async def _listing_once(self, number: int, _request: bytes) -> Response:
@@ -154,7 +154,7 @@
         for peer in (*self.nodes, self.discovery):
             await peer.open()
         (first, self.front), (second, self.console) = reserved_port(), reserved_port()
-        self._held = [first, second]
+        self._reservations = [first, second]
         config = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.front}",
@@ -195,7 +195,7 @@
         raise AssertionError((self.folder / "stderr.txt").read_text())
 
     def terminate(self) -> None:
-        """Ask the program to end."""
+        """Send SIGTERM to the program."""
         self.process.send_signal(signal.SIGTERM)
 
     async def __aexit__(self, *_: object) -> None:
@@ -204,23 +204,23 @@
         await self.process.wait()
         for peer in (*self.nodes, self.discovery):
             peer.close()
-        for held in self._held:
-            held.close()
+        for reservation in self._reservations:
+            reservation.close()
         self._log.close()
 
     def normalised(self, data: bytes) -> bytes:
-        """Without what varies: ports by their owner's name, and the seconds that are left."""
+        """Replace the ports of peers, and the numbers of seconds in headers, which vary between runs."""
         for peer in (*self.nodes, self.discovery):
             data = data.replace(f"127.0.0.1:{peer.port}".encode(), f"<{peer.name}>".encode())
         return re.sub(rb"(Req-Deadline|Retry-After): \d+\.\d{3}\r", rb"\1: <seconds>\r", data)
 
     def transcript(self, *parts: tuple[str, bytes]) -> str:
-        """Titles, each with what was sent or received under it."""
-        return "".join(f"== {title}\n{readable(self.normalised(data))}" for title, data in parts)
+        """Return a transcript of titles, each followed by the bytes that were sent or received."""
+        return "".join(f"== {title}\n{escape(self.normalised(data))}" for title, data in parts)
 
 
 async def exchange(port: int, *sent: bytes) -> bytes:
-    """What comes back on one connection until the program ends it."""
+    """Send bytes on one connection, and return the bytes received until the program closes it."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.writelines(sent)
     received = await reader.read()
@@ -229,7 +229,7 @@
 
 
 def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run a scenario, with time enough for a busy machine."""
+    """Run a scenario, with a timeout that a busy machine meets."""
 
     async def bounded() -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -246,7 +246,7 @@
     body: bytes = b"",
     close: bool = False,
 ) -> bytes:
-    """A client's request in the platform's form; a PUT is a write, all else a read."""
+    """Return a client's request in the platform's format: a PUT is a write, any other method a read."""
     kind = "write" if method == "PUT" else "read"
     lines = [
         f"{method} {path} HTTP/1.1",
--- a/tests/transcripts/test_console.py
+++ b/tests/transcripts/test_console.py
@@ -1,4 +1,4 @@
-"""What operators' calls to the console get: health, figures, drain and resume, and the wrong calls."""
+"""Responses of the operators' console: health, metrics, drain and resume, and invalid calls."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
     run_scenario(scenario())
 
 
-def test_the_figures_have_the_approved_names_types_and_order(tmp_path: Path) -> None:
-    """Values are shown too: what was asked before is known, so each is certain."""
+def test_the_metrics_have_the_approved_names_types_and_order(tmp_path: Path) -> None:
+    """Values are compared too, as the preceding requests determine them."""
 
     async def scenario() -> None:
         async with Deployment(tmp_path, echo) as deployment:
--- a/tests/transcripts/test_discovery_calls.py
+++ b/tests/transcripts/test_discovery_calls.py
@@ -1,4 +1,4 @@
-"""What discovery gets, of both kinds: the first call, watch calls, and calls after a failure."""
+"""Calls to discovery of both kinds: the first call, watch calls, and calls after a failure."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("kind", ["on_request", "pushed"])
 @pytest.mark.parametrize("failure", FAILURES)
 def test_discovery_gets_the_approved_calls(tmp_path: Path, kind: str, failure: str, *, known: bool) -> None:
-    """The list is version 7 at first, the next call fails, and the one after it is told of version 9."""
+    """Discovery serves version 7 of the list, then fails one call, then serves version 9."""
     failed = asyncio.Event()
 
     async def respond(_number: int, sent: bytes) -> Response:
--- a/tests/transcripts/test_http_front.py
+++ b/tests/transcripts/test_http_front.py
@@ -1,4 +1,4 @@
-"""What clients of the HTTP front get: the bytes of each answer, from the first to the end of connection."""
+"""Bytes that clients of the HTTP frontend receive, from the first to the end of the connection."""
 
 from __future__ import annotations
 
@@ -19,22 +19,23 @@
     settings,
 )
 
-LAST = b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"  # ends a connection that would be kept
-BARE = b"GET / HTTP/1.1\r\n"
+# Makes the frontend close a connection that would be kept alive.
+CLOSING_REQUEST = b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"
+REQUEST_LINE = b"GET / HTTP/1.1\r\n"
 EXCHANGES: dict[str, bytes] = {
-    "served-read-kept-alive": request() + LAST,
+    "served-read-kept-alive": request() + CLOSING_REQUEST,
     "served-read-closed": request(close=True),
-    "served-write": request("PUT", "/api/1/2?q=1", "Idempotency-Key: k1", body=b"hello") + LAST,
+    "served-write": request("PUT", "/api/1/2?q=1", "Idempotency-Key: k1", body=b"hello") + CLOSING_REQUEST,
     "served-write-in-chunks": request("PUT", "/api/1/2", "Transfer-Encoding: chunked")
     + b"3\r\nabc\r\n0\r\n\r\n"
-    + LAST,
+    + CLOSING_REQUEST,
     "http-1.0": request().replace(b"HTTP/1.1", b"HTTP/1.0"),
     "http-1.0-kept-alive": request("GET", "/api/1/2", "Connection: keep-alive").replace(
         b"HTTP/1.1", b"HTTP/1.0"
     )
-    + LAST,
+    + CLOSING_REQUEST,
     "pipelined": request(ident="a") + request("PUT", ident="b", body=b"two") + request(ident="c", close=True),
-    "health": b"GET /_health HTTP/1.1\r\n\r\n" + LAST,
+    "health": b"GET /_health HTTP/1.1\r\n\r\n" + CLOSING_REQUEST,
     "health-by-head": b"HEAD /_health HTTP/1.1\r\nConnection: close\r\n\r\n",
     "health-by-post": b"POST /_health?x=1 HTTP/1.1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
     "repeated-id": request(ident="again") + request(ident="again"),
@@ -59,9 +60,9 @@
     "bad-chunk": request("PUT", "/api/1/2", "Transfer-Encoding: chunked") + b"zz\r\n",
     "unknown-coding": request("PUT", "/api/1/2", "Transfer-Encoding: gzip"),
     "body-too-large": request("PUT", "/api/1/2", "Content-Length: 65537"),
-    "head-too-large": BARE + b"X: " + b"x" * 17000 + b"\r\n\r\n",
-    "bad-header-line": BARE + b"no colon\r\n\r\n",
-    "unfinished-head": BARE,
+    "head-too-large": REQUEST_LINE + b"X: " + b"x" * 17000 + b"\r\n\r\n",
+    "bad-header-line": REQUEST_LINE + b"no colon\r\n\r\n",
+    "unfinished-head": REQUEST_LINE,
     "expects-continue": request("PUT", "/api/1/2", "Expect: 100-continue", "Content-Length: 2"),
 }
 
@@ -70,13 +71,13 @@
     async def scenario() -> None:
         async with Deployment(tmp_path, echo) as deployment:
 
-            async def one(name: str, sent: bytes) -> str:
-                sent = sent.replace(b"id-1", name.encode())  # ids are unique for as long as a deadline lasts
+            async def run_exchange(name: str, sent: bytes) -> str:
+                sent = sent.replace(b"id-1", name.encode())  # an id must be unique until its deadline
                 received = await exchange(deployment.front, sent)
                 shown = sent if len(sent) < 2000 else b"%d bytes" % len(sent)
                 return f"#### {name}\n" + deployment.transcript(("client", shown), ("scheduler", received))
 
-            shown = await asyncio.gather(*(one(name, sent) for name, sent in EXCHANGES.items()))
+            shown = await asyncio.gather(*(run_exchange(name, sent) for name, sent in EXCHANGES.items()))
             check_approved("front-exchanges.txt", "\n".join(shown))
 
     run_scenario(scenario())
@@ -118,11 +119,11 @@
         config = settings(retry_after=retry_after)
         async with Deployment(tmp_path, respond, config=config) as deployment:
             keyed = request("PUT", "/api/1/2", "Idempotency-Key: k1", body=b"hello", close=True)
-            once = request("PUT", "/api/1/2", ident="id-2", body=b"hello", close=True)
-            once = once.replace(b"Req-Kind: write", b"Req-Kind: append")
+            at_most_once = request("PUT", "/api/1/2", ident="id-2", body=b"hello", close=True)
+            at_most_once = at_most_once.replace(b"Req-Kind: write", b"Req-Kind: append")
             parts = (
                 ("deduplicated write", await exchange(deployment.front, keyed)),
-                ("write that may run at most once", await exchange(deployment.front, once)),
+                ("write that may run at most once", await exchange(deployment.front, at_most_once)),
             )
             name = f"front-node-{node_answer}{'' if retry_after else '-no-retry-after'}.txt"
             check_approved(name, deployment.transcript(*parts))
@@ -137,7 +138,7 @@
             health = await exchange(deployment.front, b"GET /_health HTTP/1.1\r\n\r\n")
             served = await exchange(deployment.front, request())
             await exchange(deployment.console, b"POST /admin/resume HTTP/1.1\r\n\r\n")
-            resumed = await exchange(deployment.front, LAST)
+            resumed = await exchange(deployment.front, CLOSING_REQUEST)
             parts = (("health while draining", health), ("read while draining", served), ("resumed", resumed))
             check_approved("front-drain.txt", deployment.transcript(*parts))
 
--- a/tests/transcripts/test_nvme_pdus.py
+++ b/tests/transcripts/test_nvme_pdus.py
@@ -1,4 +1,4 @@
-"""NVMe/TCP without sockets: the hex of each PDU that either side of the program sends."""
+"""NVMe/TCP without sockets: hex dumps of each PDU that the program's initiator and target send."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 READ_BLOCK = struct.pack("<BBHIQQQI3xB6I", 2, 0x40, 1, 1, 0, 0, 0, 512, 0x5A, 0, 0, 0, 0, 0, 0)
 
 
-def hexadecimal(data: bytes) -> str:
-    """Offsets and bytes; a star stands for lines like the one before, as other hex dumps have it."""
+def hex_dump(data: bytes) -> str:
+    """Return a hex dump with offsets, where a star replaces repetitions of the line before."""
     lines: list[str] = []
     before = b""
     for at in range(0, len(data), COLUMNS):
@@ -32,100 +32,100 @@
 
 
 class Conversation:
-    """Both machines of the program talk to each other, and what they send is kept."""
+    """An exchange between the program's initiator and target, with a transcript of their bytes."""
 
     def __init__(self, initiator: InitiatorMachine, target: TargetMachine) -> None:
         self.initiator, self.target, self.text = initiator, target, ""
 
-    def note(self, title: str, data: bytes) -> bytes:
-        """Keep some bytes in the transcript."""
-        self.text += f"== {title}\n{hexadecimal(data)}"
+    def record(self, title: str, data: bytes) -> bytes:
+        """Add bytes to the transcript, and return them."""
+        self.text += f"== {title}\n{hex_dump(data)}"
         return data
 
-    def say(self, title: str, sent: bytes) -> None:
-        """The initiator's bytes go to the target, and the target's answer back."""
-        self.answer(title, self.target.receive(self.note(f"host: {title}", sent)))
+    def send(self, title: str, sent: bytes) -> None:
+        """Pass bytes of the initiator to the target, and the target's answer back."""
+        self.respond(title, self.target.receive(self.record(f"host: {title}", sent)))
 
-    def answer(self, title: str, sent: bytes) -> None:
-        """The target's bytes go to the initiator, which may have more to send."""
-        for status, dnr, delay, result, data in self.initiator.receive(self.note(f"target: {title}", sent)):
+    def respond(self, title: str, sent: bytes) -> None:
+        """Pass bytes of the target to the initiator, and any further bytes of the initiator to the target."""
+        for status, dnr, delay, result, data in self.initiator.receive(self.record(f"target: {title}", sent)):
             self.text += f"-- completion: status {status:#05x}, DNR {dnr}, CRD {delay}, result {result:#x}, "
             self.text += f"{len(data)} bytes\n"
-        if more := self.initiator.sent():
-            self.say(f"{title}, continued", more)
+        if more := self.initiator.take_output():
+            self.send(f"{title}, continued", more)
 
 
 def admin_session() -> Conversation:
-    """An admin queue, set up as the program does with storage nodes."""
-    talk = Conversation(InitiatorMachine(), TargetMachine())
-    host = talk.initiator
-    talk.say("ICReq", host.sent())
-    talk.say("Connect of the admin queue", host.connect(0))
-    talk.say("Property Get CAP", host.read_property(0x00))
-    talk.say("Property Get VS", host.read_property(0x08))
-    talk.say("Identify before the controller is enabled", host.admin(0x06, 0, 4096, 1))
-    talk.say("Property Set CC", host.write_property(0x14, 0x460001))
-    talk.say("Property Set of what cannot be set", host.write_property(0x1C, 1))
-    talk.say("Property Get CC", host.read_property(0x14))
-    talk.say("Property Get CSTS", host.read_property(0x1C))
-    talk.say("Set Features, number of queues", host.admin(0x09, 0, 0, 7, 0x000F000F))
-    return talk
+    """Set up an admin queue as the program does with storage nodes."""
+    conversation = Conversation(InitiatorMachine(), TargetMachine())
+    host = conversation.initiator
+    conversation.send("ICReq", host.take_output())
+    conversation.send("Connect of the admin queue", host.connect(0))
+    conversation.send("Property Get CAP", host.read_property(0x00))
+    conversation.send("Property Get VS", host.read_property(0x08))
+    conversation.send("Identify before the controller is enabled", host.admin(0x06, 0, 4096, 1))
+    conversation.send("Property Set CC", host.write_property(0x14, 0x460001))
+    conversation.send("Property Set of what cannot be set", host.write_property(0x1C, 1))
+    conversation.send("Property Get CC", host.read_property(0x14))
+    conversation.send("Property Get CSTS", host.read_property(0x1C))
+    conversation.send("Set Features, number of queues", host.admin(0x09, 0, 0, 7, 0x000F000F))
+    return conversation
 
 
 def test_the_admin_queue_has_the_approved_bytes() -> None:
-    talk = admin_session()
-    host = talk.initiator
-    talk.say("Identify controller", host.admin(0x06, 0, 4096, 1))
-    talk.say("Identify namespace 1", host.admin(0x06, 1, 4096, 0))
-    talk.say("Identify namespace 7", host.admin(0x06, 7, 4096, 0))
-    talk.say("Identify active namespaces", host.admin(0x06, 0, 4096, 2))
-    talk.say("Identify namespace descriptors", host.admin(0x06, 7, 4096, 3))
-    talk.say("Identify of an unknown namespace", host.admin(0x06, 99, 4096, 0))
-    talk.say("Identify of an unknown structure", host.admin(0x06, 1, 4096, 0x1C))
-    talk.say("Keep Alive", host.admin(0x18))
-    talk.say("Get Log Page, not supported", host.admin(0x02))
-    talk.say("Set Features, not supported", host.admin(0x09, 0, 0, 6))
-    talk.say("Connect once more", host.connect(0))
-    talk.say("Property Set CC, shutdown", host.write_property(0x14, 0x464001))
-    talk.say("Property Get CSTS after shutdown", host.read_property(0x1C))
-    check_approved("nvme-admin.hex", talk.text)
+    conversation = admin_session()
+    host = conversation.initiator
+    conversation.send("Identify controller", host.admin(0x06, 0, 4096, 1))
+    conversation.send("Identify namespace 1", host.admin(0x06, 1, 4096, 0))
+    conversation.send("Identify namespace 7", host.admin(0x06, 7, 4096, 0))
+    conversation.send("Identify active namespaces", host.admin(0x06, 0, 4096, 2))
+    conversation.send("Identify namespace descriptors", host.admin(0x06, 7, 4096, 3))
+    conversation.send("Identify of an unknown namespace", host.admin(0x06, 99, 4096, 0))
+    conversation.send("Identify of an unknown structure", host.admin(0x06, 1, 4096, 0x1C))
+    conversation.send("Keep Alive", host.admin(0x18))
+    conversation.send("Get Log Page, not supported", host.admin(0x02))
+    conversation.send("Set Features, not supported", host.admin(0x09, 0, 0, 6))
+    conversation.send("Connect once more", host.connect(0))
+    conversation.send("Property Set CC, shutdown", host.write_property(0x14, 0x464001))
+    conversation.send("Property Get CSTS after shutdown", host.read_property(0x1C))
+    check_approved("nvme-admin.hex", conversation.text)
 
 
 def io_session() -> Conversation:
-    """An I/O queue of a controller that is enabled."""
+    """Connect an I/O queue of an enabled controller."""
     target = TargetMachine(admin_session().target.subsystem)
-    talk = Conversation(InitiatorMachine(), target)
-    talk.say("ICReq", talk.initiator.sent())
-    talk.say("Connect of I/O queue 1", talk.initiator.connect(1, 1))
-    return talk
+    conversation = Conversation(InitiatorMachine(), target)
+    conversation.send("ICReq", conversation.initiator.take_output())
+    conversation.send("Connect of I/O queue 1", conversation.initiator.connect(1, 1))
+    return conversation
 
 
 def test_an_io_queue_has_the_approved_bytes() -> None:
-    talk = io_session()
-    host, target = talk.initiator, talk.target
+    conversation = io_session()
+    host, target = conversation.initiator, conversation.target
 
     def command(title: str, sent: bytes, answer: Callable[[int], bytes]) -> None:
-        talk.say(title, sent)
-        (cid, payload) = target.waiting.pop()
-        talk.text += f"-- given out: {len(payload)} bytes written\n"
-        talk.answer(title, answer(cid))
+        conversation.send(title, sent)
+        (cid, payload) = target.pending.pop()
+        conversation.text += f"-- given out: {len(payload)} bytes written\n"
+        conversation.respond(title, answer(cid))
 
     block = b"a block".ljust(512, b".")
-    command("read", host.read(1, 16, 512), lambda cid: target.served(cid, block))
-    command("read past 32 bits", host.read(7, 0x1_2345_6789, 512), lambda cid: target.served(cid, block))
-    command("write by R2T", host.write(1, 16, block * 2, 0x1122334455667788), target.served)
-    command("write in its capsule", host.write(1, 17, block, 0x99, inside=True), target.served)
+    command("read", host.read(1, 16, 512), lambda cid: target.complete(cid, block))
+    command("read past 32 bits", host.read(7, 0x1_2345_6789, 512), lambda cid: target.complete(cid, block))
+    command("write by R2T", host.write(1, 16, block * 2, 0x1122334455667788), target.complete)
+    command("write in its capsule", host.write(1, 17, block, 0x99, in_capsule=True), target.complete)
     for delay in (1, 2, 3):
-        command(f"rejected with CRD {delay}", host.read(1, 0, 512), partial(target.rejected, delay=delay))
-    command("write rejected", host.write(1, 0, block, 5), lambda cid: target.rejected(cid, 1))
-    command("failed", host.read(1, 0, 512), target.failed)
-    talk.say("Flush", host.admin(0x00, 1))
-    talk.say("Flush of all namespaces", host.admin(0x00, 0xFFFFFFFF))
-    talk.say("unknown opcode", host.admin(0x08, 1))
-    talk.say("read of an unknown namespace", host.read(9, 0, 512))
-    talk.say("read past the end", host.read(1, 4095, 1024))
-    talk.say("read across a boundary", host.read(1, 120, 16 * 512))
-    check_approved("nvme-io.hex", talk.text)
+        command(f"rejected with CRD {delay}", host.read(1, 0, 512), partial(target.reject, delay=delay))
+    command("write rejected", host.write(1, 0, block, 5), lambda cid: target.reject(cid, 1))
+    command("failed", host.read(1, 0, 512), target.fail)
+    conversation.send("Flush", host.admin(0x00, 1))
+    conversation.send("Flush of all namespaces", host.admin(0x00, 0xFFFFFFFF))
+    conversation.send("unknown opcode", host.admin(0x08, 1))
+    conversation.send("read of an unknown namespace", host.read(9, 0, 512))
+    conversation.send("read past the end", host.read(1, 4095, 1024))
+    conversation.send("read across a boundary", host.read(1, 120, 16 * 512))
+    check_approved("nvme-io.hex", conversation.text)
 
 
 def test_a_connect_that_is_refused_has_the_approved_bytes() -> None:
@@ -136,30 +136,30 @@
         ("queue past the last", 17, 1),
         ("id", 0, 1),
     ):
-        talk = Conversation(InitiatorMachine(), TargetMachine(subsystem))
-        talk.say("ICReq", talk.initiator.sent())
-        talk.text = f"#### {title}\n"
-        talk.say("Connect", talk.initiator.connect(queue, controller))
-        text += talk.text
+        conversation = Conversation(InitiatorMachine(), TargetMachine(subsystem))
+        conversation.send("ICReq", conversation.initiator.take_output())
+        conversation.text = f"#### {title}\n"
+        conversation.send("Connect", conversation.initiator.connect(queue, controller))
+        text += conversation.text
     check_approved("nvme-connect-refused.hex", text)
 
 
 def test_the_initiator_sends_no_more_data_in_a_pdu_than_a_node_allows() -> None:
     host = InitiatorMachine()
-    talk = Conversation(host, TargetMachine())
-    host.sent()
+    conversation = Conversation(host, TargetMachine())
+    host.take_output()
     host.receive(pdu(1, struct.pack("<HBBI", 0, 0, 0, 4096)))
-    talk.note(
+    conversation.record(
         "host: write",
         host.write(1, 0, b"".join((b"%04d" % number).ljust(512, b".") for number in range(20)), 3),
     )
     for offset, length in ((0, 6144), (6144, 4096)):
-        host.receive(talk.note("node: R2T", pdu(9, struct.pack("<HHII", 1, 5, offset, length))))
-        talk.note("host: H2CData", host.sent())
-    check_approved("nvme-h2c-data.hex", talk.text)
+        host.receive(conversation.record("node: R2T", pdu(9, struct.pack("<HHII", 1, 5, offset, length))))
+        conversation.record("host: H2CData", host.take_output())
+    check_approved("nvme-h2c-data.hex", conversation.text)
 
 
-def test_the_initiator_takes_data_that_completes_its_command() -> None:
+def test_the_initiator_accepts_data_that_completes_its_command() -> None:
     host = InitiatorMachine()
     host.receive(pdu(1, struct.pack("<HBBI", 0, 0, 0, 4096)))
     host.read(1, 0, 512)
@@ -169,7 +169,7 @@
         host.receive(data)
 
 
-# Bytes that end a connection: what came before them, and they themselves.
+# Pairs of the bytes that precede invalid bytes, and the invalid bytes, which end the connection.
 BAD_BYTES: dict[str, tuple[bytes, bytes]] = {
     "unknown type": (b"", bytes([77]) * 200),
     "wrong header length": (b"", b"\x00\x00\x7f\x00\x80\x00\x00\x00" + bytes(120)),
@@ -189,7 +189,7 @@
     for title, (before, bad) in BAD_BYTES.items():
         target = TargetMachine()
         target.receive(before)
-        text += f"#### {title}\n{hexadecimal(bad)}== target\n{hexadecimal(target.receive(bad))}"
+        text += f"#### {title}\n{hex_dump(bad)}== target\n{hex_dump(target.receive(bad))}"
     check_approved("nvme-c2h-term.hex", text)
 
 
@@ -202,14 +202,14 @@
         "not the last": (2, 1, 0, 512),
     }
     for title, header in headers.items():
-        talk = io_session()
-        talk.target.receive(talk.initiator.write(1, 0, bytes(512), 3))
+        conversation = io_session()
+        conversation.target.receive(conversation.initiator.write(1, 0, bytes(512), 3))
         bad = pdu(6, struct.pack("<HHII", *header), bytes(512), 0 if title == "not the last" else 4)
-        text += f"#### {title}\n{hexadecimal(talk.target.receive(bad))}"
+        text += f"#### {title}\n{hex_dump(conversation.target.receive(bad))}"
     check_approved("nvme-data-out-of-range.hex", text)
 
 
 def test_a_command_before_connect_gets_the_approved_completion() -> None:
     target = TargetMachine()
     target.receive(IC_REQ)
-    check_approved("nvme-before-connect.hex", hexadecimal(target.receive(pdu(4, READ_BLOCK))))
+    check_approved("nvme-before-connect.hex", hex_dump(target.receive(pdu(4, READ_BLOCK))))
--- a/tests/transcripts/test_process_edge.py
+++ b/tests/transcripts/test_process_edge.py
@@ -1,8 +1,9 @@
-"""The edge of the process: exit status, output and error line of commands that are given bad input.
+"""Exit status, output and error line of commands, most of them with invalid input.
 
-The table is ``approved/process-edge.toml``. In a case ``config`` is the text of the platform's file, or is
-``missing`` or ``unset``. Without it the file is valid, and the JSON of ``change`` is merged into it (null
-removes a key). ``operator`` is the text of the operator's file, or of another that the command names.
+The cases are in ``approved/process-edge.toml``. ``config`` is the text of the platform's file; ``missing``
+omits the file, and ``unset`` also the environment variable that names it. Without ``config`` the file is
+valid, and the JSON of ``change`` is merged into it (null removes a key). ``operator`` is the text of the
+operator's file, or of another file that the command names.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 def merged(base: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
-    """The base with a change merged in; an empty table replaces what was there."""
+    """Return the base with a change merged in; an empty table replaces the value of the base."""
     out = dict(base)
     for key, value in change.items():
         if value is None:
@@ -36,13 +37,13 @@
 
 
 def valid_config() -> dict[str, Any]:
-    """A configuration that can be used, at addresses where nobody listens."""
+    """Return a valid configuration, with addresses at which no process listens."""
     addresses = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:9"}
     return {"name": "n0", **addresses, "seed": "1", "limits": {"sockets": 256}, "settings": settings()}
 
 
 def run(folder: Path, case: dict[str, Any]) -> tuple[int, str, str]:
-    """Run a command in a folder with its files: exit status, standard output and standard error."""
+    """Run a command in a folder with its files; return exit status, standard output and standard error."""
     text = case.get("config", json.dumps(merged(valid_config(), json.loads(case.get("change", "{}")))))
     if text not in ("missing", "unset"):
         (folder / "config.json").write_text(text)
@@ -51,7 +52,7 @@
     environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
     environment |= {"PYTHONPATH": str(ROOT), "COLUMNS": "100"}
     environment |= {} if text == "unset" else {"GW_CONFIG": "config.json"}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "sabledyke", *case["arguments"]],
         cwd=folder,
         env=environment,
@@ -59,7 +60,7 @@
         text=True,
         timeout=TEST_TIMEOUT_S,
     )
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
 @pytest.mark.parametrize("case", CASES, ids=[case["name"] for case in CASES])
--- a/tests/transcripts/test_storage_node_requests.py
+++ b/tests/transcripts/test_storage_node_requests.py
@@ -1,4 +1,4 @@
-"""What storage nodes get over HTTP: the bytes of reads, keyed writes, retries and hedged requests."""
+"""Bytes that storage nodes receive over HTTP: reads, keyed writes, retries and hedged requests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def deadlines(requests: list[bytes]) -> list[float]:
-    """The seconds that requests to nodes leave, one of each request."""
+    """Return the remaining seconds that each of these requests to nodes states."""
     found = [DEADLINE.findall(sent) for sent in requests]
     assert all(len(stated) == 1 for stated in found)
     return [float(stated[0]) for stated in found]
@@ -49,21 +49,21 @@
     run_scenario(scenario())
 
 
-def short_objective(**ceilings: Any) -> dict[str, Any]:
-    """Settings whose shortest latency objective, of a class not used, makes the scheduler try again soon."""
+def short_objective_settings(**ceilings: Any) -> dict[str, Any]:
+    """Return settings where a short latency objective of an unused class makes the scheduler retry soon."""
     config = settings(**ceilings)
     config["profiles"][2]["aim"] = 100
     return config
 
 
-def of_request(deployment: Deployment, ident: str) -> list[bytes]:
-    """What nodes got for one request of a client, from each attempt."""
+def attempts_of(deployment: Deployment, ident: str) -> list[bytes]:
+    """Return the bytes that nodes received for one request of a client, an item for each attempt."""
     mark = f"\r\nReq-Id: {ident}\r\n".encode()
     return [sent for node in deployment.nodes for sent in node.requests if mark in sent]
 
 
-def same_at_each_node(deployment: Deployment, requests: list[bytes]) -> str:
-    """The one transcript that all these attempts share."""
+def shared_transcript(deployment: Deployment, requests: list[bytes]) -> str:
+    """Return the transcript of all these attempts, which differ only in the node."""
     (shared,) = {
         re.sub("<node.>", "<node>", deployment.transcript(("each attempt", sent))) for sent in requests
     }
@@ -80,11 +80,13 @@
         return response(503, b"", "Srv-Declined: 1")
 
     async def scenario() -> None:
-        async with Deployment(tmp_path, decline_one, decline_one, config=short_objective()) as deployment:
+        async with Deployment(
+            tmp_path, decline_one, decline_one, config=short_objective_settings()
+        ) as deployment:
             sent = request("PUT", "/api/1/2", "Idempotency-Key: k1", body=b"hello", close=True)
             answer = await exchange(deployment.front, sent.replace(b"shard=0", b"shard=-1"))
-            attempts = of_request(deployment, "id-1")
-            shared = same_at_each_node(deployment, attempts)
+            attempts = attempts_of(deployment, "id-1")
+            shared = shared_transcript(deployment, attempts)
             assert len(attempts) in (2, 3)
             assert all(0 < left <= 20 for left in deadlines(attempts))
             check_approved("node-retry.txt", shared + deployment.transcript(("client's answer", answer)))
@@ -93,7 +95,7 @@
 
 
 def test_a_hedged_request_has_the_bytes_of_the_first(tmp_path: Path) -> None:
-    """An attempt that a later one overtook is made again, while it is still out."""
+    """A request is hedged if a later one overtakes its attempt, which is still in flight."""
     held = asyncio.Event()
 
     async def hold_the_first(number: int, sent: bytes) -> Response:
@@ -103,7 +105,7 @@
         return await echo(number, sent)
 
     async def scenario() -> None:
-        config = short_objective(second_copies=True)
+        config = short_objective_settings(second_copies=True)
         async with Deployment(tmp_path, hold_the_first, hold_the_first, config=config) as deployment:
             first = request(close=True).replace(b"shard=0", b"shard=-1")
             waiting = asyncio.create_task(exchange(deployment.front, first))
@@ -112,8 +114,8 @@
             later = request(ident="id-2", close=True).replace(b"shard=0", b"shard=%d" % shard)
             await exchange(deployment.front, later)
             answer = await waiting
-            attempts = of_request(deployment, "id-1")
-            shared = same_at_each_node(deployment, attempts)
+            attempts = attempts_of(deployment, "id-1")
+            shared = shared_transcript(deployment, attempts)
             assert len(attempts) in (2, 3)
             assert all(0 < left <= 20 for left in deadlines(attempts))
             check_approved("node-hedged.txt", shared + deployment.transcript(("client's answer", answer)))
