--- a/sabledyke/log.py
+++ b/sabledyke/log.py
@@ -39,7 +39,7 @@
         self._windows: dict[str, tuple[float, int]] = {}  # by kind: start of the window, lines in it
 
     def lines(self, kind: str, text: str) -> list[str]:
-        """Return the lines to write for a message: none, or any count of suppressed lines and the message."""
+        """Return the lines to write for a message: none, the message, or a suppression count before it."""
         now_s = self._clock()
         began_s, count = self._windows.get(kind, (now_s, 0))
         lines = []
--- a/sabledyke/operator_config.py
+++ b/sabledyke/operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's file: features that the platform turns off, such as NVMe over TCP, the store and leases.
+"""The operator's file: features that are off on the platform, such as NVMe over TCP, the store and leases.
 
 Each section is read by the package that it configures, which is imported only if the file has the section.
 This module checks the rules that concern more than one section.
--- a/sabledyke/settings.py
+++ b/sabledyke/settings.py
@@ -198,7 +198,7 @@
 
 
 def _choice(choices: type[_Choice], text: str, kind: str) -> _Choice:
-    """Returns the enum member with this value; the ValueError without one names the platform's kind."""
+    """Returns the enum member with this value, or raises a ValueError that names the platform's kind."""
     try:
         return choices(text)
     except ValueError:
