--- a/benchmarks/fleet_service.py
+++ b/benchmarks/fleet_service.py
@@ -14,7 +14,7 @@
 from sabledyke.rollout import disruption_budget
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.records import Plan, PlanStage
-from sabledyke.testbed.fleet import Fleet, plan_for_all, play
+from sabledyke.testbed.fleet import Fleet, plan_for_all, run_scenario
 from sabledyke.testbed.fleet_settings import FleetSettings
 
 PLAN_NAME = "p"
@@ -81,7 +81,7 @@
         poll_interval_ms=200,
     )
     with tempfile.TemporaryDirectory() as folder:
-        await play(settings, Path(folder), scenario)
+        await run_scenario(settings, Path(folder), scenario)
 
 
 async def measure_release_time(size: int) -> None:
@@ -104,7 +104,7 @@
         assert fleet.max_out() == 1
 
     with tempfile.TemporaryDirectory() as folder:
-        await play(FleetSettings(size, heartbeat_timeout_ms=4000), Path(folder), scenario)
+        await run_scenario(FleetSettings(size, heartbeat_timeout_ms=4000), Path(folder), scenario)
     cycle_s = sum(cycles_s) / len(cycles_s)
     ratio = release_s / size / cycle_s
     print(f"a release of {size}: {release_s:.1f} s, {ratio:.2f} times its cycles of {cycle_s:.2f} s")
@@ -117,7 +117,7 @@
         instances = fleet.cluster.instances
         pids = [instance.process.pid for instance in instances if instance.process is not None]
         cpu_before_s = [cpu_s(pid) for pid in pids]
-        fleet.stop_watching()  # no probes meanwhile
+        fleet.stop_background_tasks()  # no probes meanwhile
         await asyncio.sleep(IDLE_S)
         usage = [(cpu_s(pid) - before) / IDLE_S for pid, before in zip(pids, cpu_before_s, strict=True)]
         print(f"a member at rest, looking every 200 ms: {min(usage):.2%} to {max(usage):.2%} of a core")
@@ -126,7 +126,7 @@
         IDLE_FLEET_SIZE, poll_interval_ms=200, heartbeat_timeout_ms=8000, lease_ttl_ms=3000
     )
     with tempfile.TemporaryDirectory() as folder:
-        await play(settings, Path(folder), scenario)
+        await run_scenario(settings, Path(folder), scenario)
 
 
 def cpu_s(pid: int) -> float:
--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -129,7 +129,7 @@
     for seed in range(seed_count):
         run_folder = folder / f"{backend}-{kind}-{seed}"
         run_folder.mkdir()
-        report = await LeaseRun(experiment, run_folder, seed).play()
+        report = await LeaseRun(experiment, run_folder, seed).run()
         gaps_ms += report.takeover_gaps_ms
     unit_ms = experiment.ttl_ms + experiment.renew_interval_ms
     ratios = sorted(gap_ms / unit_ms for gap_ms in gaps_ms)
--- a/sabledyke/cli/lab.py
+++ b/sabledyke/cli/lab.py
@@ -106,8 +106,8 @@
     from sabledyke.testbed import experiment, lease_run
 
     described = experiment.load(path)
-    report = asyncio.run(lease_run.LeaseRun(described, folder, seed).play())
+    report = asyncio.run(lease_run.LeaseRun(described, folder, seed).run())
     print("\n".join([f"{described.name}, seed {seed}", *report.lines()]))
     evaluation = report.evaluation
     wrong = evaluation.overlap_count + evaluation.lease_overlap_count + evaluation.stale_count
-    return bool(evaluation.act_count) and not (wrong or evaluation.out_at_release_count)
+    return bool(evaluation.operation_count) and not (wrong or evaluation.in_flight_at_release_count)
--- a/sabledyke/testbed/availability.py
+++ b/sabledyke/testbed/availability.py
@@ -1,6 +1,6 @@
-"""Which members of a fleet answer, by probes of their listeners alone.
+"""Availability of the members of a fleet, measured by probes of their listeners.
 
-A probe knows nothing of tickets or plans: a member that does not answer is out.
+Probes don't consider tickets or plans: a member that does not answer is out of service.
 """
 
 from __future__ import annotations
@@ -10,51 +10,51 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-PROBE_INTERVAL_S = 0.025  # of one listener, in a fleet of up to the next figure
+PROBE_INTERVAL_S = 0.025  # interval of one listener's probes in a fleet of up to MEMBERS_AT_FULL_RATE
 MEMBERS_AT_FULL_RATE = 5
-PROBE_TIMEOUT_S = 5.0  # on a busy machine all processes may stand still for a second or two
+PROBE_TIMEOUT_S = 5.0  # all processes of a busy machine may stall for a second or two
 ANSWER_BYTES = 64
 
 
 @dataclass(slots=True)
 class Availability:
-    """When one member answered, and when not.
+    """Outages of one member, as its probes show them.
 
     Attributes:
-        outages: From the first failed probe to the next one that was answered, in order.
-        out_since: When an outage began that is not over; None where there is none.
-        was_up: Whether it has ever answered: before, it is not out yet.
+        outages: Start and end of each outage, in order: from the first failed probe to the next answered one.
+        outage_began_at: Start of the current outage; None if the member is available.
+        has_answered: True if the member has answered a probe; failed probes before that are no outage.
     """
 
     outages: list[tuple[float, float]] = field(default_factory=list)
-    out_since: float | None = None
-    was_up: bool = False
+    outage_began_at: float | None = None
+    has_answered: bool = False
 
     @property
     def outage_count(self) -> int:
-        """How often it was out, an outage that is not over included."""
-        return len(self.outages) + (self.out_since is not None)
+        """Number of outages, including the current one."""
+        return len(self.outages) + (self.outage_began_at is not None)
 
     def on_probe(self, started_at: float, *, answered: bool) -> None:
-        """Record a probe."""
+        """Record the result of a probe that was sent at ``started_at``."""
         if answered:
             self.end_outage(started_at)
-            self.was_up = True
-        elif self.was_up and self.out_since is None:
-            self.out_since = started_at
+            self.has_answered = True
+        elif self.has_answered and self.outage_began_at is None:
+            self.outage_began_at = started_at
 
     def end_outage(self, now: float) -> None:
-        """Record the end of an outage, if there is one."""
-        if self.out_since is not None:
-            self.outages.append((self.out_since, now))
-            self.out_since = None
+        """Record the end of the current outage, if there is one."""
+        if self.outage_began_at is not None:
+            self.outages.append((self.outage_began_at, now))
+            self.outage_began_at = None
 
 
-def max_out_at_once(members: list[Availability], now: float) -> int:
-    """Return how many were out at the worst moment; an outage that is not over counts until ``now``."""
+def max_concurrent_outages(members: list[Availability], now: float) -> int:
+    """Return the largest number of simultaneous outages; a current outage counts until ``now``."""
     changes: list[tuple[float, int]] = []
     for member in members:
-        current = [(member.out_since, now)] if member.out_since is not None else []
+        current = [(member.outage_began_at, now)] if member.outage_began_at is not None else []
         for begin, end in [*member.outages, *current]:
             changes += [(begin, 1), (end, -1)]
     max_out = 0
@@ -68,17 +68,17 @@
 async def probe_until(
     is_over: Callable[[], bool], port: int, availability: Availability, fleet_size: int
 ) -> None:
-    """Probe a listener and record its availability, until it is over."""
+    """Probe a listener and record its availability until ``is_over`` returns True."""
     interval_s = max(PROBE_INTERVAL_S, fleet_size * PROBE_INTERVAL_S / MEMBERS_AT_FULL_RATE)
     while not is_over():
         started_at = time.monotonic()
-        answered = await _answers(port)
+        answered = await _is_answering(port)
         availability.on_probe(started_at, answered=answered)
         await asyncio.sleep(interval_s)
     availability.end_outage(time.monotonic())
 
 
-async def _answers(port: int) -> bool:
+async def _is_answering(port: int) -> bool:
     try:
         async with asyncio.timeout(PROBE_TIMEOUT_S):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/sabledyke/testbed/cluster.py
+++ b/sabledyke/testbed/cluster.py
@@ -1,8 +1,8 @@
 """Processes of the program, each with a folder, a configuration and logs of its own.
 
-The cluster starts, signals and stops them, by process id and in bounded time; they end with it when it is
-killed. What they do it does not know: an experiment says what is in their operator's files. At most
-``MAX_PROCESSES`` of them.
+The cluster starts, signals and stops at most ``MAX_PROCESSES`` processes, by process id and in bounded time.
+The processes end with the cluster's process, even if that is killed. The experiment defines what they do: it
+provides the text of their operator's files.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from sabledyke.testbed.ports import hold_port
 
 MAX_PROCESSES = 64
-PAUSE_TIMEOUT_S = 30.0  # in which a process must be stopped inside, or outside, of a transaction
-STOP_TIMEOUT_S = 10.0  # from SIGTERM to SIGKILL
-STATE_POLL_S = 0.001  # between two looks whether a process has stopped
-PAUSE_RETRY_S = 0.002  # for which a process runs on that stopped at the wrong moment
-DEFAULT_SETTINGS: dict[str, Any] = {  # a small deployment; the experiment's own are in the operator's files
+PAUSE_TIMEOUT_S = 30.0  # limit for stopping a process inside, or outside, of a transaction
+STOP_TIMEOUT_S = 10.0  # time from SIGTERM to SIGKILL
+STATE_POLL_S = 0.001  # interval of checks that a process has stopped
+PAUSE_RETRY_S = 0.002  # running time of a process that stopped at the wrong moment, before the next try
+DEFAULT_SETTINGS: dict[str, Any] = {  # a small deployment; an experiment's settings are in operator's files
     "siblings": 1,
     "discovery": "on_request",
     "ceilings": {"try_limit": 3},
@@ -46,14 +46,14 @@
 
 @dataclass(slots=True)
 class Instance:
-    """One process, by the name that stays with it over restarts.
+    """One process of the cluster; its name stays the same over restarts.
 
     Attributes:
-        name: Its name.
-        folder: Its working directory.
-        starts: How often it was started.
-        port: The socket that reserves its listener's port.
-        process: The process of its last start.
+        name: The name of the instance.
+        folder: The working directory.
+        starts: The number of starts.
+        port: The socket that reserves the listener's port.
+        process: The process of the last start.
     """
 
     name: str
@@ -64,12 +64,12 @@
 
     @property
     def alive(self) -> bool:
-        """Whether its process exists, running or stopped."""
+        """True if the process exists, running or stopped."""
         return self.process is not None and self.process.returncode is None
 
     @property
     def port_number(self) -> int:
-        """Where it listens."""
+        """The port of the instance's listener."""
         assert self.port is not None, f"{self.name} is not prepared"
         return int(self.port.getsockname()[1])
 
@@ -79,7 +79,7 @@
 
     Attributes:
         instances: The processes, by number.
-        folder: Where their folders are.
+        folder: The folder that holds the instances' folders.
     """
 
     def __init__(self, folder: Path, size: int) -> None:
@@ -96,13 +96,13 @@
         settings: dict[str, Any] | None = None,
         discovery: str = "127.0.0.1:1",
     ) -> None:
-        """Write an instance's files.
+        """Write the configuration and the operator's file of an instance.
 
         Args:
-            number: Which instance.
-            operator_file: The text of its operator's file.
+            number: The instance's number.
+            operator_file: The text of the operator's file.
             settings: Settings that replace the defaults of the same names.
-            discovery: The address of its discovery.
+            discovery: The address of the instance's discovery.
         """
         instance = self.instances[number]
         instance.folder.mkdir(parents=True)
@@ -120,7 +120,7 @@
         (instance.folder / "operator.toml").write_text(operator_file)
 
     async def start(self, number: int) -> None:
-        """Start an instance, or start it again after its end."""
+        """Start an instance for the first time, or again after its process ended."""
         instance = self.instances[number]
         instance.starts += 1
         with open(instance.folder / f"log.{instance.starts}", "wb") as log:
@@ -141,19 +141,19 @@
             )
 
     def send_signal(self, number: int, what: signal.Signals) -> None:
-        """Send an instance a signal, if it is alive."""
+        """Send a signal to an instance if its process exists."""
         instance = self.instances[number]
         if instance.process is not None and instance.alive:
             instance.process.send_signal(what)
 
     async def pause(self, number: int, *, locking: bool = False) -> None:
-        """Stop a process outside of any transaction of a table that it shares, or with ``locking`` in one.
+        """Stop a process outside of any transaction of a shared table, or with ``locking`` inside one.
 
-        A process that is stopped in the middle of a transaction keeps the file's lock, and nobody writes
-        there until it goes on or ends. Which of the two an experiment means must not be left to chance.
+        A process that is stopped in the middle of a transaction keeps the file's lock, so that no other
+        process can write there until it continues or ends. Experiments need one of the two cases, not chance.
 
         Raises:
-            TimeoutError: It could not be stopped at such a moment.
+            TimeoutError: The process could not be stopped at such a moment.
         """
         process = self.instances[number].process
         async with asyncio.timeout(PAUSE_TIMEOUT_S):
@@ -167,7 +167,7 @@
                 await asyncio.sleep(PAUSE_RETRY_S)
 
     async def stop(self) -> list[int]:
-        """Stop all processes, by SIGTERM and where that is not enough by SIGKILL.
+        """Stop all processes with SIGTERM, and with SIGKILL if they run longer than ``STOP_TIMEOUT_S``.
 
         Returns:
             The exit status of each process.
@@ -197,7 +197,7 @@
     def timeline(self) -> list[dict[str, Any]]:
         """Return the log lines of all processes by wall time.
 
-        A line that is not JSON is given as ``raw``, at the time of the line before it.
+        A line that is not JSON is returned as ``raw``, with the time of the line before it.
         """
         lines = [
             line
@@ -209,7 +209,7 @@
 
 
 def _environment() -> dict[str, str]:
-    """Return the environment of a process: this one's, but for the program's own variables."""
+    """Return this process's environment with the program's variables replaced by those of an instance."""
     inherited = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
     path = os.pathsep.join(folder for folder in sys.path if folder)
     return {**inherited, "GW_CONFIG": "config.json", "PYTHONPATH": path}
@@ -229,7 +229,7 @@
 
 
 def _is_stopped(pid: int) -> bool:
-    """Return whether the process is stopped, or does not exist any more."""
+    """Return True if the process is stopped or no longer exists."""
     try:
         state = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
     except FileNotFoundError:
@@ -238,6 +238,6 @@
 
 
 def _holds_write_lock(pid: int) -> bool:
-    """Return whether the process holds a file's lock for writing, by proc(5)'s /proc/locks."""
+    """Return True if the process holds a write lock on a file, according to /proc/locks (see proc(5))."""
     rows = (line.split() for line in Path("/proc/locks").read_text().splitlines())
     return any(row[1:5] == ["POSIX", "ADVISORY", "WRITE", str(pid)] for row in rows)
--- a/sabledyke/testbed/deployment.py
+++ b/sabledyke/testbed/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that a fleet, its storage nodes and its clients have in common."""
+"""Deployment settings that a fleet, its storage nodes and its clients share."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 DEADLINE_MS = 1000
 DEDUPLICATION_WINDOW_MS = 2000
 
-# The protocol's rule on storage nodes that are warming up: one fails if it gets more than this.
-SLOW_START_MIN_REQUESTS = 20  # that any node bears within the time below
+# The protocol's slow-start rule: a storage node that is warming up fails if it gets more requests than this.
+SLOW_START_MIN_REQUESTS = 20  # requests that any node can serve within SLOW_START_WINDOW_S
 SLOW_START_WINDOW_S = 2.0
-SLOW_START_FRACTION = 0.25  # of a warm node's capacity, that one bears right after its start
-OVERLOAD_MULTIPLE = 2.0  # of its capacity then, at which it fails
-NODE_CAPACITY_UNITS_PER_S = 30.0  # that a warm node is assumed to bear, where that rule is checked
+SLOW_START_FRACTION = 0.25  # capacity of a node right after its start, as a fraction of a warm node's
+OVERLOAD_MULTIPLE = 2.0  # load at which a node fails, in multiples of its current capacity
+NODE_CAPACITY_UNITS_PER_S = 30.0  # assumed capacity of a warm node in the check of the slow-start rule
 
-STOP_SENDING_WITHIN_MS = 300  # in which a member may still send a draining node what no other can serve
+STOP_SENDING_WITHIN_MS = 300  # time in which a draining node may still get requests no other node can serve
 LIMITED_PLAN = "capped"
 
-TRAFFIC_SETTINGS: dict[str, Any] = {  # what a fleet with clients needs beside the cluster's own
+TRAFFIC_SETTINGS: dict[str, Any] = {  # additions to cluster.DEFAULT_SETTINGS for a fleet with clients
     "kinds": ["m"],
     "zones": ["z"],
     "ceilings": {"try_limit": 3, "retry_after": True, "max_retry_after": 300, "cancel": True},
@@ -58,9 +58,9 @@
     """Return the settings of a fleet with clients.
 
     Args:
-        node_warm_up_ms: How long a storage node takes to warm up.
-        volume_limit: Units a second of each volume on the limited plan, and as many at once; 0 for no such
-            plan.
+        node_warm_up_ms: The warm-up time of a storage node.
+        volume_limit: The rate of each volume on the limited plan, in units per second, and its burst in
+            units; 0 for no limited plan.
     """
     slow_start = {
         "warm_up": node_warm_up_ms,
--- a/sabledyke/testbed/etcd_server.py
+++ b/sabledyke/testbed/etcd_server.py
@@ -1,8 +1,8 @@
-"""A stand-in of etcd's lease and transaction API over its JSON gateway, written from the published API.
+"""A stand-in for etcd's lease and transaction API over its JSON gateway, written from the published API.
 
-One member, in memory, with a clock that may run fast or slow. ``restart`` does what a newly elected leader
-does: keys stay, connections are reset, and every lease has its full time to live again. Bounded by the leader
-tasks of the experiment.
+It is one member, keeps its data in memory, and has a clock that may run fast or slow. ``restart`` behaves
+like the election of a new leader: keys stay, connections are reset, and every lease has its full time to
+live again. Its load is bounded by the leader tasks of the experiment.
 """
 
 from __future__ import annotations
@@ -49,11 +49,11 @@
 
 
 class Etcd(Service):
-    """Grant, keep-alive, revoke and time-to-live of leases; range and txn on keys.
+    """Serves grant, keep-alive, revoke and time-to-live of leases, and range and txn on keys.
 
     Attributes:
-        calls: How many requests it got.
-        before_answer: Called with each request's body when it is executed, and not yet answered.
+        calls: The number of requests received.
+        before_answer: Called with each request's body after its execution and before its answer.
     """
 
     def __init__(self, clock_rate: float = 1.0) -> None:
@@ -64,23 +64,23 @@
         self._revision = 1
         self._last_lease_id = 1000
         self._keys: dict[str, _Key] = {}
-        self._names: list[tuple[bytes, str]] = []  # decoded and encoded, in the order of their bytes
+        self._names: list[tuple[bytes, str]] = []  # decoded and encoded names, sorted by their bytes
         self._leases: dict[str, _Lease] = {}
 
     async def restart(self, down_s: float) -> None:
-        """Stop, and start again after so many seconds."""
+        """Stop the server, and start it again after ``down_s`` seconds."""
         await self.close()
         await asyncio.sleep(down_s)
         await self.reopen()
 
     async def reopen(self) -> None:
-        """Start again after ``close``: keys are as they were, leases have their full time to live again."""
+        """Start again after ``close`` with the same keys; each lease has its full time to live again."""
         for lease in self._leases.values():
             lease.expires_at_s = self._now_s() + lease.ttl_s
         await self.open()
 
     async def answer(self, path: str, _headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
-        """Answer one call of the API; see ``Service``."""
+        """Execute one call of the API, and answer it in JSON."""
         self.calls += 1
         self._expire_leases()
         status, response = self._execute(path, body)
@@ -120,7 +120,7 @@
 
     def _keep_alive(self, lease_id: str) -> dict[str, Any]:
         lease = self._leases.get(lease_id)
-        if lease is None:  # as published: an answer without TTL, not an error
+        if lease is None:  # etcd's API answers without a TTL here, not with an error
             return self._with_header({"ID": lease_id})
         lease.expires_at_s = self._now_s() + lease.ttl_s
         return self._with_header({"ID": lease_id, "TTL": str(lease.ttl_s)})
@@ -193,7 +193,7 @@
         )
 
     def _delete(self, name: str) -> bool:
-        """Delete a key, and return whether there was one."""
+        """Delete a key, and return True if it existed."""
         if self._keys.pop(name, None) is None:
             return False
         del self._names[bisect_left(self._names, (_decode(name), name))]
--- a/sabledyke/testbed/experiment.py
+++ b/sabledyke/testbed/experiment.py
@@ -1,7 +1,7 @@
-"""What an experiment on leases is, and how it is read from a TOML file.
+"""Definition of experiments on leases, and their TOML files.
 
-Processes of the program share one lease authority and act on one resource, with faults between them. The
-experiment is played by ``lease_run``.
+Processes of the program share one lease authority and send the operations of a leader task to one resource,
+while faults are injected. ``lease_run`` runs the experiment.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from sabledyke.toml_tables import Table, convert, from_file, parsed
 
 MAX_LENGTH_S = 600.0
-HOLDER = "holder"  # in a file: the instance that acted last
+HOLDER = "holder"  # a fault's target in a file: the instance whose operation was accepted last
 
 
 class FaultKind(StrEnum):
-    """What a fault does; the values stand in files."""
+    """Kinds of faults; the values are used in files."""
 
     PAUSE = "pause"
     KILL = "kill"
     TERMINATE = "term"
     PARTITION = "part"
-    PARTITION_REQUESTS = "part_to"  # to the authority
-    PARTITION_ANSWERS = "part_from"  # from the authority
+    PARTITION_REQUESTS = "part_to"  # holds back requests to the authority
+    PARTITION_ANSWERS = "part_from"  # holds back answers from the authority
     SLOW_NETWORK = "slow"
     RESET_CONNECTION = "cut"
     RESTART_AUTHORITY = "restart_authority"
-    DELAY_ACTS = "hold_acts"
-    ACT_AFTER_TAKEOVER = "late"
+    DELAY_OPERATIONS = "hold_acts"
+    OPERATION_AFTER_TAKEOVER = "late"
     STOP_IN_TRANSACTION = "lock"
 
 
@@ -41,10 +41,10 @@
     """A fault of the experiment.
 
     Attributes:
-        kind: What happens.
-        at_s: When, from the first act on.
-        duration_s: For how long.
-        target: The number of the instance that it happens to; None for the one that acted last.
+        kind: The kind of fault.
+        at_s: Time from the first operation to the start of the fault, in seconds.
+        duration_s: The duration in seconds.
+        target: The number of the affected instance; None for the one whose operation was accepted last.
     """
 
     kind: FaultKind
@@ -58,19 +58,19 @@
     """An experiment on leases.
 
     Attributes:
-        name: Its name.
-        instance_count: How many processes there are.
-        length_s: How long it runs after the first act.
-        authority: What the leases are stored in, ``table`` or ``etcd``.
+        name: The experiment's name.
+        instance_count: The number of processes.
+        length_s: The running time after the first operation, in seconds.
+        authority: The storage of the leases, ``table`` or ``etcd``.
         ttl_ms: The lease's time to live.
         renew_interval_ms: The time between two renewals.
-        safety_margin_ms: How long before its expiry a holder stops acting.
-        max_clock_drift: By how much the rates of clocks may differ.
-        act_duration_ms: How long the resource takes for an act.
-        act_interval_s: The time between two acts of a holder.
-        fenced: Whether the resource checks the fencing token.
-        clock_offsets_ms: By how much each instance's clock is ahead; () for not at all.
-        clock_rates: How fast each instance's clock goes; () for 1 each.
+        safety_margin_ms: The time before a lease's expiry at which its holder stops its operations.
+        max_clock_drift: The largest difference between the rates of clocks.
+        operation_duration_ms: The time that the resource takes for an operation.
+        operation_interval_s: The time between two operations of a holder, in seconds.
+        fenced: True if the resource checks the fencing token.
+        clock_offsets_ms: The offset of each instance's clock; () for 0 each.
+        clock_rates: The rate of each instance's clock; () for 1 each.
         faults: The faults.
     """
 
@@ -82,8 +82,8 @@
     renew_interval_ms: int = 400
     safety_margin_ms: int = 500
     max_clock_drift: float = 0.02
-    act_duration_ms: float = 20.0
-    act_interval_s: float = 0.05
+    operation_duration_ms: float = 20.0
+    operation_interval_s: float = 0.05
     fenced: bool = True
     clock_offsets_ms: tuple[float, ...] = ()
     clock_rates: tuple[float, ...] = ()
@@ -98,7 +98,7 @@
     """Read an experiment's file.
 
     Raises:
-        OperatorError: It cannot be used.
+        OperatorError: The file cannot be read, or its content is invalid.
     """
     return from_file(path, read)
 
@@ -107,7 +107,7 @@
     """Read the text of an experiment's file.
 
     Raises:
-        OperatorError: It cannot be used.
+        OperatorError: The text is invalid.
     """
     table = convert(parsed(text), ExperimentTable, "file")
     clock_offsets_ms = [0.0] * table.instances
@@ -124,8 +124,8 @@
         renew_interval_ms=table.renew_ms,
         safety_margin_ms=table.margin_ms,
         max_clock_drift=table.drift,
-        act_duration_ms=table.act_ms,
-        act_interval_s=table.every_s,
+        operation_duration_ms=table.act_ms,
+        operation_interval_s=table.every_s,
         fenced=table.fenced,
         clock_offsets_ms=tuple(clock_offsets_ms),
         clock_rates=tuple(clock_rates),
@@ -134,7 +134,7 @@
 
 
 class ClockRow(Table, frozen=True, kw_only=True):
-    """How an instance's clock goes, as the file has it."""
+    """An instance's clock in the file's format."""
 
     who: Annotated[int, Meta(ge=0, lt=MAX_PROCESSES)]
     offset_ms: Annotated[float, Meta(ge=-1e9, le=1e9)] = 0.0
@@ -142,7 +142,7 @@
 
 
 class FaultRow(Table, frozen=True, kw_only=True):
-    """A fault, as the file has it."""
+    """A fault in the file's format."""
 
     what: Literal[
         "pause",
@@ -163,13 +163,13 @@
     for_s: Seconds = 0.0
 
     def to_fault(self) -> Fault:
-        """Return the fault."""
+        """Convert the row to a fault."""
         target = self.who if isinstance(self.who, int) else None
         return Fault(FaultKind(self.what), self.at_s, self.for_s, target)
 
 
 class ExperimentTable(Table, frozen=True, kw_only=True):
-    """An experiment, as the file has it."""
+    """An experiment in the file's format."""
 
     name: str
     instances: Annotated[int, Meta(ge=1, le=MAX_PROCESSES)] = DEFAULTS.instance_count
@@ -179,8 +179,8 @@
     renew_ms: Annotated[int, Meta(ge=10, le=60_000)] = DEFAULTS.renew_interval_ms
     margin_ms: Annotated[int, Meta(ge=1, le=60_000)] = DEFAULTS.safety_margin_ms
     drift: Annotated[float, Meta(ge=0, le=0.2)] = DEFAULTS.max_clock_drift
-    act_ms: Annotated[float, Meta(ge=0, le=10_000)] = DEFAULTS.act_duration_ms
-    every_s: Annotated[float, Meta(ge=0.01, le=3600)] = DEFAULTS.act_interval_s
+    act_ms: Annotated[float, Meta(ge=0, le=10_000)] = DEFAULTS.operation_duration_ms
+    every_s: Annotated[float, Meta(ge=0.01, le=3600)] = DEFAULTS.operation_interval_s
     fenced: bool = True
     clock: tuple[ClockRow, ...] = ()
     fault: tuple[FaultRow, ...] = ()
@@ -189,4 +189,4 @@
         known = {HOLDER, *range(self.instances)}
         named = {row.who for row in self.fault} | {row.who for row in self.clock}
         if not named <= known:
-            raise ValueError(f"who is holder, or a number below {self.instances}")
+            raise ValueError(f"who must be holder, or a number below {self.instances}")
--- a/sabledyke/testbed/fault_proxy.py
+++ b/sabledyke/testbed/fault_proxy.py
@@ -1,7 +1,7 @@
 """A fault proxy on loopback: delays, holds back or cuts off the bytes between two processes.
 
-The experiment says when which fault begins and ends. The proxy itself draws nothing but jitter, from the seed
-that it is given. Bounded: at most ``MAX_CONNECTIONS`` connections, and ``READ_BYTES`` bytes a read.
+The experiment begins and ends the faults; the proxy's only random choice is jitter, from its seed. It is
+bounded by ``MAX_CONNECTIONS`` connections and ``READ_BYTES`` bytes per read.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @dataclass(slots=True)
 class Direction:
-    """What happens to the bytes that go one way.
+    """Faults of the bytes that go in one direction.
 
     Attributes:
-        delay_ms: How long each read is delayed.
-        jitter_ms: The longest random time on top of that.
-        pending_reads: Reads that are held back now.
-        bytes_until_reset: The connection is reset after so many more bytes; None for never.
-        passing: Bytes are held back while this is not set.
+        delay_ms: The delay of each read.
+        jitter_ms: The largest random addition to the delay.
+        pending_reads: The number of reads that are held back now.
+        bytes_until_reset: The number of further bytes after which the connection is reset; None for no reset.
+        passing: Cleared while bytes are held back.
     """
 
     delay_ms: float = 0.0
@@ -36,7 +36,7 @@
         self.passing.set()
 
     def heal(self) -> None:
-        """End every fault of this direction."""
+        """End all faults of this direction."""
         self.delay_ms = 0.0
         self.jitter_ms = 0.0
         self.bytes_until_reset = None
@@ -47,9 +47,9 @@
     """Listens on a port of its own, between one process and one server.
 
     Attributes:
-        to_server: What happens to the process's bytes.
-        to_client: What happens to the server's answers.
-        port: Where it listens; 0 until it is open.
+        to_server: Faults of the bytes from the process to the server.
+        to_client: Faults of the bytes from the server to the process.
+        port: The port of the listener; 0 until it is open.
     """
 
     def __init__(self, server_port: int, seed: int) -> None:
@@ -62,7 +62,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> None:
-        """Begin to listen."""
+        """Start the listener."""
         self._listener = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
         self.port = int(self._listener.sockets[0].getsockname()[1])
 
@@ -74,7 +74,7 @@
             self.to_client.passing.clear()
 
     def heal(self) -> None:
-        """Let everything pass again, bytes that were held back first."""
+        """End all faults; bytes that were held back pass first."""
         self.to_server.heal()
         self.to_client.heal()
 
@@ -119,7 +119,7 @@
             writer.write_eof()
 
     async def _hold_back(self, direction: Direction) -> None:
-        """Wait for the direction's delay, and until it lets bytes pass."""
+        """Wait for the direction's delay, and until its bytes are no longer held back."""
         if direction.delay_ms or direction.jitter_ms:
             jitter_ms = self._random.random() * direction.jitter_ms
             await asyncio.sleep((direction.delay_ms + jitter_ms) / 1000)
@@ -129,17 +129,17 @@
 
 
 async def _write(data: bytes, writer: asyncio.StreamWriter, direction: Direction) -> None:
-    """Write the data, or as much of it as goes through before the connection is reset.
+    """Write the data, or the part of it that precedes the connection's reset.
 
     Raises:
-        ConnectionResetError: The connection is to be reset now.
+        ConnectionResetError: The connection must be reset now.
     """
     remaining = direction.bytes_until_reset
     if remaining is not None and remaining < len(data):
         writer.write(data[:remaining])
         await writer.drain()
         direction.bytes_until_reset = None
-        raise ConnectionResetError("cut in the middle of a message")
+        raise ConnectionResetError("fault proxy resets the connection in the middle of a message")
     if remaining is not None:
         direction.bytes_until_reset = remaining - len(data)
     writer.write(data)
--- a/sabledyke/testbed/fenced_resource.py
+++ b/sabledyke/testbed/fenced_resource.py
@@ -1,8 +1,9 @@
-"""A resource that a leader task acts on, and the check of its record of acts.
+"""A resource that executes the operations of a leader task, and the check of its record of operations.
 
-Every act comes with its holder and token and with what the holder knew of its lease when it sent it. It takes
-a while, and is recorded with start and end on the machine's monotonic clock, which the holder's times are on
-too. Without fencing the resource accepts every act, which shows that the check finds what it is for.
+Every operation carries its holder, the fencing token, and the holder's times of its lease when it was sent.
+It takes a configured time, and is recorded with start and end on the machine's monotonic clock, which the
+holder's times use too. Without fencing the resource accepts every operation, to show that the check finds
+violations.
 """
 
 from __future__ import annotations
@@ -26,18 +27,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Act:
-    """One act that was accepted; times are on the machine's monotonic clock.
+class Operation:
+    """One accepted operation; times are on the machine's monotonic clock.
 
     Attributes:
         task: The leader task.
-        holder: Who held its lease.
+        holder: The holder of the task's lease.
         token: The lease's fencing token.
-        confirmed_ms: When the holder requested the latest confirmation of its lease.
-        sent_ms: When it sent the act.
-        held_until_ms: Until when it could act, as far as it knew then.
-        start_ms: When the act began.
-        end_ms: When it was done.
+        confirmed_ms: Time at which the holder requested the latest confirmation of its lease.
+        sent_ms: Time at which the holder sent the operation.
+        held_until_ms: End of the time for operations under the lease, as the holder knew it at ``sent_ms``.
+        start_ms: Time at which the operation began.
+        end_ms: Time at which it completed.
     """
 
     task: str
@@ -51,33 +52,33 @@
 
 
 class FencedResource(Service):
-    """Accepts ``POST`` with the headers of ``lease.leader_tasks``; 409 for a token older than one it knows.
+    """Executes requests with the headers of ``lease.leader_tasks``; answers 409 to an outdated token.
 
     Attributes:
-        fence: What it knows of tokens.
-        acts: The acts that were accepted, in the order in which they ended.
-        act_duration_s: How long an act takes, in seconds.
-        begun_count: The acts that were accepted, those under way too.
-        last_holder: The holder whose act was accepted last, "" for none.
+        fence: The highest token seen for each leader task.
+        operations: The completed operations, in the order of their ends.
+        operation_duration_s: The duration of an operation in seconds.
+        begun_count: The number of accepted operations, including those in flight.
+        last_holder: The holder whose operation was accepted last, "" for none.
     """
 
-    def __init__(self, act_duration_ms: float, *, fenced: bool = True) -> None:
+    def __init__(self, operation_duration_ms: float, *, fenced: bool = True) -> None:
         """Create a resource.
 
         Args:
-            act_duration_ms: How long an act takes.
-            fenced: Whether acts under an older token are rejected.
+            operation_duration_ms: The duration of an operation.
+            fenced: True if operations under an outdated token are rejected.
         """
         super().__init__()
         self.fence = Fence()
-        self.acts: list[Act] = []
+        self.operations: list[Operation] = []
         self.begun_count = 0
         self.last_holder = ""
-        self.act_duration_s = act_duration_ms / 1000
+        self.operation_duration_s = operation_duration_ms / 1000
         self._fenced = fenced
 
     async def answer(self, _path: str, headers: dict[str, str], _body: bytes) -> tuple[int, bytes]:
-        """Carry out an act; see ``Service``."""
+        """Execute an operation, or reject it for its token."""
         task = headers[TASK_HEADER]
         holder = headers[HOLDER_HEADER]
         token = int(headers[TOKEN_HEADER])
@@ -89,89 +90,98 @@
             return HTTPStatus.CONFLICT, b""
         self.last_holder = holder
         self.begun_count += 1
-        await asyncio.sleep(self.act_duration_s)
-        self.acts.append(Act(task, holder, token, confirmed_ms, sent_ms, held_until_ms, start_ms, _now_ms()))
+        await asyncio.sleep(self.operation_duration_s)
+        self.operations.append(
+            Operation(task, holder, token, confirmed_ms, sent_ms, held_until_ms, start_ms, _now_ms())
+        )
         return HTTPStatus.OK, b""
 
 
 @dataclass(slots=True, frozen=True)
-class ActEvaluation:
-    """What a record of acts shows.
+class OperationEvaluation:
+    """The evaluation of a record of operations.
 
     Attributes:
-        act_count: Acts that were accepted.
-        holder_count: Holders that acted.
-        overlap_count: Pairs of acts under two tokens at once.
-        lease_overlap_count: Acts that were sent while an earlier holder could still act, as far as it knew.
-        out_at_release_count: Acts that had not ended when the lease that they were sent under was released.
-        stale_count: Acts accepted under an older token than one before them.
-        longest_gap_ms: The longest time between the end of an act and the start of the next.
+        operation_count: The number of completed operations.
+        holder_count: The number of holders with operations.
+        overlap_count: The number of pairs of simultaneous operations under different tokens.
+        lease_overlap_count: The number of operations sent while an earlier holder still relied on its lease.
+        in_flight_at_release_count: The number of operations in flight when their lease was released.
+        stale_count: The number of operations accepted under an older token than one before them.
+        longest_gap_ms: The longest time between the end of an operation and the start of the next.
     """
 
-    act_count: int
+    operation_count: int
     holder_count: int
     overlap_count: int
     lease_overlap_count: int
-    out_at_release_count: int
+    in_flight_at_release_count: int
     stale_count: int
     longest_gap_ms: float
 
 
-def evaluate(acts: Sequence[Act], released_at_ms: Mapping[int, float] | None = None) -> ActEvaluation:
-    """Check the acts of one leader task. No acts give an evaluation of none, which is not a good one.
+def evaluate(
+    operations: Sequence[Operation], released_at_ms: Mapping[int, float] | None = None
+) -> OperationEvaluation:
+    """Check the operations of one leader task; a caller must treat an empty record as a failure.
 
     Args:
-        acts: The acts.
-        released_at_ms: When the lease of a token was released, on the clock of the acts.
+        operations: The accepted operations.
+        released_at_ms: The time of each lease's release by token, on the clock of the operations.
     """
     released_at_ms = released_at_ms or {}
-    ordered = sorted(acts, key=lambda act: act.start_ms)
-    return ActEvaluation(
-        act_count=len(ordered),
-        holder_count=len({act.holder for act in ordered}),
-        overlap_count=sum(_overlaps(act, ordered[i + 1 :]) for i, act in enumerate(ordered)),
-        lease_overlap_count=_lease_overlap_count(acts, released_at_ms),
-        out_at_release_count=sum(act.end_ms > released_at_ms.get(act.token, inf) for act in acts),
+    ordered = sorted(operations, key=lambda operation: operation.start_ms)
+    return OperationEvaluation(
+        operation_count=len(ordered),
+        holder_count=len({operation.holder for operation in ordered}),
+        overlap_count=sum(_overlap_count(operation, ordered[i + 1 :]) for i, operation in enumerate(ordered)),
+        lease_overlap_count=_lease_overlap_count(operations, released_at_ms),
+        in_flight_at_release_count=sum(
+            operation.end_ms > released_at_ms.get(operation.token, inf) for operation in operations
+        ),
         stale_count=_stale_count(ordered),
         longest_gap_ms=_longest_gap_ms(ordered),
     )
 
 
-def _overlaps(act: Act, later_acts: Sequence[Act]) -> int:
-    """Return how many acts under other tokens begin before this one ends."""
+def _overlap_count(operation: Operation, later_operations: Sequence[Operation]) -> int:
+    """Return how many operations under other tokens begin before this one ends."""
     overlaps = 0
-    for later in later_acts:
-        if later.start_ms >= act.end_ms:
+    for later in later_operations:
+        if later.start_ms >= operation.end_ms:
             break
-        overlaps += later.token != act.token
+        overlaps += later.token != operation.token
     return overlaps
 
 
-def _lease_overlap_count(acts: Sequence[Act], released_at_ms: Mapping[int, float]) -> int:
-    """Return how many acts were sent before an earlier token's holder had to stop, whatever took how long."""
+def _lease_overlap_count(operations: Sequence[Operation], released_at_ms: Mapping[int, float]) -> int:
+    """Return how many operations were sent before the end of an earlier token's lease.
+
+    Their durations don't matter: the lease ends at its release, or when its holder had to stop.
+    """
     overlaps = 0
-    for act in acts:
-        earlier = (other for other in acts if other.token < act.token)
+    for operation in operations:
+        earlier = (other for other in operations if other.token < operation.token)
         ends_ms = (min(other.held_until_ms, released_at_ms.get(other.token, inf)) for other in earlier)
-        overlaps += any(act.sent_ms < end_ms for end_ms in ends_ms)
+        overlaps += any(operation.sent_ms < end_ms for end_ms in ends_ms)
     return overlaps
 
 
-def _stale_count(ordered: Sequence[Act]) -> int:
+def _stale_count(ordered: Sequence[Operation]) -> int:
     highest_token = 0
     stale = 0
-    for act in ordered:
-        stale += act.token < highest_token
-        highest_token = max(highest_token, act.token)
+    for operation in ordered:
+        stale += operation.token < highest_token
+        highest_token = max(highest_token, operation.token)
     return stale
 
 
-def _longest_gap_ms(ordered: Sequence[Act]) -> float:
+def _longest_gap_ms(ordered: Sequence[Operation]) -> float:
     longest_ms = 0.0
     completed_ms = ordered[0].end_ms if ordered else 0.0
-    for act in ordered:
-        longest_ms = max(longest_ms, act.start_ms - completed_ms)
-        completed_ms = max(completed_ms, act.end_ms)
+    for operation in ordered:
+        longest_ms = max(longest_ms, operation.start_ms - completed_ms)
+        completed_ms = max(completed_ms, operation.end_ms)
     return longest_ms
 
 
--- a/sabledyke/testbed/fleet.py
+++ b/sabledyke/testbed/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes under releases and faults, with storage nodes and clients round it.
+"""A fleet of real processes under releases and faults, with storage nodes and clients.
 
-Each process is started again when it ends, as the version that it asked for, and its listener is probed all
-the time. Runs on loopback, bounded in time; ends only what it started.
+A process that ends is started again as the version that it requested, and its listener is probed throughout.
+The fleet runs on loopback for a bounded time, and ends only processes that it started.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from sabledyke.rollout.moves import Move
 from sabledyke.rollout.records import FLEET_TOPIC, Plan, PlanStage
 from sabledyke.testbed import fleet_faults
-from sabledyke.testbed.availability import Availability, max_out_at_once, probe_until
+from sabledyke.testbed.availability import Availability, max_concurrent_outages, probe_until
 from sabledyke.testbed.cluster import Cluster
 from sabledyke.testbed.deployment import traffic_settings
 from sabledyke.testbed.fleet_faults import FleetFault
@@ -35,30 +35,30 @@
 from sabledyke.testbed.supervisor import FIRST_VERSION, Supervisor
 from sabledyke.testbed.workload import Client, ClientMetrics
 
-WAIT_TIMEOUT_S = 180.0  # that a busy machine may take for what a scenario waits for
-POLL_S = 0.05  # between two polls of the log
+WAIT_TIMEOUT_S = 180.0  # limit of one wait of a scenario, with room for a busy machine
+POLL_S = 0.05  # interval of polls of the log
 PLACEMENT_POLL_S = 0.1
 VOLUMES_PER_CLIENT = 40
-REQUEST_INTERVAL_S = 0.2  # of one client, on average
-COMMAND_RETRIES = 20  # of an operator's command, while the log stalls
-PAGE_MESSAGES = 7  # of a reader that joins late
+REQUEST_INTERVAL_S = 0.2  # mean time between two requests of a client
+COMMAND_RETRIES = 20  # retries of an operator's command while the log stalls
+PAGE_MESSAGES = 7  # messages per page of a reader that reads the topic from its start
 
 
 class Fleet:
-    """One run of a fleet; use it as a context.
+    """One run of a fleet, as an asynchronous context manager.
 
     Attributes:
         settings: The fleet's settings.
-        cluster: Its processes.
-        supervisor: Whoever starts them again.
-        storage: Where their log and leases are.
+        cluster: The processes.
+        supervisor: The supervisor that restarts the processes.
+        storage: The storage of the log and the leases.
         nodes: The storage nodes.
-        availability: What the probes of each member showed.
-        metrics: What its clients saw.
-        node_operator: Whoever takes drained storage nodes away.
-        transcript_names: What members are called in the transcript, where their roles matter.
-        log: The compacted log, once the fleet has started.
-        statuses: The exit statuses of the processes, once it has ended.
+        availability: The availability of each member, by its number.
+        metrics: The outcomes and latencies of the clients' requests.
+        node_operator: The operator that replaces or removes drained storage nodes.
+        transcript_names: Names by role that replace members' names in the transcript.
+        log: The compacted log; set when the fleet starts.
+        statuses: The exit statuses of the processes; empty before the fleet's end.
     """
 
     def __init__(self, settings: FleetSettings, folder: Path, seed: int = 1) -> None:
@@ -90,18 +90,18 @@
         await self.log.backend.open()
         await asyncio.gather(*(self.cluster.start(number) for number in range(self.settings.size)))
         for number in range(self.settings.size):
-            self._run_in_background(self.supervisor.supervise(number))
-            self._run_in_background(self._probe(number))
+            self._start_in_background(self.supervisor.supervise(number))
+            self._start_in_background(self._probe(number))
         await self.wait_until(self._is_complete)
         if self.settings.nodes_per_shard > 1:
-            self._run_in_background(self.node_operator.run(self.log))
+            self._start_in_background(self.node_operator.run(self.log))
         if self.settings.site_count > 1:
-            self._run_in_background(self._follow_placements())
+            self._start_in_background(self._follow_placements())
         self._start_clients()
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.stop_watching()
+        self.stop_background_tasks()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.statuses = await self.cluster.stop()
         for client in self._clients:
@@ -110,23 +110,23 @@
         await self.log.backend.close()
         await self.storage.close()
 
-    def stop_watching(self) -> None:
-        """Stop the supervisor, the probes and the clients."""
+    def stop_background_tasks(self) -> None:
+        """Cancel the background tasks: supervisor, probes, node operator, placement reader and clients."""
         for task in self._tasks:
             task.cancel()
 
     async def read_view(self) -> FleetView:
-        """Return the fleet as the log has it now."""
+        """Read the log to its end, and return the current view of the fleet."""
         return await commands.read_view(self.log, self._reader)
 
-    async def read_view_anew(self) -> FleetView:
-        """Return the fleet as a reader has it that joins now."""
+    async def read_view_from_start(self) -> FleetView:
+        """Return the view of a new reader, which reads the topic from its start."""
         reader = LogReader()
         await self.log.catch_up(FLEET_TOPIC, reader, PAGE_MESSAGES)
         return view_of(reader.latest, reader.position)
 
     async def read_messages(self) -> list[Message]:
-        """Return all messages of the fleet's topic that are retained, in order."""
+        """Return all retained messages of the fleet's topic, in order."""
         messages: list[Message] = []
         while True:
             page = await self.log.read_page(FLEET_TOPIC, messages[-1].offset + 1 if messages else 1)
@@ -137,10 +137,10 @@
     async def wait_until(
         self, condition: Callable[[FleetView], Any], timeout_s: float = WAIT_TIMEOUT_S
     ) -> FleetView:
-        """Wait until a condition holds, and return the view that it holds of.
+        """Wait until a condition holds, and return the view that fulfils it.
 
         Raises:
-            TimeoutError: It does not hold in time; the error names the last view, to trace what is stuck.
+            TimeoutError: The condition did not hold in time; the message contains the last view.
         """
         view: FleetView | None = None
         try:
@@ -152,13 +152,13 @@
                             return view
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
-            raise TimeoutError(f"not within {timeout_s:.0f} s; the last view is {view}") from None
+            raise TimeoutError(f"condition not met in {timeout_s:.0f} s; the last view is {view}") from None
 
     async def add_plan(self, plan: Plan) -> None:
         """Publish a plan, as an operator does.
 
         Raises:
-            PlanError: It cannot be.
+            PlanError: The plan is invalid, or cannot begin now.
         """
 
         def decide(view: FleetView) -> Move:
@@ -171,7 +171,7 @@
         """Halt a plan, resume it, or roll it back, as an operator does.
 
         Raises:
-            PlanError: It cannot be.
+            PlanError: The plan's stage does not allow the change.
         """
 
         def decide(view: FleetView) -> Move:
@@ -181,15 +181,15 @@
         await self._command(decide)
 
     async def forget_member(self, name: str) -> None:
-        """Say that a member will never return, as an operator does.
+        """Declare that a member will never return, as an operator does.
 
         Raises:
-            PlanError: It is not out.
+            PlanError: The member is not out of service.
         """
         await self._command(lambda view: plan_changes.forget_member(name, view))
 
     async def coordinator(self) -> int:
-        """Return the number of the member that coordinates."""
+        """Return the number of the coordinator; wait until there is one."""
         view = await self.wait_until(lambda view: view.epoch is not None)
         assert view.epoch is not None
         return int(view.epoch.name.partition(".")[0].removeprefix("n"))
@@ -199,18 +199,18 @@
         await fleet_faults.inject(kind, target, duration_s, self.cluster, self.storage)
 
     def placements(self) -> dict[str, VolumePlacement]:
-        """Return where volumes are placed, as clients last read it."""
+        """Return the volumes' placements as the clients last read them, by the volumes' names."""
         return evacuation.decode_placements(self._placement_reader.latest)
 
-    async def read_placements_anew(self) -> dict[str, VolumePlacement]:
-        """Return where volumes are placed, as a reader has it that joins now."""
+    async def read_all_placements(self) -> dict[str, VolumePlacement]:
+        """Return the volumes' placements as a new reader reads them from the topic's start."""
         reader = LogReader()
         await self.log.catch_up(evacuation.PLACEMENTS_TOPIC, reader)
         return evacuation.decode_placements(reader.latest)
 
     def max_out(self) -> int:
-        """Return how many members were out at once, at the worst moment so far."""
-        return max_out_at_once(self.availability, time.monotonic())
+        """Return the largest number of members that were out of service at the same time so far."""
+        return max_concurrent_outages(self.availability, time.monotonic())
 
     async def _command(self, decide: Callable[[FleetView], Move]) -> None:
         await commands.apply(self.log, self._reader, decide, retries=COMMAND_RETRIES)
@@ -231,11 +231,11 @@
     def _operator_file(self, number: int, version: str) -> str:
         return operator_file(self.settings, self.storage.keys_for(number), number, version)
 
-    def _run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
-        self._tasks.append(asyncio.get_running_loop().create_task(work))
+    def _start_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self._tasks.append(asyncio.get_running_loop().create_task(coroutine))
 
     def _is_complete(self, view: FleetView) -> bool:
-        """Return whether all members are in service, and one of them coordinates."""
+        """Return True if all members are in service and there is a coordinator."""
         is_in_service = len(view.members) == self.settings.size and not disruption_budget.members_out(view)
         return is_in_service and view.epoch is not None
 
@@ -257,10 +257,10 @@
                 metrics=self.metrics,
             )
             self._clients.append(client)
-            self._run_in_background(client.run())
+            self._start_in_background(client.run())
 
     def _ports_of(self, volume: int) -> list[int]:
-        """Return where clients go for a volume: to the members that it is placed at, then to all others."""
+        """Return the ports to try for a volume: those of members in its placement, then all others."""
         size = self.settings.size
         placement = self.placements().get(f"{volume:016x}")
         names = [placement.member, placement.previous_member] if placement is not None else []
@@ -271,7 +271,7 @@
         ]
 
     async def _follow_placements(self) -> None:
-        """Read where volumes are placed, as clients do."""
+        """Read the volumes' placements periodically, as clients do."""
         while True:
             with contextlib.suppress(CompactedLogError):
                 await self.log.catch_up(evacuation.PLACEMENTS_TOPIC, self._placement_reader)
@@ -279,14 +279,14 @@
 
 
 def plan_for_all(name: str, size: int, **fields: Any) -> Plan:
-    """Return a plan for all members of a fleet of this size."""
+    """Return a plan for all members of a fleet with ``size`` members."""
     return Plan(name, tuple(f"n{number}" for number in range(size)), **fields)
 
 
-async def play(
+async def run_scenario(
     settings: FleetSettings, folder: Path, scenario: Callable[[Fleet], Awaitable[None]], seed: int = 1
 ) -> Fleet:
-    """Run a scenario in a fleet of its own, and return the fleet after its end."""
+    """Run a scenario in a new fleet, and return the fleet after its end."""
     async with Fleet(settings, folder, seed) as fleet:
         await scenario(fleet)
     return fleet
--- a/sabledyke/testbed/fleet_faults.py
+++ b/sabledyke/testbed/fleet_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a fleet of processes: of a process, of the network to etcd, or of the log."""
+"""Injection of faults into a fleet: into its processes, the network to etcd, or the compacted log."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class FleetFault(StrEnum):
-    """What a fault does; the values stand in files."""
+    """Kinds of faults; the values are used in files."""
 
     KILL = "kill"
     PAUSE = "pause"
     STALL_LOG = "stall"
     PARTITION = "part"
-    PARTITION_REQUESTS = "part_to"  # to etcd
-    PARTITION_ANSWERS = "part_from"  # from etcd
+    PARTITION_REQUESTS = "part_to"  # holds back requests to etcd
+    PARTITION_ANSWERS = "part_from"  # holds back answers from etcd
 
 
 async def inject(
@@ -27,11 +27,11 @@
     """Begin a fault, and end it after its duration.
 
     Args:
-        kind: What happens.
-        target: The member that it happens to; any for a log that stalls.
-        duration_s: For how long; a kill takes no time.
-        cluster: The members.
-        storage: Where the log is, and the proxies are.
+        kind: The kind of fault.
+        target: The number of the affected member; ignored if the log stalls.
+        duration_s: The duration in seconds; ignored for a kill.
+        cluster: The members' processes.
+        storage: The fleet's log and proxies.
     """
     match kind:
         case FleetFault.KILL:
--- a/sabledyke/testbed/fleet_settings.py
+++ b/sabledyke/testbed/fleet_settings.py
@@ -1,11 +1,11 @@
-"""What a fleet of processes is: its size, its storage, its times, and the operator's file of each member."""
+"""Settings of a fleet of processes, and the operator's file of each member."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from itertools import combinations
 
-SITE_CAPACITY = 1000  # volumes: room for all at each site
+SITE_CAPACITY = 1000  # volumes; each site has capacity for all of them
 TOMBSTONE_RETENTION_S = 1.0
 
 
@@ -14,26 +14,26 @@
     """The settings of a fleet.
 
     Attributes:
-        size: How many processes it has.
-        backend: What the compacted log and the leases are stored in, ``table`` or ``etcd``.
+        size: The number of processes.
+        backend: The storage of the compacted log and the leases, ``table`` or ``etcd``.
         lease_ttl_ms: The time to live of the coordinator's lease.
-        poll_interval_ms: Between polls of the log while a plan is under way.
-        heartbeat_timeout_ms: A member without a heartbeat for so long counts as out.
-        return_timeout_ms: Who went out must be ready again by then, or its plan halts.
-        canary_soak_ms: How long a canary is observed before others follow.
-        site_count: How many sites the members are spread over.
-        min_lag_messages: How many of the newest messages of a topic are not compacted.
-        request_validity_ms: How long after its request a ticket may be used.
-        client_count: How many clients there are; with any, storage nodes and a discovery too.
-        nodes_per_shard: How many storage nodes serve each shard.
-        node_warm_up_ms: How long a storage node takes to warm up.
-        topics: The operator's own topics.
-        compaction_interval_s: Between two checks whether a topic is worth compacting.
-        volume_limit: Units a second of each volume on the limited plan, and as many at once; 0 for no such
-            plan.
-        shares_quotas: Whether members share limits out by demand.
-        quota_report_interval_ms: Between two reports of a member's demand.
-        has_proxies: Whether a proxy stands between each process and etcd, for faults of the network.
+        poll_interval_ms: The interval of polls of the log while a plan is in progress.
+        heartbeat_timeout_ms: The time without a heartbeat after which a member counts as out of service.
+        return_timeout_ms: The time in which a released member must be ready again; after it the plan halts.
+        canary_soak_ms: The observation time of a canary before other members follow.
+        site_count: The number of sites that the members are spread over.
+        min_lag_messages: The number of a topic's newest messages that are not compacted.
+        request_validity_ms: The time after its request in which a ticket may be used.
+        client_count: The number of clients; storage nodes and a discovery are started only if it is not 0.
+        nodes_per_shard: The number of storage nodes that serve each shard.
+        node_warm_up_ms: The warm-up time of a storage node.
+        topics: The operator's additional topics.
+        compaction_interval_s: The interval of checks for topics to compact.
+        volume_limit: The rate of each volume on the limited plan, in units per second, and its burst in
+            units; 0 for no limited plan.
+        shares_quotas: True if members share limits by demand.
+        quota_report_interval_ms: The interval of a member's reports of its demand.
+        has_proxies: True for a proxy between each process and etcd, for network faults.
     """
 
     size: int = 3
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StorageKeys:
-    """The keys of an operator's file that say where the log and the leases are stored."""
+    """The keys of an operator's file that configure the storage of the log and the leases."""
 
     log: str
     lease: str
@@ -70,9 +70,9 @@
 
     Args:
         settings: The fleet's settings.
-        storage: Where the log and the leases are stored.
+        storage: The keys for the storage of the log and the leases.
         number: The member's number.
-        version: The version that it says it runs.
+        version: The version that the member reports.
     """
     return f"""
 [log]
@@ -115,7 +115,7 @@
 
 
 def _sites_section(settings: FleetSettings) -> str:
-    """Return ``[sites]`` for sites in a row, each 1 ms from the next."""
+    """Return the ``[sites]`` section for sites in a row, each at a distance of 1 ms from the next."""
     if settings.site_count == 1:
         return ""
     names = [f"s{i}" for i in range(settings.site_count)]
--- a/sabledyke/testbed/fleet_storage.py
+++ b/sabledyke/testbed/fleet_storage.py
@@ -1,6 +1,6 @@
-"""Where a fleet's compacted log and leases are stored: in SQLite files, or in the etcd stand-in.
+"""Storage of a fleet's compacted log and leases: SQLite files, or the etcd stand-in.
 
-It can stall the log, for faults.
+It can stall the log to inject a fault.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
     """The storage of one fleet.
 
     Attributes:
-        etcd: The etcd stand-in, which runs with either backend.
-        proxies: Between each member and etcd, by the member's number.
+        etcd: The etcd stand-in; it runs with both backends.
+        proxies: The proxies between members and etcd, by the member's number.
     """
 
     def __init__(self, settings: FleetSettings, folder: Path, seed: int) -> None:
@@ -38,7 +38,7 @@
         self._seed = seed
 
     async def open(self) -> None:
-        """Start etcd."""
+        """Start the etcd stand-in."""
         await self.etcd.open()
 
     async def open_proxy(self, number: int) -> None:
@@ -49,19 +49,19 @@
             await proxy.open()
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop the proxies and etcd."""
         for proxy in self.proxies:
             await proxy.close()
         await self.etcd.close()
 
     def create_backend(self) -> Backend:
-        """Return one more way to the log, past the proxies."""
+        """Return a new backend of the log that bypasses the proxies."""
         if self._settings.backend == "table":
             return SqliteBackend(str(self._log_path))
         return EtcdBackend([f"127.0.0.1:{self.etcd.port}"], KEY_PREFIX)
 
     def keys_for(self, number: int) -> StorageKeys:
-        """Return what a member's operator's file says of the storage."""
+        """Return the storage keys for a member's operator's file."""
         if self._settings.backend == "etcd":
             port = self.proxies[number].port if self._settings.has_proxies else self.etcd.port
             keys = f'etcd = ["127.0.0.1:{port}"]\nprefix = "{KEY_PREFIX}"'
@@ -70,7 +70,7 @@
 
     @contextlib.asynccontextmanager
     async def stalled(self) -> AsyncIterator[None]:
-        """Let nobody read or write the log meanwhile."""
+        """Block all reads and writes of the log while the context is active."""
         if self._settings.backend == "etcd":
             await self.etcd.close()
             try:
--- a/sabledyke/testbed/fleet_transcript.py
+++ b/sabledyke/testbed/fleet_transcript.py
@@ -1,4 +1,4 @@
-"""What plans, tickets, drains and members went through in a release, the same in every run."""
+"""Transcripts of releases: state changes of plans, tickets, drains and members, the same in every run."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def transcript(messages: Sequence[Message], names: Mapping[str, str] | None = None) -> str:
-    """Return what happened from the first plan on, a line each.
+    """Return the state changes since the first plan, one per line.
 
-    Left out is what differs from run to run, or on a busy machine: offsets, tokens, numbers of incarnations,
-    requests, heartbeats, who coordinates, tickets that were given back unused, and what members say of
-    themselves until they are ready again.
+    The transcript omits what differs between runs, or on a busy machine: offsets, tokens, numbers of
+    incarnations, requests, heartbeats, changes of the coordinator, tickets that were returned unused, and
+    states of members before they are ready again.
 
     Args:
         messages: All messages of the fleet's topic.
-        names: What members are called instead, where their roles differ from run to run.
+        names: Replacements of members' names, for members whose roles differ between runs.
     """
     writer = _TranscriptWriter()
     for message in messages:
@@ -31,12 +31,12 @@
 
 
 class _TranscriptWriter:
-    """Collects the lines; one that turned out not to count is left empty."""
+    """Collects the lines of a transcript; a line that later messages invalidate is emptied."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
-        self._latest: dict[str, Record] = {}  # by key
-        self._grant_lines: dict[str, int] = {}  # by member: the line of its ticket's grant
+        self._latest: dict[str, Record] = {}  # latest record of each key
+        self._grant_lines: dict[str, int] = {}  # line number of the latest ticket grant of each member
 
     def on_message(self, message: Message) -> None:
         record = decode(message)
@@ -70,7 +70,7 @@
                 self.lines.append(f"{previous.name}: its drain is over")
             case Ticket(used=True):
                 self.lines.append(f"ticket of {previous.name}: over")
-            case Ticket():  # it came too late, and was requested anew
+            case Ticket():  # an unused ticket was granted too late, and is requested again
                 self.lines[self._grant_lines[previous.name]] = ""
 
 
--- a/sabledyke/testbed/http_service.py
+++ b/sabledyke/testbed/http_service.py
@@ -1,4 +1,4 @@
-"""What simulated HTTP services share, on aiohttp's server: bodies in and out, and persistent connections."""
+"""Base class of simulated HTTP services, on aiohttp's server with persistent connections."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class Service:
-    """An HTTP service on a loopback port that stays its own while it is closed.
+    """An HTTP service on a loopback port, which stays reserved while the service is closed.
 
     Attributes:
-        port: The port, 0 before it was opened for the first time.
+        port: The port; 0 before the first call of ``open``.
     """
 
     def __init__(self) -> None:
         self.port = 0
         self._port_reservation: socket.socket | None = None
         self._server: asyncio.Server | None = None
-        self._handlers: web.Server | None = None  # made by ``open``, as it belongs to the running event loop
+        self._handlers: web.Server | None = None  # created by ``open``: it belongs to the running event loop
 
     async def open(self) -> None:
-        """Begin to listen, on the same port as before."""
+        """Start the listener; each call uses the same port."""
         if self._port_reservation is None:
             self._port_reservation = hold_port()
             self.port = int(self._port_reservation.getsockname()[1])
@@ -35,12 +35,12 @@
         self._server = await loop.create_server(self._handlers, HOST, self.port, reuse_port=True)
 
     async def answer(self, path: str, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
-        """Answer a request; each service has its own.
+        """Answer a request; subclasses implement it.
 
         Args:
             path: The request's path.
-            headers: Its headers, by names in lower case.
-            body: Its body.
+            headers: The request's headers, by names in lower case.
+            body: The request's body.
 
         Returns:
             The status and the body of the response.
@@ -48,7 +48,7 @@
         raise NotImplementedError
 
     async def close(self) -> None:
-        """Reject new connections and reset open ones, as a process that dies does."""
+        """Reject new connections and reset open ones, like the death of a process."""
         if self._server is not None:
             self._server.close()
         if self._handlers is None:
--- a/sabledyke/testbed/lease_faults.py
+++ b/sabledyke/testbed/lease_faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of an experiment on leases: into processes, the network and the authority."""
+"""Injection of an experiment's faults into processes, the network and the lease authority."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from sabledyke.testbed.fault_proxy import Proxy
 from sabledyke.testbed.fenced_resource import FencedResource
 
-WAIT_TIMEOUT_S = 30.0  # that a busy machine may take for what an experiment waits for
-POLL_S = 0.01  # between two checks of a condition
+WAIT_TIMEOUT_S = 30.0  # limit of one wait of an experiment, with room for a busy machine
+POLL_S = 0.01  # interval of checks of a condition
 MAX_BYTES_UNTIL_RESET = 400
-LATE_ACT_PAUSE_S = 1.0  # for the resource to get the late act, and for the instance to see that it is late
+LATE_OPERATION_PAUSE_S = 1.0  # time for the resource to get the late operation, and for its rejection
 
-KEEPS_HOLDER = {FaultKind.RESTART_AUTHORITY, FaultKind.SLOW_NETWORK, FaultKind.DELAY_ACTS}
+KEEPS_HOLDER = {FaultKind.RESTART_AUTHORITY, FaultKind.SLOW_NETWORK, FaultKind.DELAY_OPERATIONS}
 
 
 @dataclass(slots=True, frozen=True)
 class InstanceProxies:
-    """The proxies of one instance; a table has none to the authority."""
+    """The proxies of one instance; an authority in a table has no proxy."""
 
     to_authority: Proxy | None
     to_resource: Proxy
@@ -44,7 +44,7 @@
     """Begins each fault at its time, and ends it after its duration.
 
     Attributes:
-        holder_losses: The faults so far that hit the holder.
+        holder_losses: The faults so far that hit the lease holder.
     """
 
     def __init__(
@@ -74,47 +74,47 @@
             FaultKind.SLOW_NETWORK: self._slow_network,
             FaultKind.RESET_CONNECTION: self._reset_connection,
             FaultKind.RESTART_AUTHORITY: self._restart_authority,
-            FaultKind.DELAY_ACTS: self._delay_acts,
-            FaultKind.ACT_AFTER_TAKEOVER: self._act_after_takeover,
+            FaultKind.DELAY_OPERATIONS: self._delay_operations,
+            FaultKind.OPERATION_AFTER_TAKEOVER: self._operate_after_takeover,
             FaultKind.STOP_IN_TRANSACTION: self._stop_in_transaction,
         }
 
     async def start_all(self, started_at: float) -> None:
-        """Start every fault at its time after ``started_at``, by ``time.monotonic()``."""
+        """Start each fault ``at_s`` seconds after ``started_at``, a time of ``time.monotonic()``."""
         for fault in sorted(self._experiment.faults, key=lambda fault: fault.at_s):
             await asyncio.sleep(max(0.0, started_at + fault.at_s - time.monotonic()))
             self._tasks.add(asyncio.create_task(self._inject(fault)))
 
     async def finish(self) -> None:
-        """Wait for faults that are not over yet: on a busy machine they may take longer than they should."""
+        """Wait for the end of all faults, which may take longer than their durations on a busy machine."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=WAIT_TIMEOUT_S)
 
     def cancel(self) -> None:
-        """Cancel all faults."""
+        """Cancel all faults that are in progress."""
         for task in self._tasks:
             task.cancel()
 
     async def _inject(self, fault: Fault) -> None:
         target = self._holder() if fault.target is None else fault.target
-        if fault.kind is FaultKind.ACT_AFTER_TAKEOVER:
-            target = await self._delay_act_of_holder()
+        if fault.kind is FaultKind.OPERATION_AFTER_TAKEOVER:
+            target = await self._delay_operation_of_holder()
         if target == self._holder() and fault.kind not in KEEPS_HOLDER:
             self.holder_losses.append(HolderLoss(time.monotonic() * 1000, self._resource.last_holder))
         await self._handlers[fault.kind](fault, target)
 
     def _holder(self) -> int:
-        """Return the number of the instance that acted last."""
+        """Return the number of the instance whose operation was accepted last."""
         return int(self._resource.last_holder.partition(".")[0].removeprefix("n"))
 
     async def _wait_for_takeover(self, target: int) -> None:
         await wait_until(lambda: self._holder() != target)
 
-    async def _wait_out(self, fault: Fault, target: int) -> None:
-        """Wait for the fault's duration, and where that is longer than a lease until another has acted.
+    async def _wait_until_over(self, fault: Fault, target: int) -> None:
+        """Wait for the fault's duration and, if that exceeds the lease's time to live, for a takeover.
 
-        On a busy machine that may take longer than it should, and what comes after it is what the fault is
-        about.
+        On a busy machine the takeover may come later than expected, and the fault tests what happens after
+        it.
         """
         await asyncio.sleep(fault.duration_s)
         if fault.duration_s * 1000 > self._experiment.ttl_ms:
@@ -122,13 +122,14 @@
 
     async def _pause(self, fault: Fault, target: int) -> None:
         await self._cluster.pause(target)
-        await self._wait_out(fault, target)
+        await self._wait_until_over(fault, target)
         self._cluster.send_signal(target, signal.SIGCONT)
 
     async def _stop_in_transaction(self, fault: Fault, target: int) -> None:
-        """Stop it in the middle of a transaction, and then kill it: its end releases the table's lock.
+        """Stop a process inside a transaction, kill it later, and wait for the takeover.
 
-        It may take a while to stop it at such a moment, so that the takeover is waited for.
+        The end of the process releases the table's lock. Stopping it at such a moment may take some time, so
+        that the takeover has no fixed time.
         """
         await self._cluster.pause(target, locking=True)
         await asyncio.sleep(fault.duration_s)
@@ -146,30 +147,30 @@
         if self._etcd is not None:
             await self._etcd.restart(fault.duration_s)
 
-    async def _delay_acts(self, fault: Fault, target: int) -> None:
-        """Let the network hold back the instance's acts, and deliver them late."""
+    async def _delay_operations(self, fault: Fault, target: int) -> None:
+        """Hold back the instance's operations in the network, and deliver them late."""
         proxy = self._proxies[target].to_resource
         proxy.partition(to_client=False)
         await asyncio.sleep(fault.duration_s)
         proxy.heal()
 
-    async def _act_after_takeover(self, fault: Fault, target: int) -> None:
-        """Stop the instance behind an act that the network holds back until another has acted."""
+    async def _operate_after_takeover(self, fault: Fault, target: int) -> None:
+        """Pause the instance, and deliver its held-back operation after another instance's operation."""
         proxy = self._proxies[target].to_resource
         await self._cluster.pause(target)
         await asyncio.sleep(fault.duration_s)
         await self._wait_for_takeover(target)
-        proxy.heal()  # while it is stopped, and cannot close the connection that the act is on
+        proxy.heal()  # the paused instance cannot close the connection that carries the operation
         await wait_until(lambda: proxy.to_server.pending_reads == 0)
-        await asyncio.sleep(LATE_ACT_PAUSE_S)
+        await asyncio.sleep(LATE_OPERATION_PAUSE_S)
         self._cluster.send_signal(target, signal.SIGCONT)
-        await asyncio.sleep(LATE_ACT_PAUSE_S)
+        await asyncio.sleep(LATE_OPERATION_PAUSE_S)
 
-    async def _delay_act_of_holder(self) -> int:
-        """Hold back an act of the lease holder, and return its number.
+    async def _delay_operation_of_holder(self) -> int:
+        """Hold back an operation of the lease holder, and return the holder's number.
 
-        On a busy machine the lease may go to another instance before an act is begun; then that one's act
-        is held back.
+        On a busy machine another instance may acquire the lease before an operation begins; then the new
+        holder's operation is held back.
         """
 
         def delayed_or_holder_changed() -> bool:
@@ -185,7 +186,7 @@
             proxy.heal()
 
     async def _slow_network(self, fault: Fault, target: int) -> None:
-        """Delay all messages to and from the authority, by so little that nobody loses a lease."""
+        """Delay all messages to and from the authority, by less than causes the loss of a lease."""
         proxy = self._proxies[target].to_authority
         if proxy is None:
             return
@@ -207,7 +208,7 @@
         proxy.heal()
 
     async def _partition(self, fault: Fault, target: int) -> None:
-        """Hold back the messages between the instance and the authority, both ways or one."""
+        """Hold back messages between the instance and the authority, in one direction or both."""
         proxy = self._proxies[target].to_authority
         if proxy is None:
             return
@@ -215,12 +216,12 @@
             to_server=fault.kind is not FaultKind.PARTITION_ANSWERS,
             to_client=fault.kind is not FaultKind.PARTITION_REQUESTS,
         )
-        await self._wait_out(fault, target)
+        await self._wait_until_over(fault, target)
         proxy.heal()
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until the condition holds, but not for ever: the evaluation says what is then missing."""
+    """Wait until the condition holds, for ``WAIT_TIMEOUT_S`` at most; the evaluation reports failures."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not condition():
--- a/sabledyke/testbed/lease_run.py
+++ b/sabledyke/testbed/lease_run.py
@@ -1,6 +1,6 @@
-"""Plays an experiment on leases in real time on loopback, and judges it by the resource's record of acts.
+"""Runs experiments on leases in real time on loopback, and evaluates the resource's record of operations.
 
-A run has a folder of its own, and ends by itself.
+Each run has a folder of its own and a bounded duration.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from sabledyke.testbed.etcd_server import Etcd
 from sabledyke.testbed.experiment import Experiment
 from sabledyke.testbed.fault_proxy import Proxy
-from sabledyke.testbed.fenced_resource import ActEvaluation, FencedResource, evaluate
+from sabledyke.testbed.fenced_resource import FencedResource, OperationEvaluation, evaluate
 from sabledyke.testbed.lease_faults import POLL_S, FaultInjector, InstanceProxies, wait_until
 
-MIN_ACTS = 20  # that a run waits for, also on a busy machine
-FIRST_ACT_TIMEOUT_S = 60.0
+MIN_OPERATIONS = 20  # a run waits for more operations than this, also on a busy machine
+FIRST_OPERATION_TIMEOUT_S = 60.0
 LATENESS_POLL_S = 0.01
 SEED_BITS = 32
 RELEASE_EVENTS = frozenset(
@@ -39,15 +39,15 @@
     """The result of a run.
 
     Attributes:
-        evaluation: What the resource's record of acts shows.
-        rejected: How many acts the resource rejected by their token.
-        takeover_gaps_ms: The time from each fault that hit the holder to the next act of another.
+        evaluation: The evaluation of the resource's record of operations.
+        rejected: The number of operations that the resource rejected for their token.
+        takeover_gaps_ms: The time from each fault that hit the holder to another holder's next operation.
         statuses: The exit statuses of the processes.
         timeline: The log lines of all processes by wall time.
-        lateness: How late the event loop of the authority, the resource and the network between them was.
+        lateness: The lateness of the event loop that runs the authority, the resource and the proxies.
     """
 
-    evaluation: ActEvaluation
+    evaluation: OperationEvaluation
     rejected: int
     takeover_gaps_ms: list[float] = field(default_factory=list)
     statuses: list[int] = field(default_factory=list)
@@ -55,41 +55,41 @@
     lateness: LoopLateness = field(default_factory=LoopLateness)
 
     def lines(self) -> list[str]:
-        """Return the lines that are printed for people."""
+        """Return the lines to print."""
         evaluation = self.evaluation
         longest_gap_ms = evaluation.longest_gap_ms
         gaps = ", ".join(f"{gap:.0f} ms" for gap in self.takeover_gaps_ms) or "none"
         return [
-            f"{evaluation.act_count} acts by {evaluation.holder_count} holders; "
-            f"{evaluation.overlap_count} overlapped, {evaluation.stale_count} out of turn, "
+            f"{evaluation.operation_count} operations by {evaluation.holder_count} holders; "
+            f"{evaluation.overlap_count} overlapped, {evaluation.stale_count} under an outdated token, "
             f"{evaluation.lease_overlap_count} sent under two leases at once, "
-            f"{evaluation.out_at_release_count} out when their lease was released",
-            f"{self.rejected} refused by their token; longest time without an act {longest_gap_ms:.0f} ms",
-            f"to another holder after each fault: {gaps}",
-            f"late in all, authority and resource: {self.lateness.describe()}",
+            f"{evaluation.in_flight_at_release_count} in flight when their lease was released",
+            f"{self.rejected} rejected for their token; longest gap of operations {longest_gap_ms:.0f} ms",
+            f"time to another holder's operation after each fault: {gaps}",
+            f"lateness of the event loop of authority and resource: {self.lateness.describe()}",
         ]
 
 
 def _released_at_ms(timeline: Iterable[dict[str, Any]]) -> dict[int, float]:
-    """Return when the lease of each token was released, by the log of its holder."""
+    """Return the time of each lease's release by token, from the holders' logs."""
     return {
         int(line["token"]): float(line["mono"]) for line in timeline if line.get("what") in RELEASE_EVENTS
     }
 
 
 @contextlib.asynccontextmanager
-async def _watched_loop() -> AsyncIterator[LoopLateness]:
-    """Record how late the running event loop is."""
+async def _measure_loop_lateness() -> AsyncIterator[LoopLateness]:
+    """Measure the lateness of the running event loop while the context is active."""
     lateness = LoopLateness()
     loop = asyncio.get_running_loop()
 
-    async def watch() -> None:
+    async def measure() -> None:
         while True:
             due_s = loop.time() + LATENESS_POLL_S
             await asyncio.sleep(LATENESS_POLL_S)
             lateness.record(loop.time(), loop.time() - due_s)
 
-    task = loop.create_task(watch())
+    task = loop.create_task(measure())
     try:
         yield lateness
     finally:
@@ -100,12 +100,12 @@
     """One run of an experiment.
 
     Attributes:
-        resource: What the instances act on.
-        cluster: The instances.
+        resource: The resource that executes the instances' operations.
+        cluster: The instances' processes.
     """
 
     def __init__(self, experiment: Experiment, folder: Path, seed: int) -> None:
-        self.resource = FencedResource(experiment.act_duration_ms, fenced=experiment.fenced)
+        self.resource = FencedResource(experiment.operation_duration_ms, fenced=experiment.fenced)
         self.cluster = Cluster(folder, experiment.instance_count)
         self._experiment = experiment
         self._folder = folder
@@ -116,21 +116,21 @@
             experiment, self.cluster, self.resource, self._etcd, self._proxies, self._random
         )
 
-    async def play(self) -> Report:
-        """Start everything, inject the faults, stop everything, and write timeline and acts to the folder."""
+    async def run(self) -> Report:
+        """Run the experiment, write its timeline and operations to the folder, and return the report."""
         await self.resource.open()
         if self._etcd is not None:
             await self._etcd.open()
         try:
-            async with _watched_loop() as lateness:
+            async with _measure_loop_lateness() as lateness:
                 await self._start_instances()
-                await self._wait_for_first_act()
+                await self._wait_for_first_operation()
                 await self._run_faults()
         finally:
             statuses = await self._stop()
         timeline = self.cluster.timeline()
         report = Report(
-            evaluation=evaluate(self.resource.acts, _released_at_ms(timeline)),
+            evaluation=evaluate(self.resource.operations, _released_at_ms(timeline)),
             rejected=self.resource.fence.rejected,
             takeover_gaps_ms=self._takeover_gaps_ms(),
             statuses=statuses,
@@ -139,8 +139,8 @@
         )
         lines = b"".join(orjson.dumps(line) + b"\n" for line in report.timeline)
         (self._folder / "timeline.jsonl").write_bytes(lines)
-        acts = b"".join(orjson.dumps(act) + b"\n" for act in self.resource.acts)
-        (self._folder / "acts.jsonl").write_bytes(acts)
+        operations = b"".join(orjson.dumps(operation) + b"\n" for operation in self.resource.operations)
+        (self._folder / "acts.jsonl").write_bytes(operations)
         return report
 
     async def _start_instances(self) -> None:
@@ -159,9 +159,9 @@
         await to_resource.open()
         return InstanceProxies(to_authority, to_resource)
 
-    async def _wait_for_first_act(self) -> None:
-        async with asyncio.timeout(FIRST_ACT_TIMEOUT_S):
-            while not self.resource.acts:
+    async def _wait_for_first_operation(self) -> None:
+        async with asyncio.timeout(FIRST_OPERATION_TIMEOUT_S):
+            while not self.resource.operations:
                 await asyncio.sleep(POLL_S)
 
     async def _run_faults(self) -> None:
@@ -169,10 +169,10 @@
         await self._injector.start_all(started_at)
         await asyncio.sleep(max(0.0, started_at + self._experiment.length_s - time.monotonic()))
         await self._injector.finish()
-        await wait_until(lambda: len(self.resource.acts) > MIN_ACTS)
+        await wait_until(lambda: len(self.resource.operations) > MIN_OPERATIONS)
 
     async def _stop(self) -> list[int]:
-        """Stop everything, and return the exit statuses of the instances."""
+        """Stop faults, instances, proxies and services, and return the exit statuses of the instances."""
         self._injector.cancel()
         statuses = await self.cluster.stop()
         for proxies in self._proxies:
@@ -185,15 +185,17 @@
         return statuses
 
     def _takeover_gaps_ms(self) -> list[float]:
-        acts = sorted(self.resource.acts, key=lambda act: act.start_ms)
+        operations = sorted(self.resource.operations, key=lambda operation: operation.start_ms)
         gaps_ms: list[float] = []
         for loss in self._injector.holder_losses:
             takeovers = (
-                act.start_ms for act in acts if act.start_ms > loss.at_ms and act.holder != loss.holder
+                operation.start_ms
+                for operation in operations
+                if operation.start_ms > loss.at_ms and operation.holder != loss.holder
             )
-            next_act_at = next(takeovers, None)
-            if next_act_at is not None:
-                gaps_ms.append(next_act_at - loss.at_ms)
+            next_operation_at = next(takeovers, None)
+            if next_operation_at is not None:
+                gaps_ms.append(next_operation_at - loss.at_ms)
         return gaps_ms
 
     def _operator_file(self, number: int) -> str:
@@ -220,5 +222,5 @@
 name = "sweep"
 kind = "call"
 url = "http://127.0.0.1:{proxies.to_resource.port}/act"
-every_s = {experiment.act_interval_s}
+every_s = {experiment.operation_interval_s}
 """
--- a/sabledyke/testbed/node_operator.py
+++ b/sabledyke/testbed/node_operator.py
@@ -1,4 +1,4 @@
-"""Replaces or removes drained storage nodes, once for each drain, as the operators of nodes do."""
+"""Replacement or removal of drained storage nodes, once for each drain, as operators of nodes do it."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from sabledyke.rollout.records import FLEET_TOPIC, Drain, DrainPhase
 from sabledyke.testbed.storage_nodes import StorageNodes
 
-POLL_S = 0.05  # between two polls of the log
-DOWN_S = 0.3  # for which a replaced node is away
+POLL_S = 0.05  # interval of polls of the log
+DOWN_S = 0.3  # downtime of a replaced node
 
 
 class NodeOperator:
-    """Follows the drains in a fleet's log.
+    """Follows the drains in a fleet's log, and replaces or removes drained nodes.
 
     Attributes:
-        replaced: The names of the nodes that were taken away, in order.
+        replaced: The names of the nodes that were replaced or removed, in order.
     """
 
     def __init__(self, nodes: StorageNodes) -> None:
         self.replaced: list[str] = []
         self._nodes = nodes
-        self._handled: set[int] = set()  # offsets at which the drains began
+        self._handled: set[int] = set()  # begin offsets of the drains that were handled
 
     async def run(self, log: CompactedLog) -> None:
-        """Take drained nodes away until it is cancelled."""
+        """Replace or remove drained nodes until the task is cancelled."""
         reader = LogReader()
         async with asyncio.TaskGroup() as replacements:
             while True:
@@ -46,7 +46,7 @@
                 await asyncio.sleep(POLL_S)
 
     def _new_drains(self, view: FleetView) -> list[Drain]:
-        """Return the drains that have come to their end since the last call."""
+        """Return the drains that have reached the phase DRAINED since the last call."""
         drains = [
             drain
             for drain in view.drains.values()
--- a/sabledyke/testbed/parent_death.py
+++ b/sabledyke/testbed/parent_death.py
@@ -1,4 +1,4 @@
-"""Has a process end with the one that started it, so that a play that is killed leaves nobody behind."""
+"""Termination of a process when its parent dies, so that a killed run leaves no processes behind."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 import os
 import signal
 
-PR_SET_PDEATHSIG = 1  # of prctl(2)
+PR_SET_PDEATHSIG = 1  # option of prctl(2)
 NO_PARENT_STATUS = 1
 
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 def end_with_parent(parent_pid: int) -> None:
-    """Have this process killed when the thread that started it ends.
+    """Have the kernel kill this process when the thread that started it ends.
 
-    To be called in a child before its ``exec``, or by the initializer of a process pool.
+    Call it in a child before its ``exec``, or in the initializer of a process pool.
 
     Args:
-        parent_pid: The process that started this one; where that has ended already, this one ends at once.
+        parent_pid: The process that started this one; if it has already ended, this process exits at once.
 
     Raises:
-        OSError: The system does not take the request.
+        OSError: The call of prctl(2) failed.
     """
     if _libc.prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL)) != 0:
         raise OSError(ctypes.get_errno(), "prctl")
--- a/sabledyke/testbed/quota_member.py
+++ b/sabledyke/testbed/quota_member.py
@@ -1,4 +1,4 @@
-"""Members of the quota simulation: what each knows, its register on the log, and what makes it safe."""
+"""Members of the quota simulation: their state, their registers on the log, and their safeguards."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Safeguards:
-    """What a member keeps to; each may be left out, to show that it is needed.
+    """Safeguards of a member; each can be disabled to show that it is necessary.
 
     Attributes:
-        counts_over_window: It counts the least that it published and the most that others did over a window,
-            not the last.
-        limits_poll_gap: It takes its floor alone where it has not polled for long.
-        expires_confirmation: It takes its floor alone by the time that others count it as expired.
-        waits_for_predecessor: A new incarnation waits until the share of a former one is certainly over.
-        writes_conditionally: It writes a publication only over the one that it replaces.
+        counts_over_window: The member counts its smallest and the others' largest published demand over a
+            window, not the latest ones.
+        limits_poll_gap: The member uses only its floor if its latest poll is too old.
+        expires_confirmation: The member uses only its floor once other members may count it as expired.
+        waits_for_predecessor: A new incarnation waits until the share of a former one has certainly expired.
+        writes_conditionally: The member writes a publication only over the one that it replaces.
     """
 
     counts_over_window: bool = True
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Register:
-    """What the log holds of one member."""
+    """The register of one member on the log."""
 
     incarnation: int = 1
     number: int = 0
@@ -41,20 +41,20 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """A process.
+    """A simulated member of the fleet.
 
     Attributes:
-        name: Its name.
-        clock_rate: How fast its clock runs.
-        allocator: The shares of its incarnation.
-        incarnation: Its incarnation.
-        last_number: Number of its last publication.
-        known_number: Number of the publication that stands, as far as it knows.
-        known_at_ms: Since when it knows, on its clock.
-        is_up: It runs.
-        paused_until_ms: It does nothing until then.
-        is_writing: A write waits for its answer.
-        demand: What its clients want.
+        name: The member's name.
+        clock_rate: The rate of the member's clock.
+        allocator: The quota allocator of the current incarnation.
+        incarnation: The number of the current incarnation.
+        last_number: Number of the member's latest publication.
+        known_number: Number of the publication in the register, as far as the member knows.
+        known_at_ms: Time at which the member learned ``known_number``, on its own clock.
+        is_up: True while the member runs.
+        paused_until_ms: End of the member's pause.
+        is_writing: True while a write waits for its answer.
+        demand: The demand of the member's clients.
     """
 
     name: str
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, eq=False)
 class Write:
-    """A publication on its way to the member's register."""
+    """A publication that is being written to the member's register."""
 
     member: Member
     incarnation: int
@@ -83,7 +83,7 @@
 
 
 class PartialAllocator(QuotaAllocator):
-    """An allocator that keeps to some of its safeguards only."""
+    """A quota allocator with only some of its safeguards."""
 
     def __init__(self, safeguards: Safeguards, policy: QuotaPolicy, timing: Timing) -> None:
         super().__init__(policy, timing)
@@ -101,6 +101,7 @@
     def _demand_share(self, volume: int, now_ms: float) -> float:
         if self._safeguards.counts_over_window:
             return super()._demand_share(volume, now_ms)
-        own = self._publications[-1].demands.get(volume, 0.0)  # what was published last, and seen last
+        # The latest publications replace the window's smallest and largest ones.
+        own = self._publications[-1].demands.get(volume, 0.0)
         others = sum(other.seen[-1][1].get(volume, 0.0) for other in self._sharing_members(now_ms))
         return own / (own + others) if own else 0.0
--- a/sabledyke/testbed/scenario.py
+++ b/sabledyke/testbed/scenario.py
@@ -1,7 +1,7 @@
-"""What a scenario of a release is, and how it is read from a TOML file.
+"""Definition of release scenarios, and their TOML files.
 
-Processes of the program work through one plan, with commands of an operator and faults on the way. The
-scenario is played by ``scenario_run``.
+A fleet of processes executes one plan under faults and an operator's commands. ``scenario_run`` runs the
+scenario.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class StepKind(StrEnum):
-    """What a step does; the values stand in files."""
+    """Kinds of steps; the values are used in files."""
 
     KILL = "kill"
-    KILL_THIRD = "kill_third"  # of the members, at once
+    KILL_THIRD = "kill_third"  # kills a third of the members at the same time
     PAUSE = "pause"
     STALL_LOG = "stall"
     PARTITION = "part"
@@ -41,10 +41,10 @@
     """A fault, or a command of the operator.
 
     Attributes:
-        after: How many members or nodes must have been released before.
-        kind: What happens.
-        on_coordinator: Whether it happens to the coordinator, else to another member.
-        duration_s: For how long.
+        after: The number of releases of members or nodes that must precede the step.
+        kind: The kind of step.
+        on_coordinator: True if a fault affects the coordinator, False for another member.
+        duration_s: The duration of a fault in seconds.
     """
 
     after: int
@@ -55,15 +55,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """A scenario.
+    """A plan of a fleet, and the steps during its execution.
 
     Attributes:
-        name: Its name.
+        name: The scenario's name.
         settings: The settings of the fleet.
-        plan: The plan.
-        steps: What happens on the way.
-        max_out: How many members may be out at any time, by the probes.
-        length_s: How long the plan may take.
+        plan: The plan that the fleet executes.
+        steps: The faults and commands, in order.
+        max_out: The largest allowed number of simultaneous outages, by the probes.
+        length_s: The largest allowed duration of the plan in seconds.
     """
 
     name: str
@@ -79,8 +79,8 @@
     """The result of an experiment.
 
     Attributes:
-        lines: What is printed for people.
-        wrong: What did not hold, a line each.
+        lines: The lines to print.
+        wrong: The violations, one per line.
     """
 
     lines: list[str] = field(default_factory=list)
@@ -91,7 +91,7 @@
     """Read a scenario's file.
 
     Raises:
-        OperatorError: It cannot be used.
+        OperatorError: The file cannot be read, or its content is invalid.
     """
     return from_file(path, lambda text: read(parsed(text)))
 
@@ -100,7 +100,7 @@
     """Read the data of a scenario's file.
 
     Raises:
-        OperatorError: It cannot be used.
+        OperatorError: The data is invalid.
     """
     table = convert(data, ScenarioTable, "file")
     steps = tuple(row.to_step() for row in table.step)
@@ -122,7 +122,7 @@
 
 
 class StepRow(Table, frozen=True, kw_only=True):
-    """A step, as the file has it."""
+    """A step in the file's format."""
 
     what: Literal[
         "kill", "kill_third", "pause", "stall", "part", "part_to", "part_from", "halt", "resume", "back"
@@ -132,12 +132,12 @@
     for_s: Annotated[float, Meta(ge=0, le=600)] = 0.0
 
     def to_step(self) -> Step:
-        """Return the step."""
+        """Convert the row to a step."""
         return Step(self.after, StepKind(self.what), self.who == "coordinator", self.for_s)
 
 
 class TimesTable(Table, frozen=True, kw_only=True):
-    """The times of the fleet's members and storage nodes, as the file has them."""
+    """The times of the fleet's members and storage nodes in the file's format."""
 
     ttl_ms: MillisecondsUpTo10Min = 3000
     every_ms: Annotated[int, Meta(ge=10, le=60_000)] = 100
@@ -148,7 +148,7 @@
 
 
 class ScenarioTable(Table, frozen=True, kw_only=True):
-    """A scenario, as the file has it."""
+    """A scenario in the file's format."""
 
     name: str
     plan: dict[str, Any]
--- a/sabledyke/testbed/scenario_run.py
+++ b/sabledyke/testbed/scenario_run.py
@@ -1,7 +1,7 @@
-"""Plays a scenario of a release in real time on loopback, within its length, and evaluates it.
+"""Runs and evaluates release scenarios in real time on loopback, in bounded time.
 
-The evaluation goes by probes of the members' listeners, and by what storage nodes and clients count: none of
-it by what the program says of itself.
+The availability of members is evaluated by probes of their listeners, and traffic by the counts of storage
+nodes and clients, not by the program's own metrics.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from sabledyke.rollout import disruption_budget
 from sabledyke.rollout.fleet_view import FleetView
 from sabledyke.rollout.records import ACTIVE_STAGES, Plan, PlanStage
-from sabledyke.testbed.fleet import Fleet, play
+from sabledyke.testbed.fleet import Fleet, run_scenario
 from sabledyke.testbed.fleet_faults import FleetFault
 from sabledyke.testbed.scenario import Report, Scenario, Step, StepKind
 from sabledyke.testbed.workload import ANSWER_TIMEOUT_S, RequestOutcome
@@ -26,27 +26,27 @@
     StepKind.RESUME: PlanStage.RUNNING,
     StepKind.ROLL_BACK: PlanStage.ROLLING_BACK,
 }
-MAX_LOST_FRACTION = 0.01  # of the requests, that may find no member, or a listener that closes
-MIN_PLACED_VOLUMES = 20  # before a site retires
+MAX_LOST_FRACTION = 0.01  # allowed fraction of requests that find no member, or a listener that closes
+MIN_PLACED_VOLUMES = 20  # placed volumes that a scenario waits for before a site retires
 
 
 async def run(scenario: Scenario, folder: Path, seed: int) -> Report:
-    """Play a scenario in a folder of its own, and evaluate it."""
+    """Run a scenario in a folder of its own, and evaluate it."""
     report = Report()
     random = Random(seed)
 
-    async def play_plan(fleet: Fleet) -> None:
-        await _play_plan(fleet, scenario, random, report)
+    async def run_plan(fleet: Fleet) -> None:
+        await _run_plan(fleet, scenario, random, report)
 
-    fleet = await play(scenario.settings, folder, play_plan, seed)
+    fleet = await run_scenario(scenario.settings, folder, run_plan, seed)
     failed = [status for status in fleet.statuses if status]
     if failed:
-        report.wrong.append(f"processes ended with {failed}")
+        report.wrong.append(f"processes ended with exit statuses {failed}")
     return report
 
 
-async def _play_plan(fleet: Fleet, scenario: Scenario, random: Random, report: Report) -> None:
-    """Play the plan to its end, and write what came of it into the report."""
+async def _run_plan(fleet: Fleet, scenario: Scenario, random: Random, report: Report) -> None:
+    """Execute the plan, and add its evaluation to the report."""
     plan = scenario.plan
     started_at = time.monotonic()
     if plan.retiring_site:
@@ -55,27 +55,27 @@
     await fleet.add_plan(plan)
     try:
         async with asyncio.timeout(scenario.length_s):
-            view = await _play_steps(fleet, scenario, random)
+            view = await _run_steps(fleet, scenario, random)
     except TimeoutError:
         view = await fleet.read_view()
         stage = view.plans[plan.name].stage.value
-        report.wrong.append(f"the plan is {stage} after {scenario.length_s:.0f} s")
+        report.wrong.append(f"the plan is still {stage} after {scenario.length_s:.0f} s")
     took_s = time.monotonic() - started_at
     report.lines += _summary(scenario, fleet, view, took_s)
     report.wrong += _violations(scenario, fleet, view)
-    if await fleet.read_view_anew() != await fleet.read_view():
-        report.wrong.append("a late joiner sees another state")
+    if await fleet.read_view_from_start() != await fleet.read_view():
+        report.wrong.append("a new reader's view differs from the view of the first reader")
 
 
 async def _plan_for_site(fleet: Fleet, plan: Plan) -> Plan:
-    """Return the plan for all members of the site that retires."""
+    """Return the plan with all members of the site that retires."""
     view = await fleet.read_view()
     names = (member.name for member in view.members.values() if member.site == plan.retiring_site)
     return replace(plan, members=tuple(sorted(names)))
 
 
-async def _play_steps(fleet: Fleet, scenario: Scenario, random: Random) -> FleetView:
-    """Play the steps until the plan is over; if it halts by itself, resume it once all members are back."""
+async def _run_steps(fleet: Fleet, scenario: Scenario, random: Random) -> FleetView:
+    """Run the steps until the plan ends; if it halts, resume it when all members are in service again."""
     name = scenario.plan.name
     steps = deque(scenario.steps)
     faults: list[asyncio.Task[None]] = []
@@ -109,7 +109,7 @@
 
 
 def _released_count(plan: Plan) -> int:
-    """Return how far a plan is: its released members and nodes, or the steps of a site that retires."""
+    """Return a plan's progress: its released members and nodes, or the steps of a site that retires."""
     if plan.retiring_site and not plan.released:
         return max(plan.step, 0)
     return len(plan.released)
@@ -128,18 +128,19 @@
 
 
 def _summary(scenario: Scenario, fleet: Fleet, view: FleetView, took_s: float) -> list[str]:
-    """Return the lines that are printed for people."""
+    """Return the lines to print."""
     plan = view.plans[scenario.plan.name]
     metrics = fleet.metrics
     out_s = sum(end - begin for member in fleet.availability for begin, end in member.outages)
     replaced_count = len(fleet.node_operator.replaced)
     lines = [
         f"plan {plan.stage.value} in {took_s:.1f} s, {len(plan.released)} released; "
-        f"doors were out {out_s:.1f} s in all",
-        f"most out at once {fleet.max_out()} (may be {scenario.max_out}); {replaced_count} boxes replaced",
+        f"outages of {out_s:.1f} s in total",
+        f"largest number of simultaneous outages {fleet.max_out()} (limit {scenario.max_out}); "
+        f"{replaced_count} storage nodes replaced or removed",
     ]
     if fleet.node_operator.replaced:
-        lines.append(f"a cold box was sent {fleet.nodes.slow_start.max_load:.2f} of what has it fall")
+        lines.append(f"a node in slow start got {fleet.nodes.slow_start.max_load:.2f} of its overload limit")
     if scenario.settings.client_count:
         served = metrics.outcomes[RequestOutcome.SERVED] / max(1, metrics.request_count)
         lines.append(
@@ -149,7 +150,7 @@
 
 
 def _violations(scenario: Scenario, fleet: Fleet, view: FleetView) -> list[str]:
-    """Return what did not hold, a line each."""
+    """Return the violations, one per line."""
     return [
         *_availability_violations(scenario, fleet),
         *_node_violations(fleet),
@@ -166,18 +167,18 @@
     request_count = max(1, fleet.metrics.request_count)
     violations = []
     if max_out > scenario.max_out:
-        violations.append(f"{max_out} were out at once")
+        violations.append(f"{max_out} members were out of service at the same time")
     if cut_off or wrong:
-        violations.append(f"{cut_off} answers were cut off and {wrong} wrong")
+        violations.append(f"{cut_off} answers were cut off, and {wrong} were wrong")
     if lost > MAX_LOST_FRACTION * request_count:
-        violations.append(f"{lost} of {request_count} requests found nobody")
+        violations.append(f"{lost} of {request_count} requests got no answer from any member")
     return violations
 
 
 def _lost_requests(scenario: Scenario, fleet: Fleet) -> int:
-    """Return how many requests found no member, or a listener that closed, but for those that had to.
+    """Return how many requests found no member or a closing listener, or timed out unexpectedly.
 
-    A client that waits at a paused member times out, and comes again, until the member goes on.
+    Timeouts are expected at a paused member: its clients time out and try again until the member continues.
     """
     outcomes = fleet.metrics.outcomes
     pauses = (step for step in scenario.steps if step.kind is StepKind.PAUSE)
@@ -192,15 +193,17 @@
     max_load = nodes.slow_start.max_load
     violations = []
     if max_load >= 1:
-        violations.append(f"a cold box was sent {max_load:.2f} times what has it fall")
+        violations.append(f"a node in slow start got {max_load:.2f} times its overload limit")
     if nodes.requests_while_draining:
-        violations.append(f"{nodes.requests_while_draining} requests were at a drained box")
+        violations.append(f"{nodes.requests_while_draining} requests were at a drained storage node")
     if nodes.deduplication.violations:
-        violations.append(f"{nodes.deduplication.violations} keys ran beyond their window or shard")
+        violations.append(
+            f"{nodes.deduplication.violations} repeated writes were outside their window or shard"
+        )
     if nodes.repeats.untimely:
-        violations.append(f"{len(nodes.repeats.untimely)} requests came again with no attempt given up")
+        violations.append(f"{len(nodes.repeats.untimely)} requests were repeated before a cancel or loss")
     if len(set(fleet.node_operator.replaced)) < len(fleet.node_operator.replaced):
-        violations.append("a box was taken away twice")
+        violations.append("a storage node was replaced or removed twice")
     return violations
 
 
@@ -210,5 +213,5 @@
     if is_done and any(placement.move_count > 1 for placement in fleet.placements().values()):
         violations.append("a volume moved twice")
     if view.tickets or view.drains:
-        violations.append("tickets or drains are left")
+        violations.append("tickets or drains remain after the plan")
     return violations
--- a/sabledyke/testbed/shared_limits.py
+++ b/sabledyke/testbed/shared_limits.py
@@ -1,4 +1,4 @@
-"""The file of an experiment on shared limits: a fleet, the limit of its volumes, and faults."""
+"""File format of experiments on shared limits: a fleet, the limit of its volumes, and faults."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class FaultRow(Table, frozen=True, kw_only=True):
-    """A fault, as the file has it.
+    """A fault in the file's format.
 
     Attributes:
-        at: Seconds after the start.
-        what: What happens; ``hang``: the storage node that holds the spread volume answers nobody.
-        who: The member that it happens to: the one that clients lean on, or another.
-        for_s: How long it lasts.
-        share: Fraction of the members that are killed at once.
+        at: Time from the start of the run to the fault, in seconds.
+        what: The kind of fault; ``hang``: the storage node of the spread volume answers no request.
+        who: The affected member: the one that the leaning volume's clients use, or another.
+        for_s: The duration in seconds.
+        share: The fraction of the members that are killed at the same time.
     """
 
     at: Annotated[float, Meta(ge=0, le=600)]
@@ -30,20 +30,20 @@
 
 
 class Experiment(Table, frozen=True, kw_only=True):
-    """An experiment, as the file has it.
+    """An experiment in the file's format.
 
     Attributes:
-        name: Its name.
-        limit: Units a second, of each volume.
-        instances: Members of the fleet.
-        backend: Where their log is.
-        shares: Members share the limit by demand; else each has an even share, as the platform has it.
-        beat_ms: Between changes of what a member publishes.
-        length_s: How long it runs.
-        moves_s: After so long clients lean on another member.
-        least: Fraction of its limit that must be served to the leaning volume.
-        most_tried: Requests a second that may come to a node which has hung for a while.
-        back_s: Time in which work must come back to that node.
+        name: The experiment's name.
+        limit: The limit of each volume in units per second.
+        instances: The number of members.
+        backend: The storage of the members' log.
+        shares: True to share the limit by demand, False for the platform's rule of an even share each.
+        beat_ms: The interval of a member's publications of its demand.
+        length_s: The duration of the run in seconds.
+        moves_s: The time after which the leaning volume's clients use another member, in seconds.
+        least: The smallest fraction of its limit that must be served to the leaning volume.
+        most_tried: The largest allowed rate of requests to a hung node, per second, after half of the hang.
+        back_s: The largest allowed time until the node serves its volume again, in seconds.
         fault: The faults.
     """
 
@@ -62,14 +62,14 @@
 
 
 def load(path: str) -> Experiment:
-    """Read a file.
+    """Read an experiment's file.
 
     Raises:
-        OperatorError: It cannot be used; one line says why.
+        OperatorError: The file cannot be read, or its content is invalid; the message has one line.
     """
     return from_file(path, lambda text: read(parsed(text)))
 
 
 def read(data: dict[str, Any]) -> Experiment:
-    """Return the experiment of a file's data."""
+    """Convert a file's data to an experiment."""
     return convert(data, Experiment, "file")
--- a/sabledyke/testbed/shared_limits_evaluation.py
+++ b/sabledyke/testbed/shared_limits_evaluation.py
@@ -1,7 +1,7 @@
-"""The evaluation of an experiment on shared limits, by what storage nodes and clients saw. Pure.
+"""Evaluation of experiments on shared limits, from the records of storage nodes and clients, without I/O.
 
-A volume's limit is kept by a token bucket, as the platform's rule says: it fills at the limit up to its
-burst, each unit that was served takes a token, and it may not go below the slack.
+The platform's rule defines a volume's limit by a token bucket: it fills at the limit up to its burst, each
+served unit takes a token, and its level may be negative by the slack at most.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from sabledyke.testbed.shared_limits import Experiment
 
 SLACK_FRACTION = 0.1
-"""Fraction of the burst below which the bucket may not go: the platform's, or ``LARGEST_REQUEST_UNITS``."""
+"""Slack as a fraction of the burst, by the platform's rule; at least ``LARGEST_REQUEST_UNITS``."""
 LARGEST_REQUEST_UNITS = 4.0
 RETURN_WINDOW_S = 0.5
 RETURN_FRACTION = 0.5
-"""Fraction of the limit, over ``RETURN_WINDOW_S``, at which the work of a node counts as back."""
+"""Fraction of the limit, over ``RETURN_WINDOW_S``, from which a node counts as serving again."""
 NEVER_S = 1e9
 
 
 class Span(NamedTuple):
-    """A time from and to, on one clock."""
+    """A time span on one clock."""
 
     began_s: float
     completed_s: float
@@ -32,13 +32,13 @@
 
 @dataclass(slots=True, frozen=True)
 class VolumeRecord:
-    """What was seen of one volume.
+    """The record of one volume.
 
     Attributes:
-        name: The volume's name, for people.
-        unit_times_s: When storage nodes served each unit.
-        outcomes: How its clients' requests ended.
-        min_served_fraction: Fraction of its limit that must be served.
+        name: The volume's name in the report.
+        unit_times_s: The times at which storage nodes served its units.
+        outcomes: The outcomes of its clients' requests.
+        min_served_fraction: The smallest fraction of its limit that must be served.
     """
 
     name: str
@@ -48,7 +48,7 @@
 
 
 class NodeHang(NamedTuple):
-    """When a storage node hung, and when requests came to it."""
+    """The time span in which a storage node hung, and the arrival times of requests in it."""
 
     span: Span
     request_times_s: Sequence[float]
@@ -56,11 +56,11 @@
 
 @dataclass(slots=True)
 class Disturbances:
-    """What happened during a run.
+    """Disturbances of a run.
 
     Attributes:
-        spans: Times in which what is served does not count.
-        hangs: Storage nodes that hung; each holds the spread volume.
+        spans: Time spans that don't count for the served fraction.
+        hangs: Hangs of storage nodes of the spread volume.
     """
 
     spans: list[Span] = field(default_factory=list)
@@ -70,7 +70,7 @@
 def evaluate_volume(
     experiment: Experiment, volume: VolumeRecord, run: Span, disturbances: Disturbances, report: Report
 ) -> None:
-    """Add to the report how much of its limit a volume was served, and whether it was exceeded."""
+    """Add to the report the fraction of its limit that a volume was served, and violations of the limit."""
     limit = experiment.limit
     slack = max(LARGEST_REQUEST_UNITS, SLACK_FRACTION * limit)
     min_level = min_bucket_level(volume.unit_times_s, limit)
@@ -80,17 +80,17 @@
     outcomes = volume.outcomes
     report.lines += [
         f"{volume.name}: {served:.2f} of its limit served in {seconds:.0f} calm seconds, "
-        f"{len(volume.unit_times_s)} units in all; its store never under {min_level:.1f} of {limit:.0f} "
-        f"(may be {-slack:.0f})",
-        f"  asked {outcomes.total()}: {dict(sorted(outcomes.items()))}",
+        f"{len(volume.unit_times_s)} units in total; lowest bucket level {min_level:.1f} of {limit:.0f} "
+        f"(limit {-slack:.0f})",
+        f"  {outcomes.total()} requests: {dict(sorted(outcomes.items()))}",
     ]
     if min_level < -slack:
         report.wrong.append(
-            f"{volume.name}: the limit's store was at {min_level:.1f}, and may be at {-slack:.1f}"
+            f"{volume.name}: the bucket level was {min_level:.1f}, below the limit of {-slack:.1f}"
         )
     if served < volume.min_served_fraction:
         report.wrong.append(
-            f"{volume.name}: {served:.2f} of its limit served, of {volume.min_served_fraction:.2f}"
+            f"{volume.name}: {served:.2f} of its limit served, less than {volume.min_served_fraction:.2f}"
         )
     if outcomes["cut"] or outcomes["wrong"]:
         report.wrong.append(
@@ -101,29 +101,29 @@
 def evaluate_hang(
     experiment: Experiment, hang: NodeHang, unit_times_s: Sequence[float], report: Report
 ) -> None:
-    """Add to the report how often a hung node was tried, and how soon its work came back.
+    """Add to the report the rate of requests to a hung node, and the time until it served its volume again.
 
     Args:
-        experiment: What is demanded.
-        hang: When the node hung, and was tried; its first half does not count.
-        unit_times_s: When units of the volume that it holds were served.
-        report: What is added to.
+        experiment: The experiment with its limits.
+        hang: The hang of the node; requests in its first half don't count.
+        unit_times_s: The times at which units of the node's volume were served.
+        report: The report.
     """
     began_s, completed_s = hang.span
     late_requests = sum(at_s > (began_s + completed_s) / 2 for at_s in hang.request_times_s)
     requests_per_s = late_requests / (completed_s - began_s) * 2
     return_s = time_to_return_s(unit_times_s, completed_s, experiment.limit)
     report.lines.append(
-        f"a hung box was tried {requests_per_s:.1f} times a second, work back in {return_s:.2f} s"
+        f"a hung node got {requests_per_s:.1f} requests per second, and served again after {return_s:.2f} s"
     )
     if requests_per_s > experiment.most_tried or return_s > experiment.back_s:
         report.wrong.append(
-            f"it may be tried {experiment.most_tried:g} times, and want {experiment.back_s:g} s"
+            f"limits of a hung node: {experiment.most_tried:g} requests per second, {experiment.back_s:g} s"
         )
 
 
 def min_bucket_level(unit_times_s: Iterable[float], limit: float) -> float:
-    """Return the lowest level of a token bucket of the limit, full at first, where each time took a token."""
+    """Return the lowest level of a token bucket that starts full, and gives a token at each time."""
     level = limit
     min_level = limit
     previous_s: float | None = None
@@ -137,7 +137,7 @@
 
 
 def calm_units(unit_times_s: Iterable[float], run: Span, disturbed: Sequence[Span]) -> int:
-    """Return how many units were served in the run while nothing disturbed it."""
+    """Return how many units were served in the run outside of disturbances."""
     return sum(
         run.began_s <= at_s <= run.completed_s
         and not any(span.began_s <= at_s <= span.completed_s for span in disturbed)
@@ -146,7 +146,7 @@
 
 
 def calm_seconds(run: Span, disturbed: Iterable[Span]) -> float:
-    """Return for how long nothing disturbed the run."""
+    """Return the duration of the run without its disturbances, in seconds."""
     calm_s = 0.0
     calm_since_s = run.began_s
     for span in sorted(disturbed):
@@ -156,7 +156,10 @@
 
 
 def time_to_return_s(unit_times_s: Iterable[float], completed_s: float, limit: float) -> float:
-    """Return how long after a fault enough units were served in a short time, ``NEVER_S`` for never."""
+    """Return the time from the end of a fault until units are served at ``RETURN_FRACTION`` of the limit.
+
+    ``NEVER_S`` stands for never.
+    """
     enough_units = limit * RETURN_WINDOW_S * RETURN_FRACTION
     later = [at_s for at_s in unit_times_s if at_s > completed_s]
     for start_s in later:
--- a/sabledyke/testbed/shared_limits_run.py
+++ b/sabledyke/testbed/shared_limits_run.py
@@ -1,7 +1,7 @@
-"""A run of an experiment on shared limits, in real time on loopback.
+"""Runs experiments on shared limits in real time on loopback.
 
-Processes share out a limit, clients lean on one of them, then on another, and faults come between them.
-Storage nodes that know nothing of the limit count what they serve to all processes together.
+Processes share a limit, the clients of one volume all use one member, then another, and faults are injected.
+Storage nodes don't enforce the limit; they count what they serve to all processes together.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from random import Random
 
 from sabledyke.testbed.deployment import LIMITED_PLAN, SHARD_COUNT
-from sabledyke.testbed.fleet import Fleet, play
+from sabledyke.testbed.fleet import Fleet, run_scenario
 from sabledyke.testbed.fleet_faults import FleetFault
 from sabledyke.testbed.fleet_settings import FleetSettings
 from sabledyke.testbed.scenario import Report
@@ -30,13 +30,13 @@
 from sabledyke.testbed.workload import Client, ClientMetrics
 
 LEANING_VOLUME = 1000
-"""A volume whose clients all come to one member."""
+"""Volume whose clients all use the same member."""
 SPREAD_VOLUME = 1001
-"""A volume whose clients come to all members."""
+"""Volume whose clients are spread over all members."""
 VOLUMES = {LEANING_VOLUME: "leaning", SPREAD_VOLUME: "spread"}
 
 SETTLING_S = 3.0
-"""Time after a move or a fault in which what is served does not count."""
+"""Time after a change of the leaned-on member, or a fault, that does not count for the served fraction."""
 DEMAND_LIMITS = 2.0
 """Demand for each volume, in multiples of its limit."""
 CLIENT_REQUESTS_PER_S = 8.0
@@ -47,13 +47,13 @@
 
 
 async def run(experiment: Experiment, folder: Path, seed: int) -> Report:
-    """Run an experiment in a folder, and evaluate it."""
+    """Run an experiment in ``folder``, and evaluate it."""
     report = Report()
     limits_run = _Run(experiment, seed, report)
-    fleet = await play(_fleet_settings(experiment), folder, limits_run.play, seed)
+    fleet = await run_scenario(_fleet_settings(experiment), folder, limits_run.play, seed)
     failed = [status for status in fleet.statuses if status]
     if failed:
-        report.wrong.append(f"processes ended with {failed}")
+        report.wrong.append(f"processes ended with exit statuses {failed}")
     return report
 
 
@@ -74,15 +74,15 @@
 
 @dataclass(slots=True)
 class _Run:
-    """One run.
+    """One run of an experiment.
 
     Attributes:
-        experiment: What is run.
-        seed: Seed of clients and faults.
-        report: What the evaluation is added to.
-        leaned_on: Number of the member that clients lean on.
-        disturbances: What happened so far.
-        metrics: What clients saw, by volume.
+        experiment: The experiment.
+        seed: The seed of clients and faults.
+        report: The report that gets the evaluation.
+        leaned_on: The number of the member that the leaning volume's clients use.
+        disturbances: The disturbances so far.
+        metrics: The metrics of clients, by volume.
     """
 
     experiment: Experiment
@@ -95,7 +95,7 @@
     )
 
     async def play(self, fleet: Fleet) -> None:
-        """Run clients and faults in a fleet that is up, and evaluate what was seen."""
+        """Run clients and faults in a started fleet, and evaluate the records."""
         clients = self._clients(fleet)
         tasks = [asyncio.create_task(client.run()) for client in clients]
         began_s = time.monotonic()
@@ -130,12 +130,12 @@
         ]
 
     def _ports_of(self, ports: list[int], client: int, volume: int) -> list[int]:
-        """Return where a client goes: to the member that all lean on, or to its own."""
+        """Return the port for a client: of the leaned-on member, or of the client's own member."""
         member = self.leaned_on if volume == LEANING_VOLUME else client % len(ports)
         return [ports[member]]
 
     async def _move_clients(self) -> None:
-        """Have clients lean on one member after the other."""
+        """Move the leaning volume's clients from one member to the next."""
         while True:
             now_s = time.monotonic()
             self.disturbances.spans.append(Span(now_s, now_s + SETTLING_S))
@@ -174,5 +174,5 @@
 
 
 def _unit_times_s(fleet: Fleet, volume: int) -> list[float]:
-    """Return when the fleet's storage nodes served each unit of a volume."""
+    """Return the times at which the fleet's storage nodes served units of a volume."""
     return fleet.nodes.unit_times.get(f"{volume:016x}", [])
--- a/sabledyke/testbed/storage_nodes.py
+++ b/sabledyke/testbed/storage_nodes.py
@@ -1,6 +1,6 @@
-"""Storage nodes and their discovery for a fleet of processes; they record what reaches them.
+"""Storage nodes and their discovery for a fleet of processes, with records of the requests received.
 
-They stand on Tornado's own server and know PROTOCOL's pages alone. Bounded by the clients.
+They use Tornado's server, and follow the published protocol only. Their load is bounded by the clients.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
 
 
 class StorageNodes:
-    """Some nodes for each of ``SHARD_COUNT`` shards and their discovery, each on a port of its own.
+    """Storage nodes for ``SHARD_COUNT`` shards and their discovery, each on a port of its own.
 
     Attributes:
-        deduplication: What is checked of writes.
-        repeats: What is checked of requests that come again.
-        slow_start: What is checked of nodes that were started again.
-        request_count: How many requests came.
-        unit_times: When each unit came, by volume.
-        draining: The nodes that are said to be drained, and are not back yet.
-        requests_while_draining: How many requests were at one of them, or came to one.
-        discovery_port: Where the discovery listens.
+        deduplication: The check of repeated writes.
+        repeats: The check of repeated requests.
+        slow_start: The check of restarted nodes.
+        request_count: The number of requests received.
+        unit_times: The arrival times of units in seconds, by volume.
+        draining: The numbers of the nodes that were removed as drained, and have not been replaced.
+        requests_while_draining: The number of requests in flight at, or received by, nodes in ``draining``.
+        discovery_port: The port of the discovery.
         list_version: The version of the discovery's list.
     """
 
@@ -60,20 +60,20 @@
         self._size = nodes_per_shard * SHARD_COUNT
         self._servers: dict[int, HTTPServer] = {}
         self._discovery: HTTPServer | None = None
-        self._ports: dict[int, int] = {}  # of the nodes that are listed
-        self._started_at_ms: Counter[int] = Counter()  # of later starts
-        self._in_flight: Counter[int] = Counter()  # by node
-        self._hung: dict[int, list[float]] = {}  # nodes that do not answer: when each request came
+        self._ports: dict[int, int] = {}  # ports of the listed nodes, by node
+        self._started_at_ms: Counter[int] = Counter()  # start times of replaced nodes, by node; 0 for others
+        self._in_flight: Counter[int] = Counter()  # requests in flight, by node
+        self._hung: dict[int, list[float]] = {}  # arrival times of requests to hung nodes, by node
         self._hang_over = asyncio.Event()
 
     def open(self) -> None:
-        """Begin to serve."""
+        """Start the nodes and the discovery."""
         for number in range(self._size):
             self._start(number)
         self._discovery, self.discovery_port = _listen(_DiscoveryHandler, nodes=self)
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop the nodes and the discovery, and close their connections."""
         servers = [*self._servers.values()]
         if self._discovery is not None:
             servers.append(self._discovery)
@@ -82,7 +82,7 @@
             await server.close_all_connections()
 
     async def hang(self, number: int, duration_s: float) -> list[float]:
-        """Let a node accept requests and answer none for a while, and return when each came."""
+        """Have a node accept requests without answering them, and return their arrival times."""
         arrivals: list[float] = []
         self._hung[number] = arrivals
         await asyncio.sleep(duration_s)
@@ -92,7 +92,7 @@
         return arrivals
 
     async def replace(self, number: int, down_s: float) -> None:
-        """Take a node away, and bring it back at another port as a later start."""
+        """Remove a node, and start it again at another port with a later start time."""
         self.remove(number)
         await asyncio.sleep(down_s)
         self._servers[number].stop()
@@ -104,14 +104,14 @@
         self._publish_list()
 
     def remove(self, number: int) -> None:
-        """Take a node off the list for good."""
+        """Remove a drained node from the list; it stays removed unless ``replace`` starts it again."""
         self.draining.add(number)
         self.requests_while_draining += self._in_flight[number]
         del self._ports[number]
         self._publish_list()
 
     def endpoints(self) -> list[dict[str, Any]]:
-        """Return the nodes as discovery lists them."""
+        """Return the nodes in the format of the discovery's list."""
         return [
             {
                 "host": f"box{number}",
@@ -127,12 +127,12 @@
         ]
 
     async def wait_for_list_change(self, timeout_s: float) -> None:
-        """Wait until the list changes, or the time is over."""
+        """Wait until the list changes, for ``timeout_s`` at most."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._list_changed.wait(), timeout_s)
 
     async def handle(self, number: int, path: str, key: str, request_id: str) -> bool:
-        """Handle a request to a node; return False where the node hung, and does not answer."""
+        """Handle a request to a node; return False if the node hung, so that the request gets no answer."""
         self.request_count += 1
         self.slow_start.on_request(number, time.monotonic())
         if number in self._hung:
@@ -160,7 +160,7 @@
 
 
 class _NodeHandler(RequestHandler):
-    """One node: every request takes a few milliseconds."""
+    """Serves the requests of one node; each takes ``SERVICE_TIME_S``."""
 
     def initialize(self, nodes: StorageNodes, number: int) -> None:
         self._nodes = nodes
@@ -182,11 +182,11 @@
     put = get
 
     def log_exception(self, *_: Any) -> None:
-        """A client that closed its connection is no fault here."""
+        """Log nothing: a client may close its connection at any time."""
 
 
 class _DiscoveryHandler(RequestHandler):
-    """The discovery: the whole list, or a watch that waits for the next one until its time is over."""
+    """Serves the discovery: the complete list, or a watch that waits for a change until its timeout."""
 
     def initialize(self, nodes: StorageNodes) -> None:
         self._nodes = nodes
@@ -202,7 +202,7 @@
 
 
 def connection_state(stream: IOStream) -> ConnectionState:
-    """Return what this end knows of a connection, also what has come and was not read yet."""
+    """Return the state of a connection at this end, including input that has not been read yet."""
     if stream.closed():
         was_reset = isinstance(stream.error, ConnectionResetError)
         return ConnectionState.RESET if was_reset else ConnectionState.CLOSED
@@ -216,7 +216,7 @@
 
 
 def _listen(handler: type[RequestHandler], **arguments: Any) -> tuple[HTTPServer, int]:
-    """Start a server for this handler on a port of its own, and return both."""
+    """Start a server for this handler on a free port, and return the server and the port."""
     application = Application([(".*", handler, arguments)], log_function=lambda _: None)
     server = HTTPServer(application)
     (listener,) = bind_sockets(0, "127.0.0.1")
--- a/sabledyke/testbed/supervisor.py
+++ b/sabledyke/testbed/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts members of a fleet again whenever their processes end, as the version that their files name."""
+"""Restarts of a fleet's members whenever their processes end, as the version that they requested."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from sabledyke.testbed.cluster import Cluster
 
 RESTART_DELAY_S = 0.1
-POLL_S = 0.05  # between two checks whether a member may be started again
+POLL_S = 0.05  # interval of checks that a member may be started again
 FIRST_VERSION = "1"
 
 
 class Supervisor:
-    """What a process supervisor does for a fleet.
+    """A process supervisor for the members of a fleet.
 
     Attributes:
-        suspended: The members that are not started again for now.
-        retired: The members that left for good.
-        ignores_versions: It starts members as the version that they had, whatever they ask for.
+        suspended: The numbers of members that are currently not started again.
+        retired: The numbers of members that left the fleet permanently.
+        ignores_versions: True to restart members as their previous version, whichever they request.
     """
 
     def __init__(self, cluster: Cluster, operator_file: Callable[[int, str], str]) -> None:
-        """Prepare it.
+        """Create a supervisor.
 
         Args:
             cluster: The processes.
-            operator_file: Returns the text of a member's operator's file, by its number and version.
+            operator_file: Returns the text of a member's operator's file for a number and a version.
         """
         self.suspended: set[int] = set()
         self.retired: set[int] = set()
@@ -51,7 +51,7 @@
             await self._cluster.start(number)
 
     def _switch_version(self, number: int) -> None:
-        """Do what the member asked for before its end."""
+        """Apply the version that the member requested before its end, or its retirement."""
         folder = self._cluster.instances[number].folder
         request = folder / "wants"
         if self.ignores_versions or not request.exists():
--- a/sabledyke/testbed/workload.py
+++ b/sabledyke/testbed/workload.py
@@ -1,8 +1,8 @@
-"""Clients of a fleet of processes, and how their requests ended.
+"""Clients of a fleet of processes, and the outcomes of their requests.
 
-A client keeps a connection to each member, goes to one that answers, and follows each request to its end.
-Reads and keyed writes. Open loop: a client begins its next request when its time has come, and late ones
-count.
+A client keeps a connection to each member, sends reads and keyed writes to a member that accepts connections,
+and waits for the end of each request. Clients are paced as an open loop: requests have due times, and the
+number of requests does not drop if they begin late.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 MAX_LATENCY_US = 600_000_000
 HISTOGRAM_DIGITS = 3
 WRITE_FRACTION = 0.4
-MAX_ATTEMPTS = 2  # as PROTOCOL says of a connection that is closed between two requests
+MAX_ATTEMPTS = 2  # the protocol allows one retry after a connection was closed between two requests
 HEAD_END = b"\r\n\r\n"
 REJECTIONS = ("429", "503")
 
 
 class RequestOutcome(StrEnum):
-    """How a request ended; the values are printed."""
+    """Outcomes of requests; the values are printed."""
 
     SERVED = "served"
     WRONG_ANSWER = "wrong"
     REJECTED = "refused"
     FAILED = "failed"
-    CUT_OFF = "cut"  # in the middle of the answer
-    CONNECTION_CLOSED = "closed"  # before the answer
+    CUT_OFF = "cut"  # connection closed in the middle of the answer
+    CONNECTION_CLOSED = "closed"  # connection closed before the answer
     TIMED_OUT = "silence"
     UNREACHABLE = "nobody"  # no member accepted a connection
 
@@ -47,11 +47,11 @@
 
 @dataclass(slots=True)
 class ClientMetrics:
-    """What clients saw.
+    """Metrics of clients.
 
     Attributes:
-        outcomes: How many requests ended in which way, by the outcome's value.
-        latencies_us: The latencies of those served, since the last ``reset_latencies``.
+        outcomes: The number of requests by outcome, under the outcome's value.
+        latencies_us: The latencies of served requests since the last call of ``reset_latencies``.
         served_keys: The idempotency keys of writes that were served.
     """
 
@@ -61,11 +61,11 @@
 
     @property
     def request_count(self) -> int:
-        """All requests that ended."""
+        """Number of requests that ended."""
         return self.outcomes.total()
 
     def on_end(self, outcome: RequestOutcome, key: str, latency_s: float) -> None:
-        """Count a request; ``key`` is "" for a read."""
+        """Record the outcome of a request; ``key`` is "" for a read."""
         self.outcomes[outcome.value] += 1
         if outcome is not RequestOutcome.SERVED:
             return
@@ -74,11 +74,11 @@
             self.served_keys.append(key)
 
     def p99_s(self) -> float:
-        """Return the 99th percentile of latencies; 0 where nothing was served."""
+        """Return the 99th percentile of latencies in seconds; 0 if no request was served."""
         return float(self.latencies_us.get_value_at_percentile(99)) / 1e6
 
     def reset_latencies(self) -> None:
-        """Begin a new histogram."""
+        """Start a new histogram of latencies."""
         self.latencies_us = _new_histogram()
 
 
@@ -87,14 +87,14 @@
     port: int
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    used: bool = False  # a request was sent on it
+    used: bool = False  # True if a request was sent on the connection
 
 
 class Client:
-    """One client.
+    """One client of the fleet.
 
     Attributes:
-        metrics: Where its requests are counted.
+        metrics: The metrics that record the client's requests.
     """
 
     def __init__(
@@ -107,16 +107,16 @@
         tier: str = "base",
         scheduler_count: int = 1,
     ) -> None:
-        """Prepare a client.
+        """Create a client.
 
         Args:
-            name: Its name, and the seed of its choices.
+            name: The client's name, which is the seed of its random choices.
             ports_of: Returns the ports of members for a volume, the preferred one first.
-            volumes: The volumes that it uses.
+            volumes: The volumes that the client uses.
             mean_interval_s: The mean time between two requests.
-            metrics: Where its requests are counted.
-            tier: The plan that it is on.
-            scheduler_count: How many schedulers there are, as the platform says it.
+            metrics: The metrics that record the client's requests.
+            tier: The name of the plan in requests.
+            scheduler_count: The number of schedulers in requests.
         """
         self.metrics = metrics
         self._name = name
@@ -130,7 +130,7 @@
         self._connections: dict[int, _Connection] = {}  # by port
 
     async def run(self) -> None:
-        """Send requests until it is cancelled; a request that has begun is followed to its end first."""
+        """Send requests until the task is cancelled; a request that has begun is still completed."""
         due = time.monotonic()
         while True:
             due += self._random.expovariate(1 / self._mean_interval_s)
@@ -143,7 +143,7 @@
             connection.writer.transport.abort()
 
     async def _request(self, volume: int) -> None:
-        """Send one request, and count its end."""
+        """Send one request, and record its outcome."""
         self._request_number += 1
         is_write = self._random.random() < WRITE_FRACTION
         key = f"{self._name}-{self._request_number}" if is_write else ""
@@ -167,7 +167,7 @@
         return RequestOutcome.CONNECTION_CLOSED
 
     async def _connect(self, volume: int) -> _Connection | None:
-        """Return a connection to the first member that accepts one, None where none does."""
+        """Return a connection to the first member that accepts one, None if no member does."""
         for port in self._ports_of(volume):
             connection = self._connections.get(port)
             if connection is not None and not connection.reader.at_eof():
@@ -183,7 +183,7 @@
     async def _exchange(
         self, connection: _Connection, volume: int, key: str, attempt: int
     ) -> RequestOutcome | None:
-        """Send a request and read its answer; None where the connection ended before a byte of it."""
+        """Send a request and read its answer; return None if the connection ended before the first byte."""
         path = f"/api/{volume:016x}/{self._request_number:016x}"
         head = b""
         try:
@@ -192,7 +192,7 @@
                 head = await connection.reader.readuntil(HEAD_END)
                 status, headers = _parse_head(head)
                 body = await connection.reader.readexactly(int(headers.get("content-length", 0)))
-        except TimeoutError:  # what came too late must not be taken for the next request's answer
+        except TimeoutError:  # a late answer must not be read as the answer of the next request
             self._forget(connection)
             connection.writer.transport.abort()
             return RequestOutcome.TIMED_OUT
@@ -225,7 +225,7 @@
 
 
 def _parse_head(head: bytes) -> tuple[str, dict[str, str]]:
-    """Return the status and the headers, their names in lower case."""
+    """Return the status and the headers of an answer, with names in lower case."""
     status_line, *lines = head.decode().split("\r\n")
     fields = (line.partition(":") for line in lines)
     return status_line.split()[1], {name.lower(): value.strip() for name, _, value in fields}
--- a/tests/lease/test_cluster.py
+++ b/tests/lease/test_cluster.py
@@ -17,13 +17,13 @@
 SEEDS = (1, 2)
 MAX_CONCURRENT_RUNS = 6
 PLAIN = Experiment(
-    "", length_s=5.5, ttl_ms=1000, renew_interval_ms=200, safety_margin_ms=300, act_interval_s=0.05
+    "", length_s=5.5, ttl_ms=1000, renew_interval_ms=200, safety_margin_ms=300, operation_interval_s=0.05
 )
 CLOCKS: dict[str, Any] = {
     "clock_offsets_ms": (0.0, 9e5, -4e5, 3e3, 0.0),
     "clock_rates": (0.99, 1.01, 1.0, 0.99, 1.01),
 }
-LATE_MESSAGES = (Fault(FaultKind.ACT_AFTER_TAKEOVER, 1.0, 2.0),)
+LATE_MESSAGES = (Fault(FaultKind.OPERATION_AFTER_TAKEOVER, 1.0, 2.0),)
 
 
 @dataclass(frozen=True)
@@ -93,7 +93,7 @@
     async def run_one(key: ReportKey, experiment: Experiment) -> None:
         async with semaphore:
             folder = tmp_path_factory.mktemp("run")
-            finished[key] = Played(await LeaseRun(experiment, folder, key[2]).play(), folder)
+            finished[key] = Played(await LeaseRun(experiment, folder, key[2]).run(), folder)
 
     async def run_all() -> None:
         async with asyncio.TaskGroup() as group:
@@ -121,9 +121,9 @@
     played = reports[backend, name, seed]
     report = played.report
     evaluation = report.evaluation
-    assert evaluation.act_count > 10, played.describe()
+    assert evaluation.operation_count > 10, played.describe()
     assert evaluation.lease_overlap_count == 0, played.describe()
-    assert evaluation.out_at_release_count == 0, played.describe()
+    assert evaluation.in_flight_at_release_count == 0, played.describe()
     assert evaluation.overlap_count == 0, played.describe()
     assert evaluation.stale_count == 0, played.describe()
     if ALL[backend, name].changes:
--- a/tests/lease/test_giving_up.py
+++ b/tests/lease/test_giving_up.py
@@ -14,7 +14,7 @@
 from sabledyke.lease.extension import LeaseExtension, create_authority
 from sabledyke.lease.section import LeaseSection
 from sabledyke.operator_config import OperatorConfig
-from sabledyke.testbed.fenced_resource import Act, FencedResource, evaluate
+from sabledyke.testbed.fenced_resource import FencedResource, Operation, evaluate
 from tests.lease.support import TIMEOUT_S
 
 POLL_S = 0.002
@@ -27,14 +27,14 @@
 class Play:
     """Two candidates for one lease, a service that takes a while for an act, and one act that is out."""
 
-    def __init__(self, folder: Path, act_duration_ms: float, seed: int) -> None:
-        self.resource = FencedResource(act_duration_ms)
+    def __init__(self, folder: Path, operation_duration_ms: float, seed: int) -> None:
+        self.resource = FencedResource(operation_duration_ms)
         self._path = folder / "leases.sqlite3"
         self._seed = seed
         self._random = Random(seed)
         self._extensions: list[LeaseExtension] = []
 
-    async def run(self, give_up: Callable[[Play], Awaitable[None]]) -> list[Act]:
+    async def run(self, give_up: Callable[[Play], Awaitable[None]]) -> list[Operation]:
         """Have the holder give up its lease in the middle of an act; return the acts up to a few later."""
         async with AsyncExitStack() as stack:
             await self.resource.open()
@@ -44,16 +44,16 @@
                 await extension.open()
                 stack.push_async_callback(extension.close)
                 self._extensions.append(extension)
-            while not (self.resource.acts and self._has_act_out()):
+            while not (self.resource.operations and self._has_act_out()):
                 await asyncio.sleep(POLL_S)
-            await asyncio.sleep(self._random.random() * self.resource.act_duration_s / 2)
+            await asyncio.sleep(self._random.random() * self.resource.operation_duration_s / 2)
             while not self._has_act_out():
                 await asyncio.sleep(POLL_S)
             begun_before = self.resource.begun_count
             await give_up(self)
-            while len(self.resource.acts) < begun_before + ACTS_AFTERWARDS:
+            while len(self.resource.operations) < begun_before + ACTS_AFTERWARDS:
                 await asyncio.sleep(POLL_S)
-        return self.resource.acts
+        return self.resource.operations
 
     def section(self, renew_ms: float = 250) -> LeaseSection:
         """Return the settings, which differ by the renew interval."""
@@ -84,7 +84,7 @@
         self._holder().apply_operator_config(OperatorConfig(lease=self.section(renew_ms=200)))
 
     def _has_act_out(self) -> bool:
-        return self.resource.begun_count > len(self.resource.acts)
+        return self.resource.begun_count > len(self.resource.operations)
 
     def _holder(self) -> LeaseExtension:
         number = int(self.resource.last_holder.partition(".")[0].removeprefix("n"))
@@ -96,10 +96,10 @@
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, int, int], list[Act]]:
+def played(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, int, int], list[Operation]]:
     """All cases at once: most of it is waiting."""
 
-    async def run_all() -> list[list[Act]]:
+    async def run_all() -> list[list[Operation]]:
         plays = [
             Play(tmp_path_factory.mktemp("play"), duration, seed).run(WAYS[way])
             for way, duration, seed in CASES
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize(("way", "duration_ms", "seed"), CASES)
 def test_no_act_begins_while_one_is_out_under_a_lease_that_was_given_up(
-    played: dict[tuple[str, int, int], list[Act]], way: str, duration_ms: int, seed: int
+    played: dict[tuple[str, int, int], list[Operation]], way: str, duration_ms: int, seed: int
 ) -> None:
     """Guards against a lease that is released while the service still works on an act under it."""
     acts = played[way, duration_ms, seed]
--- a/tests/lease/test_holder_acts.py
+++ b/tests/lease/test_holder_acts.py
@@ -113,7 +113,7 @@
     """Guards against a call that outlives the lease, and against a release while the service works on it."""
 
     async def run() -> None:
-        resource = FencedResource(act_duration_ms=5000)
+        resource = FencedResource(operation_duration_ms=5000)
         await resource.open()
         authority = SqlAuthority(Target(path=str(tmp_path / "leases")), TIMES.ttl_ms)
         await authority.open()
--- a/tests/rollout/node_scenarios.py
+++ b/tests/rollout/node_scenarios.py
@@ -40,7 +40,7 @@
     assert not nodes.repeats.untimely, nodes.repeats.untimely
     assert not nodes.requests_while_draining
     assert nodes.slow_start.max_load < 1
-    sent_again = nodes.deduplication.sent_again_by_clients()
+    sent_again = nodes.deduplication.keys_resent_by_clients()
     assert fleet.settings.nodes_per_shard > 1 or not sent_again, nodes.deduplication.describe_repeats()
     assert all(nodes.deduplication.runs[key] for key in fleet.metrics.served_keys)
 
@@ -72,7 +72,7 @@
         "n3": READY,
     }
     assert not disruption_budget.members_out(view)
-    placements = (await fleet.read_placements_anew()).values()  # clients may be behind on a busy machine
+    placements = (await fleet.read_all_placements()).values()  # clients may be behind on a busy machine
     assert {placement.site for placement in placements} == {"s1"}
     assert all(placement.move_count == (placement.origin_site == "s0") for placement in placements)
     assert_nothing_was_lost(fleet)
--- a/tests/rollout/release_scenarios.py
+++ b/tests/rollout/release_scenarios.py
@@ -72,7 +72,7 @@
     assert {member.version for member in view.members.values()} == {"2"}
     assert not view.tickets
     assert fleet.max_out() <= max_out, [member.outages for member in fleet.availability]
-    assert await fleet.read_view_anew() == await fleet.read_view()
+    assert await fleet.read_view_from_start() == await fleet.read_view()
 
 
 async def restart_everybody(fleet: Fleet) -> None:
--- a/tests/rollout/test_experiments.py
+++ b/tests/rollout/test_experiments.py
@@ -12,7 +12,7 @@
 
 from sabledyke.errors import OperatorError
 from sabledyke.testbed import experiment, scenario
-from sabledyke.testbed.availability import Availability, max_out_at_once
+from sabledyke.testbed.availability import Availability, max_concurrent_outages
 from sabledyke.testbed.deployment import (
     NODE_CAPACITY_UNITS_PER_S,
     OVERLOAD_MULTIPLE,
@@ -61,12 +61,12 @@
     members = [
         Availability([(1, 2), (5, 6)]),
         Availability([(2.5, 5.5)]),
-        Availability([], out_since=9.0, was_up=True),
+        Availability([], outage_began_at=9.0, has_answered=True),
         Availability([(9.5, 9.6)]),
     ]
-    assert max_out_at_once(members[:1], 10) == 1
-    assert max_out_at_once(members[:2], 10) == 2
-    assert max_out_at_once(members, 10) == 2
+    assert max_concurrent_outages(members[:1], 10) == 1
+    assert max_concurrent_outages(members[:2], 10) == 2
+    assert max_concurrent_outages(members, 10) == 2
 
 
 def test_an_overload_of_a_node_in_slow_start_is_found() -> None:
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -14,7 +14,7 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from sabledyke.testbed.fleet import Fleet, play
+from sabledyke.testbed.fleet import Fleet, run_scenario
 from sabledyke.testbed.fleet_faults import FleetFault
 from sabledyke.testbed.fleet_settings import FleetSettings
 from sabledyke.testbed.fleet_transcript import transcript
@@ -159,7 +159,7 @@
 
     async def play_to_end() -> None:
         async with asyncio.timeout(TIMEOUT_S):
-            fleet = await play(replace(settings, backend=backend), Path(folder), record, seed)
+            fleet = await run_scenario(replace(settings, backend=backend), Path(folder), record, seed)
         allowed = {0, -signal.SIGKILL} if fleet.supervisor.suspended else {0}
         assert set(fleet.statuses) <= allowed, fleet.statuses
 
--- a/tests/rollout/test_traffic_checks.py
+++ b/tests/rollout/test_traffic_checks.py
@@ -32,7 +32,7 @@
     check.on_run("key", 1, 100.0, "c-1-0")
     check.on_run("key", shard, 100.0 + after_s, request_id)
     assert check.violations == violations
-    assert check.sent_again_by_clients() == sent_again
+    assert check.keys_resent_by_clients() == sent_again
     assert "c-1-0" in check.describe_repeats()
 
 
--- a/tests/testbed/test_parent_death.py
+++ b/tests/testbed/test_parent_death.py
@@ -1,4 +1,4 @@
-"""A play that is killed takes its processes with it."""
+"""The processes of a testbed run end when the run's process is killed."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 END_TIMEOUT_S = 20.0
 POLL_S = 0.02
 
-PLAY = """
+CLUSTER_SCRIPT = """
 import asyncio, sys
 from pathlib import Path
 from sabledyke.testbed.cluster import Cluster
 
-async def play():
+async def run():
     cluster = Cluster(Path(sys.argv[1]), 1)
     cluster.prepare(0, "")
     await cluster.start(0)
     print(cluster.instances[0].process.pid, flush=True)
     await asyncio.Event().wait()
 
-asyncio.run(play())
+asyncio.run(run())
 """
 
-POOL = """
+POOL_SCRIPT = """
 import os, time
 from concurrent.futures import ProcessPoolExecutor
 from sabledyke.testbed.parent_death import end_with_parent
@@ -40,35 +40,35 @@
 """
 
 
-def started_by(script: str, folder: Path) -> tuple[subprocess.Popen[str], int]:
-    """Start a script, and return it with the process id that it prints."""
-    play = subprocess.Popen(
+def start_script(script: str, folder: Path) -> tuple[subprocess.Popen[str], int]:
+    """Start a script, and return its process and the process id that it prints."""
+    parent = subprocess.Popen(
         [sys.executable, "-c", script, str(folder)],
         stdout=subprocess.PIPE,
         text=True,
         env=dict(os.environ, PYTHONPATH=os.pathsep.join(sys.path)),
     )
-    assert play.stdout is not None
-    return play, int(play.stdout.readline())
+    assert parent.stdout is not None
+    return parent, int(parent.stdout.readline())
 
 
-def assert_ends_with(play: subprocess.Popen[str], pid: int) -> None:
-    """Kill the play, and see the process that it started end."""
+def assert_ends_with_parent(parent: subprocess.Popen[str], pid: int) -> None:
+    """Kill the parent, and check that the process that it started ends within ``END_TIMEOUT_S``."""
     assert is_running(pid)
-    play.kill()
-    play.wait()
-    assert play.stdout is not None
-    play.stdout.close()
+    parent.kill()
+    parent.wait()
+    assert parent.stdout is not None
+    parent.stdout.close()
     deadline_s = time.monotonic() + END_TIMEOUT_S
     while is_running(pid) and time.monotonic() < deadline_s:
         time.sleep(POLL_S)
     if is_running(pid):
         os.kill(pid, signal.SIGKILL)
-        pytest.fail(f"{pid} outlives its play")
+        pytest.fail(f"process {pid} still runs after the end of its parent")
 
 
 def is_running(pid: int) -> bool:
-    """Whether a process exists, and is no zombie."""
+    """Return True if a process exists and is not a zombie."""
     try:
         state = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
     except FileNotFoundError:
@@ -76,10 +76,10 @@
     return state != "Z"
 
 
-def test_processes_of_a_cluster_end_with_a_play_that_is_killed(tmp_path: Path) -> None:
-    """Guards against processes that go on calling ports which later plays get."""
-    assert_ends_with(*started_by(PLAY, tmp_path))
+def test_processes_of_a_cluster_end_when_their_parent_is_killed(tmp_path: Path) -> None:
+    """Guards against leftover processes that call ports which later runs are assigned."""
+    assert_ends_with_parent(*start_script(CLUSTER_SCRIPT, tmp_path))
 
 
-def test_a_process_of_a_pool_ends_with_a_play_that_is_killed(tmp_path: Path) -> None:
-    assert_ends_with(*started_by(POOL, tmp_path))
+def test_a_process_of_a_pool_ends_when_its_parent_is_killed(tmp_path: Path) -> None:
+    assert_ends_with_parent(*start_script(POOL_SCRIPT, tmp_path))
