--- a/sabledyke/cli/lab.py
+++ b/sabledyke/cli/lab.py
@@ -85,7 +85,7 @@
 
     described = scenario.load(path)
     report = asyncio.run(scenario_run.run(described, folder, seed))
-    return _print_report(described.name, seed, report.lines, report.wrong)
+    return _print_report(described.name, seed, report.lines, report.violations)
 
 
 def _run_shared_limits(path: str, folder: Path, seed: int) -> bool:
@@ -93,7 +93,7 @@
 
     experiment = shared_limits.load(path)
     report = asyncio.run(shared_limits_run.run(experiment, folder, seed))
-    return _print_report(experiment.name, seed, report.lines, report.wrong)
+    return _print_report(experiment.name, seed, report.lines, report.violations)
 
 
 def _print_report(name: str, seed: int, lines: list[str], violations: list[str]) -> bool:
--- a/sabledyke/testbed/cluster.py
+++ b/sabledyke/testbed/cluster.py
@@ -150,7 +150,7 @@
         """Stop a process outside of any transaction of a shared table, or with ``locking`` inside one.
 
         A process that is stopped in the middle of a transaction keeps the file's lock, so that no other
-        process can write there until it continues or ends. Experiments need one of the two cases, not chance.
+        process can write there until it continues or ends. An experiment therefore chooses the case.
 
         Raises:
             TimeoutError: The process could not be stopped at such a moment.
--- a/sabledyke/testbed/lease_faults.py
+++ b/sabledyke/testbed/lease_faults.py
@@ -21,7 +21,7 @@
 MAX_BYTES_UNTIL_RESET = 400
 LATE_OPERATION_PAUSE_S = 1.0  # time for the resource to get the late operation, and for its rejection
 
-KEEPS_HOLDER = {FaultKind.RESTART_AUTHORITY, FaultKind.SLOW_NETWORK, FaultKind.DELAY_OPERATIONS}
+HOLDER_KEEPING_FAULTS = {FaultKind.RESTART_AUTHORITY, FaultKind.SLOW_NETWORK, FaultKind.DELAY_OPERATIONS}
 
 
 @dataclass(slots=True, frozen=True)
@@ -99,7 +99,7 @@
         target = self._holder() if fault.target is None else fault.target
         if fault.kind is FaultKind.OPERATION_AFTER_TAKEOVER:
             target = await self._delay_operation_of_holder()
-        if target == self._holder() and fault.kind not in KEEPS_HOLDER:
+        if target == self._holder() and fault.kind not in HOLDER_KEEPING_FAULTS:
             self.holder_losses.append(HolderLoss(time.monotonic() * 1000, self._resource.last_holder))
         await self._handlers[fault.kind](fault, target)
 
--- a/sabledyke/testbed/lease_run.py
+++ b/sabledyke/testbed/lease_run.py
@@ -64,7 +64,8 @@
             f"{evaluation.overlap_count} overlapped, {evaluation.stale_count} under an outdated token, "
             f"{evaluation.lease_overlap_count} sent under two leases at once, "
             f"{evaluation.in_flight_at_release_count} in flight when their lease was released",
-            f"{self.rejected} rejected for their token; longest gap of operations {longest_gap_ms:.0f} ms",
+            f"{self.rejected} rejected for their token; "
+            f"longest time between two operations {longest_gap_ms:.0f} ms",
             f"time to another holder's operation after each fault: {gaps}",
             f"lateness of the event loop of authority and resource: {self.lateness.describe()}",
         ]
--- a/sabledyke/testbed/scenario.py
+++ b/sabledyke/testbed/scenario.py
@@ -80,11 +80,11 @@
 
     Attributes:
         lines: The lines to print.
-        wrong: The violations, one per line.
+        violations: The rules that the run violated, one per line.
     """
 
     lines: list[str] = field(default_factory=list)
-    wrong: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 def load(path: str) -> Scenario:
--- a/sabledyke/testbed/scenario_run.py
+++ b/sabledyke/testbed/scenario_run.py
@@ -41,7 +41,7 @@
     fleet = await run_scenario(scenario.settings, folder, run_plan, seed)
     failed = [status for status in fleet.statuses if status]
     if failed:
-        report.wrong.append(f"processes ended with exit statuses {failed}")
+        report.violations.append(f"processes ended with exit statuses {failed}")
     return report
 
 
@@ -59,12 +59,12 @@
     except TimeoutError:
         view = await fleet.read_view()
         stage = view.plans[plan.name].stage.value
-        report.wrong.append(f"the plan is still {stage} after {scenario.length_s:.0f} s")
+        report.violations.append(f"the plan is still {stage} after {scenario.length_s:.0f} s")
     took_s = time.monotonic() - started_at
     report.lines += _summary(scenario, fleet, view, took_s)
-    report.wrong += _violations(scenario, fleet, view)
+    report.violations += _violations(scenario, fleet, view)
     if await fleet.read_view_from_start() != await fleet.read_view():
-        report.wrong.append("a new reader's view differs from the view of the first reader")
+        report.violations.append("a new reader's view differs from the view of the first reader")
 
 
 async def _plan_for_site(fleet: Fleet, plan: Plan) -> Plan:
@@ -198,10 +198,12 @@
         violations.append(f"{nodes.requests_while_draining} requests were at a drained storage node")
     if nodes.deduplication.violations:
         violations.append(
-            f"{nodes.deduplication.violations} repeated writes were outside their window or shard"
+            f"{nodes.deduplication.violations} writes ran again at another shard or after the window"
         )
     if nodes.repeats.untimely:
-        violations.append(f"{len(nodes.repeats.untimely)} requests were repeated before a cancel or loss")
+        violations.append(
+            f"{len(nodes.repeats.untimely)} repeats came with an earlier attempt neither cancelled nor lost"
+        )
     if len(set(fleet.node_operator.replaced)) < len(fleet.node_operator.replaced):
         violations.append("a storage node was replaced or removed twice")
     return violations
--- a/sabledyke/testbed/shared_limits_evaluation.py
+++ b/sabledyke/testbed/shared_limits_evaluation.py
@@ -74,26 +74,26 @@
     limit = experiment.limit
     slack = max(LARGEST_REQUEST_UNITS, SLACK_FRACTION * limit)
     min_level = min_bucket_level(volume.unit_times_s, limit)
-    seconds = calm_seconds(run, disturbances.spans)
-    units = calm_units(volume.unit_times_s, run, disturbances.spans)
+    seconds = undisturbed_seconds(run, disturbances.spans)
+    units = undisturbed_units(volume.unit_times_s, run, disturbances.spans)
     served = units / seconds / limit if seconds else 0.0
     outcomes = volume.outcomes
     report.lines += [
-        f"{volume.name}: {served:.2f} of its limit served in {seconds:.0f} calm seconds, "
+        f"{volume.name}: {served:.2f} of its limit served in {seconds:.0f} undisturbed seconds, "
         f"{len(volume.unit_times_s)} units in total; lowest bucket level {min_level:.1f} of {limit:.0f} "
-        f"(limit {-slack:.0f})",
+        f"(at least {-slack:.0f} allowed)",
         f"  {outcomes.total()} requests: {dict(sorted(outcomes.items()))}",
     ]
     if min_level < -slack:
-        report.wrong.append(
+        report.violations.append(
             f"{volume.name}: the bucket level was {min_level:.1f}, below the limit of {-slack:.1f}"
         )
     if served < volume.min_served_fraction:
-        report.wrong.append(
+        report.violations.append(
             f"{volume.name}: {served:.2f} of its limit served, less than {volume.min_served_fraction:.2f}"
         )
     if outcomes["cut"] or outcomes["wrong"]:
-        report.wrong.append(
+        report.violations.append(
             f"{volume.name}: {outcomes['cut']} answers were cut off and {outcomes['wrong']} wrong"
         )
 
@@ -117,8 +117,9 @@
         f"a hung node got {requests_per_s:.1f} requests per second, and served again after {return_s:.2f} s"
     )
     if requests_per_s > experiment.most_tried or return_s > experiment.back_s:
-        report.wrong.append(
-            f"limits of a hung node: {experiment.most_tried:g} requests per second, {experiment.back_s:g} s"
+        report.violations.append(
+            f"a hung node exceeded its limits: {experiment.most_tried:g} requests per second, "
+            f"or {experiment.back_s:g} s until it serves again"
         )
 
 
@@ -136,7 +137,7 @@
     return min_level
 
 
-def calm_units(unit_times_s: Iterable[float], run: Span, disturbed: Sequence[Span]) -> int:
+def undisturbed_units(unit_times_s: Iterable[float], run: Span, disturbed: Sequence[Span]) -> int:
     """Return how many units were served in the run outside of disturbances."""
     return sum(
         run.began_s <= at_s <= run.completed_s
@@ -145,14 +146,14 @@
     )
 
 
-def calm_seconds(run: Span, disturbed: Iterable[Span]) -> float:
+def undisturbed_seconds(run: Span, disturbed: Iterable[Span]) -> float:
     """Return the duration of the run without its disturbances, in seconds."""
-    calm_s = 0.0
-    calm_since_s = run.began_s
+    undisturbed_s = 0.0
+    undisturbed_since_s = run.began_s
     for span in sorted(disturbed):
-        calm_s += max(0.0, min(span.began_s, run.completed_s) - calm_since_s)
-        calm_since_s = max(calm_since_s, span.completed_s)
-    return calm_s + max(0.0, run.completed_s - calm_since_s)
+        undisturbed_s += max(0.0, min(span.began_s, run.completed_s) - undisturbed_since_s)
+        undisturbed_since_s = max(undisturbed_since_s, span.completed_s)
+    return undisturbed_s + max(0.0, run.completed_s - undisturbed_since_s)
 
 
 def time_to_return_s(unit_times_s: Iterable[float], completed_s: float, limit: float) -> float:
--- a/sabledyke/testbed/shared_limits_run.py
+++ b/sabledyke/testbed/shared_limits_run.py
@@ -36,7 +36,7 @@
 VOLUMES = {LEANING_VOLUME: "leaning", SPREAD_VOLUME: "spread"}
 
 SETTLING_S = 3.0
-"""Time after a change of the leaned-on member, or a fault, that does not count for the served fraction."""
+"""Time after a change of ``shared_member``, or a fault, that does not count for the served fraction."""
 DEMAND_LIMITS = 2.0
 """Demand for each volume, in multiples of its limit."""
 CLIENT_REQUESTS_PER_S = 8.0
@@ -50,10 +50,10 @@
     """Run an experiment in ``folder``, and evaluate it."""
     report = Report()
     limits_run = _Run(experiment, seed, report)
-    fleet = await run_scenario(_fleet_settings(experiment), folder, limits_run.play, seed)
+    fleet = await run_scenario(_fleet_settings(experiment), folder, limits_run.run, seed)
     failed = [status for status in fleet.statuses if status]
     if failed:
-        report.wrong.append(f"processes ended with exit statuses {failed}")
+        report.violations.append(f"processes ended with exit statuses {failed}")
     return report
 
 
@@ -80,7 +80,7 @@
         experiment: The experiment.
         seed: The seed of clients and faults.
         report: The report that gets the evaluation.
-        leaned_on: The number of the member that the leaning volume's clients use.
+        shared_member: The number of the member that the leaning volume's clients use.
         disturbances: The disturbances so far.
         metrics: The metrics of clients, by volume.
     """
@@ -88,13 +88,13 @@
     experiment: Experiment
     seed: int
     report: Report
-    leaned_on: int = 0
+    shared_member: int = 0
     disturbances: Disturbances = field(default_factory=Disturbances)
     metrics: dict[int, ClientMetrics] = field(
         default_factory=lambda: {volume: ClientMetrics() for volume in VOLUMES}
     )
 
-    async def play(self, fleet: Fleet) -> None:
+    async def run(self, fleet: Fleet) -> None:
         """Run clients and faults in a started fleet, and evaluate the records."""
         clients = self._clients(fleet)
         tasks = [asyncio.create_task(client.run()) for client in clients]
@@ -130,8 +130,8 @@
         ]
 
     def _ports_of(self, ports: list[int], client: int, volume: int) -> list[int]:
-        """Return the port for a client: of the leaned-on member, or of the client's own member."""
-        member = self.leaned_on if volume == LEANING_VOLUME else client % len(ports)
+        """Return the port for a client: of ``shared_member``, or of the client's own member."""
+        member = self.shared_member if volume == LEANING_VOLUME else client % len(ports)
         return [ports[member]]
 
     async def _move_clients(self) -> None:
@@ -140,13 +140,13 @@
             now_s = time.monotonic()
             self.disturbances.spans.append(Span(now_s, now_s + SETTLING_S))
             await asyncio.sleep(self.experiment.moves_s)
-            self.leaned_on = (self.leaned_on + 1) % self.experiment.instances
+            self.shared_member = (self.shared_member + 1) % self.experiment.instances
 
     async def _inject(self, fleet: Fleet, fault: FaultRow, random: Random) -> None:
         await asyncio.sleep(fault.at)
         began_s = time.monotonic()
         size = fleet.settings.size
-        others = [number for number in range(size) if number != self.leaned_on]
+        others = [number for number in range(size) if number != self.shared_member]
         if fault.what == "hang":
             request_times_s = await fleet.nodes.hang(SPREAD_VOLUME % SHARD_COUNT, fault.for_s)
             hang = NodeHang(Span(began_s, time.monotonic()), request_times_s)
@@ -155,8 +155,8 @@
             killed = random.sample(range(size), max(1, int(size * fault.share)))
             await asyncio.gather(*(fleet.inject(FleetFault.KILL, number) for number in killed))
         else:
-            is_leaning = fault.who == "leaning" or not others
-            target = self.leaned_on if is_leaning else random.choice(others)
+            hits_shared_member = fault.who == "leaning" or not others
+            target = self.shared_member if hits_shared_member else random.choice(others)
             await fleet.inject(FleetFault(fault.what), target, fault.for_s)
         self.disturbances.spans.append(Span(began_s, time.monotonic() + 2 * SETTLING_S))
 
--- a/tests/quota_sharing/test_shared_limits.py
+++ b/tests/quota_sharing/test_shared_limits.py
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("name", EXPERIMENTS)
 def test_processes_together_keep_a_limit_whatever_breaks(reports: dict[str, Report], name: str) -> None:
-    assert not reports[name].wrong, reports[name]
+    assert not reports[name].violations, reports[name]
 
 
 def test_the_evaluation_finds_a_limit_that_was_exceeded() -> None:
