--- a/sabledyke/cli/lab.py
+++ b/sabledyke/cli/lab.py
@@ -90,7 +90,7 @@
 
     definition = scenario.load(path)
     report = asyncio.run(scenario_run.run(definition, folder, seed))
-    return _print_report(definition.name, seed, report.lines, report.wrong)
+    return _print_report(definition.name, seed, report.lines, report.violations)
 
 
 def _run_shared_limits(path: str, folder: Path, seed: int) -> bool:
@@ -98,7 +98,7 @@
 
     experiment = shared_limits.load(path)
     report = asyncio.run(shared_limits_run.run(experiment, folder, seed))
-    return _print_report(experiment.name, seed, report.lines, report.wrong)
+    return _print_report(experiment.name, seed, report.lines, report.violations)
 
 
 def _print_report(name: str, seed: int, lines: list[str], violations: list[str]) -> bool:
@@ -111,8 +111,8 @@
     from sabledyke.testbed import experiment, lease_run
 
     definition = experiment.load(path)
-    report = asyncio.run(lease_run.LeaseRun(definition, folder, seed).play())
+    report = asyncio.run(lease_run.LeaseRun(definition, folder, seed).run())
     print("\n".join([f"{definition.name}, seed {seed}", *report.lines()]))
     evaluation = report.evaluation
     wrong = evaluation.overlap_count + evaluation.lease_overlap_count + evaluation.stale_count
-    return bool(evaluation.act_count) and not (wrong or evaluation.out_at_release_count)
+    return bool(evaluation.operation_count) and not (wrong or evaluation.in_flight_at_release_count)
--- a/tests/lease/test_giving_up.py
+++ b/tests/lease/test_giving_up.py
@@ -14,7 +14,7 @@
 from sabledyke.lease.extension import LeaseExtension, create_authority
 from sabledyke.lease.section import LeaseSection
 from sabledyke.operator_config import OperatorConfig
-from sabledyke.testbed.fenced_resource import Act, FencedResource, evaluate
+from sabledyke.testbed.fenced_resource import FencedResource, Operation, evaluate
 from tests.lease.support import TIMEOUT_S
 
 POLL_S = 0.002
@@ -27,14 +27,14 @@
 class ReleaseScenario:
     """Two candidates for one lease, and a service whose operations take ``act_duration_ms``."""
 
-    def __init__(self, folder: Path, act_duration_ms: float, seed: int) -> None:
-        self.resource = FencedResource(act_duration_ms)
+    def __init__(self, folder: Path, operation_duration_ms: float, seed: int) -> None:
+        self.resource = FencedResource(operation_duration_ms)
         self._path = folder / "leases.sqlite3"
         self._seed = seed
         self._random = Random(seed)
         self._extensions: list[LeaseExtension] = []
 
-    async def run(self, begin_release: Callable[[ReleaseScenario], Awaitable[None]]) -> list[Act]:
+    async def run(self, begin_release: Callable[[ReleaseScenario], Awaitable[None]]) -> list[Operation]:
         """Trigger a release during an operation; return all operations, including a few later ones."""
         async with AsyncExitStack() as stack:
             await self.resource.open()
@@ -44,16 +44,16 @@
                 await extension.open()
                 stack.push_async_callback(extension.close)
                 self._extensions.append(extension)
-            while not (self.resource.acts and self._has_operation_in_flight()):
+            while not (self.resource.operations and self._has_operation_in_flight()):
                 await asyncio.sleep(POLL_S)
-            await asyncio.sleep(self._random.random() * self.resource.act_duration_s / 2)
+            await asyncio.sleep(self._random.random() * self.resource.operation_duration_s / 2)
             while not self._has_operation_in_flight():
                 await asyncio.sleep(POLL_S)
             begun_before = self.resource.begun_count
             await begin_release(self)
-            while len(self.resource.acts) < begun_before + OPERATIONS_AFTERWARDS:
+            while len(self.resource.operations) < begun_before + OPERATIONS_AFTERWARDS:
                 await asyncio.sleep(POLL_S)
-        return self.resource.acts
+        return self.resource.operations
 
     def section(self, renew_ms: float = 250) -> LeaseSection:
         """Return the settings with this renew interval."""
@@ -84,7 +84,7 @@
         self._holder().apply_operator_config(OperatorConfig(lease=self.section(renew_ms=200)))
 
     def _has_operation_in_flight(self) -> bool:
-        return self.resource.begun_count > len(self.resource.acts)
+        return self.resource.begun_count > len(self.resource.operations)
 
     def _holder(self) -> LeaseExtension:
         number = int(self.resource.last_holder.partition(".")[0].removeprefix("n"))
@@ -102,10 +102,10 @@
 
 
 @pytest.fixture(scope="module")
-def completed_acts(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, int, int], list[Act]]:
+def completed_acts(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, int, int], list[Operation]]:
     """Operations of all cases, which run concurrently, as they mostly wait."""
 
-    async def run_all() -> list[list[Act]]:
+    async def run_all() -> list[list[Operation]]:
         runs = [
             ReleaseScenario(tmp_path_factory.mktemp("play"), duration, seed).run(RELEASE_TRIGGERS[way])
             for way, duration, seed in CASES
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize(("way", "duration_ms", "seed"), CASES)
 def test_no_operation_begins_while_one_is_in_flight_under_a_lease_that_is_released(
-    completed_acts: dict[tuple[str, int, int], list[Act]], way: str, duration_ms: int, seed: int
+    completed_acts: dict[tuple[str, int, int], list[Operation]], way: str, duration_ms: int, seed: int
 ) -> None:
     """Guards against the release of a lease while the service still works on an operation under it."""
     acts = completed_acts[way, duration_ms, seed]
--- a/tests/lease/test_holder_acts.py
+++ b/tests/lease/test_holder_acts.py
@@ -117,7 +117,7 @@
     """Guards against a call that outlives its lease, and against a release while the service works on it."""
 
     async def run() -> None:
-        resource = FencedResource(act_duration_ms=5000)
+        resource = FencedResource(operation_duration_ms=5000)
         await resource.open()
         authority = SqlAuthority(Target(path=str(tmp_path / "leases")), TIMES.ttl_ms)
         await authority.open()
