--- a/sabledyke/application/lifecycle.py
+++ b/sabledyke/application/lifecycle.py
@@ -124,10 +124,12 @@
         name = self._assembly.config.name
         if not self.stop_requested:
             self._planned = planned
-            log.emit("stop", f"{name} was told to stop; {self._assembly.core.unanswered} requests in flight")
+            log.emit(
+                "stop", f"{name} begins its shutdown; {self._assembly.core.unanswered} requests in flight"
+            )
             self._stop_event.set()
         else:
-            log.emit("stop", f"{name} was told again to stop, and goes on as before")
+            log.emit("stop", f"{name} ignores a repeated stop request; its shutdown continues")
 
     def interrupt(self) -> None:
         """Begin a graceful shutdown on SIGINT; a second call shortens it."""
@@ -135,7 +137,7 @@
         if self._interrupt_count == 1:
             self.begin_shutdown()
         elif self.shutdown is not None:
-            log.emit("stop", f"{self._assembly.config.name} was interrupted again, and hastens its shutdown")
+            log.emit("stop", f"{self._assembly.config.name} was interrupted again and shortens its shutdown")
             self.shutdown.hasten()
 
     async def finish(self) -> None:
--- a/sabledyke/application/loop_lateness.py
+++ b/sabledyke/application/loop_lateness.py
@@ -28,9 +28,8 @@
     def __init__(self) -> None:
         self.bucket_counts = [0] * (len(BUCKET_LIMITS_S) + 1)
         self.longest_s = 0.0
-        self._recent: deque[tuple[float, float]] = (
-            deque()
-        )  # time and lateness; ascending times, descending latenesses
+        # Pairs of time and lateness, with ascending times and descending latenesses.
+        self._recent: deque[tuple[float, float]] = deque()
 
     def record(self, now_s: float, late_s: float) -> None:
         """Record by how many seconds a callback ran after it was due."""
--- a/sabledyke/application/reload.py
+++ b/sabledyke/application/reload.py
@@ -107,7 +107,7 @@
     new_names = _fixed_names(new)
     for section, names in _fixed_names(old).items():
         if names != new_names[section]:
-            raise ConfigError(f"the names of its {section} differ, which takes a restart")
+            raise ConfigError(f"the names of its {section} differ, which requires a restart")
 
 
 def _fixed_names(settings: Settings) -> dict[str, list[str]]:
--- a/sabledyke/application/shutdown_driver.py
+++ b/sabledyke/application/shutdown_driver.py
@@ -15,7 +15,7 @@
 
 PHASE_DESCRIPTIONS = {
     ShutdownPhase.SERVING_OPEN_CONNECTIONS: "the listener is closed, open connections are served",
-    ShutdownPhase.DRAINING_CONNECTIONS: "answers end their connections",
+    ShutdownPhase.DRAINING_CONNECTIONS: "connections close after their answers",
     ShutdownPhase.FINAL_ANSWERS: "final answers",
 }
 POLL_INTERVAL_S = 0.01  # interval between checks of the phase
--- a/sabledyke/cli/lease.py
+++ b/sabledyke/cli/lease.py
@@ -50,8 +50,8 @@
     """Request the release of a lease; return whether it has a holder."""
     held = await _find(authority, task_name)
     is_held = await authority.recall(task_name, at_once=at_once)
-    effect = "freed" if at_once else "its holder gives it up when it next renews"
-    print(f"{task_name}: {effect if is_held else 'nobody holds it'}")
+    effect = "freed" if at_once else "its holder releases it at its next renewal"
+    print(f"{task_name}: {effect if is_held else 'it has no holder'}")
     if is_held and held is not None and not at_once:
         print(f"{task_name}: {await _recall_outcome(authority, held, times)}")
     return is_held
@@ -67,11 +67,11 @@
         await asyncio.sleep(POLL_S)
         current = await _find(authority, held.task_name)
         if current is None or (current.holder, current.token) != (held.holder, held.token):
-            return f"given up by {held.holder}"
+            return f"released by {held.holder}"
         was_renewed = was_renewed or current.remaining_ms > last.remaining_ms
         last = current
     if was_renewed:
-        return f"{held.holder} waits for the end of the act that is out, and gives it up then"
+        return f"{held.holder} releases it after the operation in flight"
     return f"{held.holder} has not renewed the lease since; it expires in {last.remaining_ms:.0f} ms"
 
 
--- a/sabledyke/compacted_log/section.py
+++ b/sabledyke/compacted_log/section.py
@@ -115,7 +115,10 @@
 def _check_topics(topics: tuple[str, ...]) -> None:
     for topic in topics:
         if topic in RESERVED_TOPICS or not _is_topic_name(topic):
-            raise OperatorError(f"board.topics: {topic!r} is the fleet's, or not of letters, digits, - and _")
+            raise OperatorError(
+                f"board.topics: {topic!r} is reserved for the fleet, "
+                "or has characters other than letters, digits, - and _"
+            )
     if len(set(topics)) < len(topics) or len(topics) > MAX_TOPICS:
         raise OperatorError(f"board.topics lists a topic twice, or more than {MAX_TOPICS} topics")
 
--- a/sabledyke/core/core.py
+++ b/sabledyke/core/core.py
@@ -240,9 +240,8 @@
         self._events = []
         try:
             return self.scheduler.handle(now_ms, events)
-        except (
-            Exception
-        ):  # guards against an error in one decision that ends the process and drops its requests
+        # An error in one decision must not end the process and drop its requests.
+        except Exception:
             log.emit("fault", traceback.format_exc())
             report_violation("the module decides without a fault")
             return []
--- a/sabledyke/errors.py
+++ b/sabledyke/errors.py
@@ -71,70 +71,70 @@
     """A text is not a valid endpoint list, or not a valid address, in discovery's format."""
 
     code = "list"
-    remedy = "look at discovery, or the agent; the last list stays in force"
+    remedy = "check discovery or its agent; the last list stays in force"
 
 
 class StoreError(ConfigError):
     """The store of record cannot be opened."""
 
     code = "store-open"
-    remedy = "see that the database is there and may be written; store check says more"
+    remedy = "check that the database exists and is writable; store check shows details"
 
 
 class AuthorityError(SabledykeError):
     """The lease authority gave no usable answer; it may have carried out the request."""
 
     code = "authority"
-    remedy = "look at the authority (the table's disk, etcd) when it repeats; it is asked again"
+    remedy = "if it repeats, check the authority (the table's disk, etcd); the request is retried"
 
 
 class LeaseLostError(SabledykeError):
     """The lease is not held now: the step that it protects must not run."""
 
     code = "lease-lost"
-    remedy = "nothing: another does it, or it is taken up again"
+    remedy = "none: another process runs it, or the lease is acquired again"
 
 
 class OperationUnresolvedError(SabledykeError):
     """An operation under a lease has an unknown outcome: it counts as in flight until the lease expires."""
 
     code = "act-unresolved"
-    remedy = "look at the called service; ttl_ms must be longer than its longest act"
+    remedy = "check the called service; ttl_ms must exceed its longest operation"
 
 
 class FencedError(SabledykeError):
     """The resource to be changed has already seen a later fencing token."""
 
     code = "fenced"
-    remedy = "nothing once; when it repeats, the authority went back in time"
+    remedy = "none for one case; if it repeats, the authority's state was rolled back"
 
 
 class CompactedLogError(SabledykeError):
     """The compacted log gave no usable answer; it may have carried out the request."""
 
     code = "board"
-    remedy = "look at the board's file or at etcd; drains and releases rest meanwhile"
+    remedy = "check the compacted log's file or etcd; drains and releases pause meanwhile"
 
 
 class WriteConflictError(CompactedLogError):
     """A key is not at the offset that the writer expected, because another writer has written it."""
 
     code = "board-conflict"
-    remedy = "look again, then ask again: another wrote first"
+    remedy = "read again and retry: another writer was first"
 
 
 class StaleWriterError(CompactedLogError):
     """A later incarnation of this writer has already written to the compacted log."""
 
     code = "board-stale-writer"
-    remedy = "end this process: another runs under its name, or holds its lease"
+    remedy = "stop this process: another runs under its name or holds its lease"
 
 
 class LogFullError(CompactedLogError):
     """A write would exceed the number or the size of keys that the compacted log accepts."""
 
     code = "board-full"
-    remedy = "see who writes so many keys, or raise most_keys"
+    remedy = "find the writer of so many keys, or raise most_keys"
 
 
 class LogSchemaError(ConfigError):
@@ -155,11 +155,11 @@
     """The file that names the version to start next cannot be written: the member does not restart."""
 
     code = "wants"
-    remedy = "see that the file's folder has room and rights; the member then asks by itself"
+    remedy = "check free space and permissions of the file's folder; the member retries by itself"
 
 
 class StaleTicketError(SabledykeError):
     """A ticket is unusable: it is for an earlier request, has an older token, or has expired."""
 
     code = "ticket-stale"
-    remedy = "nothing: the member asks again"
+    remedy = "none: the member requests a new ticket"
--- a/sabledyke/lease/extension.py
+++ b/sabledyke/lease/extension.py
@@ -139,7 +139,7 @@
             self.managers.append(manager)
             self._manager_runs.append(loop.create_task(manager.run()))
             self._leader_task_runs.append(loop.create_task(work))
-        log.emit("lease", f"{holder_id} stands by at {section}")
+        log.emit("lease", f"{holder_id} is a candidate for leases at {section}")
 
     async def _stop(self) -> None:
         async with self._changing:
--- a/sabledyke/lease/leader_tasks.py
+++ b/sabledyke/lease/leader_tasks.py
@@ -85,7 +85,7 @@
             HTTPError,
             OSError,
         ) as error:
-            log.emit("duty", f"{task.name}: not done, it is tried again: {error}", duty=task.name)
+            log.emit("duty", f"{task.name}: failed, will be retried: {error}", duty=task.name)
             await asyncio.sleep(RETRY_DELAY_S)
 
 
@@ -112,7 +112,7 @@
         await session.transact(fencing.token_check_steps(task_name, token))
     except DatabaseError as error:
         if error.kind is DatabaseErrorKind.FENCED:
-            raise FencedError(f"{task_name}: the record has seen a token after {token}") from error
+            raise FencedError(f"{task_name}: the record has seen a later token than {token}") from error
         if error.kind is not DatabaseErrorKind.SCHEMA:
             raise
         await session.script([fencing.CREATE_TABLE_SQL])  # before the first leader task on this record
@@ -133,7 +133,7 @@
     passed = await check(record, findings.append)
     token = manager.current_token()
     await check_fence(record, task.name, token)
-    result = "all is well" if passed else f"NOT well: {'; '.join(findings[:MAX_LOGGED_FINDINGS])}"
+    result = "passed" if passed else f"FAILED: {'; '.join(findings[:MAX_LOGGED_FINDINGS])}"
     _log_result(task, token, result, passed=passed)
 
 
@@ -204,7 +204,7 @@
             ) from error
         if error.code != HTTP_CONFLICT:
             raise
-        raise FencedError(f"{task.name}: the called service has seen a token after {token}") from error
+        raise FencedError(f"{task.name}: the called service has seen a later token than {token}") from error
 
 
 async def _post_within(url: str, headers: Mapping[str, str], time_left_s: float) -> None:
--- a/sabledyke/log.py
+++ b/sabledyke/log.py
@@ -45,7 +45,7 @@
         lines = []
         if now_s - began_s >= self._window_s:
             if count > self._burst:
-                lines.append(f"{count - self._burst} more like the last left out")
+                lines.append(f"{count - self._burst} more lines of this kind suppressed")
             began_s = now_s
             count = 0
         self._windows[kind] = (began_s, count + 1)
--- a/sabledyke/net/connection_pool.py
+++ b/sabledyke/net/connection_pool.py
@@ -153,7 +153,7 @@
 
     def _on_attempt_broken(self, attempt: _Attempt, error: Exception) -> None:
         if isinstance(error, PeerProtocolError):
-            log.emit("box", f"{node_name(attempt.node)} is not understood: {error}")
+            log.emit("box", f"{node_name(attempt.node)} violated its protocol: {error}")
         ran = attempt.may_have_run
         self._complete(attempt, AttemptResult(Outcome.RESET if ran else Outcome.NO_CONNECTION, ran))
 
@@ -162,7 +162,7 @@
         if self._open_count >= self.max_connections:
             self._evict_idle()
         if address is None or self._open_count >= self.max_connections:
-            log.emit("pool", f"no connection to spare for {node_name(node)}")
+            log.emit("pool", f"no connection available for {node_name(node)}")
             raise streams.StreamClosedError
         self._open_count += 1
         try:
--- a/sabledyke/net/console.py
+++ b/sabledyke/net/console.py
@@ -66,9 +66,7 @@
 
     def _evict_oldest(self) -> None:
         if not self.eviction_count:
-            log.emit(
-                "console", f"{MAX_CONNECTIONS} console connections: the oldest is closed for each new one"
-            )
+            log.emit("console", f"{MAX_CONNECTIONS} console connections: each new one closes the oldest")
         self.eviction_count += 1
         task, stream = self._connections.popitem(last=False)
         stream.close()
--- a/sabledyke/net/endpoint_watch.py
+++ b/sabledyke/net/endpoint_watch.py
@@ -155,7 +155,7 @@
         except TimeoutError:  # unresponsive without an error: the next call requests any missed changes
             streams.abort(stream)
             pause_s = self._backoff.on_timeout(self._timeouts)
-            log.emit("discovery", f"a call timed out: the next in {pause_s:.2f} s")
+            log.emit("discovery", f"a call timed out; the next call starts in {pause_s:.2f} s")
             await asyncio.sleep(pause_s)
             return
         self._backoff.on_response()
@@ -209,12 +209,12 @@
         status = self._versions.evaluate(listing.update)
         if status is VersionStatus.STALE:
             raise ListError(
-                f"version {listing.update.version} is older than {self._versions.current}, set aside"
+                f"version {listing.update.version} is older than {self._versions.current} and is ignored"
             )
         if status is VersionStatus.ACCEPTED:
             self.report(listing)
         elif listing.update.entries:
-            log.emit("discovery", f"version {listing.update.version} came again, nothing of it is new")
+            log.emit("discovery", f"version {listing.update.version} was repeated and contains no change")
         return status is VersionStatus.ACCEPTED
 
     def _report_failure(self, error: Exception) -> None:
--- a/sabledyke/net/frontend.py
+++ b/sabledyke/net/frontend.py
@@ -164,7 +164,10 @@
         Guards against many handshakes that never complete, or that evict clients.
         """
         if self.closing or len(self._pending_handshakes) >= MAX_PENDING_HANDSHAKES:
-            log.emit("front", f"{len(self._pending_handshakes)} {self.name} handshakes: a new one is closed")
+            log.emit(
+                "front",
+                f"{len(self._pending_handshakes)} {self.name} handshakes pending: closed the new connection",
+            )
             sock.close()
             return
         task = asyncio.get_running_loop().create_task(self._admit_guarded(stream_from_socket(sock), guard))
@@ -195,8 +198,8 @@
         if len(self.clients) < self.max_clients:
             return True
         evicted = self._find_evictable()
-        closed = "an idle one" if evicted else "a new one"
-        log.emit("front", f"{len(self.clients)} {self.name} clients: {closed} is closed")
+        closed = "an idle connection" if evicted else "the new connection"
+        log.emit("front", f"{len(self.clients)} {self.name} clients: closed {closed}")
         if evicted is None:
             return False
         evicted.close()
--- a/sabledyke/net/http_frontend.py
+++ b/sabledyke/net/http_frontend.py
@@ -84,7 +84,7 @@
         if self.busy or self._parser.idle:
             self.close()
         else:
-            self._reject_bad_request(HttpError("a request that does not go on", 408))
+            self._reject_bad_request(HttpError("the request was not completed in time", 408))
 
     def on_client_disconnected(self) -> None:
         """Report the disconnect of the client for the request in flight."""
@@ -139,7 +139,7 @@
         message = self._parser.next_message()
         if message is None:
             if self._input_overrun:
-                raise HttpError("more sent than may wait behind a request")
+                raise HttpError("too much input behind a request in flight")
             return
         self._continue_sent = False
         self._frontend.mark_used(self)
--- a/sabledyke/net/http_link.py
+++ b/sabledyke/net/http_link.py
@@ -68,7 +68,7 @@
                 counted_bytes = self._parser.buffered_bytes
                 # Small answers are read even if the memory is full.
                 if self._response_memory.full and counted_bytes > MAX_BODY_BYTES:
-                    raise HttpError("no room for so large an answer")
+                    raise HttpError("the answer exceeds the memory left for answers")
         finally:
             self._response_memory.used_bytes -= counted_bytes
 
--- a/sabledyke/net/link.py
+++ b/sabledyke/net/link.py
@@ -18,7 +18,7 @@
 class PeerProtocolError(SabledykeError):
     """A storage node violated its protocol; the message states how."""
 
-    code, remedy = "box-garbled", "look at the box's version"
+    code, remedy = "box-garbled", "check the node's version"
 
 
 class Link(Protocol):
--- a/sabledyke/net/listener.py
+++ b/sabledyke/net/listener.py
@@ -107,7 +107,7 @@
             sock.setblocking(False)
             self._accept(sock, address)
         except OSError as error:
-            log.emit("front", f"a connection broke as it was accepted: {error}")
+            log.emit("front", f"a connection failed while it was accepted: {error}")
             sock.close()
 
     def _drain_backlog(self, retries: int) -> None:
--- a/sabledyke/net/nvme_frontend.py
+++ b/sabledyke/net/nvme_frontend.py
@@ -87,7 +87,7 @@
         except streams.StreamClosedError:
             self.close()
         except NvmeError as error:
-            log.emit("front", f"an NVMe host broke the protocol: {error}")
+            log.emit("front", f"an NVMe host violated the protocol: {error}")
             if not self.stream.closed():
                 await self._flush_error()
             self.close()
@@ -128,7 +128,7 @@
             self._keep_alive_timer = loop.call_later(timeout_s, self._on_keep_alive_timeout)
 
     def _on_keep_alive_timeout(self) -> None:
-        log.emit("front", "an NVMe host kept silent past its keep-alive time")
+        log.emit("front", "an NVMe host sent nothing within its keep-alive time")
         self.close()
 
     async def _flush(self) -> None:
--- a/sabledyke/protocol/discovery.py
+++ b/sabledyke/protocol/discovery.py
@@ -120,7 +120,7 @@
         except (*_INVALID, ListError) as error:
             if cached:
                 raise
-            invalid_entry = f"an entry of the list lacks or garbles {error}"
+            invalid_entry = f"an entry of the list has a missing or invalid field: {error}"
             kind = ListKind.DELTA
     if cached:
         kind = ListKind.CACHED
--- a/sabledyke/protocol/http/message.py
+++ b/sabledyke/protocol/http/message.py
@@ -23,7 +23,7 @@
     """
 
     code = "http"
-    remedy = "tell whoever runs that peer"
+    remedy = "notify the operator of that peer"
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
--- a/sabledyke/protocol/node_response.py
+++ b/sabledyke/protocol/node_response.py
@@ -39,7 +39,7 @@
         value = -1.0
     if 0 <= value <= MAX_REPORTED_VALUE:
         return int(value)
-    log.emit("box", f"a usage metric is set aside: {header} {text[:20]!r}")
+    log.emit("box", f"ignored an invalid usage metric: {header} {text[:20]!r}")
     return None
 
 
@@ -61,7 +61,7 @@
         values = self._values(text)
         if all(0 <= value <= MAX_REPORTED_VALUE for value in values):
             return values
-        log.emit("box", f"a load report is set aside: {text[:60]!r}")
+        log.emit("box", f"ignored an invalid load report: {text[:60]!r}")
         return ()
 
     def _values(self, text: str) -> tuple[float, ...]:
--- a/sabledyke/protocol/nvme/blocks.py
+++ b/sabledyke/protocol/nvme/blocks.py
@@ -177,12 +177,14 @@
     start_block = request.data_key * volume.object_blocks
     capacity_bytes = volume.object_blocks * BLOCK_BYTES
     if start_block + volume.object_blocks > volume.block_count:
-        raise UnmappableRequestError(f"piece {request.data_key:x} is past the end of its namespace")
+        raise UnmappableRequestError(f"data key {request.data_key:x} is past the end of its namespace")
     if not request.write:
         read = transfer_command(IoOpcode.READ, volume.namespace_id, start_block, capacity_bytes)
         return Submission(read, b"")
     if len(request.body) + _LENGTH_PREFIX_BYTES > capacity_bytes:
-        raise UnmappableRequestError(f"{len(request.body)} bytes do not fit a piece of {capacity_bytes}")
+        raise UnmappableRequestError(
+            f"{len(request.body)} bytes exceed the {capacity_bytes} bytes of a data key"
+        )
     data = (len(request.body) + 1).to_bytes(_LENGTH_PREFIX_BYTES, "big") + request.body
     block_count = -(-len(data) // BLOCK_BYTES)
     padded = data.ljust(block_count * BLOCK_BYTES, b"\0")
--- a/sabledyke/protocol/nvme/pdu.py
+++ b/sabledyke/protocol/nvme/pdu.py
@@ -73,7 +73,7 @@
     """
 
     code = "nvme"
-    remedy = "tell whoever runs that host or box"
+    remedy = "notify the operator of that host or storage node"
 
     def __init__(
         self,
--- a/sabledyke/protocol/request_ids.py
+++ b/sabledyke/protocol/request_ids.py
@@ -39,7 +39,7 @@
         self._drop_expired(now_ms)
         key = hash(request.client_request_id)
         if self._expires_ms.get(key, now_ms) > now_ms:
-            raise HttpError("the id of a request that is not over", 409)
+            raise HttpError("Req-Id is in use by a request that has not ended", 409)
         self._expires_ms.pop(key, None)
         if len(self._expires_ms) >= self._max_ids:
             oldest = next(iter(self._expires_ms))
--- a/sabledyke/protocol/watch_timeout.py
+++ b/sabledyke/protocol/watch_timeout.py
@@ -3,10 +3,10 @@
 The same schedule applies to lists polled from discovery and lists pushed by an agent. It is notified of the
 results of requests and takes a seed; it uses neither sockets nor a clock.
 
-Source: STANDING, 'One clock for silence': a request without a complete response has failed and must be
-repeated; the changes that it missed count as known 6 s after it timed out, or 2 s after its wait ended,
-whichever is later. PROTOCOL, 'Discovery': a watch continues if the next request arrives within 0.2 s of the
-last response.
+Source: the acceptance rules, 'One clock for silence': a request without a complete response has failed and
+must be repeated; the changes that it missed count as known 6 s after it timed out, or 2 s after its wait
+ended, whichever is later. PROTOCOL, 'Discovery': a watch continues if the next request arrives within 0.2 s
+of the last response.
 """
 
 from __future__ import annotations
--- a/sabledyke/quota_sharing/extension.py
+++ b/sabledyke/quota_sharing/extension.py
@@ -123,7 +123,7 @@
         if is_sharing is self._is_sharing:
             return
         self._is_sharing = is_sharing
-        what = "takes its shares by demand" if is_sharing else "takes its floor alone"
+        what = "uses its share by demand" if is_sharing else "uses only its floor"
         log.emit("fleet", f"{self._name} {what}", shared=str(is_sharing).lower())
 
 
--- a/sabledyke/quota_sharing/publisher.py
+++ b/sabledyke/quota_sharing/publisher.py
@@ -117,7 +117,7 @@
     def _check_writer(self, cell: Cell | None) -> None:
         written = decode_writer_state(cell)
         if written is None or written.nonce != self._nonce:
-            raise StaleWriterError(f"{self._name}: another incarnation of it shares")
+            raise StaleWriterError(f"{self._name}: another incarnation with this name has become the writer")
 
     def _process_own_register(self, cell: Cell | None) -> None:
         """Process a read of this member's own register, unless it is older than the confirmed publication."""
--- a/sabledyke/rollout/member_driver.py
+++ b/sabledyke/rollout/member_driver.py
@@ -107,7 +107,7 @@
         except StaleWriterError as fault:
             raise ConfigError(f"board {self._log_section}: {fault}") from None
         except CompactedLogError as fault:
-            message = f"{self._name} waits for the board, its listeners are closed: {fault}"
+            message = f"{self._name} waits for the compacted log; its listeners stay closed: {fault}"
             log.emit("fleet", message, **fault.fields)
             return None
 
@@ -123,7 +123,7 @@
         replaces_released = self._participant.replaces_released(view)
         unfinished = self._participant.unfinished(view, self._section.version)
         if unfinished is not None and self._version_file.read() not in (None, unfinished.target):
-            log.emit("fleet", f"{self._name} was to come back as {unfinished.target}, and ends once more")
+            log.emit("fleet", f"{self._name} must run {unfinished.target}; shutting down again")
             self._leave(unfinished)
         return replaces_released
 
@@ -169,7 +169,9 @@
                 state = MemberState.RETIRED if self._retires else MemberState.OUT
                 await append_change(self._writer, StateChange("out", (self._record(state),)))
         except (CompactedLogError, TimeoutError) as fault:
-            log.emit("fleet", f"{self._name} could not say that it is out: {fault or 'no answer'}")
+            log.emit(
+                "fleet", f"{self._name} could not write that it is out of service: {fault or 'no answer'}"
+            )
 
     async def _wait_until_ready(self) -> None:
         """Wait at most one poll interval for open listeners, so that they are published at once."""
--- a/sabledyke/rollout/node_drain.py
+++ b/sabledyke/rollout/node_drain.py
@@ -131,9 +131,9 @@
         offsets = tuple(drain.begun_offset for drain in done)
         if offsets == self._acknowledged(view):
             return None
-        names = ", ".join(drain.name for drain in done) or "no box"
+        names = ", ".join(drain.name for drain in done) or "no node"
         acknowledgement = DrainAcknowledgement(self.name, self.incarnation, offsets)
-        return StateChange(f"{self.name} has nothing out at {names}", (acknowledgement,))
+        return StateChange(f"{self.name} has nothing in flight at {names}", (acknowledgement,))
 
     def _grace_is_over(self, drain: Drain, now_ms: float) -> bool:
         closed_ms = now_ms - self.closed_since_ms[drain.begun_offset]
--- a/sabledyke/store/batch_writer.py
+++ b/sabledyke/store/batch_writer.py
@@ -85,7 +85,7 @@
             await asyncio.sleep(FLUSH_POLL_S)
         unwritten = self._intents.unwritten_entries
         if unwritten:
-            log.emit("store", f"{unwritten} entries of the journal could not be written before the end")
+            log.emit("store", f"{unwritten} journal entries were not written before the shutdown ended")
         self.stop()
         if self.session is not None:
             await self.session.close()
--- a/sabledyke/store/database_errors.py
+++ b/sabledyke/store/database_errors.py
@@ -48,7 +48,7 @@
     """
 
     code = "store"
-    remedy = "look at the database; store check says whether it is sound"
+    remedy = "run store check on the database"
 
     def __init__(self, kind: DatabaseErrorKind, text: str = "", *, uncertain: bool = False) -> None:
         super().__init__(f"{kind.value}: {text}" if text else kind.value)
--- a/sabledyke/store/intent_manager.py
+++ b/sabledyke/store/intent_manager.py
@@ -169,7 +169,7 @@
         """Expire attempts and fail answers past their deadlines, or all of them if a batch stalls."""
         effects: list[Effect] = []
         if self.health.on_tick(now_ms):
-            stall = f"it does not answer for {self.limits.stall_ms:.0f} ms"
+            stall = f"the database has not answered for {self.limits.stall_ms:.0f} ms"
             effects.append(LogLine(f"{stall}; keyed writes are rejected"))
             effects += self._fail_all_waiting(self.batch_in_flight)
         effects += self._writes.expire(now_ms)
@@ -207,7 +207,9 @@
         effects: list[Effect] = []
         stalled_ms = self.health.on_batch_committed(now_ms)
         if stalled_ms:
-            effects.append(LogLine(f"it answers again after {stalled_ms:.0f} ms; keyed writes are accepted"))
+            effects.append(
+                LogLine(f"the database answers again after {stalled_ms:.0f} ms; keyed writes are accepted")
+            )
         effects += self._journal.on_committed()
         self._writes.on_recorded(batch.intents, accepted, existing)
         effects += self._writes.release_waiting(now_ms)
@@ -283,7 +285,7 @@
         fenced = error.kind is DatabaseErrorKind.FENCED
         if not self.health.on_batch_failed(now_ms, fenced=fenced):
             return []
-        end = "for good: restart it" if fenced else "until it answers again"
+        end = "permanently: restart this process" if fenced else "until it answers again"
         return [LogLine(f"{error}; keyed writes are rejected {end}")]
 
     def _fail_all_waiting(self, batch: RecordBatch | None) -> list[Effect]:
--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -174,7 +174,9 @@
             finally:
                 self._release()
         resolution = write.resolution
-        self._log(f"lost a commit's answer: it {resolution.value} after {write.question_count} questions")
+        self._log(
+            f"COMMIT was not answered; outcome after {write.question_count} queries: {resolution.value}"
+        )
         if resolution is DoubtResolution.SERVED:
             return AttemptResult(Outcome.OK, may_have_run=True, body=write.result)
         if resolution is DoubtResolution.NEVER:
--- a/sabledyke/tls/connector.py
+++ b/sabledyke/tls/connector.py
@@ -208,7 +208,7 @@
             self._report(node, str(error))
             raise streams.StreamClosedError(error) from None
         except TimeoutError:
-            self._report(node, "the handshake does not end in time")
+            self._report(node, "the handshake timed out")
             raise streams.StreamClosedError from None
         except ssl.SSLError as error:
             self._report(node, str(error))
--- a/sabledyke/tls/extension.py
+++ b/sabledyke/tls/extension.py
@@ -146,7 +146,7 @@
         try:
             update = self.keyring.offer(clock.now(), self._section.paths.read_files())
         except OperatorError as error:  # a file may be missing briefly during a rotation
-            log.emit("tls", f"new keys are not used: {error}; the old ones stay in force")
+            log.emit("tls", f"new keys were rejected: {error}; the current keys stay in use")
             return
         if update.changed:
             self._use_generation(self.keyring.generation)
--- a/sabledyke/tls/key_material.py
+++ b/sabledyke/tls/key_material.py
@@ -28,7 +28,7 @@
     """The key files cannot be used; the text states the reason in one line."""
 
     code = "tls-material"
-    remedy = "replace the file that the line names, then tls check"
+    remedy = "replace the file named in the message, then run tls check"
 
 
 @dataclass(slots=True, frozen=True)
--- a/sabledyke/tls/keyring.py
+++ b/sabledyke/tls/keyring.py
@@ -88,7 +88,7 @@
             if current is None:
                 raise
             self._rejected = files
-            return KeyringUpdate(messages=(f"new keys are not used: {error}; the old ones stay in force",))
+            return KeyringUpdate(messages=(f"new keys were rejected: {error}; the current keys stay in use",))
         return self._accept(now_ms, material)
 
     def warnings(self, now_ms: float) -> tuple[str, ...]:
@@ -103,7 +103,7 @@
         if self._warned_days is not None and self._warned_days <= due_days:
             return ()
         self._warned_days = due_days
-        return (f"{first.subject} ends in {max(0.0, days):.1f} days",)
+        return (f"{first.subject} expires in {max(0.0, days):.1f} days",)
 
     def _accept(self, now_ms: float, material: KeyMaterial) -> KeyringUpdate:
         self._rejected = None
@@ -114,7 +114,7 @@
             self._previous = _PreviousRoots(previous_roots, now_ms + self._overlap_ms)
         self._current = Generation(number, material, self._trusted_roots(now_ms, material))
         self._warned_days = None
-        messages = (f"keys of generation {number} are in force",) if number > 1 else ()
+        messages = (f"using keys of generation {number}",) if number > 1 else ()
         return KeyringUpdate(changed=True, messages=messages + self.warnings(now_ms))
 
     def _on_time_passed(self, now_ms: float, current: Generation) -> KeyringUpdate:
@@ -123,7 +123,7 @@
         if roots == current.roots:
             return KeyringUpdate(messages=self.warnings(now_ms))
         self._current = Generation(current.number, current.material, roots)
-        message = "roots of the former generation are no longer trusted"
+        message = "roots of the previous generation are no longer trusted"
         return KeyringUpdate(changed=True, messages=(message, *self.warnings(now_ms)))
 
     def _trusted_roots(self, now_ms: float, material: KeyMaterial) -> bytes:
--- a/sabledyke/tls/stream.py
+++ b/sabledyke/tls/stream.py
@@ -146,7 +146,7 @@
             try:
                 data = await inner.read_bytes(_READ_BYTES, partial=True)
             except StreamClosedError:
-                raise TlsError("it ended the connection in the handshake") from None
+                raise TlsError("it closed the connection during the handshake") from None
             try:
                 machine.feed(data)
             except TlsError:
--- a/sabledyke/tls/tls_machine.py
+++ b/sabledyke/tls/tls_machine.py
@@ -19,8 +19,8 @@
 _READ_BYTES = 64 * 1024
 
 _ERROR_DESCRIPTIONS = {
-    "CERTIFICATE_VERIFY_FAILED": "its certificate is not accepted",
-    "WRONG_VERSION_NUMBER": "it speaks no TLS",
+    "CERTIFICATE_VERIFY_FAILED": "its certificate was rejected",
+    "WRONG_VERSION_NUMBER": "it does not speak TLS",
     "UNSUPPORTED_PROTOCOL": "it supports only an old version of TLS",
     "TLSV1_ALERT_PROTOCOL_VERSION": "it does not support this version of TLS",
     "TLSV13_ALERT_CERTIFICATE_REQUIRED": "it requires a client certificate",
@@ -45,7 +45,7 @@
     """The peer violated the TLS protocol or could not be verified; the text states the reason."""
 
     code = "tls"
-    remedy = "compare both sides' keys and names; tls check reads ours"
+    remedy = "compare the keys and names of both sides; run tls check for the scheduler's"
 
 
 class TlsMachine:
--- a/sabledyke/wire_reader.py
+++ b/sabledyke/wire_reader.py
@@ -12,7 +12,7 @@
     """The input violates the simulator's wire format; the text describes the violation."""
 
     code = "wire"
-    remedy = "nothing in service: it is the simulator's"
+    remedy = "none in service: only the simulator uses this format"
 
 
 class RecordReader:
--- a/tests/application/test_console.py
+++ b/tests/application/test_console.py
@@ -145,9 +145,8 @@
         assert first.startswith("HTTP/1.1 200")
         assert headers["connection"] == "close"
         assert await busy_reader.read() == b""
-        answers = [
-            await read_http(piped_reader) for _ in range(2)
-        ]  # both requests were read and are answered
+        # Both requests were read and are answered.
+        answers = [await read_http(piped_reader) for _ in range(2)]
         assert [h.get("connection") for _, h, _ in answers] == [None, "close"]
         assert await piped_reader.read() == b""
         assert rig.server.listeners  # the process keeps running
--- a/tests/application/test_shutdown_soak.py
+++ b/tests/application/test_shutdown_soak.py
@@ -34,9 +34,8 @@
     assert not report.lost, report.describe()
     # On a busy machine SIGKILL may come before the exit, after all requests were answered.
     assert report.exit_status in (0, -signal.SIGKILL), report.describe()
-    if (
-        not report.plan.has_idle_connections
-    ):  # A crowded front end closes connections after their answers at any time.
+    # A crowded front end closes connections after their answers at any time.
+    if not report.plan.has_idle_connections:
         assert report.first_close_s >= MIN_SERVICE_S, report.describe()
 
 
--- a/tests/application/test_start.py
+++ b/tests/application/test_start.py
@@ -39,7 +39,7 @@
         assert answers == [200] * 65, answers  # no request was refused, cut off or left unread
         new.begin_shutdown()
         await new.finish()
-        setattr(rig.server, "begin_shutdown", lambda: None)  # noqa: B010 - the rig would shut the server discovery_down again
+        setattr(rig.server, "begin_shutdown", lambda: None)  # noqa: B010 - the rig would shut the server down again
         setattr(rig.server, "finish", _do_nothing)  # noqa: B010
         assert not invariants.violations
 
--- a/tests/compacted_log/test_settings.py
+++ b/tests/compacted_log/test_settings.py
@@ -33,7 +33,7 @@
     ("of", "expected_error"),
     [
         ({"topics": ["prices", "stock-2"], "clean_s": 1}, ""),
-        ({"topics": ["fleet"]}, "'fleet' is the fleet's"),
+        ({"topics": ["fleet"]}, "'fleet' is reserved for the fleet"),
         ({"topics": ["a/b"]}, "letters, digits"),
         ({"topics": ["a", "a"]}, "lists a topic twice"),
         ({"clean_s": 0}, "board.clean_s must be a number >= 0.1, not 0"),
--- a/tests/lease/test_cluster.py
+++ b/tests/lease/test_cluster.py
@@ -138,7 +138,7 @@
         assert evaluation.longest_gap_ms > 1500, finished_run.describe()
     if name == "late":
         assert report.rejected >= 1  # a delayed request arrived after operations of another holder
-        assert any("has seen a token after" in str(line.get("event")) for line in report.timeline)
+        assert any("has seen a later token than" in str(line.get("event")) for line in report.timeline)
     assert all("life" in line and "mono" in line for line in report.timeline)
 
 
--- a/tests/lease/test_operations.py
+++ b/tests/lease/test_operations.py
@@ -26,8 +26,8 @@
 
 COMMANDS = (
     (["status"], 0, "held by n0.life"),
-    (["release", "sweep"], 0, "gives it up when it next renews"),
-    (["release", "nothing"], 1, "nobody holds it"),
+    (["release", "sweep"], 0, "its holder releases it at its next renewal"),
+    (["release", "nothing"], 1, "it has no holder"),
 )
 
 
@@ -51,7 +51,7 @@
                     out = capsys.readouterr().out
                     assert said in out
                     if arguments == ["release", "sweep"]:
-                        assert "given up by n0.life" in out
+                        assert "released by n0.life" in out
                 # The holder learns of the recall at its next renewal, and then releases the lease.
                 while manager.leading.is_set():
                     await asyncio.sleep(0.01)
@@ -74,7 +74,7 @@
         async with _held_lease(file) as (manager, _):
             async with manager.operation():
                 assert await asyncio.to_thread(main, command) == 0
-                assert "n0.life waits for the end of the act that is out" in capsys.readouterr().out
+                assert "n0.life releases it after the operation in flight" in capsys.readouterr().out
                 assert manager.current_token() == 1  # for the steps of this operation
             with pytest.raises(LeaseLostError):
                 manager.current_token()
--- a/tests/placement/test_evacuation.py
+++ b/tests/placement/test_evacuation.py
@@ -87,9 +87,8 @@
     for home in placements.values():
         if home.site in "bc":
             load_by_member[home.member] += loads[home.volume]
-    assert max(load_by_member.values()) < 1.5 * sum(load_by_member.values()) / len(
-        load_by_member
-    )  # loads are bounded
+    # The load of each member is bounded.
+    assert max(load_by_member.values()) < 1.5 * sum(load_by_member.values()) / len(load_by_member)
     back = run_to_end(replace(plan, stage=PlanStage.ROLLING_BACK), view, placements, loads, site_map)
     assert back.step == -1
     assert all(placements[n].site == first[n].site for n in placements)
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -19,7 +19,7 @@
 
 
 def budget(calls: float) -> float:
-    """Return the calls that a cold node can serve in a window if settings allow ``calls`` (STANDING)."""
+    """Return the calls that the acceptance rules allow a cold node if settings allow ``calls`` per window."""
     if calls >= 30:
         return calls + 2 * sqrt(calls) + 2
     return calls + 3 * sqrt(calls) + 3
--- a/tests/quota_sharing/test_shared_limits.py
+++ b/tests/quota_sharing/test_shared_limits.py
@@ -125,7 +125,7 @@
         ('[board]\npath = "b"\n[fleet]\nmembers = 0', "fleet.members must be a whole number >= 1"),
         ('[board]\npath = "b"\n[fleet]\nmembers = 3\nfloor = 0', "fleet.floor must be a number >= 0.01"),
         ('[board]\npath = "b"\n[fleet]\nmembers = 3\nhosts = 3', "fleet.hosts is not known"),
-        ('[board]\npath = "b"\ntopics = ["shares"]', "is the fleet's"),
+        ('[board]\npath = "b"\ntopics = ["shares"]', "is reserved for the fleet"),
     ],
 )
 def test_an_invalid_section_is_reported_as_an_operator_error(text: str, message: str) -> None:
--- a/tests/rollout/release_scenarios.py
+++ b/tests/rollout/release_scenarios.py
@@ -64,9 +64,8 @@
     last = size - 1 - (coordinator == size - 1)
     await inject_all(fleet, faults, coordinator, last)
     view = await fleet.wait_until(lambda view: view.plans["p"].stage is not PlanStage.RUNNING)
-    while (
-        view.plans["p"].stage is PlanStage.HALTED
-    ):  # the plan halts by itself while too many members are out
+    # The plan halts by itself while too many members are out of service.
+    while view.plans["p"].stage is PlanStage.HALTED:
         reason = view.plans["p"].reason
         assert "unplanned" in reason or "not back" in reason
         await resume_when_all_are_back(fleet, "p")
@@ -120,7 +119,7 @@
     logs = [fleet.cluster.instances[number].folder / "log.2" for number in (1, 2)]
     async with fleet.storage.stalled(), asyncio.timeout(LOG_WAIT_S):
         await asyncio.gather(*(fleet.inject(FleetFault.KILL, number) for number in (1, 2)))
-        while not all(log.exists() and "waits for the board" in log.read_text() for log in logs):
+        while not all(log.exists() and "waits for the compacted log" in log.read_text() for log in logs):
             await asyncio.sleep(0.1)
     await fleet.wait_until(
         lambda view: all(view.members[name].incarnation > incarnations[name] for name in ("n1", "n2"))
--- a/tests/rollout/test_participant.py
+++ b/tests/rollout/test_participant.py
@@ -34,9 +34,8 @@
         assert change is not None, (now, token, number)
         assert (change.description == GOES_OUT) is is_used, (now, token, number)
         assert ("ticket/n0", 70) in change.expected_offsets
-        assert (
-            is_used or change.deleted_keys == ("ticket/n0",) and attempt.last_request is None
-        )  # returned unused, and requested again
+        # An unusable ticket is returned unused, and requested again.
+        assert is_used or change.deleted_keys == ("ticket/n0",) and attempt.last_request is None
     tracker = ChangeTracker()
     for now in (0, 50, 101):
         tracker.observe(now, {"beat/n1": 7, "beat/n0": now})
--- a/tests/store/test_record_faults.py
+++ b/tests/store/test_record_faults.py
@@ -57,7 +57,7 @@
     run_scenario(tmp_path, backend, scenario)
     reported = capfd.readouterr().err
     assert "keyed writes are rejected" in reported
-    assert "it answers again after" in reported
+    assert "the database answers again after" in reported
 
 
 @pytest.mark.parametrize("fault", ["cut before", "cut after", "40001", "53300", "57P01", "slow"])
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -15,7 +15,7 @@
     assert lines == [["0"], ["1"], [], [], []]
     assert limiter.lines("b", "x") == ["x"]
     now_s = 10.0
-    assert limiter.lines("a", "5") == ["3 more like the last left out", "5"]
+    assert limiter.lines("a", "5") == ["3 more lines of this kind suppressed", "5"]
 
 
 def test_failures_of_a_kind_hide_no_change(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/tls/test_keyring.py
+++ b/tests/tls/test_keyring.py
@@ -14,7 +14,7 @@
     bad = KeyFiles(CHAIN, OTHER_ROOT.issue("x")[1], ROOT.root)
     update = keys.offer(NOW_MS, bad)
     assert not update.changed
-    assert "are not used" in update.messages[0]
+    assert "new keys were rejected" in update.messages[0]
     assert keys.offer(NOW_MS, bad).messages == ()  # reported once
     assert keys.generation.number == 1
     update = keys.offer(NOW_MS, KeyFiles(*OTHER_ROOT.issue("new"), OTHER_ROOT.root))
@@ -38,4 +38,4 @@
         keys.offer(NOW_MS + day * DAY_MS, files).messages for day in (0.5, 1.5, 2, 24.5, 25, 30.5, 30.6)
     ]
     assert [bool(warnings) for warnings in messages] == [False, True, False, True, False, True, False]
-    assert messages[1][0].startswith("certificate CN=x ends in 29.")
+    assert messages[1][0].startswith("certificate CN=x expires in 29.")
--- a/tests/tls/test_node_verification.py
+++ b/tests/tls/test_node_verification.py
@@ -83,11 +83,11 @@
         ("name", "Hostname mismatch"),
         ("root", "local issuer"),
         ("revoked", "certificate revoked"),
-        ("old", "ended the connection"),
-        ("plain", "it speaks no TLS"),
-        ("garbage", "it speaks no TLS"),
-        ("silent", "does not end in time"),
-        ("ends", "ended the connection"),
+        ("old", "closed the connection during the handshake"),
+        ("plain", "it does not speak TLS"),
+        ("garbage", "it does not speak TLS"),
+        ("silent", "the handshake timed out"),
+        ("ends", "closed the connection during the handshake"),
     ],
 )
 def test_a_node_that_cannot_be_verified_receives_no_request_and_is_logged_once(
