--- a/sabledyke/store/sql_link.py
+++ b/sabledyke/store/sql_link.py
@@ -174,9 +174,7 @@
             finally:
                 self._release()
         resolution = write.resolution
-        self._log(
-            f"did not answer COMMIT; outcome after {write.question_count} queries: {resolution.value}"
-        )
+        self._log(f"did not answer COMMIT; outcome: {resolution.value}, after {write.question_count} queries")
         if resolution is DoubtResolution.SERVED:
             return AttemptResult(Outcome.OK, may_have_run=True, body=write.result)
         if resolution is DoubtResolution.NEVER:
--- a/tests/protocol/test_gateway.py
+++ b/tests/protocol/test_gateway.py
@@ -62,7 +62,7 @@
         assert error.value.status == status
     ids = RequestIds(2)
     ids.claim(0, request)
-    with pytest.raises(HttpError, match="not over"):
+    with pytest.raises(HttpError, match="in use by a request that has not ended"):
         ids.claim(request.remaining_ms - 1, request)
     ids.claim(request.remaining_ms, request)
     for request_id in "abc":
